--- a/core/route/allow.go
+++ b/core/route/allow.go
@@ -2,38 +2,44 @@
 
 import "time"
 
-// Allowance bounds the repeated sends to a service over a sliding window, as a
-// share of the requests for it and a number beside. Its owner passes the time
-// by a steady clock; the zero value allows nothing.
+// Allowance is a retry budget. Over a sliding window it bounds the retries to a
+// service to a share of the requests plus a constant. Times are readings of a
+// monotonic clock. The zero value allows no retries.
 type Allowance struct {
-	// Share is how many repeats one request allows.
+	// Share is the number of retries allowed per request.
 	Share float64
-	// Extra is how many repeats the window allows beside.
+	// Extra is the number of further retries allowed per window.
 	Extra float64
 	// Window is the length of the window.
 	Window time.Duration
 
-	steps [allowanceSteps + 1]allowanceStep
-	at    int64
+	// buckets is a ring that covers the window and the bucket being filled.
+	buckets [windowBuckets + 1]retryBucket
+	// current is the number of the bucket being filled, counted from time 0.
+	current int64
 }
 
-// allowanceSteps is how many steps a window has.
-const allowanceSteps = 20
+// windowBuckets is the number of buckets that a window is divided into.
+const windowBuckets = 20
 
-type allowanceStep struct{ requests, repeats int }
+// retryBucket holds the counts of one part of the window.
+type retryBucket struct{ requests, retries int }
 
+// advance clears the buckets that lie between the last call and now.
 func (a *Allowance) advance(now time.Duration) {
-	step := int64(now / (a.Window / allowanceSteps))
-	if step-a.at > int64(len(a.steps)) {
-		a.steps = [allowanceSteps + 1]allowanceStep{}
-		a.at = step
+	bucket := int64(now / (a.Window / windowBuckets))
+	if bucket-a.current > int64(len(a.buckets)) {
+		a.buckets = [windowBuckets + 1]retryBucket{}
+		a.current = bucket
 	}
-	for ; a.at < step; a.at++ {
-		a.steps[(a.at+1)%int64(len(a.steps))] = allowanceStep{}
+	for ; a.current < bucket; a.current++ {
+		a.buckets[(a.current+1)%int64(len(a.buckets))] = retryBucket{}
 	}
 }
 
-func (a *Allowance) current() *allowanceStep { return &a.steps[a.at%int64(len(a.steps))] }
+func (a *Allowance) currentBucket() *retryBucket {
+	return &a.buckets[a.current%int64(len(a.buckets))]
+}
 
 // Earn records a request.
 func (a *Allowance) Earn(now time.Duration) {
@@ -41,23 +47,23 @@
 		return
 	}
 	a.advance(now)
-	a.current().requests++
+	a.currentBucket().requests++
 }
 
-// Spend records a repeated send and reports whether it may be made.
+// Spend reports whether a retry is allowed, and records it if so.
 func (a *Allowance) Spend(now time.Duration) bool {
 	if a.Window <= 0 {
 		return false
 	}
 	a.advance(now)
-	requests, repeats := 0, 0
-	for _, s := range a.steps {
+	requests, retries := 0, 0
+	for _, s := range a.buckets {
 		requests += s.requests
-		repeats += s.repeats
+		retries += s.retries
 	}
-	if float64(repeats+1) > a.Share*float64(requests)+a.Extra {
+	if float64(retries+1) > a.Share*float64(requests)+a.Extra {
 		return false
 	}
-	a.current().repeats++
+	a.currentBucket().retries++
 	return true
 }
--- a/core/route/allow_test.go
+++ b/core/route/allow_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestAllowanceSlides(t *testing.T) {
+func TestAllowanceWindowSlides(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := &Allowance{Share: 0.2, Extra: 1, Window: 10 * time.Second}
 	g.Expect(a.Spend(0)).To(gomega.BeTrue())
--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -9,7 +9,7 @@
 	tests := []struct {
 		name    string
 		workers int
-	}{{"today, 20 workers", 20}, {"a cell of 110 workers", 110}}
+	}{{"20 workers", 20}, {"cell of 110 workers", 110}}
 	for _, tc := range tests {
 		b.Run(tc.name, func(b *testing.B) {
 			var workers []Worker
--- a/core/route/budget.go
+++ b/core/route/budget.go
@@ -1,24 +1,24 @@
 package route
 
-// Budget bounds retries to a share of the requests, so that retries do not
-// grow an overload. The zero value allows the first few retries.
+// Budget throttles retries to a share of the requests, so that retries do not
+// amplify an overload. The zero value allows retryBurst retries.
 type Budget struct {
-	// spent rises by one with each retry and falls by a tenth with each
-	// request; a retry needs it below the bound.
+	// spent is incremented by 1 with each retry and decremented by retryShare with
+	// each request, down to 0; a retry is allowed while it is below retryBurst.
 	spent float64
 }
 
 const (
-	// retryShare is how many retries one request earns.
+	// retryShare is the number of retries allowed per request.
 	retryShare = 0.1
-	// retryBurst is how many retries may come without requests in between.
+	// retryBurst is the number of retries allowed without requests in between.
 	retryBurst = 20
 )
 
 // Earn records a request.
 func (b *Budget) Earn() { b.spent = max(0, b.spent-retryShare) }
 
-// Spend records a retry and reports whether it may be made.
+// Spend reports whether a retry is allowed, and records it if so.
 func (b *Budget) Spend() bool {
 	if b.spent >= retryBurst {
 		return false
@@ -27,10 +27,11 @@
 	return true
 }
 
-// Version chooses between the weight versions of a deployment while a swap
-// rolls. ready of total workers hold the wanted version; a context moves to it
-// once its fraction, from 0 up to 1, is below their share, so that the load on
-// both grows with the workers that hold them.
-func Version(fraction float64, ready, total int) (wanted bool) {
+// Version chooses between the two weight versions of a deployment during a weight
+// update, and reports whether a context uses the desired one. ready of total workers
+// have loaded the desired version. fraction is the context's hash, scaled to [0, 1): a
+// context switches once it is below the share of ready workers, so that the load on
+// each version is proportional to the workers that have it.
+func Version(fraction float64, ready, total int) (desired bool) {
 	return total == 0 || fraction < float64(ready)/float64(total)
 }
--- a/core/route/cold.go
+++ b/core/route/cold.go
@@ -2,53 +2,56 @@
 
 import "time"
 
-// ColdViews is how many different beliefs about who is in the fleet may hold at the same
-// time while what all daemons send to a cold target stays within its bound: the one before
-// a loss or a cut and the one after.
-const ColdViews = 2
-
-// ColdShare returns how many requests a second a daemon may send to a cold target that
-// bears most of them from the whole fleet. place is how many of the daemons that may send
-// to it come before this one. Daemons agree on nothing for it: each works out its share
-// from the list of boxes, and unused shares are given up.
+// ConcurrentViews is the number of different views of the fleet's membership that daemons
+// may have at the same time without exceeding a target's warm-up rate together: the view
+// before a box is lost or the network is partitioned, and the view after.
+const ConcurrentViews = 2
+
+// ColdShare returns the number of requests per second that one daemon may send to a target
+// that is warming up. maxRate is the target's warm-up rate: what it may get per second from
+// all daemons together. index is this daemon's position among the daemons that may send to
+// the target. Daemons don't coordinate: each computes its share from the list of boxes, and
+// unused shares are lost.
 //
-// It answers a domain of 28 workers that comes back at once: each bears 26 requests a
-// second for three seconds, and without a bound the empty ones get most of the 1,225 that
-// come.
-func ColdShare(most float64, daemons, place int) int {
+// It guards against the overload of workers that return at the same time: in a failure domain
+// of 28 workers each sustains 26 requests per second in its first three seconds, and without
+// a limit the idle ones would get most of the 1,225 that arrive.
+func ColdShare(maxRate float64, daemons, index int) int {
 	if daemons <= 0 {
 		return 0
 	}
-	n := int(most / ColdViews)
+	n := int(maxRate / ConcurrentViews)
 	share := n / daemons
-	if place < n%daemons {
+	if index < n%daemons {
 		share++
 	}
 	return share
 }
 
-// Pace bounds sends to at most some in each second. The zero value has sent nothing.
+// Pace is the rate limiter of one daemon for one target that is warming up. The zero value
+// has recorded no attempts.
 type Pace struct {
-	// sent are the sends of the last coldWindow, oldest first.
+	// sent holds the times of the attempts within the last warmupWindow, oldest first.
 	sent []time.Time
 }
 
-// coldWindow is the time in which a share may be sent once: a second, and the time by which
-// two sends may come closer to each other on their way, a step of a busy daemon.
-const coldWindow = 1050 * time.Millisecond
+// warmupWindow is the length of the sliding window of Pace. It is a second, plus the time by
+// which two attempts may move closer to each other on the way to the target, a scheduling
+// delay of a busy daemon.
+const warmupWindow = 1050 * time.Millisecond
 
-// May reports whether one more of share sends may be made.
+// May reports whether another attempt is allowed if at most share are per second.
 func (p *Pace) May(share int, now time.Time) bool {
-	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= coldWindow {
+	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= warmupWindow {
 		p.sent = p.sent[1:]
 	}
 	return len(p.sent) < share
 }
 
-// Sent records a send.
+// Sent records an attempt.
 func (p *Pace) Sent(now time.Time) { p.sent = append(p.sent, now) }
 
-// Idle reports whether nothing was sent lately.
+// Idle reports whether there was no attempt within the window.
 func (p *Pace) Idle(now time.Time) bool {
-	return len(p.sent) == 0 || now.Sub(p.sent[len(p.sent)-1]) >= coldWindow
+	return len(p.sent) == 0 || now.Sub(p.sent[len(p.sent)-1]) >= warmupWindow
 }
--- a/core/route/link.go
+++ b/core/route/link.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// Transfer is one wish to use a store's link.
+// Transfer is a request to use a store's link.
 type Transfer struct {
 	ID           uint64
 	Organisation string
 	Bytes        int64
-	// Waiting tells that a caller waits for it; exports have no waiter.
+	// Waiting reports that a caller waits for the transfer. It is set for imports and
+	// not for exports.
 	Waiting bool
 }
 
-// Link shares the time of one store's link. Transfers that callers wait for
-// come first; within a class the organisation that used the least lately comes
-// first. The zero value is an idle link.
+// Link schedules the transfers over one store's link. Imports come before exports;
+// within each class the organisation with the least recent use comes first. The zero
+// value is an idle link.
 type Link struct {
 	waiting []Transfer
 	active  []Transfer
-	// used is each organisation's share of the bytes moved lately.
+	// used holds the decayed number of bytes that each organisation transferred.
 	used []usage
 }
 
@@ -30,22 +31,22 @@
 }
 
 const (
-	// activeImports bounds the transfers for waiting callers at once.
-	activeImports = 4
-	// activeExports bounds the exports at once.
-	activeExports = 1
-	// importsBesideExport is how many imports may run where an export begins:
-	// with none allowed, exports wait until the blocks have been pushed out.
-	importsBesideExport = 1
-	// maxWaiting bounds the transfers that wait for one link.
+	// maxActiveImports bounds the concurrent imports.
+	maxActiveImports = 4
+	// maxActiveExports bounds the concurrent exports.
+	maxActiveExports = 1
+	// maxImportsAtExport bounds the imports that may run when an export starts. With
+	// 0, exports would wait until the worker has evicted the blocks.
+	maxImportsAtExport = 1
+	// maxWaiting bounds the transfers that are queued for one link.
 	maxWaiting = 1024
-	// maxUsers bounds the organisations whose use is remembered.
-	maxUsers = 256
-	// fade is what stays of an organisation's use at each transfer.
-	fade = 0.98
+	// maxOrganisations bounds the organisations whose use is recorded.
+	maxOrganisations = 256
+	// usageDecay is the factor by which recorded use decays at each transfer.
+	usageDecay = 0.98
 )
 
-// Ask adds a wish; it returns false if too many wait.
+// Ask enqueues a transfer. It returns false if the queue is full.
 func (l *Link) Ask(t Transfer) bool {
 	if len(l.waiting) >= maxWaiting {
 		return false
@@ -54,7 +55,7 @@
 	return true
 }
 
-// Next returns the transfer that may begin now, if one may.
+// Next starts the transfer that is first in turn and may start now, and returns it.
 func (l *Link) Next() (Transfer, bool) {
 	best := -1
 	for i, t := range l.waiting {
@@ -72,6 +73,7 @@
 	return t, true
 }
 
+// allows reports whether a transfer may start beside the active ones.
 func (l *Link) allows(t Transfer) bool {
 	imports, exports := 0, 0
 	for _, a := range l.active {
@@ -82,27 +84,30 @@
 		}
 	}
 	if t.Waiting {
-		return imports < activeImports
+		return imports < maxActiveImports
 	}
-	return imports <= importsBesideExport && exports < activeExports && !l.callerWaits()
+	return imports <= maxImportsAtExport && exports < maxActiveExports && !l.importWaits()
 }
 
-func (l *Link) callerWaits() bool {
+// importWaits reports whether an import is queued.
+func (l *Link) importWaits() bool {
 	return slices.ContainsFunc(l.waiting, func(t Transfer) bool { return t.Waiting })
 }
 
+// before reports whether a starts before b.
 func (l *Link) before(a, b Transfer) bool {
 	if a.Waiting != b.Waiting {
 		return a.Waiting
 	}
-	ua, ub := l.use(a.Organisation), l.use(b.Organisation)
-	if ua != ub {
-		return ua < ub
+	usedA, usedB := l.usage(a.Organisation), l.usage(b.Organisation)
+	if usedA != usedB {
+		return usedA < usedB
 	}
 	return a.ID < b.ID
 }
 
-func (l *Link) use(organisation string) float64 {
+// usage returns the decayed number of bytes that an organisation transferred.
+func (l *Link) usage(organisation string) float64 {
 	for _, u := range l.used {
 		if u.organisation == organisation {
 			return u.bytes
@@ -111,10 +116,11 @@
 	return 0
 }
 
+// charge adds a transfer to its organisation's use and decays that of all.
 func (l *Link) charge(t Transfer) {
 	found := false
 	for i := range l.used {
-		l.used[i].bytes *= fade
+		l.used[i].bytes *= usageDecay
 		if l.used[i].organisation == t.Organisation {
 			l.used[i].bytes += float64(t.Bytes)
 			found = true
@@ -123,20 +129,20 @@
 	if !found {
 		l.used = append(l.used, usage{t.Organisation, float64(t.Bytes)})
 	}
-	if len(l.used) > maxUsers {
+	if len(l.used) > maxOrganisations {
 		least := slices.MinFunc(l.used, func(a, b usage) int { return cmp.Compare(a.bytes, b.bytes) })
 		l.used = slices.DeleteFunc(l.used, func(u usage) bool { return u == least })
 	}
 }
 
-// Done ends a transfer, whether it began or still waits.
+// Done removes a transfer, whether it is active or queued.
 func (l *Link) Done(id uint64) {
-	same := func(t Transfer) bool { return t.ID == id }
-	l.active = slices.DeleteFunc(l.active, same)
-	l.waiting = slices.DeleteFunc(l.waiting, same)
+	isTransfer := func(t Transfer) bool { return t.ID == id }
+	l.active = slices.DeleteFunc(l.active, isTransfer)
+	l.waiting = slices.DeleteFunc(l.waiting, isTransfer)
 }
 
-// Backlog returns the bytes that waiting callers' transfers have before them.
+// Backlog returns the total size in bytes of the active and queued imports.
 func (l *Link) Backlog() int64 {
 	var n int64
 	for _, list := range [][]Transfer{l.active, l.waiting} {
--- a/core/route/pick.go
+++ b/core/route/pick.go
@@ -2,47 +2,48 @@
 
 import "embertally.dev/core/learn"
 
-// nearPick is the difference, as a part of what an answer is worth, that is left
-// to chance, so that daemons which decide on the same reports do not all take the
-// same target.
-const nearPick = 0.003
+// tieMargin is the share of an answer's utility within which candidates count as equal
+// and one is selected at random, so that daemons which decide on the same load reports
+// do not all select the same target.
+const tieMargin = 0.003
 
-// Pick returns the index of the candidate to take and what is expected there, or
-// -1 without candidates. chance is drawn from [0, 1).
-func Pick(a *Asked, list []Candidate, e *learn.Estimate, p *Prices, chance float64) (int, Judgement) {
+// Pick returns the index of the best candidate and its evaluation, or -1 if there are
+// no candidates. Candidates whose Gain is not above 0 are selected only if that holds
+// for all. random is in [0, 1).
+func Pick(a *Asked, list []Candidate, e *learn.Estimate, p *Prices, random float64) (int, Judgement) {
 	if len(list) == 0 {
 		return -1, Judgement{}
 	}
-	judged := make([]Judgement, len(list))
+	evaluated := make([]Judgement, len(list))
 	best := 0
 	for i := range list {
-		judged[i] = Judge(a, &list[i], e, p)
-		if better(&judged[i], &judged[best]) {
+		evaluated[i] = Evaluate(a, &list[i], e, p)
+		if better(&evaluated[i], &evaluated[best]) {
 			best = i
 		}
 	}
-	least := judged[best].Worth - nearPick*p.Worth(a.Tokens)
-	near := 0
-	for _, j := range judged {
-		if j.Worth >= least && (j.Gain > 0 || judged[best].Gain <= 0) {
-			near++
+	threshold := evaluated[best].Worth - tieMargin*p.Worth(a.Tokens)
+	ties := 0
+	for _, j := range evaluated {
+		if j.Worth >= threshold && (j.Gain > 0 || evaluated[best].Gain <= 0) {
+			ties++
 		}
 	}
-	at := int(chance * float64(near))
-	for i, j := range judged {
-		if j.Worth < least || (j.Gain <= 0 && judged[best].Gain > 0) {
+	skip := int(random * float64(ties))
+	for i, j := range evaluated {
+		if j.Worth < threshold || (j.Gain <= 0 && evaluated[best].Gain > 0) {
 			continue
 		}
-		if at == 0 {
+		if skip == 0 {
 			return i, j
 		}
-		at--
+		skip--
 	}
-	return best, judged[best]
+	return best, evaluated[best]
 }
 
-// better reports whether a is the better choice than b: callers gain by it, and it
-// is worth more.
+// better reports whether a is a better choice than b: a positive Gain comes first, then
+// the higher Worth.
 func better(a, b *Judgement) bool {
 	if (a.Gain > 0) != (b.Gain > 0) {
 		return a.Gain > 0
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -11,16 +11,15 @@
 	"embertally.dev/core/learn"
 )
 
-// prices are those of the tests.
+// prices returns the cost model of the tests.
 func prices() *Prices {
 	return &Prices{Token: 0.0004, Late: 0.25, Again: 0.0008, Copied: 0.000012, Old: 0.2, Connect: 0.03, Across: 4, Wait: 0.1}
 }
 
-// estimate returns what is expected before anything was observed.
+// estimate returns the estimate of a prior without observations.
 func estimate(p learn.Prior) *learn.Estimate { return learn.NewTimes().Estimate("k", &p, time.Now()) }
 
-// engines are workers that read 50 tokens a millisecond, calls targets that work
-// for 40 ms.
+// engines returns the estimate for workers that prefill 50 tokens per millisecond.
 func engines() *learn.Estimate {
 	return estimate(learn.Prior{
 		Fixed: 50 * time.Millisecond, Own: 20 * time.Millisecond, Before: 20 * time.Millisecond, Beside: 50 * time.Millisecond,
@@ -28,6 +27,7 @@
 	})
 }
 
+// calls returns the estimate for plain targets that take 40 ms.
 func calls() *learn.Estimate {
 	return estimate(learn.Prior{Fixed: 40 * time.Millisecond, Beside: 10 * time.Millisecond, Waiting: 40 * time.Millisecond, Spread: 0.5, Weight: 5})
 }
@@ -49,23 +49,23 @@
 		list []Candidate
 		want int
 	}{
-		{"none", long, nil, -1},
+		{"no candidates", long, nil, -1},
 		{"shortest queue", long, []Candidate{with(func(c *Candidate) { c.Unread = 20000 }), with(nil)}, 1},
-		{"holder of the parts", long, []Candidate{with(nil), with(func(c *Candidate) { c.Kept = 12000; c.Unread = 1000 })}, 1},
-		{"copy rather than read again", long, []Candidate{with(func(c *Candidate) { c.Again = 12000 }), with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = 90 * time.Millisecond })}, 1},
-		{"held rather than copied", long, []Candidate{with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = 90 * time.Millisecond }), with(func(c *Candidate) { c.Kept = 12000 })}, 1},
-		{"a slow copy", long, []Candidate{with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = time.Second }), with(func(c *Candidate) { c.Copied = 12000; c.Unread = 10000 })}, 1},
+		{"cached segments", long, []Candidate{with(nil), with(func(c *Candidate) { c.Kept = 12000; c.Unread = 1000 })}, 1},
+		{"copy rather than recompute", long, []Candidate{with(func(c *Candidate) { c.Again = 12000 }), with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = 90 * time.Millisecond })}, 1},
+		{"cached rather than copied", long, []Candidate{with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = 90 * time.Millisecond }), with(func(c *Candidate) { c.Kept = 12000 })}, 1},
+		{"slow copy", long, []Candidate{with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = time.Second }), with(func(c *Candidate) { c.Copied = 12000; c.Unread = 10000 })}, 1},
 		{"new weights", short, []Candidate{with(func(c *Candidate) { c.Old = true }), with(nil)}, 1},
-		{"old weights before a long queue", long, []Candidate{with(func(c *Candidate) { c.Old = true }), with(func(c *Candidate) { c.Unread = 60000 })}, 0},
-		{"memory spoken for", long, []Candidate{with(func(c *Candidate) { c.Held = 95000; c.Running = 6 }), with(func(c *Candidate) { c.Unread = 10000 })}, 1},
-		{"bad answers", call, []Candidate{with(func(c *Candidate) { c.Faults = 0.5 }), with(func(c *Candidate) { c.Running = 4 })}, 1},
+		{"old weights rather than a long queue", long, []Candidate{with(func(c *Candidate) { c.Old = true }), with(func(c *Candidate) { c.Unread = 60000 })}, 0},
+		{"memory occupied by running requests", long, []Candidate{with(func(c *Candidate) { c.Held = 95000; c.Running = 6 }), with(func(c *Candidate) { c.Unread = 10000 })}, 1},
+		{"failing target", call, []Candidate{with(func(c *Candidate) { c.Faults = 0.5 }), with(func(c *Candidate) { c.Running = 4 })}, 1},
 		{"slow target", call, []Candidate{with(func(c *Candidate) { c.Pace = 8 }), with(func(c *Candidate) { c.Running = 8 })}, 1},
-		{"a slower holder keeps its session", short, []Candidate{with(func(c *Candidate) { c.Pace = 1.6; c.Running = 8; c.Kept = 300 }), with(func(c *Candidate) { c.Again = 300 })}, 0},
-		{"a holder that is far too slow", short, []Candidate{with(func(c *Candidate) { c.Pace = 8; c.Kept = 300 }), with(func(c *Candidate) { c.Again = 300 })}, 1},
+		{"slightly slower target with cached segments", short, []Candidate{with(func(c *Candidate) { c.Pace = 1.6; c.Running = 8; c.Kept = 300 }), with(func(c *Candidate) { c.Again = 300 })}, 0},
+		{"much slower target with cached segments", short, []Candidate{with(func(c *Candidate) { c.Pace = 8; c.Kept = 300 }), with(func(c *Candidate) { c.Again = 300 })}, 1},
 		{"full target", call, []Candidate{with(func(c *Candidate) { c.Running = 40 }), with(func(c *Candidate) { c.Running = 12 })}, 1},
-		{"near target", call, []Candidate{with(func(c *Candidate) { c.Far = true }), with(nil)}, 1},
+		{"same failure domain", call, []Candidate{with(func(c *Candidate) { c.Far = true }), with(nil)}, 1},
 		{"open connection", call, []Candidate{with(func(c *Candidate) { c.Cold = true }), with(func(c *Candidate) { c.Running = 2 })}, 1},
-		{"doubtful target last", call, []Candidate{with(func(c *Candidate) { c.Doubtful = true }), with(func(c *Candidate) { c.Running = 20 })}, 1},
+		{"lapsed target last", call, []Candidate{with(func(c *Candidate) { c.Doubtful = true }), with(func(c *Candidate) { c.Running = 20 })}, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -73,39 +73,40 @@
 			if tc.ask.Tokens == 0 {
 				e = calls()
 			}
-			for _, chance := range []float64{0, 0.5, 0.999} {
-				at, _ := Pick(&tc.ask, tc.list, e, prices(), chance)
-				gomega.NewWithT(t).Expect(at).To(gomega.Equal(tc.want))
+			for _, random := range []float64{0, 0.5, 0.999} {
+				chosen, _ := Pick(&tc.ask, tc.list, e, prices(), random)
+				gomega.NewWithT(t).Expect(chosen).To(gomega.Equal(tc.want))
 			}
 		})
 	}
 }
 
-// What others lose by a request that comes too late anyway is more than its caller
-// gains: it has no gain anywhere. What serving costs the operators refuses nobody.
-func TestGainIsWhatCallersGain(t *testing.T) {
+// A request that is going to miss its objective anyway costs other callers more than its
+// own caller gains, so that its Gain is not positive. The operator's serving costs never
+// make Gain negative.
+func TestGainExcludesServingCosts(t *testing.T) {
 	long := Asked{Tokens: 17000, Aim: 800 * time.Millisecond, Left: 10 * time.Second, Rate: 60}
 	tests := []struct {
-		name string
-		make Candidate
-		gain bool
+		name      string
+		candidate Candidate
+		positive  bool
 	}{
 		{"idle", Candidate{Slots: 16, Memory: 100000}, true},
-		{"everything is read again", Candidate{Slots: 16, Memory: 100000, Again: 17000}, true},
-		{"replaced weights, far, cold", Candidate{Slots: 16, Memory: 100000, Old: true, Far: true, Cold: true}, true},
-		{"a line of a second", Candidate{Slots: 16, Memory: 100000, Unread: 50000}, false},
+		{"everything is recomputed", Candidate{Slots: 16, Memory: 100000, Again: 17000}, true},
+		{"replaced weights, cross-domain, not connected", Candidate{Slots: 16, Memory: 100000, Old: true, Far: true, Cold: true}, true},
+		{"queue of one second", Candidate{Slots: 16, Memory: 100000, Unread: 50000}, false},
 		{"no memory", Candidate{Slots: 16, Memory: 100000, Held: 99000, Running: 6}, false},
 		{"always fails", Candidate{Slots: 16, Memory: 100000, Faults: 1}, false},
 	}
 	for _, tc := range tests {
-		j := Judge(&long, &tc.make, engines(), prices())
-		gomega.NewWithT(t).Expect(j.Gain > 0).To(gomega.Equal(tc.gain), "%s: %+v", tc.name, j)
+		j := Evaluate(&long, &tc.candidate, engines(), prices())
+		gomega.NewWithT(t).Expect(j.Gain > 0).To(gomega.Equal(tc.positive), "%s: %+v", tc.name, j)
 	}
 }
 
-// Whatever is known, judgements are numbers, chances are chances, and a target
-// that is slower, fuller or fails more is not judged the better for it.
-func TestJudgementsAreSound(t *testing.T) {
+// For any input, utilities are finite, probabilities are between 0 and 1, and a target that
+// is slower, more loaded or fails more often has no higher Worth.
+func TestEvaluateIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := Asked{
 			Tokens: rapid.IntRange(0, 40000).Draw(t, "tokens"), Aim: time.Duration(rapid.IntRange(0, 2000).Draw(t, "aim")) * time.Millisecond,
@@ -119,12 +120,12 @@
 			Faults: rapid.Float64Range(0, 1).Draw(t, "faults"), Pace: rapid.Float64Range(0, 8).Draw(t, "pace"),
 		}
 		e := engines()
-		j := Judge(&a, &c, e, prices())
+		j := Evaluate(&a, &c, e, prices())
 		if !(j.Worth <= 1e9 && j.Worth >= -1e9 && j.Gain >= j.Worth && j.Expected >= 0) {
 			t.Fatalf("%+v", j)
 		}
 		if j.InTime < 0 || j.InTime > j.Served || j.Served > 1 {
-			t.Fatalf("chances %+v", j)
+			t.Fatalf("probabilities %+v", j)
 		}
 		for _, worse := range []func(*Candidate){
 			func(c *Candidate) { c.Unread += 5000 },
@@ -134,22 +135,22 @@
 		} {
 			d := c
 			worse(&d)
-			if k := Judge(&a, &d, e, prices()); k.Worth > j.Worth+1e-9 {
-				t.Fatalf("%+v is judged better than %+v: %+v, %+v", d, c, k, j)
+			if k := Evaluate(&a, &d, e, prices()); k.Worth > j.Worth+1e-9 {
+				t.Fatalf("%+v has a higher Worth than %+v: %+v, %+v", d, c, k, j)
 			}
 		}
 	})
 }
 
-func TestEqualsAreTakenByChance(t *testing.T) {
+func TestPickSelectsAtRandomAmongEquals(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := make([]Candidate, 4)
 	for i := range list {
 		list[i] = Candidate{Slots: 4}
 	}
 	for i := range list {
-		at, _ := Pick(&Asked{Aim: time.Second, Left: time.Second}, list, calls(), prices(), float64(i)/4+0.01)
-		g.Expect(at).To(gomega.Equal(i))
+		chosen, _ := Pick(&Asked{Aim: time.Second, Left: time.Second}, list, calls(), prices(), float64(i)/4+0.01)
+		g.Expect(chosen).To(gomega.Equal(i))
 	}
 }
 
--- a/core/route/place.go
+++ b/core/route/place.go
@@ -1,10 +1,10 @@
-// Package route owns the decisions: whether a request is taken, which worker
-// answers it, how much of its context is imported, what is exported, what a
-// full store gives up, and how often may be retried.
+// Package route owns the placement decisions: whether a request is accepted,
+// which worker or target serves it, how much of its context is imported from a
+// KV-cache store, what a full store evicts, and how often requests are retried.
 //
-// Everything here is pure: state, time and chance come in as values, and a
-// decision with its reasons comes out. It must not know of clocks, networks or
-// goroutines.
+// All decisions are deterministic: state, time and random numbers are passed in
+// as values, and a decision with its reasons is returned. The package must not
+// know of clocks, networks or goroutines.
 package route
 
 import (
@@ -13,142 +13,147 @@
 	"time"
 )
 
-// Policy holds prices that turn the measures into seconds of first-token time.
+// Policy holds the weights that convert each cost of an option to seconds. It
+// is sent between daemons.
 type Policy struct {
-	// FirstToken multiplies the expected time to first token.
-	FirstToken float64
-	// Token is the price of one recomputed token in seconds.
-	Token float64
-	// Byte is the price of one byte over a store's link in seconds.
-	Byte float64
+	// FirstToken is the factor for the expected time to first token.
+	FirstToken float64 `msgpack:"FirstToken"`
+	// Token is the cost of one recomputed token in seconds.
+	Token float64 `msgpack:"Token"`
+	// Byte is the cost of one byte over a store's link in seconds.
+	Byte float64 `msgpack:"Byte"`
 }
 
-// Request is what a decision needs to know of a request.
+// Request describes a request to Place.
 type Request struct {
-	// Tokens is the length of the prompt.
+	// Tokens is the length of the prompt in tokens.
 	Tokens int
-	// Blocks is the number of whole blocks of the prompt.
+	// Blocks is the number of whole KV-cache blocks in the prompt.
 	Blocks int
 	// BlockTokens is the number of tokens in a block.
 	BlockTokens int
-	// Deadline is the time left until the first token is due.
+	// Deadline is the time remaining until the first token is due; zero means
+	// no deadline.
 	Deadline time.Duration
 	Prices   Policy
-	// Context spreads requests for placements that go by hash.
+	// Context is the hash of the context, used by StickyHash.
 	Context uint64
-	// Turn counts requests for placements that go in turn.
+	// Turn is a request counter, used by RoundRobin.
 	Turn uint64
-	// Chance is a random number from 0 up to 1.
+	// Chance is a random number in [0, 1).
 	Chance float64
 }
 
-// Worker is what is known of one candidate.
+// Worker describes one candidate to Place.
 type Worker struct {
 	Name string
-	// Held is how many first blocks of the prompt it holds.
+	// Held is the number of leading blocks of the prompt that the worker has
+	// cached.
 	Held int
-	// QueuedTokens is the projected work before this request: what was
-	// reported, corrected by what was sent since.
+	// QueuedTokens is the projected number of tokens to prefill before this
+	// request: the reported queue, corrected by what was sent since.
 	QueuedTokens int
-	// Room is how many blocks its memory takes beside the requests that this
-	// daemon gave it and that have no first token yet; zero means unknown.
+	// Room is the number of blocks that fit into the worker's memory beside the
+	// requests that this daemon sent it and that have no first token yet; zero
+	// means unknown.
 	Room int
 	// Running is the number of answers being generated.
 	Running int
-	// Speed is its prefill speed in tokens a second.
+	// Speed is the prefill speed in tokens per second.
 	Speed float64
-	// Distance is the time for one way there.
+	// Distance is the one-way network latency to the worker.
 	Distance time.Duration
 }
 
-// Kept is what a store keeps of the prompt's context.
+// Kept describes the part of the prompt's context that a KV-cache store holds.
 type Kept struct {
 	Store string
-	// Blocks is how many first blocks of the prompt it keeps.
+	// Blocks is the number of leading blocks of the prompt in the store.
 	Blocks int
-	// BlockBytes is the size of one block's cache.
+	// BlockBytes is the size of one KV-cache block in bytes.
 	BlockBytes int64
-	// Rate is the capacity of its link in bytes a second.
+	// Rate is the capacity of the store's link in bytes per second.
 	Rate float64
-	// Backlog is the bytes that wait for the link ahead of this request.
+	// Backlog is the number of bytes queued for the link before this request.
 	Backlog int64
-	// Latency is the time before the first byte.
+	// Latency is the time before the first byte arrives.
 	Latency time.Duration
 }
 
-// Import says what is read from a store before the request is sent.
+// Import is the range of blocks that is read from a store before the request is
+// sent to the worker.
 type Import struct {
 	Store string
 	// From and To are the blocks [From, To) of the prompt.
 	From, To int
 }
 
-// Blocks returns how many blocks are read.
+// Blocks returns the number of blocks in the range.
 func (i Import) Blocks() int { return i.To - i.From }
 
-// Option is one weighed way to answer a request.
+// Option is one way to serve a request, with its cost.
 type Option struct {
 	Worker string
 	Import Import
-	// Queue, Transfer and Prefill are the expected parts of the first-token
-	// time; queue and transfer pass at the same time.
+	// Queue, Transfer and Prefill are the expected components of the time to
+	// first token; queueing and transfer overlap.
 	Queue, Transfer, Prefill time.Duration
 	// Expected is the expected time to first token.
 	Expected time.Duration
 	// Recomputed is the number of tokens that are prefilled.
 	Recomputed int
-	LinkBytes  int64
-	// Cost is the price of the option in seconds.
+	// LinkBytes is the number of bytes read from the store.
+	LinkBytes int64
+	// Cost is the total cost in seconds, weighted by a Policy.
 	Cost float64
 }
 
-// Verdict is what was decided about a request.
+// Verdict is the outcome of a placement decision.
 type Verdict string
 
 // The verdicts.
 const (
 	Placed Verdict = "placed"
-	// NoWorker means that no candidate was there.
+	// NoWorker means that there was no candidate.
 	NoWorker Verdict = "noWorker"
 	// TooLate means that no candidate can meet the deadline.
 	TooLate Verdict = "tooLate"
 )
 
-// Decision is the outcome with what was weighed.
+// Decision is a verdict and the options that it is based on.
 type Decision struct {
 	Verdict Verdict
-	// Chosen is the best option, also when it is too late.
+	// Chosen is the selected option; for TooLate it is the fastest one.
 	Chosen Option
-	// Weighed are the best options of the best candidates, best first.
+	// Weighed holds the cheapest options, one per worker at most, cheapest first.
 	Weighed []Option
-	// RetryAfter says when the deadline could be met, for TooLate.
+	// RetryAfter is, for TooLate, the time after which the deadline could be met.
 	RetryAfter time.Duration
 }
 
-// maxWeighed bounds the options that are reported.
-const maxWeighed = 5
+// maxReported bounds the options that a decision reports.
+const maxReported = 5
 
-// perRunning is how much one running answer slows the prefill of another, as a
-// share.
-const perRunning = 0.02
+// slowdownPerRunning is the share by which each running answer slows a prefill.
+const slowdownPerRunning = 0.02
 
-// Place decides about a request.
+// Place selects a worker and an import for a request.
 func Place(p Placement, r Request, workers []Worker, kept []Kept) Decision {
 	if len(workers) == 0 {
 		return Decision{Verdict: NoWorker}
 	}
 	options := optionsFor(p, r, workers, kept)
 	chosen := choose(p, r, options)
-	d := Decision{Verdict: Placed, Chosen: chosen, Weighed: best(options)}
+	d := Decision{Verdict: Placed, Chosen: chosen, Weighed: cheapestOptions(options)}
 	if r.Deadline > 0 && chosen.Expected > r.Deadline {
-		return late(d, r, options)
+		return fastestOrRefuse(d, r, options)
 	}
 	return d
 }
 
-// late takes the fastest option where the cheapest comes too late, and refuses
-// where that comes too late as well.
-func late(d Decision, r Request, options []Option) Decision {
+// fastestOrRefuse selects the fastest option when the cheapest one misses the
+// deadline, and refuses the request when the fastest one misses it as well.
+func fastestOrRefuse(d Decision, r Request, options []Option) Decision {
 	fastest := slices.MinFunc(options, func(a, b Option) int { return cmp.Compare(a.Expected, b.Expected) })
 	d.Chosen = fastest
 	if fastest.Expected > r.Deadline {
@@ -158,35 +163,36 @@
 	return d
 }
 
-// best returns the cheapest options, cheapest first.
-func best(options []Option) []Option {
-	out := make([]Option, 0, maxWeighed+1)
+// cheapestOptions returns up to maxReported options, cheapest first.
+func cheapestOptions(options []Option) []Option {
+	out := make([]Option, 0, maxReported+1)
 	for _, o := range options {
-		at, _ := slices.BinarySearchFunc(out, o.Cost, func(x Option, cost float64) int { return cmp.Compare(x.Cost, cost) })
-		if at >= maxWeighed {
+		i, _ := slices.BinarySearchFunc(out, o.Cost, func(x Option, cost float64) int { return cmp.Compare(x.Cost, cost) })
+		if i >= maxReported {
 			continue
 		}
-		out = slices.Insert(out, at, o)
-		out = out[:min(len(out), maxWeighed)]
+		out = slices.Insert(out, i, o)
+		out = out[:min(len(out), maxReported)]
 	}
 	return out
 }
 
-// optionsFor returns the best option of each worker.
+// optionsFor returns the cheapest option of each worker.
 func optionsFor(p Placement, r Request, workers []Worker, kept []Kept) []Option {
 	out := make([]Option, 0, len(workers))
-	ways := make([]Option, 0, 1+2*len(kept))
+	variants := make([]Option, 0, 1+2*len(kept))
 	for _, w := range workers {
-		ways = importsFor(ways[:0], p, r, w, kept)
-		out = append(out, cheapest(r, ways))
+		variants = appendVariants(variants[:0], p, r, w, kept)
+		out = append(out, cheapest(r, variants))
 	}
 	return out
 }
 
+// cheapest sets the cost of each option and returns the cheapest one.
 func cheapest(r Request, list []Option) Option {
 	least := 0
 	for i := range list {
-		list[i].price(r.Prices)
+		list[i].setCost(r.Prices)
 		if list[i].Cost < list[least].Cost {
 			least = i
 		}
@@ -194,16 +200,17 @@
 	return list[least]
 }
 
-func (o *Option) price(p Policy) {
+func (o *Option) setCost(p Policy) {
 	o.Cost = p.FirstToken*o.Expected.Seconds() + p.Token*float64(o.Recomputed) + p.Byte*float64(o.LinkBytes)
 }
 
-// importsFor appends the ways to answer on one worker to out. Cost is piecewise
-// linear in the number of imported blocks, so the ends and the point at which
-// the import takes as long as the queue are all that need to be weighed.
-func importsFor(out []Option, p Placement, r Request, w Worker, kept []Kept) []Option {
-	plain := option(r, w, Import{}, Kept{})
-	out = append(out, plain)
+// appendVariants appends to out the options for one worker that differ in what is
+// imported. Cost is piecewise linear in the number of imported blocks, so only the
+// end points and the number at which the import takes as long as the queue need to
+// be compared.
+func appendVariants(out []Option, p Placement, r Request, w Worker, kept []Kept) []Option {
+	recompute := option(r, w, Import{}, Kept{})
+	out = append(out, recompute)
 	if p == RoundRobin || p == LeastTokens || p == StickyHash {
 		return out
 	}
@@ -213,19 +220,20 @@
 		}
 		all := Import{Store: k.Store, From: w.Held, To: k.Blocks}
 		out = append(out, option(r, w, all, k))
-		if p == Always || p == First {
+		if p == AlwaysImport || p == MostCached {
 			return append(out[:0], out[1])
 		}
-		if n := hidden(plain.Queue, k); n > 0 && n < all.Blocks() {
-			part := Import{Store: k.Store, From: w.Held, To: w.Held + n}
-			out = append(out, option(r, w, part, k))
+		if n := blocksWhileQueued(recompute.Queue, k); n > 0 && n < all.Blocks() {
+			partial := Import{Store: k.Store, From: w.Held, To: w.Held + n}
+			out = append(out, option(r, w, partial, k))
 		}
 	}
 	return out
 }
 
-// hidden returns how many blocks can be read while the request waits anyway.
-func hidden(queue time.Duration, k Kept) int {
+// blocksWhileQueued returns the number of blocks that can be read from a store
+// while the request is queued at the worker.
+func blocksWhileQueued(queue time.Duration, k Kept) int {
 	if k.BlockBytes == 0 {
 		return 0
 	}
@@ -233,22 +241,24 @@
 	return int(bytes / float64(k.BlockBytes))
 }
 
+// option estimates the times of serving a request on a worker after an import. Its
+// cost is not set.
 func option(r Request, w Worker, im Import, k Kept) Option {
-	speed := w.Speed / (1 + perRunning*float64(w.Running))
+	speed := w.Speed / (1 + slowdownPerRunning*float64(w.Running))
 	o := Option{Worker: w.Name, Import: im}
 	o.Queue = seconds(float64(w.QueuedTokens) / speed)
-	have := w.Held
-	crowded := w.Room != 0 && w.Room < r.Blocks
+	cached := w.Held
+	evicted := w.Room != 0 && w.Room < r.Blocks
 	if im.Blocks() > 0 {
 		o.LinkBytes = int64(im.Blocks()) * k.BlockBytes
 		o.Transfer = k.Latency + seconds(float64(k.Backlog+o.LinkBytes)/k.Rate)
-		have = im.To
+		cached = im.To
 	}
-	if crowded {
-		// The requests before this one push its blocks out before its turn.
-		have = 0
+	if evicted {
+		// The requests before this one evict its cached blocks before it runs.
+		cached = 0
 	}
-	o.Recomputed = max(1, r.Tokens-have*r.BlockTokens)
+	o.Recomputed = max(1, r.Tokens-cached*r.BlockTokens)
 	o.Prefill = seconds(float64(o.Recomputed) / speed)
 	o.Expected = 2*w.Distance + max(o.Queue, o.Transfer) + o.Prefill
 	return o
@@ -256,61 +266,67 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// near is how much more than the best an option may cost and still be taken
-// now and then, so that daemons which decide at once on the same old state do
-// not all take the same worker.
+// An option within nearShare or nearFloor, whichever is larger, of the lowest
+// cost is selected at random, so that daemons which decide concurrently on the same
+// stale state do not all select the same worker.
 const (
+	// nearShare is a share of the lowest cost.
 	nearShare = 0.10
+	// nearFloor is in seconds.
 	nearFloor = 0.004
 )
 
-// choose takes one of the workers' options.
+// choose selects one of the workers' options by the rule of a placement.
 func choose(p Placement, r Request, options []Option) Option {
 	switch p {
 	case RoundRobin:
 		return options[r.Turn%uint64(len(options))]
 	case StickyHash:
 		return options[r.Context%uint64(len(options))]
-	case LeastTokens, Always:
-		return leastQueue(options)
-	case First:
-		return firstVersion(options)
+	case LeastTokens, AlwaysImport:
+		return leastWork(options)
+	case MostCached:
+		return leastRecomputed(options)
 	}
 	least := options[0].Cost
 	for _, o := range options {
 		least = min(least, o.Cost)
 	}
-	return oneOf(options, least+max(nearFloor, nearShare*least), r.Chance)
+	return randomWithin(options, least+max(nearFloor, nearShare*least), r.Chance)
 }
 
-// oneOf takes one of the options that cost at most limit, by chance.
-func oneOf(options []Option, limit, chance float64) Option {
-	near := 0
+// randomWithin selects one of the options that cost at most limit, with equal
+// probability.
+func randomWithin(options []Option, limit, random float64) Option {
+	within := 0
 	for _, o := range options {
 		if o.Cost <= limit {
-			near++
+			within++
 		}
 	}
-	pick := int(chance * float64(near))
+	skip := int(random * float64(within))
 	for _, o := range options {
 		if o.Cost > limit {
 			continue
 		}
-		if pick == 0 {
+		if skip == 0 {
 			return o
 		}
-		pick--
+		skip--
 	}
 	return options[0]
 }
 
-func leastQueue(options []Option) Option {
+// leastWork returns the option with the least queueing and prefill time.
+func leastWork(options []Option) Option {
 	return slices.MinFunc(options, func(a, b Option) int {
 		return cmp.Compare(a.Queue+a.Prefill, b.Queue+b.Prefill)
 	})
 }
 
-func firstVersion(options []Option) Option {
+// leastRecomputed returns the option with the fewest recomputed tokens plus imported
+// bytes, and of equal ones that with the shortest queue.
+func leastRecomputed(options []Option) Option {
 	return slices.MinFunc(options, func(a, b Option) int {
 		if c := cmp.Compare(a.Recomputed+int(a.LinkBytes), b.Recomputed+int(b.LinkBytes)); c != 0 {
 			return c
--- a/core/route/placement.go
+++ b/core/route/placement.go
@@ -2,67 +2,70 @@
 
 import "embertally.dev/core/learn"
 
-// Placement names a way to choose a worker.
+// Placement names an algorithm that selects a worker.
 type Placement string
 
-// The placements. All but Returning are there to be measured against.
+// The placements. All but Returning are baselines for comparison.
 const (
-	// Returning weighs queue, import and recomputation.
+	// Returning minimises the cost of queueing, import and recomputation.
 	Returning Placement = "returning"
-	// RoundRobin takes the workers in turn.
+	// RoundRobin selects the workers in turn.
 	RoundRobin Placement = "roundRobin"
-	// LeastTokens takes the worker with the least projected work, as in
+	// LeastTokens selects the worker with the least projected work, as in
 	// "Capacity-aware inference: why heterogeneous GPUs need a scheduler, not a
 	// retry loop", section 7.
 	LeastTokens Placement = "leastTokens"
-	// StickyHash takes the worker that the context's hash names.
+	// StickyHash selects the worker by the hash of the context, modulo their number.
 	StickyHash Placement = "stickyHash"
-	// Always takes the least projected work, and always exports and imports.
-	Always Placement = "always"
-	// First is the project's first working version: the worker that holds
-	// most, else the least projected work with everything imported.
-	First Placement = "first"
+	// AlwaysImport selects the worker with the least projected work, and always
+	// exports and imports.
+	AlwaysImport Placement = "always"
+	// MostCached selects the worker with the fewest tokens to recompute and bytes
+	// to import, and of equal ones that with the shortest queue. It imports all
+	// blocks that a store holds beyond the worker's.
+	MostCached Placement = "first"
 )
 
 // Placements lists all placements.
 func Placements() []Placement {
-	return []Placement{Returning, RoundRobin, LeastTokens, StickyHash, Always, First}
+	return []Placement{Returning, RoundRobin, LeastTokens, StickyHash, AlwaysImport, MostCached}
 }
 
-// Exports reports whether a placement writes contexts to stores.
-func (p Placement) Exports() bool { return p == Returning || p == Always || p == First }
+// Exports reports whether a placement writes contexts to KV-cache stores.
+func (p Placement) Exports() bool { return p == Returning || p == AlwaysImport || p == MostCached }
 
-// Spot is what a placement goes by beside the candidates: a hash, a counter and a
-// random number.
+// Spot holds the inputs of a placement other than the candidates.
 type Spot struct {
-	// Context is the hash of the last part that other requests have as well.
+	// Context is the hash of the last prompt segment that is shared with other
+	// requests, or 0. StickyHash uses it.
 	Context uint64
-	// Turn rises with each choice.
+	// Turn is a counter of choices. RoundRobin uses it.
 	Turn uint64
-	// Chance is drawn from [0, 1).
+	// Chance is a random number in [0, 1). Returning uses it.
 	Chance float64
 }
 
-// PickBy returns the index of the candidate that a placement takes and what is
-// expected there, or -1 without candidates.
+// PickBy returns the index of the candidate that a placement selects and its
+// evaluation, or -1 if there are no candidates. Placements other than RoundRobin,
+// StickyHash and LeastTokens select as Pick does.
 func PickBy(p Placement, a *Asked, list []Candidate, e *learn.Estimate, prices *Prices, s Spot) (int, Judgement) {
 	if len(list) == 0 {
 		return -1, Judgement{}
 	}
-	at := 0
+	chosen := 0
 	switch p {
 	case RoundRobin:
-		at = int(s.Turn % uint64(len(list)))
+		chosen = int(s.Turn % uint64(len(list)))
 	case StickyHash:
-		at = int(s.Context % uint64(len(list)))
+		chosen = int(s.Context % uint64(len(list)))
 	case LeastTokens:
 		for i, c := range list {
-			if c.Unread < list[at].Unread {
-				at = i
+			if c.Unread < list[chosen].Unread {
+				chosen = i
 			}
 		}
 	default:
 		return Pick(a, list, e, prices, s.Chance)
 	}
-	return at, Judge(a, &list[at], e, prices)
+	return chosen, Evaluate(a, &list[chosen], e, prices)
 }
--- a/core/route/placement_test.go
+++ b/core/route/placement_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestPlacementsToMeasureAgainst(t *testing.T) {
+func TestPickBy(t *testing.T) {
 	list := []Candidate{{Slots: 4, Unread: 500}, {Slots: 4, Unread: 900, Kept: 5000}, {Slots: 4, Unread: 100, Again: 5000}}
 	spot := Spot{Context: 7, Turn: 5, Chance: 0.5}
 	tests := []struct {
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -34,15 +34,15 @@
 		imports int
 		verdict Verdict
 	}{
-		{"nobody", nil, nil, nil, "", 0, NoWorker},
-		{"the holder, if it is idle", nil, []Worker{worker("a", 0, 0), worker("b", 100, 0)}, nil, "b", 0, Placed},
-		{"another, if the holder's queue is longer than the prefill", nil, []Worker{worker("a", 0, 0), worker("b", 100, 20000)}, nil, "a", 0, Placed},
-		{"an import, if the holder is busy and the link fast", nil, []Worker{worker("a", 0, 0), worker("b", 100, 8000)}, kept(100, 4e9), "a", 100, Placed},
-		{"a recomputation, if the link is slow", nil, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 0, Placed},
-		{"the import all the same, if recomputed tokens cost much", func(r *Request) { r.Prices.Token = 0.01 }, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 100, Placed},
-		{"only what the holder lacks", nil, []Worker{worker("a", 60, 0)}, kept(100, 4e9), "a", 40, Placed},
+		{"no workers", nil, nil, nil, "", 0, NoWorker},
+		{"the worker with the cached context, if it is idle", nil, []Worker{worker("a", 0, 0), worker("b", 100, 0)}, nil, "b", 0, Placed},
+		{"another, if the queue of the one with the cached context is longer than the prefill", nil, []Worker{worker("a", 0, 0), worker("b", 100, 20000)}, nil, "a", 0, Placed},
+		{"an import, if the worker with the cached context is busy and the link fast", nil, []Worker{worker("a", 0, 0), worker("b", 100, 8000)}, kept(100, 4e9), "a", 100, Placed},
+		{"recomputation, if the link is slow", nil, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 0, Placed},
+		{"an import over a slow link, if recomputed tokens are expensive", func(r *Request) { r.Prices.Token = 0.01 }, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 100, Placed},
+		{"an import of only the missing blocks", nil, []Worker{worker("a", 60, 0)}, kept(100, 4e9), "a", 40, Placed},
 		{"too late", func(r *Request) { r.Deadline = 100 * time.Millisecond }, []Worker{worker("a", 0, 0)}, nil, "a", 0, TooLate},
-		{"the fastest, where the cheapest is too late", func(r *Request) {
+		{"the fastest, if the cheapest is too late", func(r *Request) {
 			r.Prices.Token = 1
 			r.Deadline = time.Second
 		}, []Worker{worker("a", 0, 0), worker("b", 100, 80000)}, nil, "a", 0, Placed},
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestBaselines(t *testing.T) {
+func TestPlaceBaselines(t *testing.T) {
 	workers := []Worker{worker("a", 0, 900), worker("b", 50, 500), worker("c", 0, 100)}
 	tests := []struct {
 		placement Placement
@@ -77,8 +77,8 @@
 		{RoundRobin, 4, 0, "b", 0},
 		{LeastTokens, 0, 0, "b", 0},
 		{StickyHash, 0, 5, "c", 0},
-		{Always, 0, 0, "c", 100},
-		{First, 0, 0, "b", 0},
+		{AlwaysImport, 0, 0, "c", 100},
+		{MostCached, 0, 0, "b", 0},
 	}
 	for _, tc := range tests {
 		t.Run(fmt.Sprint(tc.placement, tc.turn), func(t *testing.T) {
@@ -86,7 +86,7 @@
 			r := request()
 			r.Turn, r.Context = tc.turn, tc.key
 			var k []Kept
-			if tc.placement == Always {
+			if tc.placement == AlwaysImport {
 				k = kept(100, 4e9)
 			}
 			d := Place(tc.placement, r, workers, k)
@@ -96,8 +96,8 @@
 	}
 }
 
-// A request is refused only if no option meets the deadline, an accepted one
-// is expected in time, and imports stay inside what is kept.
+// A request is refused only if the fastest option misses the deadline, an accepted one is
+// expected before it, and imports stay within the blocks that the store holds.
 func TestPlaceIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := request()
@@ -116,26 +116,26 @@
 		d := Place(Returning, r, workers, k)
 		im := d.Chosen.Import
 		if im.Blocks() < 0 || (im.Blocks() > 0 && im.To > k[0].Blocks) {
-			t.Fatalf("imports %+v of %d", im, k[0].Blocks)
+			t.Fatalf("imports %+v of %d stored blocks", im, k[0].Blocks)
 		}
 		fastest := time.Duration(1 << 62)
 		for _, w := range workers {
-			for _, o := range importsFor(nil, Returning, r, w, k) {
+			for _, o := range appendVariants(nil, Returning, r, w, k) {
 				fastest = min(fastest, o.Expected)
 			}
 		}
 		if d.Verdict == Placed && d.Chosen.Expected > r.Deadline {
-			t.Fatalf("accepted, though expected after %v of %v", d.Chosen.Expected, r.Deadline)
+			t.Fatalf("accepted although expected after %v with a deadline of %v", d.Chosen.Expected, r.Deadline)
 		}
 		if d.Verdict == TooLate && d.Chosen.Expected <= r.Deadline {
-			t.Fatalf("refused, though expected in time")
+			t.Fatalf("refused although expected before the deadline")
 		}
 	})
 }
 
-// Daemons that decide at once on the same old state do not all take the same
+// Daemons that decide concurrently on the same stale state do not all select the same
 // worker.
-func TestPlaceDoesNotHerd(t *testing.T) {
+func TestPlaceSpreadsEqualWorkers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var workers []Worker
 	for i := range 20 {
@@ -153,7 +153,7 @@
 	g.Expect(counts).To(gomega.HaveLen(20))
 }
 
-func TestBudgetBoundsRetries(t *testing.T) {
+func TestBudgetLimitsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var b Budget
 	retries := 0
@@ -167,7 +167,7 @@
 	g.Expect(retries).To(gomega.BeNumerically(">=", 10000*retryShare-1))
 }
 
-func TestVersionMovesWithTheWorkers(t *testing.T) {
+func TestVersionFollowsReadyWorkers(t *testing.T) {
 	tests := []struct {
 		fraction     float64
 		ready, total int
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestGiveUpTakesTheLeastWorth(t *testing.T) {
+func TestGiveUpEvictsLeastValuable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := []Shed{{0, 10, 5, 4}, {1, 10, 100, 0}, {2, 10, 100, 9}, {3, 10, 1, 0}}
 	g.Expect(GiveUp(list, 10)).To(gomega.Equal([]int{1}))
@@ -189,7 +189,7 @@
 	g.Expect(GiveUp(list, 0)).To(gomega.BeEmpty())
 }
 
-func TestLinkServesWaitingCallersFirst(t *testing.T) {
+func TestLinkStartsImportsFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Link
 	l.Ask(Transfer{ID: 1, Organisation: "a", Bytes: 10})
@@ -201,14 +201,14 @@
 		g.Expect(first.ID).To(gomega.Equal(want))
 	}
 	_, ok := l.Next()
-	g.Expect(ok).To(gomega.BeFalse(), "an export waits while callers' transfers run")
+	g.Expect(ok).To(gomega.BeFalse(), "an export waits while more than one import runs")
 	l.Done(2)
 	next, ok := l.Next()
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(next.ID).To(gomega.Equal(uint64(1)))
 }
 
-// However many transfers one organisation asks for, another's turn comes.
+// An organisation with many queued transfers does not starve another one.
 func TestLinkIsFair(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Link
@@ -228,11 +228,11 @@
 func TestLinkIsBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Link
-	taken := 0
+	accepted := 0
 	for i := range uint64(2 * maxWaiting) {
 		if l.Ask(Transfer{ID: i}) {
-			taken++
+			accepted++
 		}
 	}
-	g.Expect(taken).To(gomega.Equal(maxWaiting))
+	g.Expect(accepted).To(gomega.Equal(maxWaiting))
 }
--- a/core/route/store.go
+++ b/core/route/store.go
@@ -5,22 +5,25 @@
 	"slices"
 )
 
-// Shed is one context that a full store could give up.
+// Shed describes one context that a full KV-cache store can evict.
 type Shed struct {
-	Index  int
+	// Index identifies the context to the caller.
+	Index int
+	// Blocks is the number of blocks that the eviction frees.
 	Blocks int
-	// IdleSeconds is how long it was neither read nor written.
+	// IdleSeconds is the time since the context was last read or written.
 	IdleSeconds float64
-	Reads       int
+	// Reads is how often the context was read.
+	Reads int
 }
 
-// GiveUp chooses the contexts that a full store gives up until blocks are
-// free. What was read before is likelier to return; what is idle for long is
-// less likely.
+// GiveUp returns the indexes of the contexts to evict from a full KV-cache store so
+// that at least the given number of blocks are freed. A context that was read often is
+// more likely to be needed again, one that was idle for long less likely.
 func GiveUp(list []Shed, blocks int) []int {
 	sorted := slices.Clone(list)
-	worth := func(s Shed) float64 { return float64(1+s.Reads) / (1 + s.IdleSeconds) }
-	slices.SortStableFunc(sorted, func(a, b Shed) int { return cmp.Compare(worth(a), worth(b)) })
+	value := func(s Shed) float64 { return float64(1+s.Reads) / (1 + s.IdleSeconds) }
+	slices.SortStableFunc(sorted, func(a, b Shed) int { return cmp.Compare(value(a), value(b)) })
 	var out []int
 	for _, s := range sorted {
 		if blocks <= 0 {
--- a/core/route/worth.go
+++ b/core/route/worth.go
@@ -7,86 +7,92 @@
 	"embertally.dev/core/learn"
 )
 
-// Prices say what answers are worth and what serving them costs, in one unit: the
-// answer to a plain call in time.
+// Prices is the cost model: the utility of answers and the cost of serving them. One
+// unit is the utility of the answer to a plain call within its latency objective.
 type Prices struct {
-	// Token is what each token of a prompt adds to the worth of its answer.
+	// Token is the utility that each token of a prompt adds to its answer.
 	Token float64
-	// Late is the part of its worth that an answer after its aim keeps.
+	// Late is the share of its utility that an answer past its latency objective
+	// retains.
 	Late float64
-	// Again is the price of reading a token that a worker has read lately.
+	// Again is the cost of prefilling a token that another worker has prefilled
+	// recently.
 	Again float64
-	// Copied is the price of copying a token of kept context.
+	// Copied is the cost of copying a token of cached context to a worker.
 	Copied float64
-	// Old is the part of its worth that an answer on replaced weights loses.
+	// Old is the share of its utility that an answer computed with replaced weights
+	// loses.
 	Old float64
-	// Connect is the price of a new connection to a target.
+	// Connect is the cost of opening a connection to a target.
 	Connect float64
-	// Across is the price of a megabyte between failure domains.
+	// Across is the cost of sending a megabyte (1 << 20 bytes) between failure domains.
 	Across float64
-	// Wait is the part of its worth that an answer loses with each aim's time that
-	// goes by before it, also within the aim.
+	// Wait is the share of its utility that an answer loses for each multiple of the
+	// latency objective that it takes, also within the objective.
 	Wait float64
 }
 
-// Worth returns what an answer in time is worth to a prompt of some tokens, 0 for
-// plain calls.
+// Worth returns the utility of an answer within its latency objective to a prompt of
+// some tokens; plain calls have 0 tokens.
 func (p *Prices) Worth(tokens int) float64 { return 1 + p.Token*float64(tokens) }
 
-// Asked is what a choice needs to know of a request.
+// Asked describes a request to Pick.
 type Asked struct {
-	// Tokens is the length of the prompt; 0 for plain calls.
+	// Tokens is the length of the prompt in tokens; 0 for plain calls.
 	Tokens int
-	// Bytes is the size of the request.
+	// Bytes is the size of the request in bytes.
 	Bytes int
-	// Aim is the time within which an answer is in time, from the request's begin;
-	// 0 where there is none.
+	// Aim is the latency objective, from the start of the request; 0 means none.
 	Aim time.Duration
-	// Spent is how much time has gone by since then, and Left how much the caller
-	// or the route leaves.
+	// Spent is the time elapsed since the start of the request, and Left the time
+	// remaining until its deadline.
 	Spent, Left time.Duration
-	// Rate is the worth of the requests that come to a target of the service in a
-	// second: what waits there longer when it gets more work.
+	// Rate is the utility per second of the requests that arrive at one target of
+	// the service. They wait longer when the target gets more work.
 	Rate float64
 }
 
-// Candidate is one target that a request may be sent to.
+// Candidate describes one target that a request may be sent to.
 type Candidate struct {
-	// Running is how many requests are on their way to the target or run there.
+	// Running is the number of requests that are in flight to the target or run there.
 	Running int
-	// Slots is how many run at a time.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// Unread is how many prompt tokens must be read there before a new request's.
+	// Unread is the number of prompt tokens that the target prefills before those of
+	// a new request.
 	Unread int
-	// Held is how many tokens of context the running requests hold.
+	// Held is the number of context tokens that the running requests occupy.
 	Held int
-	// Memory is how many tokens of context fit; 0 for plain services.
+	// Memory is the number of context tokens that fit into the target's memory; 0 for
+	// plain services.
 	Memory int
-	// Kept is how many tokens of the request's prompt the target is believed to
-	// hold.
+	// Kept is the number of tokens of the request's prompt that the target is expected
+	// to have cached.
 	Kept int
-	// Copied is how many more tokens can be handed to it.
+	// Copied is the number of further tokens that can be copied to the target.
 	Copied int
-	// CopyTime is how long that takes.
+	// CopyTime is the time that the copy takes.
 	CopyTime time.Duration
-	// Again is how many tokens would be read there that were read elsewhere
-	// lately.
+	// Again is the number of tokens that the target would prefill although another
+	// worker has prefilled them recently.
 	Again int
-	// Old tells that the target holds older weights than were named.
+	// Old reports that the target has older weights than the desired ones.
 	Old bool
-	// Far tells that the target is in another failure domain.
+	// Far reports that the target is in another failure domain.
 	Far bool
-	// Cold tells that no connection to the target is open.
+	// Cold reports that no connection to the target is open.
 	Cold bool
-	// Doubtful tells that the target may be gone.
+	// Doubtful reports that the target's registration has lapsed, so that it may have
+	// been removed.
 	Doubtful bool
-	// Faults is the share of bad answers.
+	// Faults is the share of the target's answers that are failures, 0 to 1.
 	Faults float64
-	// Pace is the target's time to a first answer over that of its service.
+	// Pace is the target's speed factor: its time to the first answer divided by that
+	// expected of its service. Above 1 the target is slower.
 	Pace float64
 }
 
-// Factors returns what the time to a first answer at a candidate depends on.
+// Factors returns the inputs of the time to the first answer at a candidate.
 func (c *Candidate) Factors(a *Asked) learn.Factors {
 	slots := float64(max(1, c.Slots))
 	f := learn.Factors{
@@ -94,93 +100,94 @@
 		Beside: min(1, float64(c.Running)/slots), Waiting: max(0, float64(c.Running+1)/slots-1),
 	}
 	if c.Memory > 0 {
-		f.Crowd = crowd(c, a.Tokens)
+		f.Crowd = memoryPressure(c, a.Tokens)
 	}
 	return f
 }
 
-// Bounds of crowd.
+// Bounds of memoryPressure.
 const (
-	// crowdPlaces bounds how many requests a memory is taken to have room for: the
-	// more there are, the later and the sharper it fills.
-	fewestPlaces = 2
-	mostPlaces   = 32
-	// crowdMost bounds the result.
-	crowdMost = 2
+	// minMemorySlots and maxMemorySlots bound the number of requests that a memory is
+	// assumed to fit: with more, the pressure rises later and more steeply.
+	minMemorySlots = 2
+	maxMemorySlots = 32
+	// maxMemoryPressure bounds the result.
+	maxMemoryPressure = 2
 )
 
-// crowd returns how likely a target's memory is to be full when it is a request's
-// turn. Like a line before c places that are taken for a share s of the time, it
-// grows with the c-th power of the share; the places are as large as the requests
-// that hold them.
-func crowd(c *Candidate, tokens int) float64 {
+// memoryPressure returns the probability that a target's memory is full when a
+// request's turn comes; above 1 the requests do not fit. As in a queue with c servers
+// of utilisation s, it grows with s to the power of c. The memory is divided into
+// slots of the size of the requests that occupy it.
+func memoryPressure(c *Candidate, tokens int) float64 {
 	if c.Held <= 0 {
 		return 0
 	}
 	size := max(float64(tokens), float64(c.Held)/float64(max(1, c.Running)))
 	memory := float64(c.Memory)
-	places := min(max(memory/max(size, 1), fewestPlaces), mostPlaces)
-	share := (float64(c.Held) + float64(tokens)/2) / memory
-	return min(math.Pow(share, places), crowdMost)
+	slots := min(max(memory/max(size, 1), minMemorySlots), maxMemorySlots)
+	utilisation := (float64(c.Held) + float64(tokens)/2) / memory
+	return min(math.Pow(utilisation, slots), maxMemoryPressure)
 }
 
-// Judgement is what is expected of a request at a candidate.
+// Judgement is the evaluation of a candidate for a request.
 type Judgement struct {
-	// Expected is the time to the first answer.
+	// Expected is the expected time to the first answer.
 	Expected time.Duration
-	// InTime is the chance of an answer within the aim, Served that of one before
-	// the caller gives up; both without the target's faults.
+	// InTime is the probability of an answer within the latency objective, and Served
+	// that of an answer before the deadline. Both ignore the target's failures.
 	InTime, Served float64
-	// Gain is what callers gain: this one's answer, less what others lose by its
-	// work.
+	// Gain is the utility to callers: that of this request's answer, less what other
+	// requests lose because they wait for it. The request is not worth serving at the
+	// candidate unless it is above 0.
 	Gain float64
-	// Worth is the gain less the prices of serving it there.
+	// Worth is Gain less the cost of serving the request at the candidate.
 	Worth float64
 }
 
-// Judge works out what is expected of a request at a candidate.
-func Judge(a *Asked, c *Candidate, e *learn.Estimate, p *Prices) Judgement {
+// Evaluate estimates the time and the utility of serving a request at a candidate.
+func Evaluate(a *Asked, c *Candidate, e *learn.Estimate, p *Prices) Judgement {
 	f := c.Factors(a)
-	before, own := e.Parts(f)
-	pace := max(c.Pace, 0)
-	if pace == 0 {
-		pace = 1
+	queueing, service := e.Parts(f)
+	speedFactor := max(c.Pace, 0)
+	if speedFactor == 0 {
+		speedFactor = 1
 	}
-	wait := time.Duration(pace * float64(before))
-	work := time.Duration(pace * float64(own))
+	wait := time.Duration(speedFactor * float64(queueing))
+	work := time.Duration(speedFactor * float64(service))
 	j := Judgement{Expected: max(wait, c.CopyTime) + work, InTime: 1}
 	expected := max(j.Expected, time.Microsecond).Seconds()
 	if a.Aim > 0 {
 		j.InTime = e.Chance((a.Aim - a.Spent).Seconds() / expected)
 	}
 	j.Served = max(j.InTime, e.Chance(a.Left.Seconds()/expected))
-	worth := p.Worth(a.Tokens)
-	j.Gain = worth * (1 - c.Faults) * (p.Late*j.Served + (1-p.Late)*j.InTime)
-	// What does not fit pushes out parts that wait for their requests.
+	utility := p.Worth(a.Tokens)
+	j.Gain = utility * (1 - c.Faults) * (p.Late*j.Served + (1-p.Late)*j.InTime)
+	// Tokens that do not fit into memory evict cached segments of later requests.
 	j.Gain -= p.Again * f.Crowd * float64(a.Tokens)
 	if a.Aim > 0 {
-		// Others wait for its work as well, as long as there is a line.
+		// Other requests wait for its work as well, as long as there is a queue.
 		j.Gain -= a.Rate * (1 - p.Late) * work.Seconds() * wait.Seconds() / a.Aim.Seconds()
 	}
-	j.Worth = j.Gain - against(a, c, p, worth)
+	j.Worth = j.Gain - servingCost(a, c, p, utility)
 	if a.Aim > 0 {
-		j.Worth -= worth * p.Wait * expected / a.Aim.Seconds()
+		j.Worth -= utility * p.Wait * expected / a.Aim.Seconds()
 	}
 	return j
 }
 
-// headBytes is about the size of the heads of a request and its answer.
+// headBytes is the approximate size of the headers of a request and its answer.
 const headBytes = 1500
 
-// bytesPerMegabyte turns sizes into what prices count in.
+// bytesPerMegabyte converts sizes in bytes to the unit of Prices.Across.
 const bytesPerMegabyte = 1 << 20
 
-// against returns the price of all that speaks against a candidate whatever its
-// load.
-func against(a *Asked, c *Candidate, p *Prices, worth float64) float64 {
+// servingCost returns the cost of serving a request at a candidate that does not
+// depend on its load.
+func servingCost(a *Asked, c *Candidate, p *Prices, utility float64) float64 {
 	cost := p.Again*float64(c.Again) + p.Copied*float64(c.Copied)
 	if c.Old {
-		cost += p.Old * worth
+		cost += p.Old * utility
 	}
 	if c.Far {
 		cost += p.Across * float64(a.Bytes+headBytes) / bytesPerMegabyte
@@ -189,8 +196,8 @@
 		cost += p.Connect
 	}
 	if c.Doubtful {
-		// A target that may be gone is the last choice.
-		cost += worth
+		// A target that may have been removed is the last choice.
+		cost += utility
 	}
 	return cost
 }
