--- a/core/learn/learn.go
+++ b/core/learn/learn.go
@@ -1,11 +1,12 @@
-// Package learn owns what is learned of the site from what is observed: how long
-// links take for copies of kept context, how long targets take to answer, and how
-// often they fail.
+// Package learn owns the estimates that a daemon derives from observations: how long
+// copies of cached context take over a link, how likely a worker still has a prompt
+// segment cached, how long targets take to answer, and how often they fail.
 //
-// Each estimate begins with an expectation from the settings and a weight that it
-// has as if that many observations had been made; observations fade with age. What
-// one daemon observes it tells the others in heartbeats. The package must not know
-// what is decided by the estimates (package route), nor names of the wire.
+// Each estimate starts from a prior, which counts as a given number of observations;
+// the weight of observations decays exponentially with age. Daemons exchange their
+// observations in heartbeats, except for those of Times and Rate. The package must not
+// know the decisions that use the estimates (package route), nor how and under which
+// names its reports are sent.
 package learn
 
 import (
@@ -13,61 +14,62 @@
 	"time"
 )
 
-// Mean is an average whose samples fade with age. The zero value has none.
+// Mean is a weighted mean of samples whose weights decay exponentially with age. The
+// zero value has no samples.
 type Mean struct {
+	// sum is the weighted sum of the samples, and weight the sum of their weights.
 	sum, weight float64
-	// at is when sum and weight were last faded.
-	at time.Time
+	// decayedAt is the time up to which the decay of sum and weight is applied.
+	decayedAt time.Time
 }
 
-// fade is what is left of a sample after some time.
-func fade(age, halfLife time.Duration) float64 {
+// decay returns the factor by which a weight decays until the given age.
+func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 || halfLife <= 0 {
 		return 1
 	}
 	return math.Exp2(-float64(age) / float64(halfLife))
 }
 
-// Add takes a sample. Samples and weights that are no numbers, and weights below
-// 0, are not taken; it reports whether the sample was.
+// Add adds a sample and reports true. It rejects non-finite samples and weights, and
+// negative weights.
 func (m *Mean) Add(sample, weight float64, now time.Time, halfLife time.Duration) bool {
 	if !finite(sample) || !finite(weight) || weight < 0 {
 		return false
 	}
-	m.age(now, halfLife)
+	m.decayTo(now, halfLife)
 	m.sum += sample * weight
 	m.weight += weight
 	return true
 }
 
-// age fades what is known.
-func (m *Mean) age(now time.Time, halfLife time.Duration) {
-	if m.at.IsZero() {
-		m.at = now
+// decayTo applies the decay up to now.
+func (m *Mean) decayTo(now time.Time, halfLife time.Duration) {
+	if m.decayedAt.IsZero() {
+		m.decayedAt = now
 	}
-	left := fade(now.Sub(m.at), halfLife)
-	m.sum *= left
-	m.weight *= left
-	if now.After(m.at) {
-		m.at = now
+	factor := decay(now.Sub(m.decayedAt), halfLife)
+	m.sum *= factor
+	m.weight *= factor
+	if now.After(m.decayedAt) {
+		m.decayedAt = now
 	}
 }
 
-// bound makes the samples count for at most some weight, so that the next ones
-// change the average.
-func (m *Mean) bound(most float64) {
-	if m.weight > most {
-		m.sum *= most / m.weight
-		m.weight = most
+// capWeight scales the samples to a total weight of at most limit, so that later ones
+// still change the mean.
+func (m *Mean) capWeight(limit float64) {
+	if m.weight > limit {
+		m.sum *= limit / m.weight
+		m.weight = limit
 	}
 }
 
-// Value returns the average together with an expectation that counts as much as
-// samples of the given weight.
-func (m *Mean) Value(expected, weight float64, now time.Time, halfLife time.Duration) float64 {
-	left := fade(now.Sub(m.at), halfLife)
-	return (expected*weight + m.sum*left) / (weight + m.weight*left)
+// Value returns the mean of the samples and a prior of the given weight.
+func (m *Mean) Value(prior, priorWeight float64, now time.Time, halfLife time.Duration) float64 {
+	factor := decay(now.Sub(m.decayedAt), halfLife)
+	return (prior*priorWeight + m.sum*factor) / (priorWeight + m.weight*factor)
 }
 
-// finite reports whether a value is a number.
+// finite reports whether a value is neither NaN nor infinite.
 func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/core/learn/links.go
+++ b/core/learn/links.go
@@ -8,39 +8,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Links learns how long copies of kept context take over the links of stores and
-// workers, which carry one copy after the other: how much slower than configured
-// each link is, and how much work is queued at it. The zero value knows nothing.
+// Links estimates how long copies of cached context take over the links of KV-cache
+// stores and workers. Each link carries one copy at a time. Links learns how much
+// slower than configured a link is, and tracks the copies that are queued for it. The
+// zero value has no observations.
 //
 // Lock order: linksMu is taken alone.
 type Links struct {
 	linksMu sync.Mutex
-	ends    map[string]*linkEnd // by address; guarded by linksMu
-	// untold are the copies and samples that peers have not been told; the first
-	// ones, as many as collected says, are being told. Guarded by linksMu.
-	untold    linkNews
+	links   map[string]*linkModel // by address; guarded by linksMu
+	// unreported holds the copies and samples that have not been sent to peers.
+	// Guarded by linksMu.
+	unreported linkReport
+	// collected is the number of leading copies and samples of unreported that
+	// Collect returned last. Guarded by linksMu.
 	collected struct{ copies, samples int }
-	// rejected counts what peers told that could not be true. Guarded by linksMu.
+	// rejected counts the invalid items that peers reported. Guarded by linksMu.
 	rejected int
 }
 
-// linkEnd is the link of one store or worker.
-type linkEnd struct {
-	// slow averages the logarithm of the time of copies over that configured.
-	slow Mean
-	// busy is until when the copies known are expected to keep the link busy.
-	busy time.Time
+// linkModel is the state of the link of one store or worker.
+type linkModel struct {
+	// logSlowdown is the mean of the logarithm of the observed over the configured
+	// time of copies.
+	logSlowdown Mean
+	// busyUntil is when the recorded copies are expected to be finished.
+	busyUntil time.Time
 }
 
-// linkNews is a part of a heartbeat.
-type linkNews struct {
+// linkReport is what Links adds to a heartbeat.
+type linkReport struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Copies   []linkCopy
 	Samples  []linkSample
 }
 
-// linkCopy is one copy that was begun.
+// linkCopy is a copy that was started, between two addresses. Micros is its expected
+// duration in microseconds.
 type linkCopy struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
@@ -48,183 +53,190 @@
 	Micros   int64
 }
 
-// linkSample is what one copy told of a link.
+// linkSample is the observation of a link by one copy.
 type linkSample struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Address  string
-	Log      float32
-	Weight   float32
+	// LogSlowdown is the logarithm of the observed over the configured time.
+	LogSlowdown float32
+	// Weight is how informative the sample is, 0 to 1.
+	Weight float32
 }
 
 const (
-	// slowLife is the time after which a sample of a link counts half: trouble at
-	// links begins and ends within seconds, and a link that is avoided must be
-	// tried again.
-	slowLife = 1500 * time.Millisecond
-	// slowWeight is how many samples the configured rate counts for, and
-	// slowSamples how many samples count at most, so that a link that is slow no
-	// more is soon found out.
-	slowWeight  = 0.5
-	slowSamples = 6
-	// slowMost bounds what one sample says, as a factor either way.
-	slowMost = 16
-	// busyMost bounds how far ahead a link is taken to be busy.
-	busyMost = 5 * time.Second
-	// newsMost bounds the copies, and the samples, of one heartbeat.
-	newsMost = 200
+	// slowdownHalfLife is the half-life of the weight of a sample. Slow periods of
+	// links start and end within seconds, and a link that is avoided must be tried
+	// again.
+	slowdownHalfLife = 1500 * time.Millisecond
+	// slowdownPriorWeight is the number of samples that the configured rate counts
+	// for.
+	slowdownPriorWeight = 0.5
+	// maxSlowdownWeight bounds the total weight of the samples, so that a link which
+	// has recovered is soon recognised.
+	maxSlowdownWeight = 6
+	// maxSlowdown bounds the slowdown of one sample, and its inverse.
+	maxSlowdown = 16
+	// maxBusy bounds how far into the future a link is assumed to be busy.
+	maxBusy = 5 * time.Second
+	// maxReported bounds the unreported copies, and the unreported samples.
+	maxReported = 200
 )
 
-// LinkState is what is known of a link.
+// LinkState is the estimated state of a link.
 type LinkState struct {
-	// Slow is the time of copies over that configured.
+	// Slow is the estimated time of a copy divided by the configured one.
 	Slow float64
-	// Wait is how long a new copy waits for those before it.
+	// Wait is how long a new copy waits for the copies before it.
 	Wait time.Duration
 }
 
-// State returns what is known of the link at an address.
+// State returns the estimated state of the link at an address.
 func (l *Links) State(address string, now time.Time) LinkState {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	e := l.ends[address]
-	if e == nil {
+	m := l.links[address]
+	if m == nil {
 		return LinkState{Slow: 1}
 	}
 	return LinkState{
-		Slow: math.Exp(e.slow.Value(0, slowWeight, now, slowLife)),
-		Wait: max(0, e.busy.Sub(now)),
+		Slow: math.Exp(m.logSlowdown.Value(0, slowdownPriorWeight, now, slowdownHalfLife)),
+		Wait: max(0, m.busyUntil.Sub(now)),
 	}
 }
 
-// Begin records a copy between two links that takes some time once it has its
-// turn.
-func (l *Links) Begin(from, to string, took time.Duration, now time.Time) {
+// Begin records the start of a copy from one address to another. duration is its
+// expected time, without the wait for earlier copies.
+func (l *Links) Begin(from, to string, duration time.Duration, now time.Time) {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	l.begin(from, to, took, now)
-	if len(l.untold.Copies) < newsMost {
-		l.untold.Copies = append(l.untold.Copies, linkCopy{From: from, To: to, Micros: took.Microseconds()})
+	l.addCopy(from, to, duration, now)
+	if len(l.unreported.Copies) < maxReported {
+		l.unreported.Copies = append(l.unreported.Copies, linkCopy{From: from, To: to, Micros: duration.Microseconds()})
 	}
 }
 
-// begin is called with linksMu held.
-func (l *Links) begin(from, to string, took time.Duration, now time.Time) {
+// addCopy adds a copy to the queues of both its links. It is called with linksMu held.
+func (l *Links) addCopy(from, to string, duration time.Duration, now time.Time) {
 	for _, address := range [...]string{from, to} {
-		e := l.end(address)
-		if e.busy.Before(now) {
-			e.busy = now
+		m := l.link(address)
+		if m.busyUntil.Before(now) {
+			m.busyUntil = now
 		}
-		e.busy = e.busy.Add(took)
-		if most := now.Add(busyMost); e.busy.After(most) {
-			e.busy = most
+		m.busyUntil = m.busyUntil.Add(duration)
+		if limit := now.Add(maxBusy); m.busyUntil.After(limit) {
+			m.busyUntil = limit
 		}
 	}
 }
 
-// end returns the link at an address. It is called with linksMu held.
-func (l *Links) end(address string) *linkEnd {
-	if l.ends == nil {
-		l.ends = map[string]*linkEnd{}
+// link returns the link at an address, adding it if needed. It is called with linksMu
+// held.
+func (l *Links) link(address string) *linkModel {
+	if l.links == nil {
+		l.links = map[string]*linkModel{}
 	}
-	e := l.ends[address]
-	if e == nil {
-		e = &linkEnd{}
-		l.ends[address] = e
+	m := l.links[address]
+	if m == nil {
+		m = &linkModel{}
+		l.links[address] = m
 	}
-	return e
+	return m
 }
 
-// Sample records that a copy took some times as long as was expected with what
-// was known. What it says of the two links is shared out in proportion to what is
-// not known of either: weight is how much the observation says at all, 0 to 1.
+// Sample records that a copy took ratio times as long as expected from the states of
+// its two links. The logarithm of ratio is divided between them by sourceShare. weight
+// is how informative the observation is, 0 to 1. A ratio that is not positive and finite
+// is ignored.
 func (l *Links) Sample(from, to string, ratio, weight float64, now time.Time) {
 	if !(ratio > 0) || !finite(ratio) {
 		return
 	}
-	off := math.Log(min(max(ratio, 1.0/slowMost), slowMost))
+	logRatio := math.Log(min(max(ratio, 1.0/maxSlowdown), maxSlowdown))
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
 	for _, s := range [...]linkSample{
-		{Address: from, Log: float32(l.logSlow(from, now) + off*fromShare), Weight: float32(weight)},
-		{Address: to, Log: float32(l.logSlow(to, now) + off*(1-fromShare)), Weight: float32(weight)},
+		{Address: from, LogSlowdown: float32(l.logSlowdown(from, now) + logRatio*sourceShare), Weight: float32(weight)},
+		{Address: to, LogSlowdown: float32(l.logSlowdown(to, now) + logRatio*(1-sourceShare)), Weight: float32(weight)},
 	} {
-		l.sample(s, now)
-		if len(l.untold.Samples) < newsMost {
-			l.untold.Samples = append(l.untold.Samples, s)
+		l.addSample(s, now)
+		if len(l.unreported.Samples) < maxReported {
+			l.unreported.Samples = append(l.unreported.Samples, s)
 		}
 	}
 }
 
-// fromShare is the part of an unexpected time that is laid to the link which the
-// copy comes from: stores are few and used by all, so that they are the likelier
-// to be slow.
-const fromShare = 0.75
+// sourceShare is the share of a deviation that is attributed to the link of the copy's
+// source: stores are few and serve all workers, so that their links are more likely to be
+// slow.
+const sourceShare = 0.75
 
-// logSlow is called with linksMu held.
-func (l *Links) logSlow(address string, now time.Time) float64 {
-	return l.end(address).slow.Value(0, slowWeight, now, slowLife)
+// logSlowdown returns the logarithm of a link's estimated slowdown. It is called with
+// linksMu held.
+func (l *Links) logSlowdown(address string, now time.Time) float64 {
+	return l.link(address).logSlowdown.Value(0, slowdownPriorWeight, now, slowdownHalfLife)
 }
 
-// sample is called with linksMu held.
-func (l *Links) sample(s linkSample, now time.Time) {
-	most := math.Log(slowMost)
-	if !finite(float64(s.Log)) || s.Weight < 0 || s.Weight > 1 {
+// addSample adds a sample to its link, or counts it as rejected. It is called with linksMu
+// held.
+func (l *Links) addSample(s linkSample, now time.Time) {
+	limit := math.Log(maxSlowdown)
+	if !finite(float64(s.LogSlowdown)) || s.Weight < 0 || s.Weight > 1 {
 		l.rejected++
 		return
 	}
-	e := l.end(s.Address)
-	e.slow.Add(min(max(float64(s.Log), -most), most), float64(s.Weight), now, slowLife)
-	e.slow.bound(slowSamples)
+	m := l.link(s.Address)
+	m.logSlowdown.Add(min(max(float64(s.LogSlowdown), -limit), limit), float64(s.Weight), now, slowdownHalfLife)
+	m.logSlowdown.capWeight(maxSlowdownWeight)
 }
 
-// Rejected returns how much of what peers told could not be true.
+// Rejected returns the number of invalid copies and samples that peers reported.
 func (l *Links) Rejected() int {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
 	return l.rejected
 }
 
-// Collect returns what peers have not been told yet.
+// Collect returns the unreported copies and samples for a heartbeat, or nil.
 func (l *Links) Collect(bool) any {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	l.collected.copies, l.collected.samples = len(l.untold.Copies), len(l.untold.Samples)
+	l.collected.copies, l.collected.samples = len(l.unreported.Copies), len(l.unreported.Samples)
 	if l.collected.copies == 0 && l.collected.samples == 0 {
 		return nil
 	}
-	news := l.untold
-	return &news
+	report := l.unreported
+	return &report
 }
 
-// Told forgets what a round of heartbeats has told.
+// Told discards what the last Collect returned, after a round of heartbeats was sent.
 func (l *Links) Told() {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	l.untold.Copies = l.untold.Copies[l.collected.copies:]
-	l.untold.Samples = l.untold.Samples[l.collected.samples:]
+	l.unreported.Copies = l.unreported.Copies[l.collected.copies:]
+	l.unreported.Samples = l.unreported.Samples[l.collected.samples:]
 	l.collected.copies, l.collected.samples = 0, 0
 }
 
-// Receive takes what a peer tells.
+// Receive adds the copies and samples that a peer reported.
 func (l *Links) Receive(_ string, raw []byte) {
-	var news linkNews
-	if err := msgpack.Unmarshal(raw, &news); err != nil {
-		// A peer of another version; what it tells is not used.
+	var report linkReport
+	if err := msgpack.Unmarshal(raw, &report); err != nil {
+		// A peer of another version sent it.
 		return
 	}
 	now := time.Now()
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	for _, c := range news.Copies {
-		took := time.Duration(c.Micros) * time.Microsecond
-		if took < 0 || took > busyMost {
+	for _, c := range report.Copies {
+		duration := time.Duration(c.Micros) * time.Microsecond
+		if duration < 0 || duration > maxBusy {
 			l.rejected++
 			continue
 		}
-		l.begin(c.From, c.To, took, now)
+		l.addCopy(c.From, c.To, duration, now)
 	}
-	for _, s := range news.Samples {
-		l.sample(s, now)
+	for _, s := range report.Samples {
+		l.addSample(s, now)
 	}
 }
--- a/core/learn/links_test.go
+++ b/core/learn/links_test.go
@@ -9,12 +9,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func TestASlowLinkIsLearnedAndTriedAgain(t *testing.T) {
+func TestLinkSlowdownIsLearnedAndDecays(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Links
 	now := time.Now()
 	g.Expect(l.State("store", now).Slow).To(gomega.Equal(1.0))
-	// Copies from the store take four times as long, to whichever worker.
+	// All copies from the store take four times as long as configured.
 	for i := range 40 {
 		to := []string{"w1", "w2", "w3", "w4"}[i%4]
 		expected := l.State("store", now).Slow * l.State(to, now).Slow
@@ -27,7 +27,7 @@
 	g.Expect(l.State("store", now.Add(10*time.Second)).Slow).To(gomega.BeNumerically("<", 1.25))
 }
 
-func TestCopiesWaitForThoseBefore(t *testing.T) {
+func TestCopiesWaitForEarlierCopies(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Links
 	now := time.Now()
@@ -40,54 +40,53 @@
 	for range 1000 {
 		l.Begin("store", "w1", time.Second, now)
 	}
-	g.Expect(l.State("store", now).Wait).To(gomega.Equal(busyMost))
+	g.Expect(l.State("store", now).Wait).To(gomega.Equal(maxBusy))
 }
 
-func TestLinksAreToldOnce(t *testing.T) {
+func TestLinkObservationsAreReportedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var mine, other Links
+	var local, remote Links
 	now := time.Now()
-	mine.Begin("store", "w1", time.Second, now)
-	mine.Sample("store", "w1", 8, 1, now)
-	raw, err := msgpack.Marshal(mine.Collect(false))
+	local.Begin("store", "w1", time.Second, now)
+	local.Sample("store", "w1", 8, 1, now)
+	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	mine.Begin("late", "w1", time.Second, now)
-	mine.Told()
-	other.Receive("mine", raw)
-	g.Expect(other.State("store", now).Wait).To(gomega.BeNumerically("~", time.Second, 100*time.Millisecond))
-	g.Expect(other.State("store", now).Slow).To(gomega.BeNumerically("~", mine.State("store", now).Slow, 0.01))
-	news, ok := mine.Collect(false).(*linkNews)
+	local.Begin("later", "w1", time.Second, now)
+	local.Told()
+	remote.Receive("local", raw)
+	g.Expect(remote.State("store", now).Wait).To(gomega.BeNumerically("~", time.Second, 100*time.Millisecond))
+	g.Expect(remote.State("store", now).Slow).To(gomega.BeNumerically("~", local.State("store", now).Slow, 0.01))
+	report, ok := local.Collect(false).(*linkReport)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(news.Copies).To(gomega.HaveLen(1))
-	mine.Told()
-	g.Expect(mine.Collect(false)).To(gomega.BeNil())
+	g.Expect(report.Copies).To(gomega.HaveLen(1))
+	local.Told()
+	g.Expect(local.Collect(false)).To(gomega.BeNil())
 }
 
-// What a peer that has gone mad tells, and observations that cannot be, change
-// nothing beyond their bounds.
-func TestNonsenseDoesNotPoisonLinks(t *testing.T) {
+// Invalid reports of a faulty peer and invalid observations are rejected or bounded.
+func TestLinksRejectInvalidReports(t *testing.T) {
 	tests := []struct {
 		name     string
-		news     linkNews
+		report   linkReport
 		rejected int
 	}{
-		{"a copy below no time", linkNews{Copies: []linkCopy{{From: "store", To: "w", Micros: -5}}}, 1},
-		{"a copy without end", linkNews{Copies: []linkCopy{{From: "store", To: "w", Micros: math.MaxInt64}}}, 1},
-		{"no number", linkNews{Samples: []linkSample{{Address: "store", Log: float32(math.NaN()), Weight: 1}}}, 1},
-		{"infinite", linkNews{Samples: []linkSample{{Address: "store", Log: float32(math.Inf(1)), Weight: 1}}}, 1},
-		{"a weight of its own", linkNews{Samples: []linkSample{{Address: "store", Log: 1, Weight: 1e9}}}, 1},
-		{"far too slow", linkNews{Samples: []linkSample{{Address: "store", Log: 1e9, Weight: 1}}}, 0},
+		{"copy of negative duration", linkReport{Copies: []linkCopy{{From: "store", To: "w", Micros: -5}}}, 1},
+		{"copy of excessive duration", linkReport{Copies: []linkCopy{{From: "store", To: "w", Micros: math.MaxInt64}}}, 1},
+		{"sample of NaN", linkReport{Samples: []linkSample{{Address: "store", LogSlowdown: float32(math.NaN()), Weight: 1}}}, 1},
+		{"infinite sample", linkReport{Samples: []linkSample{{Address: "store", LogSlowdown: float32(math.Inf(1)), Weight: 1}}}, 1},
+		{"excessive weight", linkReport{Samples: []linkSample{{Address: "store", LogSlowdown: 1, Weight: 1e9}}}, 1},
+		{"excessive slowdown", linkReport{Samples: []linkSample{{Address: "store", LogSlowdown: 1e9, Weight: 1}}}, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			var l Links
-			raw, err := msgpack.Marshal(&tc.news)
+			raw, err := msgpack.Marshal(&tc.report)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			l.Receive("mad", raw)
+			l.Receive("faulty", raw)
 			st := l.State("store", time.Now())
-			g.Expect(st.Slow).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", slowMost)))
-			g.Expect(st.Wait).To(gomega.BeNumerically("<=", busyMost))
+			g.Expect(st.Slow).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", maxSlowdown)))
+			g.Expect(st.Wait).To(gomega.BeNumerically("<=", maxBusy))
 			g.Expect(l.Rejected()).To(gomega.Equal(tc.rejected))
 		})
 	}
@@ -96,11 +95,11 @@
 	for _, ratio := range []float64{0, -1, math.NaN(), math.Inf(1)} {
 		l.Sample("store", "w", ratio, 1, time.Now())
 	}
-	l.Receive("mad", []byte("no msgpack"))
+	l.Receive("faulty", []byte("no msgpack"))
 	g.Expect(l.State("store", time.Now())).To(gomega.Equal(LinkState{Slow: 1}))
 }
 
-func TestMeanForgets(t *testing.T) {
+func TestMeanDecays(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var m Mean
 	now := time.Now()
@@ -112,6 +111,6 @@
 	}
 	g.Expect(m.Value(7, 1, now, time.Second)).To(gomega.BeNumerically("~", 10, 1e-9))
 	g.Expect(m.Value(7, 1, now.Add(time.Second), time.Second)).To(gomega.BeNumerically("~", (7+11*1.5)/2.5, 1e-9))
-	// A clock that goes back does not make samples count for more.
+	// A clock that goes back does not increase the weight of samples.
 	g.Expect(m.Value(7, 1, now.Add(-time.Hour), time.Second)).To(gomega.BeNumerically("~", 10, 1e-9))
 }
--- a/core/learn/rate.go
+++ b/core/learn/rate.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Rate is how much comes in a second, by what came lately. The zero value has seen
-// nothing.
+// Rate estimates a rate per second from recent arrivals, whose weights decay
+// exponentially with age. The zero value has no arrivals.
 type Rate struct {
-	sum float64
-	at  time.Time
+	// sum is the decayed sum of the amounts as of updatedAt.
+	sum       float64
+	updatedAt time.Time
 }
 
-// rateLife is the age at which what came counts half: long enough to tell a rate
-// from a few requests, short enough to see a burst.
-const rateLife = 2 * time.Second
+// rateHalfLife is the half-life of the weight of an arrival: long enough to average
+// over several requests, short enough to follow a burst.
+const rateHalfLife = 2 * time.Second
 
-// Add records that an amount came.
+// Add records an arrival. It ignores amounts that are negative or not finite.
 func (r *Rate) Add(amount float64, now time.Time) {
 	if !finite(amount) || amount < 0 {
 		return
 	}
-	r.sum = r.sum*fade(now.Sub(r.at), rateLife) + amount
-	if now.After(r.at) {
-		r.at = now
+	r.sum = r.sum*decay(now.Sub(r.updatedAt), rateHalfLife) + amount
+	if now.After(r.updatedAt) {
+		r.updatedAt = now
 	}
 }
 
-// PerSecond returns the rate.
+// PerSecond returns the rate in amounts per second.
 func (r *Rate) PerSecond(now time.Time) float64 {
-	if r.at.IsZero() {
+	if r.updatedAt.IsZero() {
 		return 0
 	}
-	return r.sum * fade(now.Sub(r.at), rateLife) * math.Ln2 / rateLife.Seconds()
+	return r.sum * decay(now.Sub(r.updatedAt), rateHalfLife) * math.Ln2 / rateHalfLife.Seconds()
 }
--- a/core/learn/retention.go
+++ b/core/learn/retention.go
@@ -8,142 +8,152 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Retention learns how likely workers still hold a part, by how much of their
-// memory was used since its last use. The zero value knows nothing.
+// Retention estimates how likely a worker still has a prompt segment cached. The
+// estimate depends on the segment's depth: the amount of KV-cache memory that the worker
+// has used since the segment's last use, divided by its total. The zero value has no
+// observations.
 //
 // Lock order: retentionMu is taken alone.
 type Retention struct {
 	retentionMu sync.Mutex
-	// kept averages whether parts were there, by depth. Guarded by retentionMu.
-	kept map[string]*[depthSteps]Mean
-	// untold are observations that peers have not been told; the first collected
-	// of them are being told. Guarded by retentionMu.
-	untold    []depthSample
-	collected int // guarded by retentionMu
-	rejected  int // guarded by retentionMu
+	// cached holds, by service, the share of segments in each range of depths that
+	// were still cached. Guarded by retentionMu.
+	cached map[string]*[depthBuckets]Mean
+	// unreported holds the observations that have not been sent to peers. Guarded by
+	// retentionMu.
+	unreported []depthSample
+	// collected is the number of leading observations of unreported that Collect
+	// returned last. Guarded by retentionMu.
+	collected int
+	// rejected counts the observations with an invalid depth, of this daemon and its
+	// peers. Guarded by retentionMu.
+	rejected int
 }
 
-// depthSample is one observation.
+// depthSample is one observation: whether a segment was still cached.
 type depthSample struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  string
 	Depth    float32
-	Kept     bool
+	Cached   bool
 }
 
 const (
-	// depthSteps is the resolution of depths from 0 to depthMost.
-	depthSteps = 13
-	depthMost  = 1.3
-	// depthUsual is the depth at which half of the parts are expected to be gone, and
-	// depthWidth how sharp that is: memory that running requests hold besides, and
-	// parts that are taken up in another order than they were sent, blur it.
-	depthUsual = 0.85
-	depthWidth = 0.07
-	// depthWeight is how many observations the expectation counts for, and
-	// depthSamples how many count at most.
-	depthWeight  = 4
-	depthSamples = 60
-	// retentionLife is the age at which an observation counts half.
-	retentionLife = 30 * time.Second
+	// depthBuckets is the number of equal ranges that depths from 0 to maxDepth are
+	// divided into. At maxDepth and beyond no segment is expected to be cached.
+	depthBuckets = 13
+	maxDepth     = 1.3
+	// priorDepth is the depth at which the prior expects half of the segments to be
+	// evicted, and priorWidth the scale of its logistic curve. The transition is
+	// gradual because running requests occupy memory too and because workers process
+	// segments in another order than they were sent.
+	priorDepth = 0.85
+	priorWidth = 0.07
+	// depthPriorWeight is the number of observations that the prior counts for, and
+	// maxDepthWeight bounds the total weight of the observations in a range.
+	depthPriorWeight = 4
+	maxDepthWeight   = 60
+	// retentionHalfLife is the half-life of the weight of an observation.
+	retentionHalfLife = 30 * time.Second
 )
 
-// expectedKept returns the chance expected before anything was observed.
-func expectedKept(depth float64) float64 {
-	return 1 / (1 + math.Exp((depth-depthUsual)/depthWidth))
+// priorChance returns the probability that a segment is cached by the prior.
+func priorChance(depth float64) float64 {
+	return 1 / (1 + math.Exp((depth-priorDepth)/priorWidth))
 }
 
-// Chance returns how likely a worker of a service still holds a part at a depth.
+// Chance returns the probability that a worker of a service still has a segment at a
+// depth cached.
 func (r *Retention) Chance(service string, depth float64, now time.Time) float64 {
-	if !finite(depth) || depth >= depthMost {
+	if !finite(depth) || depth >= maxDepth {
 		return 0
 	}
 	depth = max(depth, 0)
-	usual := expectedKept(depth)
+	prior := priorChance(depth)
 	r.retentionMu.Lock()
 	defer r.retentionMu.Unlock()
-	steps := r.kept[service]
-	if steps == nil {
-		return usual
+	buckets := r.cached[service]
+	if buckets == nil {
+		return prior
 	}
-	return steps[depthStep(depth)].Value(usual, depthWeight, now, retentionLife)
+	return buckets[depthBucket(depth)].Value(prior, depthPriorWeight, now, retentionHalfLife)
 }
 
-// depthStep returns the step of a depth.
-func depthStep(depth float64) int {
-	return min(int(depth/depthMost*depthSteps), depthSteps-1)
+// depthBucket returns the index of the range that a depth is in.
+func depthBucket(depth float64) int {
+	return min(int(depth/maxDepth*depthBuckets), depthBuckets-1)
 }
 
-// Observe records whether a part at a depth was there.
-func (r *Retention) Observe(service string, depth float64, kept bool, now time.Time) {
-	s := depthSample{Service: service, Depth: float32(depth), Kept: kept}
+// Observe records whether a worker of a service still had a segment at a depth cached.
+func (r *Retention) Observe(service string, depth float64, cached bool, now time.Time) {
+	s := depthSample{Service: service, Depth: float32(depth), Cached: cached}
 	r.retentionMu.Lock()
 	defer r.retentionMu.Unlock()
-	if r.take(s, now) && len(r.untold) < newsMost {
-		r.untold = append(r.untold, s)
+	if r.add(s, now) && len(r.unreported) < maxReported {
+		r.unreported = append(r.unreported, s)
 	}
 }
 
-// take records an observation, here or elsewhere, and reports whether it can be
-// true. It is called with retentionMu held.
-func (r *Retention) take(s depthSample, now time.Time) bool {
-	if !(s.Depth >= 0 && s.Depth < depthMost) {
+// add adds an observation of this daemon or a peer, and reports whether it is valid. It is
+// called with retentionMu held.
+func (r *Retention) add(s depthSample, now time.Time) bool {
+	if !(s.Depth >= 0 && s.Depth < maxDepth) {
 		r.rejected++
 		return false
 	}
-	if r.kept == nil {
-		r.kept = map[string]*[depthSteps]Mean{}
+	if r.cached == nil {
+		r.cached = map[string]*[depthBuckets]Mean{}
 	}
-	steps := r.kept[s.Service]
-	if steps == nil {
-		steps = &[depthSteps]Mean{}
-		r.kept[s.Service] = steps
+	buckets := r.cached[s.Service]
+	if buckets == nil {
+		buckets = &[depthBuckets]Mean{}
+		r.cached[s.Service] = buckets
 	}
-	kept := 0.0
-	if s.Kept {
-		kept = 1
+	cached := 0.0
+	if s.Cached {
+		cached = 1
 	}
-	m := &steps[depthStep(float64(s.Depth))]
-	m.Add(kept, 1, now, retentionLife)
-	m.bound(depthSamples)
+	m := &buckets[depthBucket(float64(s.Depth))]
+	m.Add(cached, 1, now, retentionHalfLife)
+	m.capWeight(maxDepthWeight)
 	return true
 }
 
-// Collect returns what peers have not been told yet.
+// Collect returns the unreported observations for a heartbeat, or nil.
 func (r *Retention) Collect(bool) any {
 	r.retentionMu.Lock()
 	defer r.retentionMu.Unlock()
-	r.collected = len(r.untold)
+	r.collected = len(r.unreported)
 	if r.collected == 0 {
 		return nil
 	}
-	return r.untold
+	return r.unreported
 }
 
-// Told forgets what a round of heartbeats has told.
+// Told discards what the last Collect returned, after a round of heartbeats was sent.
 func (r *Retention) Told() {
 	r.retentionMu.Lock()
 	defer r.retentionMu.Unlock()
-	r.untold, r.collected = r.untold[r.collected:], 0
+	r.unreported, r.collected = r.unreported[r.collected:], 0
 }
 
-// Receive takes what a peer tells.
+// Receive adds the observations that a peer reported.
 func (r *Retention) Receive(_ string, raw []byte) {
-	var told []depthSample
-	if err := msgpack.Unmarshal(raw, &told); err != nil {
-		// A peer of another version; what it tells is not used.
+	var report []depthSample
+	if err := msgpack.Unmarshal(raw, &report); err != nil {
+		// A peer of another version sent it.
 		return
 	}
 	now := time.Now()
 	r.retentionMu.Lock()
 	defer r.retentionMu.Unlock()
-	for _, s := range told {
-		r.take(s, now)
+	for _, s := range report {
+		r.add(s, now)
 	}
 }
 
-// Rejected returns how many observations could not be true.
+// Rejected returns the number of observations with an invalid depth.
 func (r *Retention) Rejected() int {
 	r.retentionMu.Lock()
 	defer r.retentionMu.Unlock()
--- a/core/learn/retention_test.go
+++ b/core/learn/retention_test.go
@@ -10,37 +10,37 @@
 	"pgregory.net/rapid"
 )
 
-func TestWhatLiesDeepIsLikelyGone(t *testing.T) {
+func TestRetentionPriorFallsWithDepth(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var r Retention
 	now := time.Now()
 	g.Expect(r.Chance("s", 0.1, now)).To(gomega.BeNumerically(">", 0.99))
-	g.Expect(r.Chance("s", depthUsual, now)).To(gomega.BeNumerically("~", 0.5, 0.01))
+	g.Expect(r.Chance("s", priorDepth, now)).To(gomega.BeNumerically("~", 0.5, 0.01))
 	g.Expect(r.Chance("s", 2, now)).To(gomega.BeZero())
 	g.Expect(r.Chance("s", math.NaN(), now)).To(gomega.BeZero())
 }
 
 func TestRetentionIsLearnedByDepth(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var mine, other Retention
+	var local, remote Retention
 	now := time.Now()
-	// Workers of this service give parts up at half of their memory.
+	// Workers of this service evict segments at a depth of about 0.55.
 	for range 40 {
-		mine.Observe("s", 0.45, true, now)
-		mine.Observe("s", 0.65, false, now)
+		local.Observe("s", 0.45, true, now)
+		local.Observe("s", 0.65, false, now)
 	}
-	g.Expect(mine.Chance("s", 0.45, now)).To(gomega.BeNumerically(">", 0.95))
-	g.Expect(mine.Chance("s", 0.65, now)).To(gomega.BeNumerically("<", 0.2))
-	g.Expect(mine.Chance("else", 0.65, now)).To(gomega.BeNumerically(">", 0.9))
-	raw, err := msgpack.Marshal(mine.Collect(false))
+	g.Expect(local.Chance("s", 0.45, now)).To(gomega.BeNumerically(">", 0.95))
+	g.Expect(local.Chance("s", 0.65, now)).To(gomega.BeNumerically("<", 0.2))
+	g.Expect(local.Chance("another", 0.65, now)).To(gomega.BeNumerically(">", 0.9))
+	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	mine.Told()
-	g.Expect(mine.Collect(false)).To(gomega.BeNil())
-	other.Receive("mine", raw)
-	g.Expect(other.Chance("s", 0.65, time.Now())).To(gomega.BeNumerically("<", 0.2))
+	local.Told()
+	g.Expect(local.Collect(false)).To(gomega.BeNil())
+	remote.Receive("local", raw)
+	g.Expect(remote.Chance("s", 0.65, time.Now())).To(gomega.BeNumerically("<", 0.2))
 }
 
-func TestNonsenseDoesNotPoisonRetention(t *testing.T) {
+func TestRetentionRejectsInvalidObservations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var r Retention
 	now := time.Now()
@@ -49,15 +49,15 @@
 	}
 	raw, err := msgpack.Marshal([]depthSample{{Service: "s", Depth: -3}, {Service: "s", Depth: float32(math.Inf(1))}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	r.Receive("mad", raw)
-	r.Receive("mad", []byte("no msgpack"))
+	r.Receive("faulty", raw)
+	r.Receive("faulty", []byte("no msgpack"))
 	g.Expect(r.Rejected()).To(gomega.Equal(6))
 	g.Expect(r.Collect(false)).To(gomega.BeNil())
 	g.Expect(r.Chance("s", 0.1, now)).To(gomega.BeNumerically(">", 0.99))
 }
 
-// Whatever is observed, a chance is one.
-func TestChancesOfRetentionAreChances(t *testing.T) {
+// For any observations, the probability is between 0 and 1.
+func TestRetentionChanceIsAProbability(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Retention
 		now := time.Now()
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -8,217 +8,223 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Targets learns how each target differs from the others of its service: how slow
-// it is and how often it fails. The zero value knows nothing.
+// Targets estimates how each target differs from the others of its service: how slow
+// it is and how often it fails. The zero value has no observations.
 //
 // Lock order: targetsMu is taken alone.
 type Targets struct {
 	targetsMu sync.Mutex
-	targets   map[string]*targetState // by target; guarded by targetsMu
+	targets   map[string]*targetModel // by target; guarded by targetsMu
 	services  map[string]*Mean        // share of failures by service; guarded by targetsMu
-	// untold is what peers have not been told, by target. Guarded by targetsMu.
-	untold  map[string]targetNews
-	telling map[string]targetNews
-	swept   time.Time // guarded by targetsMu
-	// rejected counts what peers told that could not be true. Guarded by
-	// targetsMu.
+	// unreported holds the observations since the last Collect, by target, and
+	// reporting those that Collect returned last. Guarded by targetsMu.
+	unreported map[string]targetReport
+	reporting  map[string]targetReport
+	sweptAt    time.Time // last removal of old targets; guarded by targetsMu
+	// rejected counts the invalid reports of peers. Guarded by targetsMu.
 	rejected int
 }
 
-// targetState is what is known of one target.
-type targetState struct {
-	// slow averages the logarithm of observed over expected times, and faults the
-	// failures.
-	slow, faults Mean
-	last         time.Time
+// targetModel holds the observations of one target.
+type targetModel struct {
+	// logSlowdown is the mean of the logarithm of observed over expected times, and
+	// failures the share of failed answers.
+	logSlowdown, failures Mean
+	// updatedAt is the time of the last observation.
+	updatedAt time.Time
 }
 
-// targetNews is what a daemon observed of one target since it told last.
-type targetNews struct {
+// targetReport sums up the observations of one target by one daemon between two
+// heartbeats.
+type targetReport struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  string
-	// Times is how many times were observed, and Slow the sum of the logarithms of
-	// each over that expected.
-	Times int32
-	Slow  float32
-	// Answers is how many answers came, and Faults how many of them were bad.
-	Answers int32
-	Faults  int32
+	// Times is the number of observed times, and LogSlowdown the sum of the logarithms
+	// of observed over expected times.
+	Times       int32
+	LogSlowdown float32
+	// Answers is the number of outcomes, and Failures how many of them were failures.
+	Answers  int32
+	Failures int32
 }
 
 const (
-	// targetLife is the age at which an answer counts half: a target that was slow
-	// or failed is tried again within seconds.
-	targetLife = 2 * time.Second
-	// targetWeight is how many answers the expectation counts for, and
-	// targetSamples how many count at most.
-	targetWeight  = 2
-	targetSamples = 20
-	// serviceLife is the same for the share of failures of a whole service.
-	serviceLife = 20 * time.Second
-	// serviceFaults is the share of failures expected of a service, with the weight
-	// of serviceWeight answers.
-	serviceFaults = 0.02
-	serviceWeight = 10
-	// paceMost bounds one time as a factor either way.
-	paceMost = 8
-	// forgetTarget is when a target that is not heard of is forgotten.
-	forgetTarget = time.Minute
-	// toldMost bounds the answers that a peer may tell at once.
-	toldMost = 10000
+	// targetHalfLife is the half-life of the weight of an observation of a target: one
+	// that was slow or failed is tried again within seconds.
+	targetHalfLife = 2 * time.Second
+	// targetPriorWeight is the number of observations that the prior counts for, and
+	// maxTargetWeight bounds the total weight of the observations.
+	targetPriorWeight = 2
+	maxTargetWeight   = 20
+	// serviceHalfLife is the half-life of the weight of an answer in the share of
+	// failures of a whole service.
+	serviceHalfLife = 20 * time.Second
+	// priorFailures is the share of failures that is expected of a service by the
+	// prior, which counts as failuresPriorWeight answers.
+	priorFailures       = 0.02
+	failuresPriorWeight = 10
+	// maxSpeedFactor bounds the speed factor of one observation, and its inverse.
+	maxSpeedFactor = 8
+	// targetExpiry is the time after which a target without observations is removed.
+	targetExpiry = time.Minute
+	// maxReportCount bounds each count in a peer's report of a target.
+	maxReportCount = 10000
 )
 
-// TargetState is what is known of a target.
+// TargetState is the estimated state of a target.
 type TargetState struct {
-	// Pace is its time to a first answer over that expected of its service.
+	// Pace is the target's speed factor: its time to the first answer divided by that
+	// expected of its service. Above 1 the target is slower.
 	Pace float64
-	// Faults is the share of its answers that are bad.
+	// Faults is the share of the target's answers that are failures, 0 to 1.
 	Faults float64
 }
 
-// State returns what is known of a target of a service.
+// State returns the estimated state of a target of a service. The prior is the speed of
+// its service and the service's share of failures.
 func (t *Targets) State(id, service string, now time.Time) TargetState {
 	t.targetsMu.Lock()
 	defer t.targetsMu.Unlock()
-	usual := serviceFaults
-	if m := t.services[service]; m != nil {
-		usual = m.Value(serviceFaults, serviceWeight, now, serviceLife)
+	serviceFailures := priorFailures
+	if s := t.services[service]; s != nil {
+		serviceFailures = s.Value(priorFailures, failuresPriorWeight, now, serviceHalfLife)
 	}
-	s := t.targets[id]
-	if s == nil {
-		return TargetState{Pace: 1, Faults: usual}
+	m := t.targets[id]
+	if m == nil {
+		return TargetState{Pace: 1, Faults: serviceFailures}
 	}
 	return TargetState{
-		Pace:   math.Exp(s.slow.Value(0, targetWeight, now, targetLife)),
-		Faults: s.faults.Value(usual, targetWeight, now, targetLife),
+		Pace:   math.Exp(m.logSlowdown.Value(0, targetPriorWeight, now, targetHalfLife)),
+		Faults: m.failures.Value(serviceFailures, targetPriorWeight, now, targetHalfLife),
 	}
 }
 
-// Timed records a time over that expected of the service.
+// Timed records a target's time to the first answer, divided by that expected of its
+// service. A ratio that is not positive and finite is ignored.
 func (t *Targets) Timed(id, service string, ratio float64, now time.Time) {
 	if !(ratio > 0) || !finite(ratio) {
 		return
 	}
-	log := math.Log(min(max(ratio, 1.0/paceMost), paceMost))
-	t.tell(id, targetNews{Service: service, Times: 1, Slow: float32(log)}, now)
+	logRatio := math.Log(min(max(ratio, 1.0/maxSpeedFactor), maxSpeedFactor))
+	t.observe(id, targetReport{Service: service, Times: 1, LogSlowdown: float32(logRatio)}, now)
 }
 
-// Answered records whether an answer was good.
+// Answered records the outcome of an attempt at a target: good is false for failures.
 func (t *Targets) Answered(id, service string, good bool, now time.Time) {
-	n := targetNews{Service: service, Answers: 1}
+	r := targetReport{Service: service, Answers: 1}
 	if !good {
-		n.Faults = 1
+		r.Failures = 1
 	}
-	t.tell(id, n, now)
+	t.observe(id, r, now)
 }
 
-// tell records what was observed here, for peers too.
-func (t *Targets) tell(id string, n targetNews, now time.Time) {
+// observe adds an observation of this daemon, and to the next report to peers.
+func (t *Targets) observe(id string, r targetReport, now time.Time) {
 	t.targetsMu.Lock()
 	defer t.targetsMu.Unlock()
-	t.take(id, n, now)
-	if t.untold == nil {
-		t.untold = map[string]targetNews{}
+	t.add(id, r, now)
+	if t.unreported == nil {
+		t.unreported = map[string]targetReport{}
 	}
-	sum := t.untold[id]
-	sum.Service = n.Service
-	sum.Times += n.Times
-	sum.Slow += n.Slow
-	sum.Answers += n.Answers
-	sum.Faults += n.Faults
-	t.untold[id] = sum
+	sum := t.unreported[id]
+	sum.Service = r.Service
+	sum.Times += r.Times
+	sum.LogSlowdown += r.LogSlowdown
+	sum.Answers += r.Answers
+	sum.Failures += r.Failures
+	t.unreported[id] = sum
 }
 
-// take records what was observed, here or elsewhere. It is called with targetsMu
-// held.
-func (t *Targets) take(id string, n targetNews, now time.Time) {
-	s := t.targets[id]
-	if s == nil {
+// add adds observations of this daemon or a peer. It is called with targetsMu held.
+func (t *Targets) add(id string, r targetReport, now time.Time) {
+	m := t.targets[id]
+	if m == nil {
 		if t.targets == nil {
-			t.targets, t.services = map[string]*targetState{}, map[string]*Mean{}
+			t.targets, t.services = map[string]*targetModel{}, map[string]*Mean{}
 		}
-		s = &targetState{}
-		t.targets[id] = s
+		m = &targetModel{}
+		t.targets[id] = m
 	}
-	s.last = now
-	if n.Times > 0 {
-		s.slow.Add(float64(n.Slow)/float64(n.Times), float64(n.Times), now, targetLife)
-		s.slow.bound(targetSamples)
+	m.updatedAt = now
+	if r.Times > 0 {
+		m.logSlowdown.Add(float64(r.LogSlowdown)/float64(r.Times), float64(r.Times), now, targetHalfLife)
+		m.logSlowdown.capWeight(maxTargetWeight)
 	}
-	if n.Answers > 0 {
-		share := float64(n.Faults) / float64(n.Answers)
-		s.faults.Add(share, float64(n.Answers), now, targetLife)
-		s.faults.bound(targetSamples)
-		if t.services[n.Service] == nil {
-			t.services[n.Service] = &Mean{}
+	if r.Answers > 0 {
+		share := float64(r.Failures) / float64(r.Answers)
+		m.failures.Add(share, float64(r.Answers), now, targetHalfLife)
+		m.failures.capWeight(maxTargetWeight)
+		if t.services[r.Service] == nil {
+			t.services[r.Service] = &Mean{}
 		}
-		t.services[n.Service].Add(share, float64(n.Answers), now, serviceLife)
+		t.services[r.Service].Add(share, float64(r.Answers), now, serviceHalfLife)
 	}
 	t.sweep(now)
 }
 
-// sweep forgets targets that were not heard of for long. It is called with
+// sweep removes targets without observations for targetExpiry. It is called with
 // targetsMu held.
 func (t *Targets) sweep(now time.Time) {
-	if now.Sub(t.swept) < forgetTarget {
+	if now.Sub(t.sweptAt) < targetExpiry {
 		return
 	}
-	t.swept = now
-	for id, s := range t.targets {
-		if now.Sub(s.last) > forgetTarget {
+	t.sweptAt = now
+	for id, m := range t.targets {
+		if now.Sub(m.updatedAt) > targetExpiry {
 			delete(t.targets, id)
 		}
 	}
 }
 
-// sound reports whether what a peer tells can be true.
-func (n *targetNews) sound() bool {
-	most := math.Log(paceMost) * float64(n.Times) * 1.01
-	return n.Times >= 0 && n.Times <= toldMost && n.Answers >= 0 && n.Answers <= toldMost &&
-		n.Faults >= 0 && n.Faults <= n.Answers && math.Abs(float64(n.Slow)) <= most
+// valid reports whether a peer's report is within the possible ranges.
+func (r *targetReport) valid() bool {
+	limit := math.Log(maxSpeedFactor) * float64(r.Times) * 1.01
+	return r.Times >= 0 && r.Times <= maxReportCount && r.Answers >= 0 && r.Answers <= maxReportCount &&
+		r.Failures >= 0 && r.Failures <= r.Answers && math.Abs(float64(r.LogSlowdown)) <= limit
 }
 
-// Collect returns what peers have not been told yet.
+// Collect returns the unreported observations for a heartbeat, or nil. It returns the same
+// ones until Told is called.
 func (t *Targets) Collect(bool) any {
 	t.targetsMu.Lock()
 	defer t.targetsMu.Unlock()
-	if t.telling == nil {
-		t.telling, t.untold = t.untold, nil
+	if t.reporting == nil {
+		t.reporting, t.unreported = t.unreported, nil
 	}
-	if len(t.telling) == 0 {
+	if len(t.reporting) == 0 {
 		return nil
 	}
-	return t.telling
+	return t.reporting
 }
 
-// Told forgets what a round of heartbeats has told.
+// Told discards what the last Collect returned, after a round of heartbeats was sent.
 func (t *Targets) Told() {
 	t.targetsMu.Lock()
 	defer t.targetsMu.Unlock()
-	t.telling = nil
+	t.reporting = nil
 }
 
-// Receive takes what a peer tells.
+// Receive adds the observations that a peer reported.
 func (t *Targets) Receive(_ string, raw []byte) {
-	var told map[string]targetNews
-	if err := msgpack.Unmarshal(raw, &told); err != nil {
-		// A peer of another version; what it tells is not used.
+	var reports map[string]targetReport
+	if err := msgpack.Unmarshal(raw, &reports); err != nil {
+		// A peer of another version sent it.
 		return
 	}
 	now := time.Now()
 	t.targetsMu.Lock()
 	defer t.targetsMu.Unlock()
-	for id, n := range told {
-		if !n.sound() {
+	for id, r := range reports {
+		if !r.valid() {
 			t.rejected++
 			continue
 		}
-		t.take(id, n, now)
+		t.add(id, r, now)
 	}
 }
 
-// Rejected returns how much of what peers told could not be true.
+// Rejected returns the number of invalid reports that peers sent.
 func (t *Targets) Rejected() int {
 	t.targetsMu.Lock()
 	defer t.targetsMu.Unlock()
--- a/core/learn/targets_test.go
+++ b/core/learn/targets_test.go
@@ -9,11 +9,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func TestATargetThatFailsOrIsSlowIsKnownAndTriedAgain(t *testing.T) {
+func TestFailingOrSlowTargetIsLearnedAndDecays(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Targets
 	now := time.Now()
-	g.Expect(l.State("a", "s", now)).To(gomega.Equal(TargetState{Pace: 1, Faults: serviceFaults}))
+	g.Expect(l.State("a", "s", now)).To(gomega.Equal(TargetState{Pace: 1, Faults: priorFailures}))
 	for range 20 {
 		l.Answered("a", "s", false, now)
 		l.Timed("a", "s", 6, now)
@@ -32,8 +32,9 @@
 	g.Expect(later.Pace).To(gomega.BeNumerically("<", 1.2))
 }
 
-// Where all targets of a service fail as often, none of them is the worse for it.
-func TestFailuresOfAServiceAreNotATargets(t *testing.T) {
+// If all targets of a service fail equally often, they have similar shares of failures,
+// and so has a new target.
+func TestServiceFailuresAreThePriorOfTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Targets
 	now := time.Now()
@@ -44,7 +45,7 @@
 	g.Expect(l.State("a", "s", now).Faults).To(gomega.BeNumerically("~", l.State("b", "s", now).Faults, 0.1))
 }
 
-func TestOneLateAnswerIsNoPace(t *testing.T) {
+func TestOneSlowAnswerHardlyChangesPace(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Targets
 	now := time.Now()
@@ -55,59 +56,59 @@
 	g.Expect(l.State("a", "s", now).Pace).To(gomega.BeNumerically("<", 1.6))
 }
 
-func TestPeersHearOfTargetsOnce(t *testing.T) {
+func TestTargetObservationsAreReportedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var mine, other Targets
+	var local, remote Targets
 	now := time.Now()
 	for range 10 {
-		mine.Answered("a", "s", false, now)
-		mine.Timed("a", "s", 4, now)
+		local.Answered("a", "s", false, now)
+		local.Timed("a", "s", 4, now)
 	}
-	raw, err := msgpack.Marshal(mine.Collect(false))
+	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	mine.Answered("b", "s", true, now)
-	other.Receive("mine", raw)
-	got, want := other.State("a", "s", time.Now()), mine.State("a", "s", time.Now())
+	local.Answered("b", "s", true, now)
+	remote.Receive("local", raw)
+	got, want := remote.State("a", "s", time.Now()), local.State("a", "s", time.Now())
 	g.Expect(got.Pace).To(gomega.BeNumerically("~", want.Pace, 0.2))
 	g.Expect(got.Faults).To(gomega.BeNumerically("~", want.Faults, 0.1))
-	mine.Told()
-	g.Expect(mine.Collect(false)).To(gomega.HaveKey("b"))
-	mine.Told()
-	g.Expect(mine.Collect(false)).To(gomega.BeNil())
+	local.Told()
+	g.Expect(local.Collect(false)).To(gomega.HaveKey("b"))
+	local.Told()
+	g.Expect(local.Collect(false)).To(gomega.BeNil())
 }
 
-func TestNonsenseDoesNotPoisonTargets(t *testing.T) {
+func TestTargetsRejectInvalidReports(t *testing.T) {
 	tests := []struct {
-		name string
-		news targetNews
+		name   string
+		report targetReport
 	}{
-		{"more faults than answers", targetNews{Service: "s", Answers: 1, Faults: 5}},
-		{"answers below none", targetNews{Service: "s", Answers: -4, Faults: -4}},
-		{"answers without end", targetNews{Service: "s", Answers: math.MaxInt32, Faults: math.MaxInt32}},
-		{"no number", targetNews{Service: "s", Times: 1, Slow: float32(math.NaN())}},
-		{"slower than any", targetNews{Service: "s", Times: 1, Slow: 1e9}},
-		{"a time without a count", targetNews{Service: "s", Slow: 2}},
+		{"more failures than answers", targetReport{Service: "s", Answers: 1, Failures: 5}},
+		{"negative answers", targetReport{Service: "s", Answers: -4, Failures: -4}},
+		{"excessive answers", targetReport{Service: "s", Answers: math.MaxInt32, Failures: math.MaxInt32}},
+		{"sum of NaN", targetReport{Service: "s", Times: 1, LogSlowdown: float32(math.NaN())}},
+		{"excessive slowdown", targetReport{Service: "s", Times: 1, LogSlowdown: 1e9}},
+		{"slowdown without times", targetReport{Service: "s", LogSlowdown: 2}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			var l Targets
-			raw, err := msgpack.Marshal(map[string]targetNews{"a": tc.news})
+			raw, err := msgpack.Marshal(map[string]targetReport{"a": tc.report})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			l.Receive("mad", raw)
-			g.Expect(l.State("a", "s", time.Now())).To(gomega.Equal(TargetState{Pace: 1, Faults: serviceFaults}))
+			l.Receive("faulty", raw)
+			g.Expect(l.State("a", "s", time.Now())).To(gomega.Equal(TargetState{Pace: 1, Faults: priorFailures}))
 			g.Expect(l.Rejected()).To(gomega.Equal(1))
 		})
 	}
 	var l Targets
-	l.Receive("mad", []byte("no msgpack"))
+	l.Receive("faulty", []byte("no msgpack"))
 	for _, ratio := range []float64{0, -3, math.NaN(), math.Inf(1)} {
 		l.Timed("a", "s", ratio, time.Now())
 	}
 	gomega.NewWithT(t).Expect(l.State("a", "s", time.Now()).Pace).To(gomega.Equal(1.0))
 }
 
-func TestRateIsOfLately(t *testing.T) {
+func TestRateFollowsRecentArrivals(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var r Rate
 	now := time.Now()
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -10,98 +10,104 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Factors is what the time to a first answer depends on. The zero value is an
-// idle target that is asked for nothing but its fixed time.
+// Factors are the inputs of the linear model of the time to the first answer: the first
+// event of a prompt's answer, or the whole answer of a plain call. The zero value is a
+// request without prompt tokens at an idle target.
 type Factors struct {
-	// Own is how many prompt tokens of the request itself are read.
+	// Own is the number of prompt tokens of the request that are prefilled.
 	Own int
-	// Before is how many tokens of others are read first.
+	// Before is the number of tokens of other requests that are prefilled first.
 	Before int
-	// Beside is how many requests run at the target, over those that it runs at a
-	// time; at most 1.
+	// Beside is the number of requests that run at the target, divided by the number
+	// that it runs concurrently; at most 1.
 	Beside float64
-	// Waiting is how many requests wait for a place, over those that run at a
-	// time.
+	// Waiting is the number of requests that are queued at the target, divided by the
+	// number that it runs concurrently.
 	Waiting float64
-	// Crowd is how likely the target's memory is to be full when it is the
-	// request's turn, 0 to 1; above 1 the requests there do not fit.
+	// Crowd is the probability that the target's memory is full when the request's turn
+	// comes, 0 to 1; above 1 the requests there do not fit.
 	Crowd float64
 }
 
-// factors is how many coefficients a time has: the fixed time and one for each
+// numFactors is the number of coefficients of the model: the fixed time and one for each
 // field of Factors.
-const factors = 6
+const numFactors = 6
 
-// perThousand makes coefficients of tokens of about the size of the others.
-const perThousand = 1000
+// tokenUnit is the number of tokens that a coefficient is for. It gives the coefficients
+// of tokens about the magnitude of the others.
+const tokenUnit = 1000
 
-// vector returns the factors as the coefficients multiply them.
-func (f Factors) vector() [factors]float64 {
-	return [factors]float64{
-		1, float64(f.Own) / perThousand, float64(f.Before) / perThousand, f.Beside, f.Waiting, f.Crowd,
+// vector returns the values that the coefficients are multiplied by.
+func (f Factors) vector() [numFactors]float64 {
+	return [numFactors]float64{
+		1, float64(f.Own) / tokenUnit, float64(f.Before) / tokenUnit, f.Beside, f.Waiting, f.Crowd,
 	}
 }
 
-// Prior is what is expected of a time before anything was observed, and how many
-// observations it counts for.
+// Prior holds the coefficients that are expected before any observation, and the number of
+// observations that they count for.
 type Prior struct {
+	// Fixed is the time at an idle target without the prefill.
 	Fixed time.Duration
-	// Own and Before are the times of a thousand tokens.
+	// Own and Before are the times to prefill a thousand tokens of the request and of
+	// the requests before it.
 	Own, Before time.Duration
-	// Beside is what a target that runs all it can adds, and Waiting what as many
-	// waiting requests again do.
+	// Beside is the time added if the target runs as many requests as it can, and
+	// Waiting the time added for each time as many requests that are queued.
 	Beside, Waiting time.Duration
-	// Crowd is how long a request waits for memory where there is none.
+	// Crowd is the time that a request waits for memory if it is full.
 	Crowd time.Duration
 	// Spread is the standard deviation of the logarithm of observed over expected
 	// times.
 	Spread float64
-	// Weight is how many observations the prior counts for.
+	// Weight is the number of observations that the prior counts for.
 	Weight float64
 }
 
-// vector returns the coefficients that the prior expects, in seconds.
-func (p *Prior) vector() [factors]float64 {
-	return [factors]float64{
+// vector returns the coefficients of the prior in seconds.
+func (p *Prior) vector() [numFactors]float64 {
+	return [numFactors]float64{
 		p.Fixed.Seconds(), p.Own.Seconds(), p.Before.Seconds(), p.Beside.Seconds(), p.Waiting.Seconds(), p.Crowd.Seconds(),
 	}
 }
 
-// usual is how large each factor commonly is: it says how firmly a prior holds its
-// coefficient.
-var usual = [factors]float64{1, 3, 3, 0.3, 0.3, 0.3}
+// typicalFactors holds the typical magnitude of each factor. It determines how strongly
+// the prior constrains each coefficient.
+var typicalFactors = [numFactors]float64{1, 3, 3, 0.3, 0.3, 0.3}
 
-// Estimate is what is known of the times to first answers of one kind of request.
-// It never changes.
+// Estimate is the distribution of the time to the first answer for one kind of request. It
+// is immutable.
 type Estimate struct {
-	coefficients [factors]float64
-	// ratios are quantiles of observed over expected times, at even steps from 0
-	// to 1; they do not fall.
+	// coefficients are in seconds.
+	coefficients [numFactors]float64
+	// ratios holds the quantiles of observed over expected times, evenly spaced from 0
+	// to 1, in non-decreasing order.
 	ratios [ratioSteps + 1]float64
-	count  float64
+	// count is the decayed number of observations.
+	count float64
 }
 
-// ratioSteps is the resolution of an estimate's distribution.
+// ratioSteps is the number of steps between the quantiles of an estimate.
 const ratioSteps = 64
 
-// Time returns the expected time.
+// Time returns the expected time to the first answer.
 func (e *Estimate) Time(f Factors) time.Duration {
 	x := f.vector()
 	sum := 0.0
 	for i, c := range e.coefficients {
 		sum += c * x[i]
 	}
-	return max(seconds(sum), shortest)
+	return max(seconds(sum), minTime)
 }
 
-// Parts returns the expected time in two parts: what goes by before the request's
-// own turn, and the rest.
-func (e *Estimate) Parts(f Factors) (before, own time.Duration) {
-	own = e.Time(Factors{Own: f.Own, Beside: f.Beside})
-	return e.Time(f) - own, own
+// Parts returns the two components of the expected time: that in the queue and that from
+// the request's own turn to its first answer.
+func (e *Estimate) Parts(f Factors) (queueing, service time.Duration) {
+	service = e.Time(Factors{Own: f.Own, Beside: f.Beside})
+	return e.Time(f) - service, service
 }
 
-// Chance returns how likely a time is at most ratio times that expected.
+// Chance returns the probability that a time is at most ratio times the expected one.
 func (e *Estimate) Chance(ratio float64) float64 {
 	i, found := slices.BinarySearch(e.ratios[:], ratio)
 	switch {
@@ -116,218 +122,226 @@
 	return (float64(i-1) + (ratio-low)/(high-low)) / ratioSteps
 }
 
-// Quantile returns the ratio of observed to expected times that a share of the
+// Quantile returns the ratio of observed to expected time that the given share of the
 // times does not exceed.
 func (e *Estimate) Quantile(share float64) float64 {
-	at := min(max(share, 0), 1) * ratioSteps
-	i := min(int(at), ratioSteps-1)
-	return e.ratios[i] + (e.ratios[i+1]-e.ratios[i])*(at-float64(i))
+	position := min(max(share, 0), 1) * ratioSteps
+	i := min(int(position), ratioSteps-1)
+	return e.ratios[i] + (e.ratios[i+1]-e.ratios[i])*(position-float64(i))
 }
 
-// Count returns how many observations the estimate rests on, faded with age.
+// Count returns the number of observations behind the estimate, decayed with age.
 func (e *Estimate) Count() float64 { return e.count }
 
-// seconds turns a number of seconds into a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Times learns the times to first answers by kind of request. The zero value is
-// not usable; see NewTimes.
+// Times estimates the time to the first answer by kind of request. The zero value is not
+// usable; see NewTimes.
 //
 // Lock order: timesMu is taken alone.
 type Times struct {
 	timesMu sync.Mutex
 	models  map[string]*timeModel // by kind; guarded by timesMu
-	// rejected counts what was observed or told that could not be true. Guarded by
-	// timesMu.
+	// rejected counts the observations that are out of range. Guarded by timesMu.
 	rejected int
 }
 
-// NewTimes returns estimates that know nothing.
+// NewTimes returns Times without observations.
 func NewTimes() *Times { return &Times{models: map[string]*timeModel{}} }
 
-// timeModel is what is known of one kind of request.
+// timeModel is the model of one kind of request.
 type timeModel struct {
 	prior Prior
-	own   sums
-	// peers are the sums that other daemons told, by name.
-	peers map[string]sums
-	// spread holds ratios of observed to expected times; every spreadSize of them
-	// a new one begins, and last is the one before.
-	spread, last *tdigest.TDigest
-	estimate     *Estimate
-	// made is when estimate was worked out, and stale that there is news since.
-	made  time.Time
-	stale bool
+	// local holds the observations of this daemon.
+	local normalEquations
+	// peers holds the observations of other daemons, by name. It stays empty, as
+	// daemons do not exchange times.
+	peers map[string]normalEquations
+	// digest holds the latest ratios of observed to expected times. After digestSize of
+	// them it becomes previous and a new one is started.
+	digest, previous *tdigest.TDigest
+	// estimate is the last fit, made at fittedAt. stale is set if there are later
+	// observations.
+	estimate *Estimate
+	fittedAt time.Time
+	stale    bool
 }
 
-// sums are what a least-squares fit needs of the observations, each divided by the
-// square of its expected time so that long and short times count alike.
-type sums struct {
-	// square holds the products of the factors, row by row, and times those with
-	// the observed times.
-	square [factors * factors]float64
-	times  [factors]float64
-	count  float64
-	at     time.Time
+// normalEquations holds the normal equations of a weighted least-squares fit. Each
+// observation is weighted by the inverse square of its expected time, so that relative
+// errors of long and short times count equally.
+type normalEquations struct {
+	// xtx is the matrix of the products of the factors, by rows, and xty the vector of
+	// the products of the factors and the observed times.
+	xtx [numFactors * numFactors]float64
+	xty [numFactors]float64
+	// count is the decayed number of observations.
+	count float64
+	// decayedAt is the time up to which the decay is applied.
+	decayedAt time.Time
 }
 
 const (
-	// timesLife is the age at which an observation counts half.
-	timesLife = 30 * time.Second
-	// timesMost bounds how many observations count, so that a change of the
-	// targets is learned.
-	timesMost = 200
-	// outlier bounds an observation as a multiple of the time expected: what was
-	// not the target's doing, such as a cut link, teaches little.
-	outlier = 4
-	// remake is the least time between two fits.
-	remake = 200 * time.Millisecond
-	// spreadSize is how many ratios one digest takes.
-	spreadSize = 300
-	// spreadDetail is the compression of the digests: about that many values are
-	// kept.
-	spreadDetail = 50
-	// shortest and longest bound times: nothing answers sooner over a network, and
-	// nobody waits longer.
-	shortest = time.Millisecond
-	longest  = time.Minute
+	// timesHalfLife is the half-life of the weight of an observation.
+	timesHalfLife = 30 * time.Second
+	// maxTimesCount bounds the number of observations that count, so that the model
+	// follows changes of the targets.
+	maxTimesCount = 200
+	// maxFitRatio bounds an observation in the fit, as a multiple of the expected time:
+	// delays that the target did not cause, such as those of a broken link, have little
+	// influence.
+	maxFitRatio = 4
+	// minFitInterval is the minimum time between two fits.
+	minFitInterval = 200 * time.Millisecond
+	// digestSize is the number of ratios in one digest.
+	digestSize = 300
+	// digestCompression is the compression of the digests: about the number of centroids
+	// that they hold.
+	digestCompression = 50
+	// minTime is the lower bound of expected times: no target answers sooner over a
+	// network.
+	minTime = time.Millisecond
+	// maxTime is the upper bound of observed times: no caller waits longer.
+	maxTime = time.Minute
 )
 
-// age fades the observations.
-func (s *sums) age(now time.Time) {
-	if left := fade(now.Sub(s.at), timesLife); left < 1 {
-		s.scale(left)
+// decayTo applies the decay up to now.
+func (n *normalEquations) decayTo(now time.Time) {
+	if factor := decay(now.Sub(n.decayedAt), timesHalfLife); factor < 1 {
+		n.scale(factor)
 	}
-	if now.After(s.at) {
-		s.at = now
+	if now.After(n.decayedAt) {
+		n.decayedAt = now
 	}
 }
 
-// scale makes the observations count for a part.
-func (s *sums) scale(by float64) {
-	for i := range s.square {
-		s.square[i] *= by
+// scale multiplies the weight of all observations by a factor.
+func (n *normalEquations) scale(factor float64) {
+	for i := range n.xtx {
+		n.xtx[i] *= factor
 	}
-	for i := range s.times {
-		s.times[i] *= by
+	for i := range n.xty {
+		n.xty[i] *= factor
 	}
-	s.count *= by
+	n.count *= factor
 }
 
-// add takes an observation; expected divides it.
-func (s *sums) add(x [factors]float64, took, expected float64) {
+// add adds an observation of factors x and a time. took and expected are in seconds.
+func (n *normalEquations) add(x [numFactors]float64, took, expected float64) {
 	weight := 1 / (expected * expected)
-	for i := range factors {
-		for j := range factors {
-			s.square[i*factors+j] += weight * x[i] * x[j]
+	for i := range numFactors {
+		for j := range numFactors {
+			n.xtx[i*numFactors+j] += weight * x[i] * x[j]
 		}
-		s.times[i] += weight * x[i] * took
+		n.xty[i] += weight * x[i] * took
 	}
-	s.count++
-	if s.count > timesMost {
-		s.scale(timesMost / s.count)
+	n.count++
+	if n.count > maxTimesCount {
+		n.scale(maxTimesCount / n.count)
 	}
 }
 
-// merge adds other observations.
-func (s *sums) merge(o *sums) {
-	for i := range s.square {
-		s.square[i] += o.square[i]
+// merge adds the observations of o.
+func (n *normalEquations) merge(o *normalEquations) {
+	for i := range n.xtx {
+		n.xtx[i] += o.xtx[i]
 	}
-	for i := range s.times {
-		s.times[i] += o.times[i]
+	for i := range n.xty {
+		n.xty[i] += o.xty[i]
 	}
-	s.count += o.count
+	n.count += o.count
 }
 
-// Estimate returns what is known of a kind of request; prior counts where the kind
-// is new.
+// Estimate returns the estimate for a kind of request. prior is used if the kind is new.
 func (t *Times) Estimate(kind string, prior *Prior, now time.Time) *Estimate {
 	t.timesMu.Lock()
 	defer t.timesMu.Unlock()
 	return t.model(kind, prior).current(now)
 }
 
-// model returns the model of a kind. It is called with timesMu held.
+// model returns the model of a kind, adding it if needed. It is called with timesMu held.
 func (t *Times) model(kind string, prior *Prior) *timeModel {
 	m := t.models[kind]
 	if m == nil {
-		m = &timeModel{prior: *prior, peers: map[string]sums{}, stale: true}
-		m.restart()
+		m = &timeModel{prior: *prior, peers: map[string]normalEquations{}, stale: true}
+		m.rotateDigest()
 		t.models[kind] = m
 	}
 	return m
 }
 
-// restart begins a new digest.
-func (m *timeModel) restart() {
-	m.last = m.spread
-	// The only options are sound ones, so that this cannot fail.
-	m.spread, _ = tdigest.New(tdigest.Compression(spreadDetail), tdigest.LocalRandomNumberGenerator(1))
+// rotateDigest starts a new digest.
+func (m *timeModel) rotateDigest() {
+	m.previous = m.digest
+	// New fails only for invalid options.
+	m.digest, _ = tdigest.New(tdigest.Compression(digestCompression), tdigest.LocalRandomNumberGenerator(1))
 }
 
-// Observe records the time to a first answer.
+// Observe records a time to the first answer for a kind of request. It ignores times that
+// are not positive or exceed maxTime. prior is used if the kind is new.
 func (t *Times) Observe(kind string, prior *Prior, f Factors, took time.Duration, now time.Time) {
 	t.timesMu.Lock()
 	defer t.timesMu.Unlock()
-	if took <= 0 || took > longest {
+	if took <= 0 || took > maxTime {
 		t.rejected++
 		return
 	}
 	m := t.model(kind, prior)
 	expected := m.current(now).Time(f).Seconds()
 	ratio := took.Seconds() / expected
-	// The ratio is a number above 0, which a digest always takes.
-	_ = m.spread.Add(ratio)
-	if m.spread.Count() >= spreadSize {
-		m.restart()
+	// Add fails only for values that are not finite.
+	_ = m.digest.Add(ratio)
+	if m.digest.Count() >= digestSize {
+		m.rotateDigest()
 	}
-	m.own.age(now)
-	m.own.add(f.vector(), min(took.Seconds(), outlier*expected), expected)
+	m.local.decayTo(now)
+	m.local.add(f.vector(), min(took.Seconds(), maxFitRatio*expected), expected)
 	m.stale = true
 }
 
-// current returns the estimate, worked out anew where there is news.
+// current returns the estimate. It fits the model again if there are new observations and
+// the last fit is at least minFitInterval old.
 func (m *timeModel) current(now time.Time) *Estimate {
-	if m.estimate != nil && (!m.stale || now.Sub(m.made) < remake) {
+	if m.estimate != nil && (!m.stale || now.Sub(m.fittedAt) < minFitInterval) {
 		return m.estimate
 	}
-	m.made, m.stale = now, false
-	total := m.own
-	total.age(now)
-	for _, s := range m.peers {
-		s.age(now)
-		total.merge(&s)
+	m.fittedAt, m.stale = now, false
+	total := m.local
+	total.decayTo(now)
+	for _, n := range m.peers {
+		n.decayTo(now)
+		total.merge(&n)
 	}
-	m.estimate = &Estimate{coefficients: m.fit(&total), ratios: m.ratios(), count: total.count}
+	m.estimate = &Estimate{coefficients: m.fit(&total), ratios: m.quantiles(), count: total.count}
 	return m.estimate
 }
 
-// fit returns the coefficients that explain the observations best, with the prior
-// as some more of them. None is below 0.
-func (m *timeModel) fit(s *sums) [factors]float64 {
+// fit returns the coefficients of a ridge regression towards the prior, or the prior if it
+// fails. Negative coefficients are set to 0.
+func (m *timeModel) fit(n *normalEquations) [numFactors]float64 {
 	expected := m.prior.vector()
-	typical := 0.0
+	typicalTime := 0.0
 	for i, c := range expected {
-		typical += c * usual[i] / 2
+		typicalTime += c * typicalFactors[i] / 2
 	}
-	square := mat.NewSymDense(factors, nil)
-	times := mat.NewVecDense(factors, nil)
-	for i := range factors {
-		firm := m.prior.Weight * usual[i] * usual[i] / (typical * typical)
-		for j := i; j < factors; j++ {
-			square.SetSym(i, j, s.square[i*factors+j])
+	xtx := mat.NewSymDense(numFactors, nil)
+	xty := mat.NewVecDense(numFactors, nil)
+	for i := range numFactors {
+		ridge := m.prior.Weight * typicalFactors[i] * typicalFactors[i] / (typicalTime * typicalTime)
+		for j := i; j < numFactors; j++ {
+			xtx.SetSym(i, j, n.xtx[i*numFactors+j])
 		}
-		square.SetSym(i, i, s.square[i*factors+i]+firm)
-		times.SetVec(i, s.times[i]+firm*expected[i])
+		xtx.SetSym(i, i, n.xtx[i*numFactors+i]+ridge)
+		xty.SetVec(i, n.xty[i]+ridge*expected[i])
 	}
 	var chol mat.Cholesky
 	var solved mat.VecDense
-	if !chol.Factorize(square) || chol.SolveVecTo(&solved, times) != nil {
+	if !chol.Factorize(xtx) || chol.SolveVecTo(&solved, xty) != nil {
 		return expected
 	}
-	var out [factors]float64
-	for i := range factors {
+	var out [numFactors]float64
+	for i := range numFactors {
 		out[i] = max(0, solved.AtVec(i))
 		if !finite(out[i]) {
 			return expected
@@ -336,16 +350,16 @@
 	return out
 }
 
-// ratios returns the quantiles of observed over expected times, with the prior as
-// some more observations.
-func (m *timeModel) ratios() [ratioSteps + 1]float64 {
-	all, _ := tdigest.New(tdigest.Compression(spreadDetail), tdigest.LocalRandomNumberGenerator(1))
+// quantiles returns the quantiles of observed over expected times. The prior's distribution
+// counts as priorRatios observations.
+func (m *timeModel) quantiles() [ratioSteps + 1]float64 {
+	all, _ := tdigest.New(tdigest.Compression(digestCompression), tdigest.LocalRandomNumberGenerator(1))
 	for i := range priorRatios {
-		// Evenly spaced quantiles of a logarithmic normal distribution.
+		// Evenly spaced quantiles of a log-normal distribution.
 		share := (float64(i) + 0.5) / priorRatios
 		_ = all.AddWeighted(math.Exp(m.prior.Spread*math.Sqrt2*math.Erfinv(2*share-1)), 1)
 	}
-	for _, d := range []*tdigest.TDigest{m.spread, m.last} {
+	for _, d := range []*tdigest.TDigest{m.digest, m.previous} {
 		if d != nil && d.Count() > 0 {
 			_ = all.Merge(d)
 		}
@@ -360,20 +374,21 @@
 	return out
 }
 
-// priorRatios is how many ratios the prior's spread counts for.
+// priorRatios is the number of ratios that the prior's Spread counts for.
 const priorRatios = 12
 
-// Rejected returns how much could not be true.
+// Rejected returns the number of observations that were out of range.
 func (t *Times) Rejected() int {
 	t.timesMu.Lock()
 	defer t.timesMu.Unlock()
 	return t.rejected
 }
 
-// Patience returns how long an answer is worth waiting for before the request is
-// sent to another target, which is expected to take next: from then on the chance
-// that the other one answers within a limit is the larger by margin. It is the
-// limit where that never comes.
+// Patience returns the wait budget of an attempt: how long to wait for its answer before
+// the request is sent to another target. It is the shortest wait after which an answer of
+// the other target within limit is more probable, by more than margin, than one of this
+// target is then; limit if there is none. expected and next are the expected times to the
+// first answer of this and the other target.
 func (e *Estimate) Patience(limit, expected, next time.Duration, margin float64) time.Duration {
 	inTime := e.Chance(limit.Seconds() / expected.Seconds())
 	for i := 1; i < ratioSteps; i++ {
@@ -381,9 +396,9 @@
 		if waited >= limit {
 			break
 		}
-		gone := float64(i) / ratioSteps
-		still := (inTime - gone) / (1 - gone)
-		if e.Chance((limit-waited).Seconds()/next.Seconds()) > still+margin {
+		answered := float64(i) / ratioSteps
+		pending := (inTime - answered) / (1 - answered)
+		if e.Chance((limit-waited).Seconds()/next.Seconds()) > pending+margin {
 			return waited
 		}
 	}
--- a/core/learn/times_test.go
+++ b/core/learn/times_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// prior is what the tests expect before anything is observed.
+// prior returns the prior of the tests.
 func prior() *Prior {
 	return &Prior{
 		Fixed: 50 * time.Millisecond, Own: 20 * time.Millisecond, Before: 20 * time.Millisecond, Beside: 50 * time.Millisecond,
@@ -18,21 +18,21 @@
 	}
 }
 
-func TestAPriorIsExpectedFirst(t *testing.T) {
+func TestEstimateOfPrior(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := NewTimes().Estimate("k", prior(), time.Now())
 	g.Expect(e.Count()).To(gomega.BeZero())
 	g.Expect(e.Time(Factors{})).To(gomega.BeNumerically("~", 50*time.Millisecond, time.Millisecond))
 	g.Expect(e.Time(Factors{Own: 1000, Before: 2000})).To(gomega.BeNumerically("~", 110*time.Millisecond, time.Millisecond))
-	before, own := e.Parts(Factors{Own: 1000, Before: 2000, Beside: 1})
-	g.Expect(before).To(gomega.BeNumerically("~", 40*time.Millisecond, time.Millisecond))
-	g.Expect(own).To(gomega.BeNumerically("~", 120*time.Millisecond, time.Millisecond))
+	queueing, service := e.Parts(Factors{Own: 1000, Before: 2000, Beside: 1})
+	g.Expect(queueing).To(gomega.BeNumerically("~", 40*time.Millisecond, time.Millisecond))
+	g.Expect(service).To(gomega.BeNumerically("~", 120*time.Millisecond, time.Millisecond))
 	g.Expect(e.Chance(1)).To(gomega.BeNumerically("~", 0.5, 0.05))
 	g.Expect(e.Chance(math.Exp(0.5))).To(gomega.BeNumerically("~", 0.84, 0.05))
 }
 
-// Engines of any speed are learned, whatever was expected, from some dozens of
-// answers of which each tenth is late for reasons of its own.
+// The speed of a target is learned from 150 answers whatever the prior is, although every
+// tenth answer takes three times as long for another reason.
 func TestSpeedsAreLearned(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -41,7 +41,7 @@
 		{"as expected", 50 * time.Millisecond, 20 * time.Millisecond},
 		{"five times slower", 250 * time.Millisecond, 100 * time.Millisecond},
 		{"five times faster", 10 * time.Millisecond, 4 * time.Millisecond},
-		{"slow to begin, fast to read", 200 * time.Millisecond, 5 * time.Millisecond},
+		{"slow start, fast prefill", 200 * time.Millisecond, 5 * time.Millisecond},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -65,12 +65,12 @@
 			for _, f := range []Factors{{Own: 1000}, {Own: 10000}, {Own: 3000, Before: 6000}} {
 				g.Expect(float64(e.Time(f)) / float64(truth(f))).To(gomega.BeNumerically("~", 1.1, 0.3))
 			}
-			g.Expect(e.Quantile(0.99)).To(gomega.BeNumerically(">", 2), "late answers are in the distribution")
+			g.Expect(e.Quantile(0.99)).To(gomega.BeNumerically(">", 2), "slow answers are in the distribution")
 		})
 	}
 }
 
-func TestWhatChangesIsLearnedAnew(t *testing.T) {
+func TestChangedTimesAreLearned(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, now := NewTimes(), time.Now()
 	observe := func(took time.Duration) {
@@ -84,8 +84,8 @@
 	g.Expect(l.Estimate("k", prior(), now.Add(time.Second)).Time(Factors{})).To(gomega.BeNumerically(">", 100*time.Millisecond))
 }
 
-// Whatever is observed, an estimate's times are positive numbers and its chances
-// rise from 0 to 1.
+// For any observations, an estimate's times are positive and bounded, and its probabilities
+// do not decrease and stay within 0 and 1.
 func TestEstimatesAreSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now := NewTimes(), time.Now()
@@ -109,24 +109,24 @@
 		for ratio := 0.0; ratio < 20; ratio += 0.1 {
 			c := e.Chance(ratio)
 			if c < last || c > 1 {
-				t.Fatalf("the chance falls from %v to %v at %v", last, c, ratio)
+				t.Fatalf("probability decreases from %v to %v at ratio %v", last, c, ratio)
 			}
 			last = c
 		}
 	})
 }
 
-func TestImpossibleTimesAreCountedAndNotLearned(t *testing.T) {
+func TestTimesRejectsOutOfRangeObservations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, now := NewTimes(), time.Now()
-	for _, took := range []time.Duration{0, -time.Second, 2 * longest} {
+	for _, took := range []time.Duration{0, -time.Second, 2 * maxTime} {
 		l.Observe("k", prior(), Factors{}, took, now)
 	}
 	g.Expect(l.Rejected()).To(gomega.Equal(3))
 	g.Expect(l.Estimate("k", prior(), now).Count()).To(gomega.BeZero())
 }
 
-func TestPatienceEndsWhereAnotherIsLikelier(t *testing.T) {
+func TestPatienceEndsWhenAnotherTargetIsMoreLikely(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, now := NewTimes(), time.Now()
 	// One answer in twenty takes five times as long.
@@ -140,9 +140,9 @@
 	}
 	e := l.Estimate("k", prior(), now.Add(time.Second))
 	expected := e.Time(Factors{})
-	wait := e.Patience(140*time.Millisecond, expected, expected, 0.1)
-	g.Expect(wait).To(gomega.BeNumerically(">", 25*time.Millisecond))
-	g.Expect(wait).To(gomega.BeNumerically("<", 110*time.Millisecond))
-	g.Expect(e.Patience(35*time.Millisecond, expected, expected, 0.1)).To(gomega.Equal(35*time.Millisecond), "no time is left for another")
-	g.Expect(e.Patience(time.Second, expected, 3*time.Second, 0.1)).To(gomega.Equal(time.Second), "the other is no likelier")
+	budget := e.Patience(140*time.Millisecond, expected, expected, 0.1)
+	g.Expect(budget).To(gomega.BeNumerically(">", 25*time.Millisecond))
+	g.Expect(budget).To(gomega.BeNumerically("<", 110*time.Millisecond))
+	g.Expect(e.Patience(35*time.Millisecond, expected, expected, 0.1)).To(gomega.Equal(35*time.Millisecond), "too little time remains for another target")
+	g.Expect(e.Patience(time.Second, expected, 3*time.Second, 0.1)).To(gomega.Equal(time.Second), "the other target is not more likely")
 }
