--- a/core/learn/links.go
+++ b/core/learn/links.go
@@ -20,10 +20,10 @@
 	// unreported holds the copies and samples that have not been sent to peers.
 	// Guarded by linksMu.
 	unreported linkReport
-	// collected is the number of leading copies and samples of unreported that
-	// Collect returned last. Guarded by linksMu.
+	// collected is the number of leading copies and samples of unreported that are in
+	// the heartbeats being sent. Guarded by linksMu.
 	collected struct{ copies, samples int }
-	// rejected counts the invalid items that peers reported. Guarded by linksMu.
+	// rejected counts the invalid copies and samples. Guarded by linksMu.
 	rejected int
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// addCopy adds a copy to the queues of both its links. It is called with linksMu held.
+// addCopy extends the busy time of both links of a copy. It is called with linksMu held.
 func (l *Links) addCopy(from, to string, duration time.Duration, now time.Time) {
 	for _, address := range [...]string{from, to} {
 		m := l.link(address)
@@ -156,8 +156,8 @@
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
 	for _, s := range [...]linkSample{
-		{Address: from, LogSlowdown: float32(l.logSlowdown(from, now) + logRatio*sourceShare), Weight: float32(weight)},
-		{Address: to, LogSlowdown: float32(l.logSlowdown(to, now) + logRatio*(1-sourceShare)), Weight: float32(weight)},
+		{Address: from, LogSlowdown: float32(l.meanLogSlowdown(from, now) + logRatio*sourceShare), Weight: float32(weight)},
+		{Address: to, LogSlowdown: float32(l.meanLogSlowdown(to, now) + logRatio*(1-sourceShare)), Weight: float32(weight)},
 	} {
 		l.addSample(s, now)
 		if len(l.unreported.Samples) < maxReported {
@@ -171,9 +171,9 @@
 // slow.
 const sourceShare = 0.75
 
-// logSlowdown returns the logarithm of a link's estimated slowdown. It is called with
+// meanLogSlowdown returns the logarithm of a link's estimated slowdown. It is called with
 // linksMu held.
-func (l *Links) logSlowdown(address string, now time.Time) float64 {
+func (l *Links) meanLogSlowdown(address string, now time.Time) float64 {
 	return l.link(address).logSlowdown.Value(0, slowdownPriorWeight, now, slowdownHalfLife)
 }
 
@@ -190,7 +190,7 @@
 	m.logSlowdown.capWeight(maxSlowdownWeight)
 }
 
-// Rejected returns the number of invalid copies and samples that peers reported.
+// Rejected returns the number of invalid copies and samples.
 func (l *Links) Rejected() int {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
@@ -209,7 +209,7 @@
 	return &report
 }
 
-// Told discards what the last Collect returned, after a round of heartbeats was sent.
+// Told discards what the last Collect returned, once the heartbeats have been sent.
 func (l *Links) Told() {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
--- a/core/learn/retention.go
+++ b/core/learn/retention.go
@@ -22,8 +22,8 @@
 	// unreported holds the observations that have not been sent to peers. Guarded by
 	// retentionMu.
 	unreported []depthSample
-	// collected is the number of leading observations of unreported that Collect
-	// returned last. Guarded by retentionMu.
+	// collected is the number of leading observations of unreported that are in the
+	// heartbeats being sent. Guarded by retentionMu.
 	collected int
 	// rejected counts the observations with an invalid depth, of this daemon and its
 	// peers. Guarded by retentionMu.
@@ -58,7 +58,7 @@
 	retentionHalfLife = 30 * time.Second
 )
 
-// priorChance returns the probability that a segment is cached by the prior.
+// priorChance returns the probability that a segment at a depth is cached, by the prior.
 func priorChance(depth float64) float64 {
 	return 1 / (1 + math.Exp((depth-priorDepth)/priorWidth))
 }
@@ -131,7 +131,7 @@
 	return r.unreported
 }
 
-// Told discards what the last Collect returned, after a round of heartbeats was sent.
+// Told discards what the last Collect returned, once the heartbeats have been sent.
 func (r *Retention) Told() {
 	r.retentionMu.Lock()
 	defer r.retentionMu.Unlock()
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -16,8 +16,8 @@
 	targetsMu sync.Mutex
 	targets   map[string]*targetModel // by target; guarded by targetsMu
 	services  map[string]*Mean        // share of failures by service; guarded by targetsMu
-	// unreported holds the observations since the last Collect, by target, and
-	// reporting those that Collect returned last. Guarded by targetsMu.
+	// unreported holds the observations that no Collect has returned, by target, and
+	// reporting those that are in the heartbeats being sent. Guarded by targetsMu.
 	unreported map[string]targetReport
 	reporting  map[string]targetReport
 	sweptAt    time.Time // last removal of old targets; guarded by targetsMu
@@ -44,7 +44,7 @@
 	// of observed over expected times.
 	Times       int32
 	LogSlowdown float32
-	// Answers is the number of outcomes, and Failures how many of them were failures.
+	// Answers is the number of outcomes, and Failures the number of failures among them.
 	Answers  int32
 	Failures int32
 }
@@ -119,7 +119,7 @@
 	t.observe(id, r, now)
 }
 
-// observe adds an observation of this daemon, and to the next report to peers.
+// observe adds an observation of this daemon, also to the next report to peers.
 func (t *Targets) observe(id string, r targetReport, now time.Time) {
 	t.targetsMu.Lock()
 	defer t.targetsMu.Unlock()
@@ -198,7 +198,7 @@
 	return t.reporting
 }
 
-// Told discards what the last Collect returned, after a round of heartbeats was sent.
+// Told discards what the last Collect returned, once the heartbeats have been sent.
 func (t *Targets) Told() {
 	t.targetsMu.Lock()
 	defer t.targetsMu.Unlock()
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -53,7 +53,7 @@
 	// the requests before it.
 	Own, Before time.Duration
 	// Beside is the time added if the target runs as many requests as it can, and
-	// Waiting the time added for each time as many requests that are queued.
+	// Waiting the time added for each multiple of that number in its queue.
 	Beside, Waiting time.Duration
 	// Crowd is the time that a request waits for memory if it is full.
 	Crowd time.Duration
@@ -100,8 +100,8 @@
 	return max(seconds(sum), minTime)
 }
 
-// Parts returns the two components of the expected time: that in the queue and that from
-// the request's own turn to its first answer.
+// Parts returns the two components of the expected time: that before the request's turn,
+// by Before, Waiting and Crowd, and that from its turn to the first answer.
 func (e *Estimate) Parts(f Factors) (queueing, service time.Duration) {
 	service = e.Time(Factors{Own: f.Own, Beside: f.Beside})
 	return e.Time(f) - service, service
@@ -290,7 +290,7 @@
 	m := t.model(kind, prior)
 	expected := m.current(now).Time(f).Seconds()
 	ratio := took.Seconds() / expected
-	// Add fails only for values that are not finite.
+	// Add accepts any positive number.
 	_ = m.digest.Add(ratio)
 	if m.digest.Count() >= digestSize {
 		m.rotateDigest()
@@ -317,8 +317,8 @@
 	return m.estimate
 }
 
-// fit returns the coefficients of a ridge regression towards the prior, or the prior if it
-// fails. Negative coefficients are set to 0.
+// fit returns the coefficients of a ridge regression towards the prior's coefficients, or
+// the latter if it has no solution. Negative coefficients are set to 0.
 func (m *timeModel) fit(n *normalEquations) [numFactors]float64 {
 	expected := m.prior.vector()
 	typicalTime := 0.0
--- a/core/route/link.go
+++ b/core/route/link.go
@@ -22,10 +22,11 @@
 	waiting []Transfer
 	active  []Transfer
 	// used holds the decayed number of bytes that each organisation transferred.
-	used []usage
+	used []organisationUse
 }
 
-type usage struct {
+// organisationUse is the recorded use of one organisation.
+type organisationUse struct {
 	organisation string
 	bytes        float64
 }
@@ -99,15 +100,15 @@
 	if a.Waiting != b.Waiting {
 		return a.Waiting
 	}
-	usedA, usedB := l.usage(a.Organisation), l.usage(b.Organisation)
+	usedA, usedB := l.usedBytes(a.Organisation), l.usedBytes(b.Organisation)
 	if usedA != usedB {
 		return usedA < usedB
 	}
 	return a.ID < b.ID
 }
 
-// usage returns the decayed number of bytes that an organisation transferred.
-func (l *Link) usage(organisation string) float64 {
+// usedBytes returns the decayed number of bytes that an organisation transferred.
+func (l *Link) usedBytes(organisation string) float64 {
 	for _, u := range l.used {
 		if u.organisation == organisation {
 			return u.bytes
@@ -127,11 +128,11 @@
 		}
 	}
 	if !found {
-		l.used = append(l.used, usage{t.Organisation, float64(t.Bytes)})
+		l.used = append(l.used, organisationUse{t.Organisation, float64(t.Bytes)})
 	}
 	if len(l.used) > maxOrganisations {
-		least := slices.MinFunc(l.used, func(a, b usage) int { return cmp.Compare(a.bytes, b.bytes) })
-		l.used = slices.DeleteFunc(l.used, func(u usage) bool { return u == least })
+		least := slices.MinFunc(l.used, func(a, b organisationUse) int { return cmp.Compare(a.bytes, b.bytes) })
+		l.used = slices.DeleteFunc(l.used, func(u organisationUse) bool { return u == least })
 	}
 }
 
--- a/core/route/place.go
+++ b/core/route/place.go
@@ -35,12 +35,13 @@
 	// Deadline is the time remaining until the first token is due; zero means
 	// no deadline.
 	Deadline time.Duration
-	Prices   Policy
+	// Prices weights the costs of the options.
+	Prices Policy
 	// Context is the hash of the context, used by StickyHash.
 	Context uint64
 	// Turn is a request counter, used by RoundRobin.
 	Turn uint64
-	// Chance is a random number in [0, 1).
+	// Chance is a random number in [0, 1), used by Returning.
 	Chance float64
 }
 
@@ -200,6 +201,7 @@
 	return list[least]
 }
 
+// setCost sets the total cost of an option.
 func (o *Option) setCost(p Policy) {
 	o.Cost = p.FirstToken*o.Expected.Seconds() + p.Token*float64(o.Recomputed) + p.Byte*float64(o.LinkBytes)
 }
@@ -264,16 +266,17 @@
 	return o
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// An option within nearShare or nearFloor, whichever is larger, of the lowest
-// cost is selected at random, so that daemons which decide concurrently on the same
+// Options within tieShare or tieFloor, whichever is larger, of the lowest cost count as
+// equal and one is selected at random, so that daemons which decide concurrently on the same
 // stale state do not all select the same worker.
 const (
-	// nearShare is a share of the lowest cost.
-	nearShare = 0.10
-	// nearFloor is in seconds.
-	nearFloor = 0.004
+	// tieShare is a share of the lowest cost.
+	tieShare = 0.10
+	// tieFloor is in seconds.
+	tieFloor = 0.004
 )
 
 // choose selects one of the workers' options by the rule of a placement.
@@ -292,7 +295,7 @@
 	for _, o := range options {
 		least = min(least, o.Cost)
 	}
-	return randomWithin(options, least+max(nearFloor, nearShare*least), r.Chance)
+	return randomWithin(options, least+max(tieFloor, tieShare*least), r.Chance)
 }
 
 // randomWithin selects one of the options that cost at most limit, with equal
--- a/core/route/retry_budget.go
+++ b/core/route/retry_budget.go
@@ -25,7 +25,7 @@
 // retryBucket holds the counts of one part of the window.
 type retryBucket struct{ requests, retries int }
 
-// advance clears the buckets that lie between the last call and now.
+// advance moves to the bucket of now and clears the buckets that it enters.
 func (a *Allowance) advance(now time.Duration) {
 	bucket := int64(now / (a.Window / windowBuckets))
 	if bucket-a.current > int64(len(a.buckets)) {
@@ -37,6 +37,7 @@
 	}
 }
 
+// currentBucket returns the bucket being filled.
 func (a *Allowance) currentBucket() *retryBucket {
 	return &a.buckets[a.current%int64(len(a.buckets))]
 }
@@ -57,9 +58,9 @@
 	}
 	a.advance(now)
 	requests, retries := 0, 0
-	for _, s := range a.buckets {
-		requests += s.requests
-		retries += s.retries
+	for _, b := range a.buckets {
+		requests += b.requests
+		retries += b.retries
 	}
 	if float64(retries+1) > a.Share*float64(requests)+a.Extra {
 		return false
--- a/core/route/utility.go
+++ b/core/route/utility.go
@@ -15,8 +15,7 @@
 	// Late is the share of its utility that an answer past its latency objective
 	// retains.
 	Late float64
-	// Again is the cost of prefilling a token that another worker has prefilled
-	// recently.
+	// Again is the cost of prefilling a token that some worker has prefilled recently.
 	Again float64
 	// Copied is the cost of copying a token of cached context to a worker.
 	Copied float64
@@ -73,8 +72,8 @@
 	Copied int
 	// CopyTime is the time that the copy takes.
 	CopyTime time.Duration
-	// Again is the number of tokens that the target would prefill although another
-	// worker has prefilled them recently.
+	// Again is the number of tokens that the target would prefill although some worker
+	// has prefilled them recently.
 	Again int
 	// Old reports that the target has older weights than the desired ones.
 	Old bool
@@ -107,8 +106,8 @@
 
 // Bounds of memoryPressure.
 const (
-	// minMemorySlots and maxMemorySlots bound the number of requests that a memory is
-	// assumed to fit: with more, the pressure rises later and more steeply.
+	// minMemorySlots and maxMemorySlots bound the number of requests that are assumed
+	// to fit into a memory: with more, the pressure rises later and more steeply.
 	minMemorySlots = 2
 	maxMemorySlots = 32
 	// maxMemoryPressure bounds the result.
@@ -138,8 +137,8 @@
 	// that of an answer before the deadline. Both ignore the target's failures.
 	InTime, Served float64
 	// Gain is the utility to callers: that of this request's answer, less what other
-	// requests lose because they wait for it. The request is not worth serving at the
-	// candidate unless it is above 0.
+	// requests lose by waiting for it and by the eviction of their cached segments. The
+	// request is worth serving at the candidate only if Gain is above 0.
 	Gain float64
 	// Worth is Gain less the cost of serving the request at the candidate.
 	Worth float64
--- a/core/route/warmup.go
+++ b/core/route/warmup.go
@@ -11,7 +11,7 @@
 // that is warming up. maxRate is the target's warm-up rate: what it may get per second from
 // all daemons together. index is this daemon's position among the daemons that may send to
 // the target. Daemons don't coordinate: each computes its share from the list of boxes, and
-// unused shares are lost.
+// unused shares are not redistributed.
 //
 // It guards against the overload of workers that return at the same time: in a failure domain
 // of 28 workers each sustains 26 requests per second in its first three seconds, and without
