--- a/core/learn/retention.go
+++ b/core/learn/retention.go
@@ -10,8 +10,8 @@
 
 // Retention estimates how likely a worker still has a prompt segment cached. The
 // estimate depends on the segment's depth: the amount of KV-cache memory that the worker
-// has used since the segment's last use, divided by its total. The zero value has no
-// observations.
+// has used since the segment's last use, divided by its total; it can exceed 1. The zero
+// value has no observations.
 //
 // Lock order: retentionMu is taken alone.
 type Retention struct {
--- a/core/route/link.go
+++ b/core/route/link.go
@@ -19,8 +19,8 @@
 // within each class the organisation with the least recent use comes first. The zero
 // value is an idle link.
 type Link struct {
-	waiting []Transfer
-	active  []Transfer
+	queued []Transfer
+	active []Transfer
 	// used holds the decayed number of bytes that each organisation transferred.
 	used []organisationUse
 }
@@ -39,8 +39,8 @@
 	// maxImportsAtExport bounds the imports that may run when an export starts. With
 	// 0, exports would wait until the worker has evicted the blocks.
 	maxImportsAtExport = 1
-	// maxWaiting bounds the transfers that are queued for one link.
-	maxWaiting = 1024
+	// maxQueued bounds the transfers that are queued for one link.
+	maxQueued = 1024
 	// maxOrganisations bounds the organisations whose use is recorded.
 	maxOrganisations = 256
 	// usageDecay is the factor by which recorded use decays at each transfer.
@@ -49,26 +49,26 @@
 
 // Ask enqueues a transfer. It returns false if the queue is full.
 func (l *Link) Ask(t Transfer) bool {
-	if len(l.waiting) >= maxWaiting {
+	if len(l.queued) >= maxQueued {
 		return false
 	}
-	l.waiting = append(l.waiting, t)
+	l.queued = append(l.queued, t)
 	return true
 }
 
 // Next starts the transfer that is first in turn and may start now, and returns it.
 func (l *Link) Next() (Transfer, bool) {
 	best := -1
-	for i, t := range l.waiting {
-		if l.allows(t) && (best < 0 || l.before(t, l.waiting[best])) {
+	for i, t := range l.queued {
+		if l.allows(t) && (best < 0 || l.before(t, l.queued[best])) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Transfer{}, false
 	}
-	t := l.waiting[best]
-	l.waiting = slices.Delete(l.waiting, best, best+1)
+	t := l.queued[best]
+	l.queued = slices.Delete(l.queued, best, best+1)
 	l.active = append(l.active, t)
 	l.charge(t)
 	return t, true
@@ -87,12 +87,12 @@
 	if t.Waiting {
 		return imports < maxActiveImports
 	}
-	return imports <= maxImportsAtExport && exports < maxActiveExports && !l.importWaits()
+	return imports <= maxImportsAtExport && exports < maxActiveExports && !l.importQueued()
 }
 
-// importWaits reports whether an import is queued.
-func (l *Link) importWaits() bool {
-	return slices.ContainsFunc(l.waiting, func(t Transfer) bool { return t.Waiting })
+// importQueued reports whether an import is queued.
+func (l *Link) importQueued() bool {
+	return slices.ContainsFunc(l.queued, func(t Transfer) bool { return t.Waiting })
 }
 
 // before reports whether a starts before b.
@@ -140,13 +140,13 @@
 func (l *Link) Done(id uint64) {
 	isTransfer := func(t Transfer) bool { return t.ID == id }
 	l.active = slices.DeleteFunc(l.active, isTransfer)
-	l.waiting = slices.DeleteFunc(l.waiting, isTransfer)
+	l.queued = slices.DeleteFunc(l.queued, isTransfer)
 }
 
 // Backlog returns the total size in bytes of the active and queued imports.
 func (l *Link) Backlog() int64 {
 	var n int64
-	for _, list := range [][]Transfer{l.active, l.waiting} {
+	for _, list := range [][]Transfer{l.active, l.queued} {
 		for _, t := range list {
 			if t.Waiting {
 				n += t.Bytes
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -44,10 +44,10 @@
 	short := Asked{Tokens: 400, Bytes: 400, Aim: 600 * time.Millisecond, Left: 5 * time.Second, Rate: 20}
 	call := Asked{Bytes: 600, Aim: 300 * time.Millisecond, Left: time.Second, Rate: 10}
 	tests := []struct {
-		name string
-		ask  Asked
-		list []Candidate
-		want int
+		name    string
+		request Asked
+		list    []Candidate
+		want    int
 	}{
 		{"no candidates", long, nil, -1},
 		{"shortest queue", long, []Candidate{with(func(c *Candidate) { c.Unread = 20000 }), with(nil)}, 1},
@@ -70,11 +70,11 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			e := engines()
-			if tc.ask.Tokens == 0 {
+			if tc.request.Tokens == 0 {
 				e = calls()
 			}
 			for _, random := range []float64{0, 0.5, 0.999} {
-				chosen, _ := Pick(&tc.ask, tc.list, e, prices(), random)
+				chosen, _ := Pick(&tc.request, tc.list, e, prices(), random)
 				gomega.NewWithT(t).Expect(chosen).To(gomega.Equal(tc.want))
 			}
 		})
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-func worker(name string, held, queued int) Worker {
-	return Worker{Name: name, Held: held, QueuedTokens: queued, Speed: 8000, Distance: time.Millisecond}
+func worker(name string, cachedBlocks, queuedTokens int) Worker {
+	return Worker{Name: name, Held: cachedBlocks, QueuedTokens: queuedTokens, Speed: 8000, Distance: time.Millisecond}
 }
 
 func kept(blocks int, rate float64) []Kept {
@@ -229,10 +229,10 @@
 	g := gomega.NewWithT(t)
 	var l Link
 	accepted := 0
-	for i := range uint64(2 * maxWaiting) {
+	for i := range uint64(2 * maxQueued) {
 		if l.Ask(Transfer{ID: i}) {
 			accepted++
 		}
 	}
-	g.Expect(accepted).To(gomega.Equal(maxWaiting))
+	g.Expect(accepted).To(gomega.Equal(maxQueued))
 }
