--- /dev/null
+++ b/core/route/evict.go
@@ -0,0 +1,36 @@
+package route
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Shed describes one context that a full KV-cache store can evict.
+type Shed struct {
+	// Index identifies the context to the caller.
+	Index int
+	// Blocks is the number of blocks that the eviction frees.
+	Blocks int
+	// IdleSeconds is the time since the context was last read or written.
+	IdleSeconds float64
+	// Reads is how often the context was read.
+	Reads int
+}
+
+// GiveUp returns the indexes of the contexts to evict from a full KV-cache store so
+// that at least the given number of blocks are freed. A context that was read often is
+// more likely to be needed again, one that was idle for long less likely.
+func GiveUp(list []Shed, blocks int) []int {
+	sorted := slices.Clone(list)
+	value := func(s Shed) float64 { return float64(1+s.Reads) / (1 + s.IdleSeconds) }
+	slices.SortStableFunc(sorted, func(a, b Shed) int { return cmp.Compare(value(a), value(b)) })
+	var out []int
+	for _, s := range sorted {
+		if blocks <= 0 {
+			break
+		}
+		out = append(out, s.Index)
+		blocks -= s.Blocks
+	}
+	return out
+}
--- /dev/null
+++ b/core/route/retry_budget.go
@@ -0,0 +1,70 @@
+package route
+
+import "time"
+
+// Allowance is a retry budget. Over a sliding window it bounds the retries to a
+// service to a share of the requests plus a constant. Times are readings of a
+// monotonic clock. The zero value allows no retries.
+type Allowance struct {
+	// Share is the number of retries allowed per request.
+	Share float64
+	// Extra is the number of further retries allowed per window.
+	Extra float64
+	// Window is the length of the window.
+	Window time.Duration
+
+	// buckets is a ring that covers the window and the bucket being filled.
+	buckets [windowBuckets + 1]retryBucket
+	// current is the number of the bucket being filled, counted from time 0.
+	current int64
+}
+
+// windowBuckets is the number of buckets that a window is divided into.
+const windowBuckets = 20
+
+// retryBucket holds the counts of one part of the window.
+type retryBucket struct{ requests, retries int }
+
+// advance moves to the bucket of now and clears the buckets that it enters.
+func (a *Allowance) advance(now time.Duration) {
+	bucket := int64(now / (a.Window / windowBuckets))
+	if bucket-a.current > int64(len(a.buckets)) {
+		a.buckets = [windowBuckets + 1]retryBucket{}
+		a.current = bucket
+	}
+	for ; a.current < bucket; a.current++ {
+		a.buckets[(a.current+1)%int64(len(a.buckets))] = retryBucket{}
+	}
+}
+
+// currentBucket returns the bucket being filled.
+func (a *Allowance) currentBucket() *retryBucket {
+	return &a.buckets[a.current%int64(len(a.buckets))]
+}
+
+// Earn records a request.
+func (a *Allowance) Earn(now time.Duration) {
+	if a.Window <= 0 {
+		return
+	}
+	a.advance(now)
+	a.currentBucket().requests++
+}
+
+// Spend reports whether a retry is allowed, and records it if so.
+func (a *Allowance) Spend(now time.Duration) bool {
+	if a.Window <= 0 {
+		return false
+	}
+	a.advance(now)
+	requests, retries := 0, 0
+	for _, b := range a.buckets {
+		requests += b.requests
+		retries += b.retries
+	}
+	if float64(retries+1) > a.Share*float64(requests)+a.Extra {
+		return false
+	}
+	a.currentBucket().retries++
+	return true
+}
