--- a/core/cache/bench_test.go
+++ b/core/cache/bench_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// contextsAtOnce is how many contexts the home of a large cell knows.
-const contextsAtOnce = 5000
+// indexedContexts is the number of contexts that the owner in a large cell records.
+const indexedContexts = 5000
 
 func BenchmarkFind(b *testing.B) {
 	var x Index
 	chain := chainOf(160, 0)
-	for i := range uint64(contextsAtOnce) {
+	for i := range uint64(indexedContexts) {
 		x.Held(i, chain, "w", 160, time.Unix(1, 0))
 		x.Kept(i, chain, "s", 160, time.Unix(1, 0))
 	}
 	b.ReportAllocs()
 	for n := uint64(0); b.Loop(); n++ {
-		x.Find(n%contextsAtOnce, chain)
+		x.Find(n%indexedContexts, chain)
 	}
 }
 
--- a/core/cache/cache_test.go
+++ b/core/cache/cache_test.go
@@ -14,9 +14,9 @@
 	"embertally.dev/core/event"
 )
 
-// No two salts share a block of the same text, however their parts run
-// together.
-func TestSaltsKeepBlocksApart(t *testing.T) {
+// Different salts must never give equal block hashes, even if the concatenation of their
+// fields is equal.
+func TestDifferentSaltsGiveDifferentHashes(t *testing.T) {
 	text := strings.Repeat("equal text ", 100)
 	salts := []Salt{
 		{"org", "model", "v1", ""},
@@ -33,14 +33,14 @@
 	for _, s := range salts {
 		for _, h := range Chain(s.Seed(), text) {
 			if other, ok := seen[h]; ok {
-				t.Fatalf("%+v and %+v share a block", s, other)
+				t.Fatalf("salts %+v and %+v give an equal block hash", s, other)
 			}
 			seen[h] = s
 		}
 	}
 }
 
-func TestChainIsOfWholeBlocksAndTheirPast(t *testing.T) {
+func TestChainHashesCoverWholeBlocksAndTheirPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := rapid.StringN(0, -1, 4*BlockBytes).Draw(t, "a")
 		b := rapid.StringN(0, -1, 4*BlockBytes).Draw(t, "b")
@@ -69,31 +69,31 @@
 	return out
 }
 
-func TestIndexCutsToWhatChainsShare(t *testing.T) {
+func TestIndexCutsToCommonPrefix(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var x Index
 	now := time.Unix(1, 0)
 	x.Held(7, chainOf(10, 0), "w", 10, now)
 	x.Kept(7, chainOf(10, 0), "s", 8, now)
-	g.Expect(x.Find(7, chainOf(6, 0)).Holdings).To(gomega.Equal([]Holding{{"w", 6}}))
-	g.Expect(x.Find(7, chainOf(6, 99)).Holdings).To(gomega.Equal([]Holding{{"w", 5}}))
+	g.Expect(x.Find(7, chainOf(6, 0)).Holdings).To(gomega.Equal([]WorkerBlocks{{"w", 6}}))
+	g.Expect(x.Find(7, chainOf(6, 99)).Holdings).To(gomega.Equal([]WorkerBlocks{{"w", 5}}))
 	g.Expect(x.Find(7, chainOf(6, 99)).Keepings).To(gomega.Equal([]Keeping{{"s", 5}}))
 	g.Expect(x.Find(8, chainOf(6, 0))).To(gomega.Equal(Position{}))
 	x.Held(7, chainOf(6, 99), "v", 6, now)
-	g.Expect(x.Find(7, chainOf(10, 0)).Holdings).To(gomega.ConsistOf(Holding{"w", 5}, Holding{"v", 5}))
+	g.Expect(x.Find(7, chainOf(10, 0)).Holdings).To(gomega.ConsistOf(WorkerBlocks{"w", 5}, WorkerBlocks{"v", 5}))
 }
 
-func TestIndexLosesWhatWorkersLose(t *testing.T) {
+func TestIndexLose(t *testing.T) {
 	tests := []struct {
 		name string
 		mark Mark
-		want []Holding
+		want []WorkerBlocks
 	}{
-		{"inner block", Mark{7, 4, 4}, []Holding{{"w", 3}}},
+		{"inner block", Mark{7, 4, 4}, []WorkerBlocks{{"w", 3}}},
 		{"first block", Mark{7, 1, 1}, nil},
-		{"block of another chain", Mark{7, 99, 4}, []Holding{{"w", 10}}},
-		{"another context", Mark{8, 4, 4}, []Holding{{"w", 10}}},
-		{"depth out of range", Mark{7, 4, 40}, []Holding{{"w", 10}}},
+		{"block of another chain", Mark{7, 99, 4}, []WorkerBlocks{{"w", 10}}},
+		{"another context", Mark{8, 4, 4}, []WorkerBlocks{{"w", 10}}},
+		{"depth out of range", Mark{7, 4, 40}, []WorkerBlocks{{"w", 10}}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 
 func TestIndexIsBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	x := Index{Limit: 3}
+	x := Index{MaxContexts: 3}
 	for i := range uint64(10) {
 		x.Held(i, chainOf(4, 0), "w", 4, time.Unix(int64(i), 0))
 	}
@@ -116,16 +116,16 @@
 	g.Expect(x.Find(0, chainOf(4, 0)).Known).To(gomega.BeFalse())
 }
 
-// scriptedFeed gives notes as a test wants them.
+// scriptedFeed returns the events and contents that a test sets.
 type scriptedFeed struct {
-	notes    []Note
+	events   []Note
 	contents Contents
 	reads    int
 }
 
 func (f *scriptedFeed) CacheNotes(_ context.Context, seq uint64) ([]Note, error) {
 	var out []Note
-	for _, n := range f.notes {
+	for _, n := range f.events {
 		if n.Seq > seq {
 			out = append(out, n)
 		}
@@ -138,77 +138,77 @@
 	return f.contents, nil
 }
 
-type heardMarks struct{ lost, tips []Mark }
+type recordingListener struct{ lost, tips []Mark }
 
-func (h *heardMarks) Lost(_ string, m []Mark)     { h.lost = append(h.lost, m...) }
-func (h *heardMarks) Resynced(_ string, m []Mark) { h.tips = m }
+func (h *recordingListener) Lost(_ string, m []Mark)     { h.lost = append(h.lost, m...) }
+func (h *recordingListener) Resynced(_ string, m []Mark) { h.tips = m }
 
-func TestFollowerTellsTheFirstBlockLostOfEachContext(t *testing.T) {
+func TestFollowerReportsFirstBlockLostOfEachContext(t *testing.T) {
 	g := gomega.NewWithT(t)
 	chain := Chain(Salt{}.Seed(), strings.Repeat("x", 8*BlockBytes))
-	feed, heard := &scriptedFeed{}, &heardMarks{}
-	f := NewFollower("w", feed, 2, heard, &event.Log{})
+	feed, listener := &scriptedFeed{}, &recordingListener{}
+	f := NewFollower("w", feed, 2, listener, &event.Log{})
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	feed.notes = []Note{
+	feed.events = []Note{
 		{Seq: 1, Stored: &Run{Blocks: Shorts(chain[:5])}},
 		{Seq: 2, Stored: &Run{Parent: chain[4].Short(), Blocks: Shorts(chain[5:])}},
 		{Seq: 2, Stored: &Run{Parent: chain[4].Short(), Blocks: Shorts(chain[5:])}},
 		{Seq: 3, Removed: Shorts([]Hash{chain[7], chain[6], chain[5]})},
 	}
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	g.Expect(heard.lost).To(gomega.Equal([]Mark{{Root: chain[1].Short(), Short: chain[5].Short(), Depth: 6}}))
+	g.Expect(listener.lost).To(gomega.Equal([]Mark{{Root: chain[1].Short(), Short: chain[5].Short(), Depth: 6}}))
 	g.Expect(f.Blocks()).To(gomega.Equal(5))
 }
 
-// A worker that loses a whole context holds nothing of it, although the blocks
-// before the one that names the context belong to no context of their own.
-func TestNothingIsHeldOfAContextThatWasLostWhole(t *testing.T) {
-	const roots = 4
+// A worker that loses a whole context must count as holding nothing of it, although the
+// blocks before the identifying block belong to no single context.
+func TestLostContextHasNoHolders(t *testing.T) {
+	const rootBlocks = 4
 	g := gomega.NewWithT(t)
 	chain := Chain(Salt{}.Seed(), strings.Repeat("x", 8*BlockBytes))
-	root := Root(Salt{}.Seed(), chain, roots).Short()
-	gone := slices.Clone(Shorts(chain))
-	slices.Reverse(gone)
-	feed, heard := &scriptedFeed{}, &heardMarks{}
-	f := NewFollower("w", feed, roots, heard, &event.Log{})
+	root := Root(Salt{}.Seed(), chain, rootBlocks).Short()
+	removed := slices.Clone(Shorts(chain))
+	slices.Reverse(removed)
+	feed, listener := &scriptedFeed{}, &recordingListener{}
+	f := NewFollower("w", feed, rootBlocks, listener, &event.Log{})
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	feed.notes = []Note{{Seq: 1, Stored: &Run{Blocks: Shorts(chain)}}, {Seq: 2, Removed: gone}}
+	feed.events = []Note{{Seq: 1, Stored: &Run{Blocks: Shorts(chain)}}, {Seq: 2, Removed: removed}}
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
 	var x Index
 	x.Held(root, Shorts(chain), "w", 8, time.Unix(1, 0))
-	x.Lose("w", heard.lost)
+	x.Lose("w", listener.lost)
 	g.Expect(x.Find(root, Shorts(chain)).Holdings).To(gomega.BeEmpty())
 }
 
-func TestFollowerTrustsNothingPastAGap(t *testing.T) {
+func TestFollowerResyncsAfterGap(t *testing.T) {
 	g := gomega.NewWithT(t)
 	chain := Chain(Salt{}.Seed(), strings.Repeat("y", 6*BlockBytes))
-	feed, heard := &scriptedFeed{}, &heardMarks{}
-	f := NewFollower("w", feed, 2, heard, &event.Log{})
+	feed, listener := &scriptedFeed{}, &recordingListener{}
+	f := NewFollower("w", feed, 2, listener, &event.Log{})
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	feed.notes = []Note{{Seq: 1, Stored: &Run{Blocks: Shorts(chain)}}, {Seq: 3, Removed: Shorts(chain[5:6])}}
+	feed.events = []Note{{Seq: 1, Stored: &Run{Blocks: Shorts(chain)}}, {Seq: 3, Removed: Shorts(chain[5:6])}}
 	feed.contents = Contents{Seq: 3, Runs: []Run{{Blocks: Shorts(chain[:4])}}}
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
 	g.Expect(feed.reads).To(gomega.Equal(2))
-	g.Expect(heard.lost).To(gomega.BeEmpty(), "nothing after the gap is believed")
-	g.Expect(heard.tips).To(gomega.Equal([]Mark{{Root: chain[1].Short(), Short: chain[3].Short(), Depth: 4}}))
+	g.Expect(listener.lost).To(gomega.BeEmpty(), "events after the gap are not applied")
+	g.Expect(listener.tips).To(gomega.Equal([]Mark{{Root: chain[1].Short(), Short: chain[3].Short(), Depth: 4}}))
 	var x Index
 	x.Held(chain[1].Short(), Shorts(chain), "w", 6, time.Unix(1, 0))
-	x.Resync("w", heard.tips)
-	g.Expect(x.Find(chain[1].Short(), Shorts(chain)).Holdings).To(gomega.Equal([]Holding{{"w", 4}}))
+	x.Resync("w", listener.tips)
+	g.Expect(x.Find(chain[1].Short(), Shorts(chain)).Holdings).To(gomega.Equal([]WorkerBlocks{{"w", 4}}))
 }
 
-// Whatever order and gaps notes come with, what a follower holds after a
-// resync is what the worker holds.
-func TestFollowerAgreesWithWorker(t *testing.T) {
+// Whatever events are lost, after a resync the follower records exactly what the worker
+// holds.
+func TestFollowerMatchesWorkerAfterResync(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := map[Hash]bool{}
-		var notes []Note
+		var events []Note
 		var chains [][]Hash
 		for i := range rapid.IntRange(1, 4).Draw(t, "chains") {
 			c := Chain(Salt{Organisation: string(rune('a' + i))}.Seed(), strings.Repeat("z", BlockBytes*rapid.IntRange(1, 6).Draw(t, "blocks")))
 			chains = append(chains, c)
-			notes = append(notes, Note{Stored: &Run{Blocks: Shorts(c)}})
+			events = append(events, Note{Stored: &Run{Blocks: Shorts(c)}})
 			for _, h := range c {
 				worker[h] = true
 			}
@@ -216,27 +216,27 @@
 		for _, c := range chains {
 			keep := rapid.IntRange(0, len(c)).Draw(t, "keep")
 			if keep < len(c) {
-				notes = append(notes, Note{Removed: Shorts(c[keep:])})
+				events = append(events, Note{Removed: Shorts(c[keep:])})
 				for _, h := range c[keep:] {
 					delete(worker, h)
 				}
 			}
 		}
 		feed := &scriptedFeed{}
-		f := NewFollower("w", feed, 2, &heardMarks{}, &event.Log{})
+		f := NewFollower("w", feed, 2, &recordingListener{}, &event.Log{})
 		if err := f.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		gap := false
-		for i := range notes {
-			notes[i].Seq = uint64(i + 1)
+		for i := range events {
+			events[i].Seq = uint64(i + 1)
 			if rapid.IntRange(0, 5).Draw(t, "drop") == 0 {
 				gap = true
 				continue
 			}
-			feed.notes = append(feed.notes, notes[i])
+			feed.events = append(feed.events, events[i])
 		}
-		feed.contents.Seq = uint64(len(notes))
+		feed.contents.Seq = uint64(len(events))
 		for _, c := range chains {
 			n := 0
 			for n < len(c) && worker[c[n]] {
@@ -247,54 +247,54 @@
 		if err := f.step(context.Background()); err != nil && !errors.Is(err, context.Canceled) {
 			t.Fatal(err)
 		}
-		// The last note may be the dropped one; the next note shows the gap.
-		feed.notes = append(feed.notes, Note{Seq: uint64(len(notes) + 1)})
+		// The last event may be among those dropped; only the next one reveals the gap.
+		feed.events = append(feed.events, Note{Seq: uint64(len(events) + 1)})
 		feed.contents.Seq++
 		if err := f.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 		if f.Blocks() != len(worker) {
-			t.Fatalf("gap %v: follower holds %d blocks, worker %d", gap, f.Blocks(), len(worker))
+			t.Fatalf("gap %v: follower records %d blocks, worker holds %d", gap, f.Blocks(), len(worker))
 		}
 	})
 }
 
-func TestPackedHashesComeBack(t *testing.T) {
+func TestPackedRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Packed(rapid.SliceOf(rapid.Uint64()).Draw(t, "shorts"))
 		text, err := p.MarshalText()
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back Packed
-		if err := back.UnmarshalText(text); err != nil {
+		var decoded Packed
+		if err := decoded.UnmarshalText(text); err != nil {
 			t.Fatal(err)
 		}
-		if !slices.Equal(p, back) {
-			t.Fatalf("%v came back as %v", p, back)
+		if !slices.Equal(p, decoded) {
+			t.Fatalf("%v decoded as %v", p, decoded)
 		}
 	})
 	var p Packed
 	for _, bad := range []string{"A", "AAAA", "!!"} {
 		if p.UnmarshalText([]byte(bad)) == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was decoded", bad)
 		}
 	}
 }
 
-// A peer may say any number.
-func TestRootOfAnyNumberOfBlocks(t *testing.T) {
+// A peer may send any number of root blocks.
+func TestRootWithAnyRootBlocks(t *testing.T) {
 	seed, chain := Hash{9}, []Hash{{1}, {2}, {3}}
 	tests := []struct {
-		roots int
-		chain []Hash
-		want  Hash
+		rootBlocks int
+		chain      []Hash
+		want       Hash
 	}{
 		{-1, chain, Hash{1}}, {0, chain, Hash{1}}, {1, chain, Hash{1}}, {3, chain, Hash{3}}, {7, chain, Hash{3}}, {0, nil, seed}, {2, nil, seed},
 	}
 	for _, tc := range tests {
-		if got := Root(seed, tc.chain, tc.roots); got != tc.want {
-			t.Errorf("Root of %d blocks with %d roots = %x, want %x", len(tc.chain), tc.roots, got[:1], tc.want[:1])
+		if got := Root(seed, tc.chain, tc.rootBlocks); got != tc.want {
+			t.Errorf("Root of %d blocks with %d root blocks = %x, want %x", len(tc.chain), tc.rootBlocks, got[:1], tc.want[:1])
 		}
 	}
 }
--- a/core/cache/chain.go
+++ b/core/cache/chain.go
@@ -1,10 +1,9 @@
-// Package cache owns what is known of kept context: the chains of block
-// hashes, which worker holds which blocks, which store keeps which context,
-// and the moving of blocks between the two.
+// Package cache owns the local view of cached contexts: the prefix hash chains of KV-cache
+// blocks, which worker holds which blocks, and which KV-cache store holds which prompt
+// segments. It also frees outdated segments in the stores.
 //
-// It must not know why a request goes where it goes, and it is never trusted
-// with safety alone: what it believes of a worker is a hint, and what it reads
-// from a store is checked before it is used.
+// It must not know how requests are routed, and correctness must not depend on it: its view
+// of a worker is a hint, and data read from a store is verified before use.
 package cache
 
 import (
@@ -16,41 +15,41 @@
 	"github.com/pkg/errors"
 )
 
-// BlockBytes is the length of prompt text in one block.
+// BlockBytes is the number of bytes of prompt text in one block.
 const BlockBytes = 256
 
 // BlockTokens is the number of tokens in one block.
 const BlockTokens = 64
 
-// bytesPerToken converts lengths of text to tokens.
+// bytesPerToken converts text lengths to token counts.
 const bytesPerToken = BlockBytes / BlockTokens
 
-// Tokens returns how many tokens a text of n bytes has, at least one.
+// Tokens returns the number of tokens in n bytes of text, at least one.
 func Tokens(n int) int { return max(1, (n+bytesPerToken-1)/bytesPerToken) }
 
-// Hash identifies a block with everything before it and the salt.
+// Hash identifies a block together with the cache salt and all blocks before it.
 type Hash [16]byte
 
 // String returns the hash in hexadecimal form.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// Short returns the first half, which tells blocks of one salt apart.
+// Short returns the first eight bytes, which suffice to distinguish blocks under one salt.
 func (h Hash) Short() uint64 { return binary.BigEndian.Uint64(h[:8]) }
 
-// MarshalText writes the hash in hexadecimal form.
+// MarshalText encodes the hash in hexadecimal form.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText reads the hexadecimal form.
+// UnmarshalText parses the hexadecimal form.
 func (h *Hash) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(h) {
-		return errors.Errorf("a block hash has %d hexadecimal digits", 2*len(h))
+		return errors.Errorf("block hash must have %d hexadecimal digits", 2*len(h))
 	}
 	_, err := hex.Decode(h[:], text)
 	return errors.WithStack(err)
 }
 
-// Salt keeps apart the blocks of different organisations, models, weight
-// versions and adapters, even where their texts are the same.
+// Salt separates the blocks of different organisations, models, weight versions and
+// adapters, even where their texts are equal.
 type Salt struct {
 	Organisation  string `json:"organisation" msgpack:"o"`
 	Model         string `json:"model" msgpack:"m"`
@@ -58,23 +57,22 @@
 	Adapter       string `json:"adapter,omitempty" msgpack:"a,omitempty"`
 }
 
-// Seed returns the start of all chains under the salt. Each part is preceded
-// by its length, so that no two salts run together.
+// Seed returns the hash that starts every chain under the salt. Each field is prefixed with
+// its length, so that different salts never hash the same input.
 func (s Salt) Seed() Hash {
 	h := sha256.New()
-	for _, part := range []string{s.Organisation, s.Model, s.WeightVersion, s.Adapter} {
+	for _, field := range []string{s.Organisation, s.Model, s.WeightVersion, s.Adapter} {
 		var n [4]byte
-		binary.BigEndian.PutUint32(n[:], uint32(len(part)))
+		binary.BigEndian.PutUint32(n[:], uint32(len(field)))
 		h.Write(n[:])
-		h.Write([]byte(part))
+		h.Write([]byte(field))
 	}
 	var out Hash
 	copy(out[:], h.Sum(nil))
 	return out
 }
 
-// Next returns the hash of the block that follows h. A block has at most
-// BlockBytes.
+// Next returns the hash of the block that follows h. A block has at most BlockBytes bytes.
 func (h Hash) Next(block string) Hash {
 	var in [len(h) + BlockBytes]byte
 	copy(in[:], h[:])
@@ -83,7 +81,8 @@
 	return Hash(sum[:len(h)])
 }
 
-// Chain returns the hashes of the whole blocks of text, first block first.
+// Chain returns the hashes of the complete blocks of text, in order; a partial last block is
+// left out.
 func Chain(seed Hash, text string) []Hash {
 	out := make([]Hash, 0, len(text)/BlockBytes)
 	for len(text) >= BlockBytes {
@@ -94,23 +93,22 @@
 	return out
 }
 
-// Root returns the hash that names the context of a chain: that of its first
-// roots blocks, at least one, or of all blocks where there are fewer, or seed where
-// there are none.
-func Root(seed Hash, chain []Hash, roots int) Hash {
+// Root returns the hash that identifies the context of a chain: the hash of block number
+// rootBlocks, counted from one. It is limited to the chain; an empty chain gives seed.
+func Root(seed Hash, chain []Hash, rootBlocks int) Hash {
 	if len(chain) == 0 {
 		return seed
 	}
-	return chain[max(1, min(roots, len(chain)))-1]
+	return chain[max(1, min(rootBlocks, len(chain)))-1]
 }
 
-// Packed is a list of short hashes, written as one base64 text: cache events
-// are most of what following a worker costs.
+// Packed is a list of short hashes that is encoded as one base64 string, because cache
+// events are most of the cost of following a worker.
 type Packed []uint64
 
 const shortBytes = 8
 
-// MarshalText writes the packed form.
+// MarshalText encodes the hashes, eight bytes each, as base64.
 func (p Packed) MarshalText() ([]byte, error) {
 	raw := make([]byte, 0, shortBytes*len(p))
 	for _, s := range p {
@@ -119,11 +117,11 @@
 	return base64.RawStdEncoding.AppendEncode(nil, raw), nil
 }
 
-// UnmarshalText reads the packed form.
+// UnmarshalText parses the base64 form.
 func (p *Packed) UnmarshalText(text []byte) error {
 	raw, err := base64.RawStdEncoding.DecodeString(string(text))
 	if err != nil || len(raw)%shortBytes != 0 {
-		return errors.Errorf("%d bytes are no packed hashes", len(text))
+		return errors.Errorf("%d bytes of text are not a packed list of hashes", len(text))
 	}
 	*p = make(Packed, 0, len(raw)/shortBytes)
 	for ; len(raw) > 0; raw = raw[shortBytes:] {
@@ -132,7 +130,7 @@
 	return nil
 }
 
-// Shorts returns the first halves of the hashes of a chain.
+// Shorts returns the short hashes of a chain.
 func Shorts(chain []Hash) Packed {
 	out := make(Packed, len(chain))
 	for i, h := range chain {
--- a/core/cache/follow.go
+++ b/core/cache/follow.go
@@ -10,75 +10,77 @@
 	"embertally.dev/core/event"
 )
 
-// Run is a run of blocks of one chain in a cache event: each is the parent of
-// the next.
+// Run is a sequence of blocks of one chain in a cache event, each the parent of the next.
 type Run struct {
+	// Parent is the short hash of the block before the first of Blocks; zero at the start of
+	// a chain.
 	Parent uint64 `json:"parent"`
 	Blocks Packed `json:"blocks"`
 }
 
 // Note is one cache event of a worker.
 type Note struct {
-	// Seq rises by one with each note; a jump is a gap.
+	// Seq increases by one with each event; a larger step means that events were lost.
 	Seq     uint64 `json:"seq"`
 	Stored  *Run   `json:"stored,omitempty"`
 	Removed Packed `json:"removed,omitempty"`
 }
 
-// Contents is everything that a worker holds, after the note Seq.
+// Contents lists all blocks that a worker holds after event Seq.
 type Contents struct {
 	Seq  uint64 `json:"seq"`
 	Runs []Run  `json:"runs"`
 }
 
-// feed is the cache events of one worker.
+// feed provides the cache events and contents of one worker.
 type feed interface {
-	// CacheNotes waits for notes after seq and returns them in order.
+	// CacheNotes waits for events after seq and returns them in order.
 	CacheNotes(ctx context.Context, seq uint64) ([]Note, error)
-	// CacheContents returns everything that the worker holds.
+	// CacheContents returns all blocks that the worker holds.
 	CacheContents(ctx context.Context) (Contents, error)
 }
 
-// node is one block that a followed worker holds.
+// node is one block that the followed worker holds.
 type node struct {
 	parent uint64
-	// root is the block that names the context; zero above it.
-	root  uint64
+	// root is the block that identifies the context; zero for the blocks before it.
+	root uint64
+	// depth is the position in the chain, counted from one.
 	depth uint16
 }
 
-// Follower follows the cache events of one worker and tells of what it lost.
+// Follower follows the cache events of one worker and reports which blocks it removed.
 type Follower struct {
 	worker string
 	feed   feed
 	log    *event.Log
-	// roots is how many first blocks name a context.
-	roots int
-	hears listener
+	// rootBlocks is the number of first blocks that identify a context.
+	rootBlocks int
+	listener   listener
 
-	heldMu sync.Mutex
-	held   map[uint64]node // blocks held; guarded by heldMu
-	seq    uint64          // last note taken in; guarded by heldMu
-	synced bool            // held is complete up to seq; guarded by heldMu
+	nodesMu sync.Mutex
+	nodes   map[uint64]node // blocks held, by short hash; guarded by nodesMu
+	seq     uint64          // last event applied; guarded by nodesMu
+	synced  bool            // nodes is complete up to seq; guarded by nodesMu
 }
 
-// listener hears what a follower finds out.
+// listener receives the changes that a follower observes.
 type listener interface {
-	// Lost tells that the worker no longer holds the blocks of the marks, nor
-	// those after them.
+	// Lost reports that the worker no longer holds the marked blocks, nor any block after
+	// them.
 	Lost(worker string, marks []Mark)
-	// Resynced tells that nothing known of the worker before is trusted, and
-	// that it now holds the chains which end in tips.
+	// Resynced replaces all earlier information about the worker: it holds the chains that
+	// end in the blocks tips.
 	Resynced(worker string, tips []Mark)
 }
 
-// NewFollower returns a follower of a worker's feed. roots is how many first
-// blocks name a context of the worker's deployment.
-func NewFollower(worker string, f feed, roots int, hears listener, log *event.Log) *Follower {
-	return &Follower{worker: worker, feed: f, roots: roots, hears: hears, log: log, held: map[uint64]node{}}
+// NewFollower returns a follower of a worker's feed. rootBlocks is the number of first
+// blocks that identify a context in the worker's deployment.
+func NewFollower(worker string, f feed, rootBlocks int, l listener, log *event.Log) *Follower {
+	return &Follower{worker: worker, feed: f, rootBlocks: rootBlocks, listener: l, log: log, nodes: map[uint64]node{}}
 }
 
-// followPause spaces tries against a worker that does not answer.
+// followPause is the delay before retrying a worker that did not answer.
 const followPause = 500 * time.Millisecond
 
 // Run follows the worker until ctx ends.
@@ -94,20 +96,21 @@
 	}
 }
 
+// step reads and applies the next events, or the full contents if out of sync.
 func (f *Follower) step(ctx context.Context) error {
-	f.heldMu.Lock()
+	f.nodesMu.Lock()
 	seq, synced := f.seq, f.synced
-	f.heldMu.Unlock()
+	f.nodesMu.Unlock()
 	if !synced {
 		return f.resync(ctx)
 	}
-	notes, err := f.feed.CacheNotes(ctx, seq)
+	events, err := f.feed.CacheNotes(ctx, seq)
 	if err != nil {
 		return err
 	}
-	lost, ok := f.take(notes)
+	lost, ok := f.apply(events)
 	if len(lost) > 0 {
-		f.hears.Lost(f.worker, lost)
+		f.listener.Lost(f.worker, lost)
 	}
 	if !ok {
 		f.log.Emit(event.CacheGap, event.Ref{Target: f.worker}, "")
@@ -116,11 +119,11 @@
 	return nil
 }
 
-// take applies notes; it returns ok false at a gap.
-func (f *Follower) take(notes []Note) (lost []Mark, ok bool) {
-	f.heldMu.Lock()
-	defer f.heldMu.Unlock()
-	for _, n := range notes {
+// apply applies events in order. At a gap it stops and returns ok false.
+func (f *Follower) apply(events []Note) (lost []Mark, ok bool) {
+	f.nodesMu.Lock()
+	defer f.nodesMu.Unlock()
+	for _, n := range events {
 		if n.Seq <= f.seq {
 			continue
 		}
@@ -130,35 +133,37 @@
 		}
 		f.seq = n.Seq
 		if n.Stored != nil {
-			f.store(*n.Stored)
+			f.add(*n.Stored)
 		}
 		lost = append(lost, f.remove(n.Removed)...)
 	}
 	return lost, true
 }
 
-func (f *Follower) store(r Run) {
+// add records the blocks of r; the caller holds nodesMu.
+func (f *Follower) add(r Run) {
 	parent := r.Parent
-	above := f.held[parent]
+	parentNode := f.nodes[parent]
 	for _, short := range r.Blocks {
-		n := node{parent: parent, root: above.root, depth: above.depth + 1}
-		if int(n.depth) == f.roots {
+		n := node{parent: parent, root: parentNode.root, depth: parentNode.depth + 1}
+		if int(n.depth) == f.rootBlocks {
 			n.root = short
 		}
-		f.held[short] = n
-		parent, above = short, n
+		f.nodes[short] = n
+		parent, parentNode = short, n
 	}
 }
 
-// remove forgets blocks and returns, for each context, the first one lost.
+// remove deletes blocks and returns the first one removed of each context; the caller holds
+// nodesMu.
 func (f *Follower) remove(shorts []uint64) []Mark {
 	first := map[uint64]Mark{}
 	for _, short := range shorts {
-		n, ok := f.held[short]
+		n, ok := f.nodes[short]
 		if !ok {
 			continue
 		}
-		delete(f.held, short)
+		delete(f.nodes, short)
 		m, seen := first[n.root]
 		if n.root != 0 && (!seen || int(n.depth) < m.Depth) {
 			first[n.root] = Mark{Root: n.root, Short: short, Depth: int(n.depth)}
@@ -167,43 +172,43 @@
 	return slices.Collect(maps.Values(first))
 }
 
-// tips returns the last blocks of all chains held; the caller holds heldMu.
-func (f *Follower) tips() []Mark {
-	inner := make(map[uint64]bool, len(f.held))
-	for _, n := range f.held {
-		inner[n.parent] = true
+// leaves returns the last block of each chain held; the caller holds nodesMu.
+func (f *Follower) leaves() []Mark {
+	hasChild := make(map[uint64]bool, len(f.nodes))
+	for _, n := range f.nodes {
+		hasChild[n.parent] = true
 	}
 	var out []Mark
-	for short, n := range f.held {
-		if n.root != 0 && !inner[short] {
+	for short, n := range f.nodes {
+		if n.root != 0 && !hasChild[short] {
 			out = append(out, Mark{Root: n.root, Short: short, Depth: int(n.depth)})
 		}
 	}
 	return out
 }
 
-// resync reads the whole contents anew.
+// resync replaces the nodes by the worker's full contents.
 func (f *Follower) resync(ctx context.Context) error {
-	all, err := f.feed.CacheContents(ctx)
+	contents, err := f.feed.CacheContents(ctx)
 	if err != nil {
 		return err
 	}
-	f.heldMu.Lock()
-	f.held = make(map[uint64]node, len(f.held))
-	for _, r := range all.Runs {
-		f.store(r)
+	f.nodesMu.Lock()
+	f.nodes = make(map[uint64]node, len(f.nodes))
+	for _, r := range contents.Runs {
+		f.add(r)
 	}
-	f.seq, f.synced = all.Seq, true
-	tips := f.tips()
-	f.heldMu.Unlock()
-	f.hears.Resynced(f.worker, tips)
+	f.seq, f.synced = contents.Seq, true
+	tips := f.leaves()
+	f.nodesMu.Unlock()
+	f.listener.Resynced(f.worker, tips)
 	f.log.Emit(event.CacheResynced, event.Ref{Target: f.worker}, "")
 	return nil
 }
 
-// Blocks returns how many blocks the worker is known to hold.
+// Blocks returns the number of blocks recorded as held by the worker.
 func (f *Follower) Blocks() int {
-	f.heldMu.Lock()
-	defer f.heldMu.Unlock()
-	return len(f.held)
+	f.nodesMu.Lock()
+	defer f.nodesMu.Unlock()
+	return len(f.nodes)
 }
--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -7,60 +7,63 @@
 	"time"
 )
 
-// Holding says how many first blocks of a chain a worker holds.
-type Holding struct {
+// WorkerBlocks is the number of first blocks of a chain that a worker holds.
+type WorkerBlocks struct {
 	Worker string
 	Blocks int
 }
 
-// Keeping says how many first blocks of a chain a store keeps.
+// Keeping is the number of first blocks of a chain that a store holds.
 type Keeping struct {
 	Store  string
 	Blocks int
 }
 
-// Position is what is known of one context.
+// Position is what an Index has recorded about one context.
 type Position struct {
-	// Known tells that the context was seen here before.
-	Known    bool
-	Holdings []Holding
+	// Known is set if the context is in the index.
+	Known bool
+	// Holdings and Keepings list the workers and stores that hold blocks of the chain.
+	Holdings []WorkerBlocks
 	Keepings []Keeping
-	// Looked tells that the stores were asked for the context.
+	// Looked is set if the stores have been queried for the context.
 	Looked bool
 }
 
-// record is what the home of a context knows of it.
+// record is the entry of one context in the index of its owner.
 type record struct {
 	root uint64
-	// chain is the longest recent chain of the context.
+	// chain is the longest recent chain of the context, as short hashes.
 	chain []uint64
 	// workers and stores count first blocks of chain.
-	workers []Holding
-	stores  []Keeping
-	looked  bool
-	used    time.Time
-	// exporting tells that an export of the context is running or waiting.
+	workers       []WorkerBlocks
+	stores        []Keeping
+	storesQueried bool
+	lastUsed      time.Time
+	// exporting is set while an export of the context is running or queued.
 	exporting bool
 }
 
-// Index is what a daemon knows of the contexts whose home it is. The zero
-// value is empty and keeps up to DefaultContexts contexts. What is lost with a
-// daemon is only hints: kept contexts are found again by their root.
+// Index records where the contexts that this daemon owns are cached. The zero value is empty
+// and has room for DefaultMaxContexts contexts. Losing it with the daemon costs only hints:
+// contexts in stores are found again by their root hash.
 type Index struct {
-	// Limit bounds the contexts known; set it before use.
-	Limit int
+	// MaxContexts is the maximum number of contexts; 0 stands for DefaultMaxContexts. Set
+	// before use.
+	MaxContexts int
 
 	indexMu sync.Mutex
-	// records maps roots to elements of order. Guarded by indexMu.
+	// records maps root hashes to elements of lru. Guarded by indexMu.
 	records map[uint64]*list.Element
-	// order lists the records, the latest used first. Guarded by indexMu.
-	order list.List
+	// lru lists the records, most recently used first. Guarded by indexMu.
+	lru list.List
 }
 
-// DefaultContexts bounds an index that sets no limit of its own.
-const DefaultContexts = 8192
+// DefaultMaxContexts is the maximum of an index that sets none.
+const DefaultMaxContexts = 8192
 
-// Find returns what is known of the context of chain.
+// Find returns what is recorded about a context, cut to the blocks that chain shares with
+// the recorded chain.
 func (x *Index) Find(root uint64, chain []uint64) Position {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
@@ -68,23 +71,23 @@
 	if r == nil {
 		return Position{}
 	}
-	same := common(r.chain, chain)
-	p := Position{Known: true, Looked: r.looked}
+	shared := commonPrefix(r.chain, chain)
+	p := Position{Known: true, Looked: r.storesQueried}
 	for _, h := range r.workers {
-		if n := min(h.Blocks, same); n > 0 {
-			p.Holdings = append(p.Holdings, Holding{h.Worker, n})
+		if n := min(h.Blocks, shared); n > 0 {
+			p.Holdings = append(p.Holdings, WorkerBlocks{h.Worker, n})
 		}
 	}
-	for _, k := range r.stores {
-		if n := min(k.Blocks, same); n > 0 {
-			p.Keepings = append(p.Keepings, Keeping{k.Store, n})
+	for _, s := range r.stores {
+		if n := min(s.Blocks, shared); n > 0 {
+			p.Keepings = append(p.Keepings, Keeping{s.Store, n})
 		}
 	}
 	return p
 }
 
-// common returns how many first blocks two chains share.
-func common(a, b []uint64) int {
+// commonPrefix returns the number of first blocks that two chains share.
+func commonPrefix(a, b []uint64) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if a[i] != b[i] {
@@ -94,6 +97,7 @@
 	return n
 }
 
+// record returns the record of a context, or nil; the caller holds indexMu.
 func (x *Index) record(root uint64) *record {
 	e := x.records[root]
 	if e == nil {
@@ -102,52 +106,53 @@
 	return e.Value.(*record)
 }
 
-// touch returns the record of a context with its chain set to chain, made new
-// if need be.
+// touch marks a context as used at now and returns its record, which it creates if absent.
+// The record's chain is updated to chain.
 func (x *Index) touch(root uint64, chain []uint64, now time.Time) *record {
 	if x.records == nil {
 		x.records = map[uint64]*list.Element{}
 	}
 	e := x.records[root]
 	if e == nil {
-		e = x.order.PushFront(&record{root: root})
+		e = x.lru.PushFront(&record{root: root})
 		x.records[root] = e
-		x.trim()
+		x.evict()
 	}
-	x.order.MoveToFront(e)
+	x.lru.MoveToFront(e)
 	r := e.Value.(*record)
-	r.used = now
-	r.follow(chain)
+	r.lastUsed = now
+	r.updateChain(chain)
 	return r
 }
 
-// follow makes chain the record's chain and cuts what is known to the blocks
-// that both chains share. A chain that is only shorter changes nothing.
-func (r *record) follow(chain []uint64) {
-	same := common(r.chain, chain)
-	if same == len(chain) {
+// updateChain makes chain the record's chain and cuts the counts to the blocks that both
+// chains share. A chain that is a prefix of the recorded one changes nothing.
+func (r *record) updateChain(chain []uint64) {
+	shared := commonPrefix(r.chain, chain)
+	if shared == len(chain) {
 		return
 	}
-	if same < len(r.chain) {
+	if shared < len(r.chain) {
 		for i := range r.workers {
-			r.workers[i].Blocks = min(r.workers[i].Blocks, same)
+			r.workers[i].Blocks = min(r.workers[i].Blocks, shared)
 		}
 		for i := range r.stores {
-			r.stores[i].Blocks = min(r.stores[i].Blocks, same)
+			r.stores[i].Blocks = min(r.stores[i].Blocks, shared)
 		}
 	}
 	r.chain = append([]uint64(nil), chain...)
 }
 
-func (x *Index) trim() {
-	limit := x.Limit
+// evict removes the least recently used records beyond the limit; the caller holds indexMu.
+func (x *Index) evict() {
+	limit := x.MaxContexts
 	if limit == 0 {
-		limit = DefaultContexts
+		limit = DefaultMaxContexts
 	}
-	for x.order.Len() > limit {
-		last := x.order.Back()
+	for x.lru.Len() > limit {
+		last := x.lru.Back()
 		delete(x.records, last.Value.(*record).root)
-		x.order.Remove(last)
+		x.lru.Remove(last)
 	}
 }
 
@@ -156,26 +161,26 @@
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
 	r := x.touch(root, chain, now)
-	r.workers = setHolding(r.workers, worker, min(n, len(r.chain)))
+	r.workers = setWorkerBlocks(r.workers, worker, min(n, len(r.chain)))
 }
 
-func setHolding(list []Holding, worker string, n int) []Holding {
+// setWorkerBlocks records in list that a worker holds n blocks.
+func setWorkerBlocks(list []WorkerBlocks, worker string, n int) []WorkerBlocks {
 	for i := range list {
 		if list[i].Worker == worker {
 			list[i].Blocks = n
 			return list
 		}
 	}
-	return append(list, Holding{worker, n})
+	return append(list, WorkerBlocks{worker, n})
 }
 
-// Kept records that a store keeps the first n blocks of chain; zero says that
-// it keeps none.
+// Kept records that a store holds the first n blocks of chain; n may be zero.
 func (x *Index) Kept(root uint64, chain []uint64, store string, n int, now time.Time) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
 	r := x.touch(root, chain, now)
-	r.looked = true
+	r.storesQueried = true
 	n = min(n, len(r.chain))
 	for i := range r.stores {
 		if r.stores[i].Store == store {
@@ -186,14 +191,14 @@
 	r.stores = append(r.stores, Keeping{store, n})
 }
 
-// Looked records that the stores were asked for the context.
-func (x *Index) Looked(root uint64, chain []uint64, now time.Time) {
+// SetStoresQueried records that the stores have been queried for the context.
+func (x *Index) SetStoresQueried(root uint64, chain []uint64, now time.Time) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
-	x.touch(root, chain, now).looked = true
+	x.touch(root, chain, now).storesQueried = true
 }
 
-// Mark names one block by the context Root, its short hash and its place in
+// Mark refers to one block: by the context Root, the block's short hash, and its position in
 // the chain, counted from one.
 type Mark struct {
 	Root  uint64 `msgpack:"r"`
@@ -201,64 +206,64 @@
 	Depth int    `msgpack:"d"`
 }
 
-// fits reports whether the block is part of the record's chain.
-func (m Mark) fits(r *record) bool {
+// matches reports whether the block is in the record's chain.
+func (m Mark) matches(r *record) bool {
 	return r != nil && m.Depth >= 1 && m.Depth <= len(r.chain) && r.chain[m.Depth-1] == m.Short
 }
 
-// left returns how many first blocks of the context a worker may still hold
-// without the marked one. The blocks before the one that names the context
-// belong to many contexts, so that no mark tells of their loss: without the
-// naming block nothing is believed held.
-func (m Mark) left() int {
+// retained returns how many first blocks of the context a worker may still hold without the
+// marked one. The blocks before the one that identifies the context belong to many contexts,
+// so no mark reports their removal: without the identifying block the worker counts as
+// holding nothing.
+func (m Mark) retained() int {
 	if m.Short == m.Root {
 		return 0
 	}
 	return m.Depth - 1
 }
 
-// Lose cuts what a worker is believed to hold to the blocks before the marks.
+// Lose records that a worker no longer holds the marked blocks, nor those after them.
 func (x *Index) Lose(worker string, marks []Mark) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
 	for _, m := range marks {
 		r := x.record(m.Root)
-		if !m.fits(r) {
+		if !m.matches(r) {
 			continue
 		}
 		for i := range r.workers {
 			if r.workers[i].Worker == worker {
-				r.workers[i].Blocks = min(r.workers[i].Blocks, m.left())
+				r.workers[i].Blocks = min(r.workers[i].Blocks, m.retained())
 			}
 		}
 	}
 }
 
-// Resync replaces all that is believed of a worker by the chains that end in
-// tips.
+// Resync replaces everything recorded about a worker by the chains that end in tips.
 func (x *Index) Resync(worker string, tips []Mark) {
 	x.ForgetWorker(worker)
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
 	for _, m := range tips {
-		if r := x.record(m.Root); m.fits(r) {
-			r.workers = setHolding(r.workers, worker, m.Depth)
+		if r := x.record(m.Root); m.matches(r) {
+			r.workers = setWorkerBlocks(r.workers, worker, m.Depth)
 		}
 	}
 }
 
-// ForgetWorker drops all that is believed of a worker.
+// ForgetWorker removes everything recorded about a worker.
 func (x *Index) ForgetWorker(worker string) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
-	for e := x.order.Front(); e != nil; e = e.Next() {
+	for e := x.lru.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*record)
-		r.workers = slices.DeleteFunc(r.workers, func(h Holding) bool { return h.Worker == worker })
+		r.workers = slices.DeleteFunc(r.workers, func(h WorkerBlocks) bool { return h.Worker == worker })
 	}
 }
 
-// BeginExport reports whether an export of the context may begin: none is
-// running and no store keeps as much as n blocks. EndExport must follow.
+// BeginExport reports whether an export of the first n blocks of the context may start: the
+// context is in the index, no export of it is running or queued, and no store holds n blocks
+// already. If it returns true, EndExport must follow.
 func (x *Index) BeginExport(root uint64, n int) bool {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
@@ -266,8 +271,8 @@
 	if r == nil || r.exporting {
 		return false
 	}
-	for _, k := range r.stores {
-		if k.Blocks >= n {
+	for _, s := range r.stores {
+		if s.Blocks >= n {
 			return false
 		}
 	}
@@ -284,9 +289,9 @@
 	}
 }
 
-// Len returns how many contexts are known.
+// Len returns the number of contexts in the index.
 func (x *Index) Len() int {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
-	return x.order.Len()
+	return x.lru.Len()
 }
--- a/core/cache/kept.go
+++ b/core/cache/kept.go
@@ -14,228 +14,227 @@
 	"embertally.dev/core/event"
 )
 
-// Kept knows which parts the stores hold, from their events. The zero value is
-// not usable; see NewKept.
+// Kept tracks which prompt segments the KV-cache stores hold, from their events. The zero
+// value is not usable; see NewKept.
 //
-// Lock order: keptMu is taken alone.
+// Lock order: indexesMu is never held together with another lock of this package.
 type Kept struct {
 	watcher Watcher
 	log     *event.Log
 
-	keptMu  sync.Mutex
-	shelves map[string]*shelf // by address; guarded by keptMu
+	indexesMu sync.Mutex
+	indexes   map[string]*storeIndex // by address; guarded by indexesMu
 }
 
-// NewKept returns a view of stores that are named by Set.
+// NewKept returns a Kept that follows no stores until Set is called.
 func NewKept(watcher Watcher, log *event.Log) *Kept {
-	return &Kept{watcher: watcher, log: log, shelves: map[string]*shelf{}}
+	return &Kept{watcher: watcher, log: log, indexes: map[string]*storeIndex{}}
 }
 
-// Set follows the given stores, and no others.
+// Set starts following the given stores and stops following all others. Following ends with
+// ctx.
 func (k *Kept) Set(ctx context.Context, stores []StoreInfo) {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
 	wanted := map[string]bool{}
 	for _, s := range stores {
 		wanted[s.Address] = true
-		if old := k.shelves[s.Address]; old != nil {
-			old.info = s
+		if existing := k.indexes[s.Address]; existing != nil {
+			existing.info = s
 			continue
 		}
-		own, cancel := context.WithCancel(ctx)
-		sh := &shelf{info: s, stop: cancel, news: make(chan struct{})}
-		sh.empty()
-		k.shelves[s.Address] = sh
-		go shelfFollower{k, s.Address}.run(own)
+		storeCtx, cancel := context.WithCancel(ctx)
+		ix := &storeIndex{info: s, stop: cancel, changed: make(chan struct{})}
+		ix.clear()
+		k.indexes[s.Address] = ix
+		go storeFollower{k, s.Address}.run(storeCtx)
 	}
-	for address, sh := range k.shelves {
+	for address, ix := range k.indexes {
 		if !wanted[address] {
-			sh.stop()
-			delete(k.shelves, address)
+			ix.stop()
+			delete(k.indexes, address)
 		}
 	}
 }
 
-// copyLimit bounds a transfer from a store; the engine throws away one that
-// takes longer, so that a part may be freed that long after its last use was
-// decided.
-const copyLimit = 1200 * time.Millisecond
+// transferTimeout bounds a transfer from a store. The engine discards a transfer that takes
+// longer, so a segment may be freed this long after the last decision to transfer it.
+const transferTimeout = 1200 * time.Millisecond
 
-// fullShare is the fill above which nothing more is sent to a store.
-const fullShare = 0.985
+// maxFill is the fill, as a share of the capacity, above which nothing more is written to a
+// store.
+const maxFill = 0.985
 
-// CopyLimit returns how long a transfer that is decided now may take.
-func CopyLimit() time.Duration { return copyLimit }
+// CopyLimit returns the maximum duration of a transfer that is decided now.
+func CopyLimit() time.Duration { return transferTimeout }
 
-// Told returns what a store told after a point, for a peer that does not ask
-// the store itself, or everything where all is set. It fails where this daemon
-// does not know the store's state.
+// Told returns the changes that a store reported after since, or its whole contents if all
+// is set, for a peer that does not query the store itself. It returns false if this daemon's
+// view of the store is not current.
 func (k *Kept) Told(address string, since int64, all bool, now clock.Time) (PartEvents, bool) {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	sh := k.shelves[address]
-	if sh == nil || !sh.fresh(now) {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	ix := k.indexes[address]
+	if ix == nil || !ix.fresh(now) {
 		return PartEvents{}, false
 	}
-	return sh.told(since, all, now), true
+	return ix.eventsSince(since, all, now), true
 }
 
-// News returns a channel that is closed when a store is heard again or lost; nil where
-// it is not followed.
+// News returns a channel that is closed when the store next reports or stops answering, or
+// nil if the store is not followed.
 func (k *Kept) News(address string) <-chan struct{} {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	if sh := k.shelves[address]; sh != nil {
-		return sh.news
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	if ix := k.indexes[address]; ix != nil {
+		return ix.changed
 	}
 	return nil
 }
 
-// Age returns how old what is known of a store is.
+// Age returns the time since the store last reported its clock, directly or through a peer.
 func (k *Kept) Age(address string, now clock.Time) time.Duration {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	if sh := k.shelves[address]; sh != nil {
-		return now.Sub(sh.heard)
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	if ix := k.indexes[address]; ix != nil {
+		return now.Sub(ix.reportedAt)
 	}
 	return now.Sub(clock.Time{})
 }
 
-// Watchers returns how many daemons may follow a store at a time; 0 where that is not
-// stated.
+// Watchers returns how many daemons may follow a store at a time, or 0 if that is not
+// configured.
 func (k *Kept) Watchers(address string) int {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	if sh := k.shelves[address]; sh != nil {
-		return sh.info.Watchers
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	if ix := k.indexes[address]; ix != nil {
+		return ix.info.Watchers
 	}
 	return 0
 }
 
-// Place is a store that holds a part.
+// Place is a store that holds a segment.
 type Place struct {
 	Address string
-	// Tokens is how many are kept.
+	// Tokens is the number of tokens held.
 	Tokens int
-	// Until is the time on the targets' clock after which a transfer must be
-	// thrown away.
+	// Until is the time on the targets' clock after which a transfer must be discarded.
 	Until time.Duration
 
 	info *StoreInfo
 }
 
-// Time returns how long the transfer to a domain takes as the store's link is
-// configured.
-func (p Place) Time(domain string) time.Duration { return p.info.transfer(p.Tokens, domain) }
+// Time returns the expected duration of the transfer to a failure domain, from the
+// configured speed of the store's link.
+func (p Place) Time(domain string) time.Duration { return p.info.transferTime(p.Tokens, domain) }
 
-// Find returns the stores that hold a part.
+// Find returns the stores that hold a segment.
 func (k *Kept) Find(name PartName, now clock.Time) []Place {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
 	var out []Place
-	for _, sh := range k.shelves {
-		tokens := sh.parts[name]
-		if tokens == 0 || !sh.fresh(now) {
+	for _, ix := range k.indexes {
+		tokens := ix.segments[name]
+		if tokens == 0 || !ix.fresh(now) {
 			continue
 		}
-		info := sh.info
-		out = append(out, Place{Address: info.Address, Tokens: tokens, Until: sh.clock + now.Sub(sh.heard) + copyLimit, info: &info})
+		info := ix.info
+		out = append(out, Place{Address: info.Address, Tokens: tokens, Until: ix.storeClock + now.Sub(ix.reportedAt) + transferTimeout, info: &info})
 	}
 	return out
 }
 
-// Room returns the store where a part that no store holds is to be kept, in a failure
-// domain that allowed reports to be one for it, or "". Daemons that know the same choose
-// the same.
+// Room returns the address of the store that should hold a segment, or "" if a store holds
+// it already or none has free capacity. It considers only stores in failure domains that
+// allowed accepts. Daemons with the same view choose the same store.
 func (k *Kept) Room(name PartName, tokens int, allowed func(domain string) bool, now clock.Time) string {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	best, high := "", 0.0
-	for address, sh := range k.shelves {
-		if sh.parts[name] > 0 {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	best, bestScore := "", 0.0
+	for address, ix := range k.indexes {
+		if ix.segments[name] > 0 {
 			return ""
 		}
-		if !allowed(sh.info.Domain) || !sh.fresh(now) || float64(sh.used+tokens) > fullShare*float64(sh.info.Room) {
+		if !allowed(ix.info.Domain) || !ix.fresh(now) || float64(ix.usedTokens+tokens) > maxFill*float64(ix.info.Room) {
 			continue
 		}
-		score := sh.score(name)
-		if score > high {
-			best, high = address, score
+		score := ix.score(name)
+		if score > bestScore {
+			best, bestScore = address, score
 		}
 	}
 	return best
 }
 
-// Outdated returns the parts of a store whose salt keep refuses, at most most
-// of them, and the epoch that they were seen in. It asks keep once for each salt: asked
-// for each of 13,000 parts four times a second it took more of a daemon's processor than
-// its heartbeats.
-func (k *Kept) Outdated(address string, most int, keep func(salt string) bool) ([]PartName, int64) {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	sh := k.shelves[address]
-	if sh == nil || !sh.known {
+// Outdated returns up to limit segments of a store whose salt keep rejects, and the epoch
+// they were seen in. It calls keep once per salt: calling it for each of 13,000 segments
+// four times a second took more of a daemon's processor time than its heartbeats.
+func (k *Kept) Outdated(address string, limit int, keep func(salt string) bool) ([]PartName, int64) {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	ix := k.indexes[address]
+	if ix == nil || !ix.synced {
 		return nil, 0
 	}
-	gone := map[string]bool{}
-	for salt := range sh.salts {
+	rejected := map[string]bool{}
+	for salt := range ix.salts {
 		if !keep(salt) {
-			gone[salt] = true
+			rejected[salt] = true
 		}
 	}
-	if len(gone) == 0 {
+	if len(rejected) == 0 {
 		return nil, 0
 	}
 	var out []PartName
-	for name := range sh.parts {
-		if gone[name.Salt] {
+	for name := range ix.segments {
+		if rejected[name.Salt] {
 			out = append(out, name)
 		}
-		if len(out) == most {
+		if len(out) == limit {
 			break
 		}
 	}
 	slices.SortFunc(out, func(a, b PartName) int { return strings.Compare(a.Salt+a.ID, b.Salt+b.ID) })
-	return out, sh.epoch
+	return out, ix.epoch
 }
 
-// Free frees parts of a store that were seen in an epoch.
-func (k *Kept) Free(ctx context.Context, address string, epoch int64, parts []PartName) error {
-	if err := k.watcher.Free(ctx, address, epoch, parts); err != nil {
+// Free frees segments of a store that were seen in the given epoch.
+func (k *Kept) Free(ctx context.Context, address string, epoch int64, segments []PartName) error {
+	if err := k.watcher.Free(ctx, address, epoch, segments); err != nil {
 		return errors.Wrap(err, address)
 	}
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	sh := k.shelves[address]
-	if sh == nil || sh.epoch != epoch {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	ix := k.indexes[address]
+	if ix == nil || ix.epoch != epoch {
 		return nil
 	}
-	for _, name := range parts {
-		sh.set(name, 0)
+	for _, name := range segments {
+		ix.set(name, 0)
 	}
-	k.log.Emit(event.StoreReclaimed, event.Ref{Target: address}, strconv.Itoa(len(parts))+" parts of other weights")
+	k.log.Emit(event.StoreReclaimed, event.Ref{Target: address}, strconv.Itoa(len(segments))+" segments of outdated weights")
 	return nil
 }
 
-// Stores returns the addresses that are followed.
+// Stores returns the addresses of the followed stores, sorted.
 func (k *Kept) Stores() []string {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
 	var out []string
-	for address := range k.shelves {
+	for address := range k.indexes {
 		out = append(out, address)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Tokens returns how many tokens all stores hold.
+// Tokens returns the number of tokens that all followed stores hold.
 func (k *Kept) Tokens() int {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
 	n := 0
-	for _, sh := range k.shelves {
-		n += sh.used
+	for _, ix := range k.indexes {
+		n += ix.usedTokens
 	}
 	return n
 }
--- a/core/cache/kept_test.go
+++ b/core/cache/kept_test.go
@@ -13,22 +13,22 @@
 	"embertally.dev/core/event"
 )
 
-// fakeStore answers questions for events as a test wants.
+// fakeStore is a Watcher that returns the events and contents that a test sets.
 type fakeStore struct {
-	mu    sync.Mutex
-	epoch int64
-	list  []PartChange
-	queue []PartEvents
-	wake  chan struct{}
-	freed []PartName
-	down  bool
+	mu       sync.Mutex
+	epoch    int64
+	contents []PartChange
+	events   []PartEvents
+	wake     chan struct{}
+	freed    []PartName
+	down     bool
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{epoch: 1, wake: make(chan struct{}, 16)} }
 
-func (s *fakeStore) tell(ev PartEvents) {
+func (s *fakeStore) report(ev PartEvents) {
 	s.mu.Lock()
-	s.queue = append(s.queue, ev)
+	s.events = append(s.events, ev)
 	s.mu.Unlock()
 	s.wake <- struct{}{}
 }
@@ -50,11 +50,11 @@
 	if s.down {
 		return PartEvents{}, errors.New("down")
 	}
-	if len(s.queue) == 0 {
+	if len(s.events) == 0 {
 		return PartEvents{Epoch: s.epoch, Next: since, Clock: time.Hour}, nil
 	}
-	ev := s.queue[0]
-	s.queue = s.queue[1:]
+	ev := s.events[0]
+	s.events = s.events[1:]
 	return ev, nil
 }
 
@@ -64,7 +64,7 @@
 	if s.down {
 		return PartEvents{}, errors.New("down")
 	}
-	return PartEvents{Epoch: s.epoch, Next: 1, Changes: s.list}, nil
+	return PartEvents{Epoch: s.epoch, Next: 1, Changes: s.contents}, nil
 }
 
 func (s *fakeStore) Free(_ context.Context, _ string, epoch int64, parts []PartName) error {
@@ -77,17 +77,17 @@
 	return nil
 }
 
-func part(id string, tokens int) PartChange {
+func change(id string, tokens int) PartChange {
 	return PartChange{PartName: PartName{Salt: "v1/m/", ID: id}, Tokens: tokens}
 }
 
-func followed(t *testing.T, s *fakeStore, rooms ...int) *Kept {
+func newFollowing(t *testing.T, s *fakeStore, capacities ...int) *Kept {
 	k := NewKept(s, &event.Log{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var infos []StoreInfo
-	for i, room := range rooms {
-		infos = append(infos, StoreInfo{Address: string(rune('a' + i)), Domain: "d", Room: room, TokenTime: time.Microsecond})
+	for i, capacity := range capacities {
+		infos = append(infos, StoreInfo{Address: string(rune('a' + i)), Domain: "d", Room: capacity, TokenTime: time.Microsecond})
 	}
 	k.Set(ctx, infos)
 	return k
@@ -99,13 +99,13 @@
 	}
 }
 
-func TestPartsAreFoundAsTheStoreTells(t *testing.T) {
+func TestFindFollowsStoreEvents(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	s.list = []PartChange{part("1", 100)}
-	k := followed(t, s, 1000)
+	s.contents = []PartChange{change("1", 100)}
+	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
-	s.tell(PartEvents{Epoch: 1, Next: 2, Clock: time.Hour, Changes: []PartChange{part("2", 50), part("1", 0)}})
+	s.report(PartEvents{Epoch: 1, Next: 2, Clock: time.Hour, Changes: []PartChange{change("2", 50), change("1", 0)}})
 	g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
 	g.Expect(found(k, "1")()).To(gomega.BeFalse())
 	g.Expect(k.Tokens()).To(gomega.Equal(50))
@@ -117,7 +117,7 @@
 	g.Expect(place.Until).To(gomega.BeNumerically(">", time.Hour))
 }
 
-func TestNothingIsBelievedAfterAGapOrANewEpoch(t *testing.T) {
+func TestGapOrNewEpochResyncs(t *testing.T) {
 	tests := []struct {
 		name string
 		ev   PartEvents
@@ -129,49 +129,49 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			s := newFakeStore()
-			s.list = []PartChange{part("1", 100)}
-			k := followed(t, s, 1000)
+			s.contents = []PartChange{change("1", 100)}
+			k := newFollowing(t, s, 1000)
 			g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 			s.mu.Lock()
-			s.list, s.epoch = []PartChange{part("2", 100)}, tc.ev.Epoch
+			s.contents, s.epoch = []PartChange{change("2", 100)}, tc.ev.Epoch
 			s.mu.Unlock()
-			s.tell(tc.ev)
+			s.report(tc.ev)
 			g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
 			g.Expect(found(k, "1")()).To(gomega.BeFalse())
 		})
 	}
 }
 
-func TestSilentStoreIsNotUsed(t *testing.T) {
+func TestUnreachableStoreIsNotUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	s.list = []PartChange{part("1", 100)}
-	k := followed(t, s, 1000)
+	s.contents = []PartChange{change("1", 100)}
+	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	s.setDown(true)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeFalse())
-	g.Expect(k.Room(PartName{"v1/m/", "9"}, 10, anywhere, clock.Now())).To(gomega.BeEmpty())
+	g.Expect(k.Room(PartName{"v1/m/", "9"}, 10, anyDomain, clock.Now())).To(gomega.BeEmpty())
 	s.setDown(false)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 }
 
-func TestRoomIsTakenWhereThereIsSome(t *testing.T) {
+func TestRoomChoosesStoreWithFreeCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	k := followed(t, s, 100, 1000)
-	room := func(tokens int) func() string {
-		return func() string { return k.Room(PartName{"v1/m/", "9"}, tokens, anywhere, clock.Now()) }
+	k := newFollowing(t, s, 100, 1000)
+	choose := func(tokens int) func() string {
+		return func() string { return k.Room(PartName{"v1/m/", "9"}, tokens, anyDomain, clock.Now()) }
 	}
-	g.Eventually(room(500), "10s", "5ms").Should(gomega.Equal("b"))
-	g.Expect(room(5000)()).To(gomega.BeEmpty())
-	g.Expect(room(10)()).To(gomega.Equal(room(10)()))
+	g.Eventually(choose(500), "10s", "5ms").Should(gomega.Equal("b"))
+	g.Expect(choose(5000)()).To(gomega.BeEmpty())
+	g.Expect(choose(10)()).To(gomega.Equal(choose(10)()))
 	none := func(string) bool { return false }
-	g.Expect(k.Room(PartName{"v1/m/", "9"}, 10, none, clock.Now())).To(gomega.BeEmpty(), "no store is where it may be kept")
+	g.Expect(k.Room(PartName{"v1/m/", "9"}, 10, none, clock.Now())).To(gomega.BeEmpty(), "no store is in an accepted failure domain")
 	k.Set(context.Background(), nil)
-	g.Expect(room(10)()).To(gomega.BeEmpty())
+	g.Expect(choose(10)()).To(gomega.BeEmpty())
 }
 
-func TestSaltsTellTheirWeights(t *testing.T) {
+func TestSaltVersionParsesPartSalt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	model, version, ok := SaltVersion(PartSalt{Model: "m", Version: 12, Wall: "org"}.String())
 	g.Expect([]any{model, version, ok}).To(gomega.Equal([]any{"m", int64(12), true}))
@@ -182,11 +182,11 @@
 	g.Expect(PartSalt{Model: "m", Version: 1}.String()).NotTo(gomega.Equal(PartSalt{Model: "m", Version: 1, Wall: "o"}.String()))
 }
 
-func TestPartsOfSupersededWeightsAreFreedLate(t *testing.T) {
+func TestSweeperFreesSupersededSegmentsAfterDelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	s.list = []PartChange{part("1", 100), {PartName: PartName{"v2/m/", "1"}, Tokens: 7}}
-	k := followed(t, s, 1000)
+	s.contents = []PartChange{change("1", 100), {PartName: PartName{"v2/m/", "1"}, Tokens: 7}}
+	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	since := clock.Now()
 	w := NewSweeper(SweepOptions{
@@ -195,28 +195,28 @@
 	})
 	w.sweep(context.Background(), "a")
 	g.Expect(s.freed).To(gomega.BeEmpty())
-	since = since.Add(-sweepAfter)
+	since = since.Add(-sweepDelay)
 	w.sweep(context.Background(), "a")
-	g.Expect(s.freed).To(gomega.BeEmpty(), "the daemon of the first rank comes first")
-	since = since.Add(-sweepRank)
+	g.Expect(s.freed).To(gomega.BeEmpty(), "the daemon of rank 0 frees first")
+	since = since.Add(-sweepRankDelay)
 	w.sweep(context.Background(), "a")
 	g.Expect(s.freed).To(gomega.Equal([]PartName{{"v1/m/", "1"}}))
 	g.Expect(k.Tokens()).To(gomega.Equal(7))
-	// A transfer that was decided by a daemon which had not heard of the newer
-	// weights is thrown away before.
-	g.Expect(sweepAfter).To(gomega.BeNumerically(">", CopyFresh+CopyLimit()))
+	// A transfer decided by a daemon that had not yet received the newer weights must be
+	// discarded before the segment is freed.
+	g.Expect(sweepDelay).To(gomega.BeNumerically(">", CopyFresh+CopyLimit()))
 }
 
-// anywhere allows all failure domains.
-func anywhere(string) bool { return true }
+// anyDomain accepts all failure domains.
+func anyDomain(string) bool { return true }
 
-// What a store held before the machine was suspended may have been freed since.
-func TestPartsAreNotNamedAfterASuspension(t *testing.T) {
+// Segments that a store held before the system was suspended may have been freed since.
+func TestSegmentsAreNotFoundAfterSuspend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	s.list = []PartChange{part("1", 100)}
-	k := followed(t, s, 1000)
+	s.contents = []PartChange{change("1", 100)}
+	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
-	clock.Suspend(heardLimit)
+	clock.Suspend(maxViewAge)
 	g.Expect(found(k, "1")()).To(gomega.BeFalse())
 }
--- a/core/cache/memory.go
+++ b/core/cache/memory.go
@@ -5,115 +5,115 @@
 	"time"
 )
 
-// memory is what one worker is believed to hold, the latest use first. The zero
-// value is empty.
-type memory struct {
-	order list.List // of *held
-	parts map[PartName]*list.Element
-	// tokens is the sum over order.
+// workerCache models the KV cache of one worker as an LRU list, most recently used first.
+// The zero value is empty.
+type workerCache struct {
+	lru      list.List // of *cacheEntry
+	segments map[PartName]*list.Element
+	// tokens is the sum over lru.
 	tokens int
-	// clock counts the tokens of all uses, so that the difference since a part's
-	// last use says how much was used after it.
+	// clock counts the tokens of all uses. Its advance since the last use of a segment is
+	// the number of tokens used after it.
 	clock int
-	// versions is the newest version of each model's weights that a request ran
-	// on; what older ones made is gone.
+	// versions is the newest weight version of each model that a request ran on; segments of
+	// older versions have been removed.
 	versions map[string]int64
-	last     time.Time
+	lastUsed time.Time
 }
 
-// held is one entry of a memory. Rests of requests, which nobody asks for again,
-// have a salt but no ID.
-type held struct {
+// cacheEntry is one entry of a workerCache. The unshared remainder of a request, which no
+// other request uses, has a salt but no ID.
+type cacheEntry struct {
 	name   PartName
 	tokens int
-	// used is what the memory's clock said after the last use.
-	used int
+	// lastUsed is the cache's clock after the last use.
+	lastUsed int
 }
 
-// put records the use of a part and reports whether it was not held.
-func (m *memory) put(name PartName, tokens int) bool {
-	if e := m.parts[name]; e != nil {
-		h := e.Value.(*held)
-		m.clock += h.tokens
-		h.used = m.clock
-		m.order.MoveToFront(e)
+// put records the use of a segment. It reports whether the segment has an ID and was added.
+func (c *workerCache) put(name PartName, tokens int) bool {
+	if e := c.segments[name]; e != nil {
+		entry := e.Value.(*cacheEntry)
+		c.clock += entry.tokens
+		entry.lastUsed = c.clock
+		c.lru.MoveToFront(e)
 		return false
 	}
 	if tokens <= 0 {
 		return false
 	}
-	m.clock += tokens
-	e := m.order.PushFront(&held{name, tokens, m.clock})
-	m.tokens += tokens
+	c.clock += tokens
+	e := c.lru.PushFront(&cacheEntry{name, tokens, c.clock})
+	c.tokens += tokens
 	if name.ID == "" {
 		return false
 	}
-	if m.parts == nil {
-		m.parts = map[PartName]*list.Element{}
+	if c.segments == nil {
+		c.segments = map[PartName]*list.Element{}
 	}
-	m.parts[name] = e
+	c.segments[name] = e
 	return true
 }
 
-// depth returns how much was used since the begin of the last use of a part, as a
-// part of the room: from 1 on the part is likely pushed out.
-func (m *memory) depth(name PartName, room int) float64 {
-	e := m.parts[name]
-	if e == nil || room <= 0 {
+// depth returns the number of tokens used since the start of the last use of a segment, as a
+// fraction of the capacity. From 1 on, the segment has probably been evicted.
+func (c *workerCache) depth(name PartName, capacity int) float64 {
+	e := c.segments[name]
+	if e == nil || capacity <= 0 {
 		return 0
 	}
-	h := e.Value.(*held)
-	return float64(m.clock-h.used+h.tokens) / float64(room)
+	entry := e.Value.(*cacheEntry)
+	return float64(c.clock-entry.lastUsed+entry.tokens) / float64(capacity)
 }
 
-// fit drops what was unused for longest until the rest fits into room, and
-// returns the parts dropped. A room of 0 is not known and drops nothing.
-func (m *memory) fit(room int) []PartName {
+// fit evicts the least recently used entries until the others fit the capacity, and returns
+// the segments evicted. A capacity of 0 means unknown and evicts nothing.
+func (c *workerCache) fit(capacity int) []PartName {
 	var out []PartName
-	for room > 0 && m.tokens > room && m.order.Len() > 0 {
-		out = m.remove(m.order.Back(), out)
+	for capacity > 0 && c.tokens > capacity && c.lru.Len() > 0 {
+		out = c.remove(c.lru.Back(), out)
 	}
 	return out
 }
 
-// renew drops the parts of older weights where a request runs on newer ones, and
-// returns them.
-func (m *memory) renew(salt string) []PartName {
+// renew removes the segments of older weights when a request runs on newer ones, and returns
+// them.
+func (c *workerCache) renew(salt string) []PartName {
 	model, version, ok := SaltVersion(salt)
-	if !ok || m.versions[model] >= version {
+	if !ok || c.versions[model] >= version {
 		return nil
 	}
-	if m.versions == nil {
-		m.versions = map[string]int64{}
+	if c.versions == nil {
+		c.versions = map[string]int64{}
 	}
-	m.versions[model] = version
+	c.versions[model] = version
 	var out []PartName
-	for e := m.order.Front(); e != nil; {
+	for e := c.lru.Front(); e != nil; {
 		next := e.Next()
-		if other, v, ok := SaltVersion(e.Value.(*held).name.Salt); ok && other == model && v < version {
-			out = m.remove(e, out)
+		if other, v, ok := SaltVersion(e.Value.(*cacheEntry).name.Salt); ok && other == model && v < version {
+			out = c.remove(e, out)
 		}
 		e = next
 	}
 	return out
 }
 
-// clear drops everything and returns the parts.
-func (m *memory) clear() []PartName {
+// clear removes all entries and returns their segments.
+func (c *workerCache) clear() []PartName {
 	var out []PartName
-	for m.order.Len() > 0 {
-		out = m.remove(m.order.Back(), out)
+	for c.lru.Len() > 0 {
+		out = c.remove(c.lru.Back(), out)
 	}
 	return out
 }
 
-// remove drops an entry and appends the name of its part, if it has one.
-func (m *memory) remove(e *list.Element, names []PartName) []PartName {
-	h := m.order.Remove(e).(*held)
-	m.tokens -= h.tokens
-	if h.name.ID == "" {
+// remove removes an entry and appends the name of its segment, if it has one.
+func (c *workerCache) remove(e *list.Element, names []PartName) []PartName {
+	entry := c.lru.Remove(e).(*cacheEntry)
+	c.tokens -= entry.tokens
+	if entry.name.ID == "" {
 		return names
 	}
-	delete(m.parts, h.name)
-	return append(names, h.name)
+	delete(c.segments, entry.name)
+	return append(names, entry.name)
 }
--- a/core/cache/parts.go
+++ b/core/cache/parts.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Part is one part of a prompt, in the order of the prompt. Parts that stand
-// first may be shared among requests.
+// Part is one segment of a prompt, in prompt order. Requests may share their leading
+// segments.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// PartSalt is the name under which parts are kept. Parts of other weights, and
-// those of an isolated organisation, have another one.
+// PartSalt forms the cache salt under which segments are stored. Segments of other weights,
+// and those of an isolated organisation, have a different salt.
 type PartSalt struct {
 	Model   string
 	Version int64
-	// Wall is the isolated organisation, or "".
+	// Wall is the isolated organisation, or "" if the segment may be shared.
 	Wall string
 }
 
-// String returns the salt as engines and stores get it.
+// String returns the salt in the form that engines and stores receive.
 func (s PartSalt) String() string {
 	return "v" + strconv.FormatInt(s.Version, 10) + "/" + s.Model + "/" + s.Wall
 }
 
-// SaltVersion returns the weight version and model of a salt that String wrote.
+// SaltVersion parses the model and weight version from a salt that String returned.
 func SaltVersion(salt string) (model string, version int64, ok bool) {
 	head, rest, found := strings.Cut(salt, "/")
 	if !found || !strings.HasPrefix(head, "v") {
@@ -39,60 +39,59 @@
 	return model, version, err == nil && found
 }
 
-// PartName names one kept part.
+// PartName identifies a cached segment.
 type PartName struct{ Salt, ID string }
 
-// PartChange is one change of what a store holds.
+// PartChange is one change of the segments that a store holds.
 type PartChange struct {
 	PartName
-	// Tokens is how many are kept now; 0 where the part went.
+	// Tokens is the number of tokens held now; 0 if the segment was removed.
 	Tokens int
 }
 
-// PartEvents is what a store tells of its changes.
+// PartEvents is a list of changes that a store reported.
 type PartEvents struct {
-	// Epoch changes when the store starts anew.
+	// Epoch changes when the store restarts.
 	Epoch int64
-	// Next is where the next question goes on.
+	// Next is the position from which the next query continues.
 	Next int64
-	// Gap tells that changes before Changes are lost.
+	// Gap is set if changes before Changes were lost.
 	Gap     bool
 	Changes []PartChange
-	// Clock is the targets' clock now; 0 where it was not told.
+	// Clock is the targets' clock at the time of the report; 0 if it was not reported.
 	Clock time.Duration
-	// Age is how long ago the store told this.
+	// Age is the time since the store made the report.
 	Age time.Duration
 }
 
-// Watcher asks stores what they hold.
+// Watcher is a client of the KV-cache stores.
 type Watcher interface {
-	// Events returns the changes since a point, waiting for the first.
+	// Events returns the changes after since and waits up to wait for the first.
 	Events(ctx context.Context, address string, since int64, wait time.Duration) (PartEvents, error)
-	// Contents returns everything that is held, which may take long; it gives up
-	// where nothing comes any more.
+	// Contents returns everything the store holds, which may take long. It gives up if the
+	// store stops sending.
 	Contents(ctx context.Context, address string) (PartEvents, error)
-	// Free frees parts of a store in an epoch.
-	Free(ctx context.Context, address string, epoch int64, parts []PartName) error
+	// Free frees segments of a store in the given epoch.
+	Free(ctx context.Context, address string, epoch int64, segments []PartName) error
 }
 
-// StoreInfo is what is configured of a store.
+// StoreInfo is the configuration of a store.
 type StoreInfo struct {
 	Address string
 	Domain  string
-	// Room is how many tokens fit.
+	// Room is the capacity in tokens.
 	Room int
-	// TokenTime is how long one token takes over the store's link.
+	// TokenTime is the transfer time of one token over the store's link.
 	TokenTime time.Duration
-	// First is the wait before the first byte of a transfer.
+	// First is the delay before the first byte of a transfer.
 	First time.Duration
-	// Watchers is how many daemons may follow the store at a time; 0 where that is not
-	// stated.
+	// Watchers is how many daemons may follow the store at a time; 0 if not configured.
 	Watchers int
 }
 
-// transfer returns how long tokens take to a worker in a domain; links between
-// domains carry half.
-func (s *StoreInfo) transfer(tokens int, domain string) time.Duration {
+// transferTime returns how long a transfer to a worker in a failure domain takes. Links
+// between domains have half the bandwidth.
+func (s *StoreInfo) transferTime(tokens int, domain string) time.Duration {
 	d := time.Duration(tokens) * s.TokenTime
 	if domain != "" && domain != s.Domain {
 		d *= 2
--- a/core/cache/shelf.go
+++ b/core/cache/shelf.go
@@ -10,113 +10,118 @@
 	"embertally.dev/core/clock"
 )
 
-// shelf is one store. All of it is guarded by Kept.keptMu.
-type shelf struct {
+// storeIndex is the index of one store's contents. All fields are guarded by Kept.indexesMu.
+type storeIndex struct {
 	info StoreInfo
 	stop context.CancelFunc
-	// known tells that parts is what the store holds in epoch, as far as its
-	// events came.
-	known bool
-	epoch int64
-	next  int64
-	parts map[PartName]int
-	used  int
-	// salts counts the parts of each salt: there are few.
+	// synced is set while segments matches the contents of the store in epoch, up to the
+	// last event received.
+	synced bool
+	epoch  int64
+	// next is the position in the store's events from which the next query continues.
+	next int64
+	// segments maps each segment held to its tokens, and usedTokens is their sum.
+	segments   map[PartName]int
+	usedTokens int
+	// salts counts the segments of each salt. There are few salts.
 	salts map[string]int
-	// heard is when the store last told its clock, to this daemon or to one that told
-	// it on, and clock what it said.
-	heard clock.Time
-	clock time.Duration
-	// news is closed and replaced when the store was heard or lost.
-	news chan struct{}
-	// down tells that it did not answer lately.
+	// reportedAt is when the store last reported its clock, to this daemon or to a peer that
+	// forwarded it; storeClock is the time it reported.
+	reportedAt clock.Time
+	storeClock time.Duration
+	// changed is closed and replaced when the store reports or stops answering.
+	changed chan struct{}
+	// down is set if the last query failed.
 	down bool
-	// history holds the latest changes for peers, and base is where it begins.
-	history []keptBatch
-	base    int64
+	// history holds the latest changes for peers; it covers the events after historyStart.
+	history      []changeBatch
+	historyStart int64
 }
 
-// keptBatch is what one answer of a store told.
-type keptBatch struct {
+// changeBatch is the changes in one response of a store. next is the position after them.
+type changeBatch struct {
 	next    int64
 	changes []PartChange
 }
 
-// batchMost bounds the answers kept for peers.
-const batchMost = 256
+// maxBatches is the number of responses kept for peers.
+const maxBatches = 256
 
-// heardLimit is the age up to which what a store said is acted on.
-const heardLimit = 2500 * time.Millisecond
+// maxViewAge is the age beyond which a store's report is no longer acted on.
+const maxViewAge = 2500 * time.Millisecond
 
-// fresh reports whether what is known of the store may be acted on.
-func (sh *shelf) fresh(now clock.Time) bool {
-	return sh.known && !sh.down && now.Sub(sh.heard) < heardLimit
+// fresh reports whether the view of the store is recent enough to act on.
+func (ix *storeIndex) fresh(now clock.Time) bool {
+	return ix.synced && !ix.down && now.Sub(ix.reportedAt) < maxViewAge
 }
 
-// take applies changes to what the store is known to hold.
-func (sh *shelf) take(ev PartEvents) {
+// apply applies changes to the recorded contents.
+func (ix *storeIndex) apply(ev PartEvents) {
 	for _, c := range ev.Changes {
-		sh.set(c.PartName, c.Tokens)
+		ix.set(c.PartName, c.Tokens)
 	}
-	sh.down = false
+	ix.down = false
 	if ev.Clock > 0 {
-		sh.heard, sh.clock = clock.Now().Add(-ev.Age), ev.Clock-ev.Age
+		ix.reportedAt, ix.storeClock = clock.Now().Add(-ev.Age), ev.Clock-ev.Age
 	}
-	sh.wake()
+	ix.notify()
 }
 
-// set records how many tokens of a part are kept.
-func (sh *shelf) set(name PartName, tokens int) {
-	was := sh.parts[name]
-	sh.used += tokens - was
+// set records how many tokens of a segment the store holds.
+func (ix *storeIndex) set(name PartName, tokens int) {
+	before := ix.segments[name]
+	ix.usedTokens += tokens - before
 	switch {
 	case tokens > 0:
-		sh.parts[name] = tokens
-		if was == 0 {
-			sh.salts[name.Salt]++
+		ix.segments[name] = tokens
+		if before == 0 {
+			ix.salts[name.Salt]++
 		}
-	case was > 0:
-		delete(sh.parts, name)
-		if sh.salts[name.Salt]--; sh.salts[name.Salt] == 0 {
-			delete(sh.salts, name.Salt)
+	case before > 0:
+		delete(ix.segments, name)
+		if ix.salts[name.Salt]--; ix.salts[name.Salt] == 0 {
+			delete(ix.salts, name.Salt)
 		}
 	}
 }
 
-// empty forgets all parts.
-func (sh *shelf) empty() { sh.parts, sh.salts, sh.used = map[PartName]int{}, map[string]int{}, 0 }
+// clear removes all segments.
+func (ix *storeIndex) clear() {
+	ix.segments, ix.salts, ix.usedTokens = map[PartName]int{}, map[string]int{}, 0
+}
 
-// wake ends the waits for news.
-func (sh *shelf) wake() {
-	close(sh.news)
-	sh.news = make(chan struct{})
+// notify wakes everyone who waits for a change.
+func (ix *storeIndex) notify() {
+	close(ix.changed)
+	ix.changed = make(chan struct{})
 }
 
-// remember keeps changes for peers, the latest batchMost answers of them.
-func (sh *shelf) remember(ev PartEvents) {
+// addHistory keeps the changes of one response for peers, and drops the oldest beyond
+// maxBatches.
+func (ix *storeIndex) addHistory(ev PartEvents) {
 	if len(ev.Changes) > 0 {
-		sh.history = append(sh.history, keptBatch{ev.Next, ev.Changes})
+		ix.history = append(ix.history, changeBatch{ev.Next, ev.Changes})
 	}
-	if len(sh.history) > batchMost {
-		sh.base = sh.history[0].next
-		sh.history = sh.history[1:]
+	if len(ix.history) > maxBatches {
+		ix.historyStart = ix.history[0].next
+		ix.history = ix.history[1:]
 	}
 }
 
-// told returns what the store told after a point, or everything where all is
-// set.
-func (sh *shelf) told(since int64, all bool, now clock.Time) PartEvents {
-	age := now.Sub(sh.heard)
-	out := PartEvents{Epoch: sh.epoch, Next: sh.next, Clock: sh.clock + age, Age: age}
+// eventsSince returns the changes that the store reported after since, or the whole contents
+// if all is set.
+func (ix *storeIndex) eventsSince(since int64, all bool, now clock.Time) PartEvents {
+	age := now.Sub(ix.reportedAt)
+	out := PartEvents{Epoch: ix.epoch, Next: ix.next, Clock: ix.storeClock + age, Age: age}
 	switch {
 	case all:
-		for name, tokens := range sh.parts {
+		for name, tokens := range ix.segments {
 			out.Changes = append(out.Changes, PartChange{name, tokens})
 		}
-	case since < sh.base:
+	case since < ix.historyStart:
 		out.Gap = true
 	default:
-		for _, b := range sh.history {
+		for _, b := range ix.history {
 			if b.next > since {
 				out.Changes = append(out.Changes, b.changes...)
 			}
@@ -125,17 +130,17 @@
 	return out
 }
 
-// score ranks the store for a part: a weighted draw by hashing, in which larger
-// stores take more.
-func (sh *shelf) score(name PartName) float64 {
+// score ranks the store for a segment by weighted rendezvous hashing, with the capacity as
+// the weight. The highest score wins.
+func (ix *storeIndex) score(name PartName) float64 {
 	var d xxhash.Digest
 	d.Reset()
 	d.WriteString(name.Salt)
 	d.WriteString(name.ID)
-	d.WriteString(sh.info.Address)
+	d.WriteString(ix.info.Address)
 	draw := float64(d.Sum64()%weightSteps+1) / (weightSteps + 1)
-	return -float64(sh.info.Room) / math.Log(draw)
+	return -float64(ix.info.Room) / math.Log(draw)
 }
 
-// weightSteps is the resolution of the draw.
+// weightSteps is the resolution of the hash draw.
 const weightSteps = 1 << 20
--- a/core/cache/shelffollower.go
+++ b/core/cache/shelffollower.go
@@ -9,68 +9,69 @@
 	"embertally.dev/core/wait"
 )
 
-// Times of following stores.
+// Timing of store queries.
 const (
-	// eventWait is how long a store may hold a question for changes. The
-	// platform prices questions that wait less than 200 ms.
-	eventWait = time.Second
-	// firstWait is the same for a store whose clock is not known yet: nothing may
-	// be copied before it is, which costs more than the question.
-	firstWait = time.Millisecond
-	// answerLimit is left for the answer beside.
-	answerLimit = time.Second
-	// downPause spaces the questions to a store that does not answer.
-	downPause = 400 * time.Millisecond
-	// settlePause gathers changes that come one by one.
-	settlePause = 100 * time.Millisecond
+	// longPollWait is how long a store may hold a query until there are changes. The
+	// platform charges for queries that wait less than 200 ms.
+	longPollWait = time.Second
+	// firstPollWait is the same for a store whose clock is not yet known: until it is,
+	// nothing may be copied, which costs more than the query.
+	firstPollWait = time.Millisecond
+	// responseAllowance is the time allowed for the response beyond the wait.
+	responseAllowance = time.Second
+	// retryPause is the delay after a failed query.
+	retryPause = 400 * time.Millisecond
+	// batchPause is the delay after a successful query, which batches changes that come one
+	// by one.
+	batchPause = 100 * time.Millisecond
 )
 
-// shelfFollower follows one store.
-type shelfFollower struct {
+// storeFollower keeps the index of one store up to date.
+type storeFollower struct {
 	k       *Kept
 	address string
 }
 
-// run asks the store until ctx ends.
-func (f shelfFollower) run(ctx context.Context) {
+// run queries the store until ctx ends.
+func (f storeFollower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := f.step(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			if !f.k.unheard(f.address) {
-				wait.For(ctx, settlePause)
+			if !f.k.clockUnknown(f.address) {
+				wait.For(ctx, batchPause)
 			}
 			continue
 		}
-		f.k.failed(f.address, err)
-		wait.For(ctx, downPause)
+		f.k.markDown(f.address, err)
+		wait.For(ctx, retryPause)
 	}
 }
 
-// step asks for everything where it is not known, else for the changes.
-func (f shelfFollower) step(ctx context.Context) error {
-	since, known := f.k.at(f.address)
-	if !known {
-		all, err := f.k.watcher.Contents(ctx, f.address)
+// step fetches the whole contents if the index is not in sync, else the changes.
+func (f storeFollower) step(ctx context.Context) error {
+	since, synced := f.k.position(f.address)
+	if !synced {
+		contents, err := f.k.watcher.Contents(ctx, f.address)
 		if err != nil {
 			return err
 		}
-		f.k.fill(f.address, all)
+		f.k.replace(f.address, contents)
 		return nil
 	}
-	return f.events(ctx, since)
+	return f.poll(ctx, since)
 }
 
-// events asks the store for the changes since a point.
-func (f shelfFollower) events(ctx context.Context, since int64) error {
-	ctx, cancel := context.WithTimeout(ctx, eventWait+answerLimit)
+// poll fetches the changes after since.
+func (f storeFollower) poll(ctx context.Context, since int64) error {
+	ctx, cancel := context.WithTimeout(ctx, longPollWait+responseAllowance)
 	defer cancel()
-	wait := eventWait
-	if f.k.unheard(f.address) {
-		// The list does not tell the targets' clock, which copies need.
-		wait = firstWait
+	wait := longPollWait
+	if f.k.clockUnknown(f.address) {
+		// The contents listing does not include the targets' clock, which copies need.
+		wait = firstPollWait
 	}
 	ev, err := f.k.watcher.Events(ctx, f.address, since, wait)
 	if err != nil {
@@ -80,71 +81,71 @@
 	return nil
 }
 
-// at returns where the next question to a store goes on, and whether its
-// contents are known.
-func (k *Kept) at(address string) (int64, bool) {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	sh := k.shelves[address]
-	if sh == nil {
+// position returns where the next query to a store continues, and whether its index is in
+// sync.
+func (k *Kept) position(address string) (int64, bool) {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	ix := k.indexes[address]
+	if ix == nil {
 		return 0, false
 	}
-	return sh.next, sh.known
+	return ix.next, ix.synced
 }
 
-// unheard reports whether a store has not told its clock yet.
-func (k *Kept) unheard(address string) bool {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	sh := k.shelves[address]
-	return sh != nil && sh.heard.IsZero()
+// clockUnknown reports whether a followed store has not yet reported its clock.
+func (k *Kept) clockUnknown(address string) bool {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	ix := k.indexes[address]
+	return ix != nil && ix.reportedAt.IsZero()
 }
 
-// fill takes everything that a store holds.
-func (k *Kept) fill(address string, all PartEvents) {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	sh := k.shelves[address]
-	if sh == nil {
+// replace sets the index of a store to its whole contents.
+func (k *Kept) replace(address string, contents PartEvents) {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	ix := k.indexes[address]
+	if ix == nil {
 		return
 	}
-	sh.empty()
-	sh.epoch, sh.next, sh.known = all.Epoch, all.Next, true
-	sh.history, sh.base = nil, all.Next
-	sh.take(all)
-	k.log.Emit(event.CacheResynced, event.Ref{Target: address}, strconv.Itoa(len(sh.parts))+" parts")
+	ix.clear()
+	ix.epoch, ix.next, ix.synced = contents.Epoch, contents.Next, true
+	ix.history, ix.historyStart = nil, contents.Next
+	ix.apply(contents)
+	k.log.Emit(event.CacheResynced, event.Ref{Target: address}, strconv.Itoa(len(ix.segments))+" segments")
 }
 
-// apply takes changes of a store.
+// apply applies changes to the index of a store. A gap or a new epoch empties it.
 func (k *Kept) apply(address string, ev PartEvents) {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	sh := k.shelves[address]
-	if sh == nil {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	ix := k.indexes[address]
+	if ix == nil {
 		return
 	}
-	if ev.Epoch != sh.epoch || ev.Gap {
-		sh.known = false
-		sh.empty()
+	if ev.Epoch != ix.epoch || ev.Gap {
+		ix.synced = false
+		ix.clear()
 		k.log.Emit(event.CacheGap, event.Ref{Target: address}, "epoch "+strconv.FormatInt(ev.Epoch, 10))
 		return
 	}
-	sh.next = ev.Next
-	sh.remember(ev)
-	sh.take(ev)
+	ix.next = ev.Next
+	ix.addHistory(ev)
+	ix.apply(ev)
 }
 
-// failed records that a store did not answer.
-func (k *Kept) failed(address string, err error) {
-	k.keptMu.Lock()
-	defer k.keptMu.Unlock()
-	sh := k.shelves[address]
-	if sh == nil {
+// markDown records that a query to a store failed.
+func (k *Kept) markDown(address string, err error) {
+	k.indexesMu.Lock()
+	defer k.indexesMu.Unlock()
+	ix := k.indexes[address]
+	if ix == nil {
 		return
 	}
-	if !sh.down {
+	if !ix.down {
 		k.log.Emit(event.TargetSuspect, event.Ref{Target: address}, "store: "+err.Error())
 	}
-	sh.down = true
-	sh.wake()
+	ix.down = true
+	ix.notify()
 }
--- a/core/cache/sweep.go
+++ b/core/cache/sweep.go
@@ -9,73 +9,73 @@
 	"embertally.dev/core/wait"
 )
 
-// SweepOptions of a sweeper.
+// SweepOptions configures a Sweeper.
 type SweepOptions struct {
 	Kept *Kept
-	// Rank says how many daemons free parts of a store before this one, which
-	// takes part where they do not.
+	// Rank returns how many daemons free segments of a store before this one, which does so
+	// only if they have not.
 	Rank func(address string) int
-	// Superseded returns since when this daemon knows that newer weights than
-	// those of a salt are named; false where there are none.
+	// Superseded returns when this daemon learned that newer weights than those of a salt
+	// are desired, or false if there are none.
 	Superseded func(salt string) (clock.Time, bool)
 	Log        *event.Log
 }
 
-// Sweeper frees the parts of superseded weights in stores that free nothing by
+// Sweeper frees the segments of superseded weights in stores, which free nothing by
 // themselves.
 //
-// A part may be freed only when no transfer of it can still count: daemons
-// copy parts only while they know which weights are named, engines throw away
-// transfers that take longer than CopyLimit, and the sweeper waits for both.
+// A segment may be freed only when no transfer of it can still be used. Daemons copy
+// segments only while their view of the desired weights is at most CopyFresh old, and
+// engines discard transfers that take longer than CopyLimit; the sweeper waits for both.
 type Sweeper struct{ o SweepOptions }
 
 // NewSweeper returns a sweeper.
 func NewSweeper(o SweepOptions) *Sweeper { return &Sweeper{o} }
 
 const (
-	// sweepLook is the pause between looks.
-	sweepLook = 250 * time.Millisecond
-	// sweepAfter is how long after newer weights were named parts of the older
-	// are freed: CopyFresh for daemons that have not heard of it yet, copyLimit
-	// for their last transfers, and a margin for the time on the way.
-	sweepAfter = CopyFresh + copyLimit + 800*time.Millisecond
-	// sweepRank spaces the daemons that free parts of one store; an event that
-	// says so takes about 0.2 s.
-	sweepRank = 700 * time.Millisecond
-	// sweepMost is how many parts one call frees.
-	sweepMost = 400
-	// sweepLimit bounds one call.
-	sweepLimit = time.Second
+	// sweepInterval is the time between sweeps.
+	sweepInterval = 250 * time.Millisecond
+	// sweepDelay is the time from newer weights becoming desired until segments of the older
+	// ones are freed: CopyFresh for daemons that have not yet received the change,
+	// transferTimeout for their last transfers, and a margin for network delay.
+	sweepDelay = CopyFresh + transferTimeout + 800*time.Millisecond
+	// sweepRankDelay is the extra delay per rank of the daemons that free segments of one
+	// store. The event that reports the freeing takes about 0.2 s to arrive.
+	sweepRankDelay = 700 * time.Millisecond
+	// sweepBatch is the number of segments that one call frees.
+	sweepBatch = 400
+	// sweepTimeout bounds one call.
+	sweepTimeout = time.Second
 )
 
-// CopyFresh is the age of a daemon's knowledge of the named weights up to which
-// it copies parts from stores.
+// CopyFresh is the age of a daemon's view of the desired weights up to which it copies
+// segments from stores.
 const CopyFresh = 2200 * time.Millisecond
 
-// Run frees parts until ctx ends.
+// Run frees superseded segments until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, sweepLook)
+		wait.For(ctx, sweepInterval)
 		for _, address := range s.o.Kept.Stores() {
 			s.sweep(ctx, address)
 		}
 	}
 }
 
-// sweep frees what may be freed in one store, a call's worth of it.
+// sweep frees one batch of superseded segments in one store.
 func (s *Sweeper) sweep(ctx context.Context, address string) {
 	now := clock.Now()
-	after := sweepAfter + time.Duration(s.o.Rank(address))*sweepRank
-	parts, epoch := s.o.Kept.Outdated(address, sweepMost, func(salt string) bool {
+	after := sweepDelay + time.Duration(s.o.Rank(address))*sweepRankDelay
+	segments, epoch := s.o.Kept.Outdated(address, sweepBatch, func(salt string) bool {
 		since, superseded := s.o.Superseded(salt)
 		return !superseded || now.Sub(since) < after
 	})
-	if len(parts) == 0 {
+	if len(segments) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, sweepLimit)
+	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
-	if err := s.o.Kept.Free(ctx, address, epoch, parts); err != nil {
-		s.o.Log.Emit(event.TargetSuspect, event.Ref{Target: address}, "parts were not freed: "+err.Error())
+	if err := s.o.Kept.Free(ctx, address, epoch, segments); err != nil {
+		s.o.Log.Emit(event.TargetSuspect, event.Ref{Target: address}, "freeing segments: "+err.Error())
 	}
 }
--- a/core/cache/where.go
+++ b/core/cache/where.go
@@ -8,52 +8,50 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Where knows what the workers' memories hold, from the requests that this
-// daemon and its peers sent: a worker keeps what it read until newer requests
-// push it out, the longest unused first. It does not ask the workers, which tell
-// of changes late, and following them all costs more than it gains. The zero
-// value is ready.
+// Where estimates what the workers' KV caches hold, from the requests that this daemon and
+// its peers sent. It assumes that a worker keeps what it read until newer requests evict it,
+// least recently used first. It does not query the workers: they report changes late, and
+// following all of them costs more than it gains. The zero value is ready.
 //
-// Lock order: whereMu is taken alone.
+// Lock order: cachesMu is never held together with another lock of this package.
 type Where struct {
-	// Room returns how many tokens of context a worker holds, or 0 where that is
-	// not known. It is called with whereMu held. Set before use; nil stands for not
-	// known.
+	// Room returns the capacity of a worker's KV cache in tokens, or 0 if unknown. It is
+	// called with cachesMu held. Set before use; nil means that all are unknown.
 	Room func(target string) int
-	// ReadLife is how long a part counts as read lately after its last use; 0
-	// stands for readLife. Set before use.
+	// ReadLife is how long after its last use a segment counts as recently read, and how
+	// long a worker without requests is remembered; 0 stands for defaultReadWindow. Set
+	// before use.
 	ReadLife time.Duration
 
-	whereMu sync.Mutex
-	// memories holds what each worker is believed to hold. Guarded by whereMu.
-	memories map[string]*memory
-	// holders names the workers that are believed to hold a part. No list is
-	// empty. Guarded by whereMu.
+	cachesMu sync.Mutex
+	// caches models the cache of each worker. Guarded by cachesMu.
+	caches map[string]*workerCache
+	// holders lists the workers estimated to hold a segment. No list is empty. Guarded by
+	// cachesMu.
 	holders map[PartName][]string
-	// used is when any worker last got a part. Guarded by whereMu.
-	used map[PartName]time.Time
-	// untold are uses that peers have not been told; the first collected of them
-	// are being told. Guarded by whereMu.
-	untold    []Use
-	collected int       // guarded by whereMu
-	swept     time.Time // guarded by whereMu
+	// lastUsed is when any worker last received a segment. Guarded by cachesMu.
+	lastUsed map[PartName]time.Time
+	// unsent are the uses not yet sent to peers; the first sending of them are in the
+	// current heartbeat. Guarded by cachesMu.
+	unsent    []Use
+	sending   int       // guarded by cachesMu
+	lastSweep time.Time // last run of removeStale; guarded by cachesMu
 }
 
-// Use is one request sent to a worker, by what it leaves in its memory.
+// Use is one request sent to a worker, as the segments and tokens that it adds to the
+// worker's cache.
 type Use struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Target   string
 	Salt     string
-	// Parts are those that other requests have as well, in the order of the
-	// prompt.
+	// Parts are the segments that other requests share, in prompt order.
 	Parts []UsedPart
-	// Rest is how many more tokens the request brings, which nobody asks for
-	// again.
+	// Rest is the number of further tokens, which no other request shares.
 	Rest int
 }
 
-// UsedPart is one part of a Use.
+// UsedPart is one segment of a Use.
 type UsedPart struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
@@ -62,54 +60,54 @@
 }
 
 const (
-	// readLife is how long a part counts as read lately where no setting says.
-	readLife = 20 * time.Second
-	// whereSweep is the pause between removals of what was used long ago.
-	whereSweep = 5 * time.Second
-	// untoldMost bounds the uses of one heartbeat.
-	untoldMost = 200
+	// defaultReadWindow is the value of Where.ReadLife if none is set.
+	defaultReadWindow = 20 * time.Second
+	// staleCheckInterval is the time between removals of stale entries.
+	staleCheckInterval = 5 * time.Second
+	// maxUnsent bounds the uses that wait for the next heartbeat.
+	maxUnsent = 200
 )
 
 // Note records that a request is sent to a worker.
 func (w *Where) Note(u Use, now time.Time) {
-	w.whereMu.Lock()
-	defer w.whereMu.Unlock()
-	w.note(u, now)
-	if len(w.untold) < untoldMost {
-		w.untold = append(w.untold, u)
+	w.cachesMu.Lock()
+	defer w.cachesMu.Unlock()
+	w.record(u, now)
+	if len(w.unsent) < maxUnsent {
+		w.unsent = append(w.unsent, u)
 	}
 }
 
-// note is called with whereMu held.
-func (w *Where) note(u Use, now time.Time) {
-	if w.memories == nil {
-		w.memories, w.holders, w.used = map[string]*memory{}, map[PartName][]string{}, map[PartName]time.Time{}
+// record applies a use. It is called with cachesMu held.
+func (w *Where) record(u Use, now time.Time) {
+	if w.caches == nil {
+		w.caches, w.holders, w.lastUsed = map[string]*workerCache{}, map[PartName][]string{}, map[PartName]time.Time{}
 	}
-	m := w.memories[u.Target]
-	if m == nil {
-		m = &memory{}
-		w.memories[u.Target] = m
+	c := w.caches[u.Target]
+	if c == nil {
+		c = &workerCache{}
+		w.caches[u.Target] = c
 	}
-	m.last = now
-	w.drop(u.Target, m.renew(u.Salt))
-	m.put(PartName{Salt: u.Salt}, u.Rest)
-	// A worker gives up the end of a prompt before its begin.
+	c.lastUsed = now
+	w.removeHolder(u.Target, c.renew(u.Salt))
+	c.put(PartName{Salt: u.Salt}, u.Rest)
+	// A worker evicts the end of a prompt before its beginning.
 	for _, p := range slices.Backward(u.Parts) {
 		name := PartName{Salt: u.Salt, ID: p.ID}
-		if m.put(name, p.Tokens) {
+		if c.put(name, p.Tokens) {
 			w.holders[name] = append(w.holders[name], u.Target)
 		}
-		w.used[name] = now
+		w.lastUsed[name] = now
 	}
 	if w.Room != nil {
-		w.drop(u.Target, m.fit(w.Room(u.Target)))
+		w.removeHolder(u.Target, c.fit(w.Room(u.Target)))
 	}
-	w.sweep(now)
+	w.removeStale(now)
 }
 
-// drop records that a worker holds some parts no longer. It is called with
-// whereMu held.
-func (w *Where) drop(target string, names []PartName) {
+// removeHolder records that a worker no longer holds some segments. It is called with
+// cachesMu held.
+func (w *Where) removeHolder(target string, names []PartName) {
 	for _, name := range names {
 		list := slices.DeleteFunc(w.holders[name], func(t string) bool { return t == target })
 		if w.holders[name] = list; len(list) == 0 {
@@ -118,88 +116,90 @@
 	}
 }
 
-// sweep forgets what was used long ago. It is called with whereMu held.
-func (w *Where) sweep(now time.Time) {
-	if now.Sub(w.swept) < whereSweep {
+// removeStale removes segments and workers not used within the read window. It is called
+// with cachesMu held.
+func (w *Where) removeStale(now time.Time) {
+	if now.Sub(w.lastSweep) < staleCheckInterval {
 		return
 	}
-	w.swept = now
-	life := w.readLife()
-	for name, at := range w.used {
-		if now.Sub(at) > life {
-			delete(w.used, name)
+	w.lastSweep = now
+	window := w.readWindow()
+	for name, at := range w.lastUsed {
+		if now.Sub(at) > window {
+			delete(w.lastUsed, name)
 		}
 	}
-	for target, m := range w.memories {
-		if now.Sub(m.last) > life {
-			w.drop(target, m.clear())
-			delete(w.memories, target)
+	for target, c := range w.caches {
+		if now.Sub(c.lastUsed) > window {
+			w.removeHolder(target, c.clear())
+			delete(w.caches, target)
 		}
 	}
 }
 
-// readLife returns how long a part counts as read lately.
-func (w *Where) readLife() time.Duration {
+// readWindow returns how long a segment counts as recently read.
+func (w *Where) readWindow() time.Duration {
 	if w.ReadLife > 0 {
 		return w.ReadLife
 	}
-	return readLife
+	return defaultReadWindow
 }
 
-// Holder is a worker that is believed to hold a part.
+// Holder is a worker estimated to hold a segment.
 type Holder struct {
 	Target string
-	// Depth says how much the worker has used since the part, over the room it
-	// has: the deeper a part lies the likelier it was pushed out. It is 0 where the
-	// room is not known.
+	// Depth is the number of tokens that the worker has used since the start of the
+	// segment's last use, as a fraction of its capacity: the larger, the likelier the
+	// segment has been evicted. It is 0 if the capacity is unknown.
 	Depth float64
 }
 
-// Find returns the workers that are believed to hold a part, and whether the
-// part was read lately at all.
+// Find returns the workers estimated to hold a segment, and whether any worker read it
+// recently.
 func (w *Where) Find(name PartName, now time.Time) (holders []Holder, read bool) {
-	w.whereMu.Lock()
-	defer w.whereMu.Unlock()
+	w.cachesMu.Lock()
+	defer w.cachesMu.Unlock()
 	for _, target := range w.holders[name] {
 		h := Holder{Target: target}
 		if w.Room != nil {
-			h.Depth = w.memories[target].depth(name, w.Room(target))
+			h.Depth = w.caches[target].depth(name, w.Room(target))
 		}
 		holders = append(holders, h)
 	}
-	at, ok := w.used[name]
-	return holders, ok && now.Sub(at) <= w.readLife()
+	at, ok := w.lastUsed[name]
+	return holders, ok && now.Sub(at) <= w.readWindow()
 }
 
-// Collect returns what peers have not been told yet.
+// Collect returns the uses not yet sent to peers.
 func (w *Where) Collect(bool) any {
-	w.whereMu.Lock()
-	defer w.whereMu.Unlock()
-	w.collected = len(w.untold)
-	if w.collected == 0 {
+	w.cachesMu.Lock()
+	defer w.cachesMu.Unlock()
+	w.sending = len(w.unsent)
+	if w.sending == 0 {
 		return nil
 	}
-	return w.untold
+	return w.unsent
 }
 
-// Told forgets what a round of heartbeats has told.
+// Told removes the uses that the last Collect returned, once a round of heartbeats has sent
+// them.
 func (w *Where) Told() {
-	w.whereMu.Lock()
-	defer w.whereMu.Unlock()
-	w.untold, w.collected = w.untold[w.collected:], 0
+	w.cachesMu.Lock()
+	defer w.cachesMu.Unlock()
+	w.unsent, w.sending = w.unsent[w.sending:], 0
 }
 
-// Receive takes what a peer tells.
+// Receive applies the uses that a peer sent.
 func (w *Where) Receive(_ string, raw []byte) {
-	var told []Use
-	if err := msgpack.Unmarshal(raw, &told); err != nil {
-		// A peer of another version; what it tells is not used.
+	var uses []Use
+	if err := msgpack.Unmarshal(raw, &uses); err != nil {
+		// The peer runs another version; its uses are ignored.
 		return
 	}
 	now := time.Now()
-	w.whereMu.Lock()
-	defer w.whereMu.Unlock()
-	for _, u := range told {
-		w.note(u, now)
+	w.cachesMu.Lock()
+	defer w.cachesMu.Unlock()
+	for _, u := range uses {
+		w.record(u, now)
 	}
 }
--- a/core/cache/where_test.go
+++ b/core/cache/where_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// use is a request with one shared part and a rest of its own.
-func use(target, id string, tokens, rest int) Use {
-	return Use{Target: target, Salt: "v1/m/", Parts: []UsedPart{{ID: id, Tokens: tokens}}, Rest: rest}
+// use returns a request with one shared segment and some unshared tokens.
+func use(target, id string, tokens, unshared int) Use {
+	return Use{Target: target, Salt: "v1/m/", Parts: []UsedPart{{ID: id, Tokens: tokens}}, Rest: unshared}
 }
 
-// holders returns the workers that are believed to hold a part.
+// holders returns the workers estimated to hold a segment.
 func holders(w *Where, id string) []string {
 	return targetsOf(w, PartName{"v1/m/", id}, time.Now())
 }
 
-// targetsOf returns the workers that are believed to hold a part.
+// targetsOf returns the workers estimated to hold a segment at a given time.
 func targetsOf(w *Where, name PartName, now time.Time) []string {
 	found, _ := w.Find(name, now)
 	var out []string
@@ -30,26 +30,26 @@
 	return out
 }
 
-func room(tokens int) func(string) int { return func(string) int { return tokens } }
+func capacity(tokens int) func(string) int { return func(string) int { return tokens } }
 
-func TestUsesAreToldOnce(t *testing.T) {
+func TestUsesAreSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var mine, other Where
+	var local, other Where
 	now := time.Now()
-	mine.Note(use("w1", "1", 10, 5), now)
-	raw, err := msgpack.Marshal(mine.Collect(false))
+	local.Note(use("w1", "1", 10, 5), now)
+	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	mine.Note(use("w2", "2", 10, 5), now)
-	mine.Told()
-	g.Expect(mine.Collect(false)).To(gomega.Equal([]Use{use("w2", "2", 10, 5)}), "noted while the first was told")
-	mine.Told()
-	g.Expect(mine.Collect(false)).To(gomega.BeNil())
+	local.Note(use("w2", "2", 10, 5), now)
+	local.Told()
+	g.Expect(local.Collect(false)).To(gomega.Equal([]Use{use("w2", "2", 10, 5)}), "recorded while the first was being sent")
+	local.Told()
+	g.Expect(local.Collect(false)).To(gomega.BeNil())
 	other.Receive("mine", raw)
 	g.Expect(holders(&other, "1")).To(gomega.Equal([]string{"w1"}))
 	other.Receive("mine", []byte("no msgpack"))
 }
 
-func TestWhatWasReadLatelyIsForgotten(t *testing.T) {
+func TestReadWindowExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w := Where{ReadLife: time.Minute}
 	name, now := PartName{"v1/m/", "1"}, time.Now()
@@ -59,25 +59,25 @@
 	_, read = w.Find(name, now.Add(61*time.Second))
 	g.Expect(read).To(gomega.BeFalse())
 	w.Note(use("w2", "2", 10, 5), now.Add(61*time.Second))
-	g.Expect(targetsOf(&w, name, now.Add(61*time.Second))).To(gomega.BeEmpty(), "a worker that got nothing for so long is forgotten")
+	g.Expect(targetsOf(&w, name, now.Add(61*time.Second))).To(gomega.BeEmpty(), "a worker without requests for the read window is removed")
 }
 
-func TestMemoryGivesUpWhatIsUnusedForLongest(t *testing.T) {
+func TestLeastRecentlyUsedSegmentIsEvicted(t *testing.T) {
 	tests := []struct {
 		name string
 		uses []Use
 		want map[string]bool
 	}{
 		{"all fit", []Use{use("w", "a", 40, 0), use("w", "b", 40, 0)}, map[string]bool{"a": true, "b": true}},
-		{"the older goes", []Use{use("w", "a", 40, 0), use("w", "b", 70, 0)}, map[string]bool{"a": false, "b": true}},
-		{"a use keeps a part", []Use{use("w", "a", 40, 0), use("w", "b", 40, 0), use("w", "a", 40, 0), use("w", "c", 40, 0)}, map[string]bool{"a": true, "b": false, "c": true}},
-		{"requests' own parts take room", []Use{use("w", "a", 40, 0), use("w", "b", 10, 55)}, map[string]bool{"a": false, "b": true}},
-		{"another worker's room is its own", []Use{use("w", "a", 40, 0), use("v", "b", 90, 0)}, map[string]bool{"a": true, "b": true}},
+		{"the least recently used is evicted", []Use{use("w", "a", 40, 0), use("w", "b", 70, 0)}, map[string]bool{"a": false, "b": true}},
+		{"a use keeps a segment", []Use{use("w", "a", 40, 0), use("w", "b", 40, 0), use("w", "a", 40, 0), use("w", "c", 40, 0)}, map[string]bool{"a": true, "b": false, "c": true}},
+		{"unshared tokens take capacity", []Use{use("w", "a", 40, 0), use("w", "b", 10, 55)}, map[string]bool{"a": false, "b": true}},
+		{"each worker has its own capacity", []Use{use("w", "a", 40, 0), use("v", "b", 90, 0)}, map[string]bool{"a": true, "b": true}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w := Where{Room: room(100)}
+			w := Where{Room: capacity(100)}
 			for _, u := range tc.uses {
 				w.Note(u, time.Now())
 			}
@@ -88,9 +88,9 @@
 	}
 }
 
-func TestDepthIsWhatWasUsedSince(t *testing.T) {
+func TestDepthCountsTokensUsedSince(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := Where{Room: room(1000)}
+	w := Where{Room: capacity(1000)}
 	now := time.Now()
 	w.Note(use("w", "a", 100, 50), now)
 	found, _ := w.Find(PartName{"v1/m/", "a"}, now)
@@ -100,10 +100,10 @@
 	g.Expect(found).To(gomega.Equal([]Holder{{Target: "w", Depth: 0.5}}))
 }
 
-// A worker that changes its weights drops what it kept.
-func TestNewWeightsEmptyAMemory(t *testing.T) {
+// A worker that loads new weights drops the segments of the old ones.
+func TestNewWeightsRemoveOldSegments(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := Where{Room: room(100)}
+	w := Where{Room: capacity(100)}
 	other := Use{Target: "w", Salt: "v1/other/", Parts: []UsedPart{{ID: "o", Tokens: 20}}}
 	newer := Use{Target: "w", Salt: "v2/m/", Parts: []UsedPart{{ID: "b", Tokens: 60}}}
 	for _, u := range []Use{use("w", "a", 40, 20), other, newer} {
@@ -111,14 +111,14 @@
 	}
 	g.Expect(holders(&w, "a")).To(gomega.BeEmpty())
 	g.Expect(targetsOf(&w, PartName{"v2/m/", "b"}, time.Now())).To(gomega.Equal([]string{"w"}))
-	g.Expect(targetsOf(&w, PartName{"v1/other/", "o"}, time.Now())).To(gomega.Equal([]string{"w"}), "another model's parts stay")
+	g.Expect(targetsOf(&w, PartName{"v1/other/", "o"}, time.Now())).To(gomega.Equal([]string{"w"}), "another model's segments stay")
 }
 
-// Whatever is used, no memory is believed to hold more than its room, and who
-// holds a part agrees with what the memories hold.
-func TestMemoriesStayWithinTheirRoom(t *testing.T) {
+// Whatever uses are recorded, no cache is modelled beyond its capacity, and the holders of
+// each segment match the caches.
+func TestCachesStayWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Where{Room: room(500)}
+		w := Where{Room: capacity(500)}
 		now := time.Now()
 		for range rapid.IntRange(1, 60).Draw(t, "uses") {
 			u := use("w"+strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "worker")), strconv.Itoa(rapid.IntRange(0, 9).Draw(t, "part")),
@@ -128,27 +128,27 @@
 			w.Note(u, now)
 		}
 		found := 0
-		for target, m := range w.memories {
+		for target, c := range w.caches {
 			sum := 0
-			for e := m.order.Front(); e != nil; e = e.Next() {
-				sum += e.Value.(*held).tokens
+			for e := c.lru.Front(); e != nil; e = e.Next() {
+				sum += e.Value.(*cacheEntry).tokens
 			}
-			if sum != m.tokens || sum > 500 {
-				t.Fatalf("%s holds %d tokens, counted %d", target, sum, m.tokens)
+			if sum != c.tokens || sum > 500 {
+				t.Fatalf("%s holds %d tokens, counted %d", target, sum, c.tokens)
 			}
-			found += len(m.parts)
+			found += len(c.segments)
 		}
 		listed := 0
 		for name, targets := range w.holders {
 			for _, target := range targets {
-				if w.memories[target].parts[name] == nil {
-					t.Fatalf("%v is not at %s", name, target)
+				if w.caches[target].segments[name] == nil {
+					t.Fatalf("%v is not in the cache of %s", name, target)
 				}
 				listed++
 			}
 		}
 		if listed != found {
-			t.Fatalf("%d holders listed of %d", listed, found)
+			t.Fatalf("%d holders listed, caches have %d segments", listed, found)
 		}
 	})
 }
