--- a/core/cache/sweep.go
+++ b/core/cache/sweep.go
@@ -76,6 +76,6 @@
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
 	if err := s.o.Kept.Free(ctx, address, epoch, segments); err != nil {
-		s.o.Log.Emit(event.TargetSuspect, event.Ref{Target: address}, "freeing segments: "+err.Error())
+		s.o.Log.Emit(event.TargetSuspect, event.Ref{Target: address}, "freeing segments failed: "+err.Error())
 	}
 }
