--- a/core/home/duty.go
+++ b/core/home/duty.go
@@ -11,75 +11,76 @@
 	"embertally.dev/core/target"
 )
 
-// duties follows the workers that this daemon has the duty for.
-type duties struct {
+// assignments follows the workers that are assigned to this daemon.
+type assignments struct {
 	home *Home
-	// running are the followed workers, adjusted to snap and view; only run
-	// uses these.
-	running map[string]followed
+	// running are the followers started for snap and view. Only run uses these fields.
+	running map[string]runningFollower
 	snap    *conf.Snapshot
 	view    *fleet.View
 }
 
-type followed struct {
+// runningFollower is a started follower and the URL of its worker.
+type runningFollower struct {
 	url  string
 	stop context.CancelFunc
 }
 
-// dutyPause is the time between looks at what the duties are.
-const dutyPause = 500 * time.Millisecond
+// adjustInterval is the time between checks of the assignments.
+const adjustInterval = 500 * time.Millisecond
 
-func (d *duties) run(ctx context.Context) {
-	d.running = map[string]followed{}
+// run keeps the followers adjusted until ctx ends.
+func (a *assignments) run(ctx context.Context) {
+	a.running = map[string]runningFollower{}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	t := time.NewTicker(dutyPause)
+	t := time.NewTicker(adjustInterval)
 	defer t.Stop()
 	for {
-		d.adjust(ctx, &wg)
+		a.adjust(ctx, &wg)
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-d.home.o.Conf.Changed():
+		case <-a.home.o.Conf.Changed():
 		}
 	}
 }
 
-// adjust starts and stops following so that it fits the duties.
-func (d *duties) adjust(ctx context.Context, wg *sync.WaitGroup) {
-	snap, view := d.home.o.Conf.Snapshot(), d.home.o.Fleet.View()
-	if d.snap == snap && d.view == view {
+// adjust starts and stops followers to match the assignments.
+func (a *assignments) adjust(ctx context.Context, wg *sync.WaitGroup) {
+	snap, view := a.home.o.Conf.Snapshot(), a.home.o.Fleet.View()
+	if a.snap == snap && a.view == view {
 		return
 	}
-	d.snap, d.view = snap, view
-	want := map[string]*conf.Target{}
-	for _, name := range d.home.plan(snap, view).workers {
+	a.snap, a.view = snap, view
+	assigned := map[string]*conf.Target{}
+	for _, name := range a.home.targets(snap, view).workers {
 		if view.Duty(fleet.Key("follow/"+name)) == view.Self() {
-			want[name] = snap.Target(name)
+			assigned[name] = snap.Target(name)
 		}
 	}
-	for name, f := range d.running {
-		if t := want[name]; t == nil || t.URL != f.url {
+	for name, f := range a.running {
+		if t := assigned[name]; t == nil || t.URL != f.url {
 			f.stop()
-			delete(d.running, name)
-			d.home.loads.disown(name)
+			delete(a.running, name)
+			a.home.loads.unfollow(name)
 		}
 	}
-	for name, t := range want {
-		if _, ok := d.running[name]; ok {
+	for name, t := range assigned {
+		if _, ok := a.running[name]; ok {
 			continue
 		}
 		ctx, stop := context.WithCancel(ctx)
-		d.running[name] = followed{url: t.URL, stop: stop}
-		e := d.home.engine(t)
-		f := cache.NewFollower(name, &feed{d.home, name, e}, d.roots(snap, t), d.home, d.home.o.Log)
+		a.running[name] = runningFollower{url: t.URL, stop: stop}
+		e := a.home.engine(t)
+		f := cache.NewFollower(name, &feed{a.home, name, e}, a.rootBlocks(snap, t), a.home, a.home.o.Log)
 		wg.Go(func() { f.Run(ctx) })
 	}
 }
 
-// roots returns how many first blocks name a context on a worker.
-func (d *duties) roots(snap *conf.Snapshot, t *conf.Target) int {
+// rootBlocks returns how many first blocks identify a context on a worker.
+func (a *assignments) rootBlocks(snap *conf.Snapshot, t *conf.Target) int {
 	for _, name := range t.Deployments {
 		if dep := snap.Deployment(name); dep != nil {
 			return dep.Roots()
@@ -88,20 +89,20 @@
 	return 1
 }
 
-// feed is what one worker tells of its cache and load.
+// feed provides the cache events of one worker and records its load.
 type feed struct {
 	home   *Home
 	worker string
 	engine *target.Engine
 }
 
-// CacheNotes gathers cache events and takes the load that comes with them.
+// CacheNotes returns cache events and records the load that comes with them.
 func (f *feed) CacheNotes(ctx context.Context, seq uint64) ([]cache.Note, error) {
 	n, err := f.engine.News(ctx, seq, f.home.o.LoadPause)
 	if err != nil {
 		return nil, err
 	}
-	f.home.loads.setOwn(f.convert(n.Load), time.Now())
+	f.home.loads.setFollowed(f.convert(n.Load), time.Now())
 	return n.Events, nil
 }
 
@@ -110,6 +111,7 @@
 	return f.engine.CacheContents(ctx)
 }
 
+// convert turns the load in a worker's own form into that sent to daemons.
 func (f *feed) convert(l target.Load) workerLoad {
 	w := workerLoad{
 		Holds:  []string{},
@@ -127,27 +129,28 @@
 	return w
 }
 
-// Lost tells the homes of contexts what a worker no longer holds.
+// Lost notifies the owners of contexts that a worker no longer holds blocks of them.
 func (h *Home) Lost(worker string, list []cache.Mark) {
-	for home, ms := range h.byHome(list) {
-		h.tell(home, kindLost, &marks{worker, ms})
+	for owner, refs := range h.byOwner(list) {
+		h.notifyBlocks(owner, kindLost, &blockNotice{worker, refs})
 	}
 }
 
-// Resynced tells every daemon of the cell what a worker holds now.
+// Resynced notifies every daemon of the cell which chains a worker holds now.
 func (h *Home) Resynced(worker string, tips []cache.Mark) {
-	byHome := h.byHome(tips)
+	byOwner := h.byOwner(tips)
 	for _, name := range h.o.Fleet.View().OnDuty() {
-		h.tell(name, kindResynced, &marks{worker, byHome[name]})
+		h.notifyBlocks(name, kindResynced, &blockNotice{worker, byOwner[name]})
 	}
 }
 
-func (h *Home) byHome(list []cache.Mark) map[string][]cache.Mark {
+// byOwner groups block references by the owner of their context.
+func (h *Home) byOwner(list []cache.Mark) map[string][]cache.Mark {
 	view := h.o.Fleet.View()
 	out := map[string][]cache.Mark{}
 	for _, m := range list {
-		home := view.Home(m.Root)
-		out[home] = append(out[home], m)
+		owner := view.Home(m.Root)
+		out[owner] = append(out[owner], m)
 	}
 	return out
 }
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -1,9 +1,10 @@
-// Package home owns the duties that a daemon has for contexts, workers and
-// links: it decides where the requests of its contexts go, follows workers'
-// cache events and load, shares the links to stores, and moves kept context.
+// Package home owns the work that is assigned to a daemon for contexts, workers and links.
+// As the context owner it decides where requests of a context go. It follows workers' cache
+// events and load, schedules the links to stores, and imports and exports blocks of cached
+// contexts.
 //
-// It must not know of callers: a request comes to it as lengths and hashes.
-// All that it knows is hints that may be lost with the daemon.
+// It must not know callers: it receives a request as lengths and hashes. All of its state is
+// hints that may be lost with the daemon.
 package home
 
 import (
@@ -26,7 +27,7 @@
 	"embertally.dev/core/wire"
 )
 
-// Options of a home.
+// Options configures a Home.
 type Options struct {
 	// Domain is this daemon's failure domain.
 	Domain    string
@@ -36,60 +37,62 @@
 	Log       *event.Log
 	// Client reaches engines and stores.
 	Client *http.Client
-	// LoadPause is the time between readings of a worker's load.
+	// LoadPause is the interval at which a worker's load is read.
 	LoadPause time.Duration
-	// Ended, if set, hears of runs of workers that ended, as their successors tell. It must
-	// return at once.
-	Ended func(run string)
+	// Ended, if set, is called with the name of a worker incarnation when a report shows
+	// that another one has replaced it. It must not block.
+	Ended func(incarnation string)
 }
 
-// Home has the duties of one daemon.
+// Home does the assigned work of one daemon.
 type Home struct {
-	o      Options
-	index  cache.Index
-	loads  loads
-	links  links
-	duties duties
-	// exports are the contexts that wait to be exported.
+	o           Options
+	index       cache.Index
+	loads       loads
+	links       links
+	assignments assignments
+	// exports are the contexts queued for export.
 	exports chan export
-	turn    atomic.Uint64
-	// configured sets began, when this daemon was first seen to have a configuration.
-	configured sync.Once
-	began      time.Time
-	planned    atomic.Pointer[plan]
-	warm       atomic.Bool // Warm was true once
-	stats      Stats
-	// storeMu guards storeDown.
+	// roundRobin counts requests for round-robin placement.
+	roundRobin atomic.Uint64
+	// configured sets configuredAt once, when this daemon is first seen to have a
+	// configuration.
+	configured    sync.Once
+	configuredAt  time.Time
+	cachedTargets atomic.Pointer[cellTargets]
+	warm          atomic.Bool // set once Warm has returned true
+	stats         Stats
+	// storeMu guards downUntil.
 	storeMu   sync.Mutex
-	storeDown map[string]time.Time // until when a store is not asked
+	downUntil map[string]time.Time // by store; no queries are sent until then
 }
 
-// Stats counts what a home did since it started.
+// Stats counts events since the daemon started.
 type Stats struct {
 	Placed, Imports, ImportedBlocks, ImportsRejected atomic.Int64
 	Exports, ExportedBlocks, ExportsFailed           atomic.Int64
 	LinkBytes                                        atomic.Int64
-	// CacheLosses counts the contexts at home here of which a worker lost blocks.
+	// CacheLosses counts contexts owned here of which a worker lost blocks.
 	CacheLosses atomic.Int64
 }
 
-// maxExports bounds the exports that wait.
+// maxExports bounds the export queue.
 const maxExports = 256
 
-// New returns a home and registers its messages with the fleet.
+// New returns a Home and registers its messages with the fleet.
 func New(o Options) *Home {
-	h := &Home{o: o, loads: loads{ended: o.Ended}, exports: make(chan export, maxExports), storeDown: map[string]time.Time{}}
-	h.duties.home = h
+	h := &Home{o: o, loads: loads{onReplaced: o.Ended}, exports: make(chan export, maxExports), downUntil: map[string]time.Time{}}
+	h.assignments.home = h
 	m := o.Fleet.Mux()
 	m.Register(kindPlace, wire.Handle(h.place))
 	m.Register(kindDone, wire.Handle(h.done))
 	m.Register(kindLost, wire.Handle(h.lost))
 	m.Register(kindResynced, wire.Handle(h.resynced))
-	m.Register(kindLinkAsk, wire.Handle(func(ctx context.Context, _ string, a *linkAsk) (linkTurn, error) {
-		return h.links.ask(ctx, a)
+	m.Register(kindLinkRequest, wire.Handle(func(ctx context.Context, _ string, req *linkRequest) (linkGrant, error) {
+		return h.links.acquire(ctx, req)
 	}))
-	m.Register(kindLinkDone, wire.Handle(func(_ context.Context, _ string, d *linkDone) (struct{}, error) {
-		h.links.end(d)
+	m.Register(kindLinkRelease, wire.Handle(func(_ context.Context, _ string, d *linkRelease) (struct{}, error) {
+		h.links.release(d)
 		return struct{}{}, nil
 	}))
 	o.Fleet.Attach("loads", &h.loads)
@@ -97,55 +100,56 @@
 	return h
 }
 
-// Stats returns the counts; they go on counting.
+// Stats returns the live counters.
 func (h *Home) Stats() *Stats { return &h.stats }
 
-// Contexts returns how many contexts are known here.
+// Contexts returns the number of contexts recorded here.
 func (h *Home) Contexts() int { return h.index.Len() }
 
-// Run has the duties until ctx ends.
+// Run does the assigned work until ctx ends.
 func (h *Home) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for range exporters {
 		wg.Go(func() { exporter{h}.run(ctx) })
 	}
-	h.duties.run(ctx)
+	h.assignments.run(ctx)
 	wg.Wait()
 }
 
-// homesAsked is how many daemons are asked before this one decides itself.
-const homesAsked = 2
+// maxOwnersQueried is how many daemons of a cell are queried, in rank order, until one
+// decides.
+const maxOwnersQueried = 2
 
-// Place finds a worker for a request, by asking the home of its context. Where
-// the context's cell has no worker for it, the next cell counts.
-func (h *Home) Place(ctx context.Context, view *fleet.View, a *Ask) (Answer, error) {
-	root := a.Root().Short()
-	none, last := Answer{}, errors.New("no daemon decided")
+// Place finds a worker for a request by querying the context owner. If the context's cell
+// has no worker for it, the next cell is tried.
+func (h *Home) Place(ctx context.Context, view *fleet.View, req *Ask) (Answer, error) {
+	root := req.Root().Short()
+	noWorker, lastErr := Answer{}, errors.New("no daemon placed the request")
 	for _, cell := range view.HomeCells(root) {
-		ans, err := h.placeIn(ctx, view, cell, root, a)
+		ans, err := h.placeInCell(ctx, view, cell, root, req)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		if ans.Verdict != route.NoWorker {
 			return ans, nil
 		}
-		none, last = ans, nil
+		noWorker, lastErr = ans, nil
 	}
-	return none, last
+	return noWorker, lastErr
 }
 
-// placeIn asks the daemons of one cell until one decides.
-func (h *Home) placeIn(ctx context.Context, view *fleet.View, cell int, root uint64, a *Ask) (ans Answer, err error) {
+// placeInCell queries the daemons of one cell until one decides.
+func (h *Home) placeInCell(ctx context.Context, view *fleet.View, cell int, root uint64, req *Ask) (ans Answer, err error) {
 	err = errors.Errorf("cell %d has no daemon", cell)
-	for _, name := range view.Homes(cell, root, homesAsked) {
+	for _, name := range view.Homes(cell, root, maxOwnersQueried) {
 		if ctx.Err() != nil {
 			return ans, errors.WithStack(ctx.Err())
 		}
 		if name == view.Self() {
-			ans, err = h.place(ctx, name, a)
+			ans, err = h.place(ctx, name, req)
 		} else {
-			ans, err = h.askHome(ctx, name, a)
+			ans, err = h.callOwner(ctx, name, req)
 		}
 		if err == nil {
 			return ans, nil
@@ -154,56 +158,58 @@
 	return ans, err
 }
 
-// homeLimit bounds the wait for one daemon's decision, with its import: a
-// daemon that froze just now still counts as alive.
+// The wait for one daemon's decision, including an import, is bounded because a daemon that
+// has just stopped responding still counts as live.
 const (
-	homeLimit = 3 * time.Second
-	homeLeast = 300 * time.Millisecond
+	ownerTimeout    = 3 * time.Second
+	minOwnerTimeout = 300 * time.Millisecond
 )
 
-func (h *Home) askHome(ctx context.Context, name string, a *Ask) (Answer, error) {
-	limit := homeLimit
-	if a.Deadline > 0 {
-		limit = min(limit, max(homeLeast, a.Deadline/2))
+// callOwner sends the request to a remote daemon. It waits for up to half of the time that
+// remains until the deadline, within the bounds above.
+func (h *Home) callOwner(ctx context.Context, name string, req *Ask) (Answer, error) {
+	limit := ownerTimeout
+	if req.Deadline > 0 {
+		limit = min(limit, max(minOwnerTimeout, req.Deadline/2))
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var ans Answer
-	return ans, h.o.Fleet.Call(ctx, name, kindPlace, a, &ans)
+	return ans, h.o.Fleet.Call(ctx, name, kindPlace, req, &ans)
 }
 
-// tellLimit bounds a notice to the home of a context.
-const tellLimit = 2 * time.Second
+// notifyTimeout bounds a notification to another daemon.
+const notifyTimeout = 2 * time.Second
 
-// Finish tells the home of a context how a request ended.
-func (h *Home) Finish(view *fleet.View, home string, d *Done) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellLimit)
+// Finish reports the outcome of a request to the context owner.
+func (h *Home) Finish(view *fleet.View, owner string, d *Done) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
-	if home == view.Self() || home == "" {
-		h.done(ctx, home, d)
+	if owner == view.Self() || owner == "" {
+		h.done(ctx, owner, d)
 		return
 	}
-	// A lost notice costs a hint, nothing else.
-	_ = h.o.Fleet.Notify(ctx, home, kindDone, d)
+	// A lost notification only costs a hint.
+	_ = h.o.Fleet.Notify(ctx, owner, kindDone, d)
 }
 
-var errNotWarm = errors.New("the daemon has not heard of all workers yet")
+var errNotWarm = errors.New("the daemon has not received the load of all workers yet")
 
-// place decides about a request whose context is at home here.
-func (h *Home) place(ctx context.Context, _ string, a *Ask) (Answer, error) {
+// place decides about a request whose context is owned here.
+func (h *Home) place(ctx context.Context, _ string, req *Ask) (Answer, error) {
 	switch {
-	case len(a.Chain) > maxChain:
-		return Answer{}, errors.New("chain is too long")
+	case len(req.Chain) > maxChain:
+		return Answer{}, errors.New("prompt has too many blocks")
 	case !h.Warm():
-		// The asker goes to the next daemon, which knows the workers.
+		// The sender tries the next daemon, which may have the load of the workers.
 		return Answer{}, errNotWarm
 	}
 	snap, view, now := h.o.Conf.Snapshot(), h.o.Fleet.View(), time.Now()
-	root, shorts := a.Root(), cache.Shorts(a.Chain)
+	root, shorts := req.Root(), cache.Shorts(req.Chain)
 	pos := h.index.Find(root.Short(), shorts)
-	found := h.look(ctx, snap, view, a, root, &pos)
-	workers, blockBytes := h.candidates(snap, view, a, pos, now)
-	d := route.Place(h.o.Placement, h.request(a, root), workers, h.kept(snap, pos, blockBytes))
+	found := h.queryStores(ctx, snap, view, req, root, &pos)
+	workers, blockBytes := h.candidates(snap, view, req, pos, now)
+	d := route.Place(h.o.Placement, h.request(req, root), workers, h.importSources(snap, pos, blockBytes))
 	ans := Answer{
 		Verdict: d.Verdict, Worker: d.Chosen.Worker, Expected: d.Chosen.Expected,
 		RetryAfter: d.RetryAfter, Weighed: d.Weighed, Home: view.Self(),
@@ -213,8 +219,8 @@
 	}
 	ans.Boot = h.loads.boot(ans.Worker)
 	h.stats.Placed.Add(1)
-	h.loads.place(d.Chosen.Worker, placed{
-		request: a.Request, tokens: d.Chosen.Recomputed, blocks: len(a.Chain), priority: a.Priority, at: now,
+	h.loads.addPending(d.Chosen.Worker, pendingRequest{
+		request: req.Request, tokens: d.Chosen.Recomputed, blocks: len(req.Chain), priority: req.Priority, at: now,
 	})
 	for _, w := range workers {
 		if w.Name == ans.Worker {
@@ -222,23 +228,25 @@
 		}
 	}
 	if d.Chosen.Import.Blocks() > 0 {
-		h.fetch(ctx, snap, a, root, found, d.Chosen.Import, &ans)
+		h.importContext(ctx, snap, req, root, found, d.Chosen.Import, &ans)
 	}
 	return ans, nil
 }
 
-// maxChain bounds the blocks of one prompt.
+// maxChain is the maximum number of blocks of one prompt.
 const maxChain = 1 << 16
 
-func (h *Home) request(a *Ask, root cache.Hash) route.Request {
+// request returns req in the form that route.Place expects.
+func (h *Home) request(req *Ask, root cache.Hash) route.Request {
 	return route.Request{
-		Tokens: a.Tokens, Blocks: len(a.Chain), BlockTokens: cache.BlockTokens,
-		Deadline: a.Deadline, Prices: a.Prices, Context: fleet.Key(root.String()),
-		Turn: h.turn.Add(1), Chance: rand.Float64(),
+		Tokens: req.Tokens, Blocks: len(req.Chain), BlockTokens: cache.BlockTokens,
+		Deadline: req.Deadline, Prices: req.Prices, Context: fleet.Key(root.String()),
+		Turn: h.roundRobin.Add(1), Chance: rand.Float64(),
 	}
 }
 
-// distance is the one-way time to a target by failure domain, until measured.
+// distance returns the assumed one-way latency to a target in the same or another failure
+// domain.
 func distance(same bool) time.Duration {
 	if same {
 		return 100 * time.Microsecond
@@ -246,19 +254,20 @@
 	return time.Millisecond
 }
 
-// candidates returns the workers that may answer, and the size of a block.
-func (h *Home) candidates(snap *conf.Snapshot, view *fleet.View, a *Ask, pos cache.Position, now time.Time) ([]route.Worker, int64) {
+// candidates returns the workers that may serve the request, and the size of a block in
+// bytes.
+func (h *Home) candidates(snap *conf.Snapshot, view *fleet.View, req *Ask, pos cache.Position, now time.Time) ([]route.Worker, int64) {
 	var out []route.Worker
 	blockBytes := int64(0)
-	weights := Weights(a.Salt)
-	for _, name := range h.engines(snap, view, a) {
-		load, ok := h.loads.load(name, a.Priority, now)
+	weights := Weights(req.Salt)
+	for _, name := range h.engines(snap, view, req) {
+		load, ok := h.loads.load(name, req.Priority, now)
 		if !ok || !slices.Contains(load.Holds, weights) {
 			continue
 		}
 		t := snap.Target(name)
 		w := route.Worker{
-			Name: name, QueuedTokens: load.waiting, Room: max(1, load.room), Running: load.Running, Speed: float64(load.Speed),
+			Name: name, QueuedTokens: load.tokensAhead, Room: max(1, load.availableBlocks), Running: load.Running, Speed: float64(load.Speed),
 			Distance: distance(t.Domain == h.o.Domain),
 		}
 		if w.Speed == 0 {
@@ -275,7 +284,8 @@
 	return out, blockBytes
 }
 
-// Weights names loaded weights as load reports do.
+// Weights returns the name of loaded weights as used in load reports: "model@version", with
+// "+adapter" if there is one.
 func Weights(s cache.Salt) string {
 	name := s.Model + "@" + s.WeightVersion
 	if s.Adapter != "" {
@@ -284,29 +294,29 @@
 	return name
 }
 
-// engines returns the workers of the cell that the request may use.
-func (h *Home) engines(snap *conf.Snapshot, view *fleet.View, a *Ask) []string {
-	all := h.plan(snap, view).usable[a.Deployment]
-	if len(a.Exclude)+len(a.Targets) == 0 {
+// engines returns the names of the cell's workers that the request may use.
+func (h *Home) engines(snap *conf.Snapshot, view *fleet.View, req *Ask) []string {
+	all := h.targets(snap, view).usable[req.Deployment]
+	if len(req.Exclude)+len(req.Targets) == 0 {
 		return all
 	}
 	var out []string
 	for _, name := range all {
-		if !slices.Contains(a.Exclude, name) && (len(a.Targets) == 0 || slices.Contains(a.Targets, name)) {
+		if !slices.Contains(req.Exclude, name) && (len(req.Targets) == 0 || slices.Contains(req.Targets, name)) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// Ready returns how many live workers of a deployment hold the weights, of how
-// many, over the whole cell.
+// Ready returns how many live workers of a deployment in this cell have the weights loaded,
+// and how many there are in total.
 func (h *Home) Ready(snap *conf.Snapshot, view *fleet.View, deployment string, s cache.Salt) (ready, total int) {
 	names := h.engines(snap, view, &Ask{Deployment: deployment})
-	return h.loads.holds(names, Weights(s), time.Now())
+	return h.loads.ready(names, Weights(s), time.Now())
 }
 
-// Versions returns the weight versions of a model that live workers hold.
+// Versions returns the weight versions of a model that live workers have loaded.
 func (h *Home) Versions(snap *conf.Snapshot, view *fleet.View, deployment, model string) []string {
 	var out []string
 	now := time.Now()
@@ -324,6 +334,8 @@
 	return out
 }
 
+// versionOf returns the version in the name of loaded weights. It returns false if they are
+// of another model or have an adapter.
 func versionOf(held, model string) (string, bool) {
 	if len(held) <= len(model) || held[:len(model)] != model || held[len(model)] != '@' {
 		return "", false
@@ -337,12 +349,12 @@
 	return v, true
 }
 
-// done takes how a request ended.
+// done handles the outcome of a request.
 func (h *Home) done(_ context.Context, _ string, d *Done) (struct{}, error) {
 	now := time.Now()
-	h.loads.done(d.Worker, d.Request)
+	h.loads.removePending(d.Worker, d.Request)
 	if d.Failed {
-		h.loads.fail(d.Worker, now)
+		h.loads.markFailed(d.Worker, now)
 		return struct{}{}, nil
 	}
 	if !d.Prefilled || len(d.Chain) == 0 || len(d.Chain) > maxChain {
@@ -351,20 +363,20 @@
 	root, shorts := cache.Root(d.Salt.Seed(), d.Chain, d.Roots), cache.Shorts(d.Chain)
 	h.index.Held(root.Short(), shorts, d.Worker, len(d.Chain), now)
 	if h.o.Placement.Exports() && len(d.Chain) >= d.ExportFrom {
-		h.wishExport(export{root: root, salt: d.Salt, chain: d.Chain, worker: d.Worker})
+		h.enqueueExport(export{root: root, salt: d.Salt, chain: d.Chain, worker: d.Worker})
 	}
 	return struct{}{}, nil
 }
 
-// lost takes what a worker no longer holds.
-func (h *Home) lost(_ context.Context, _ string, m *marks) (struct{}, error) {
+// lost handles blocks that a worker no longer holds.
+func (h *Home) lost(_ context.Context, _ string, m *blockNotice) (struct{}, error) {
 	h.index.Lose(m.Worker, m.Marks)
 	h.stats.CacheLosses.Add(int64(len(m.Marks)))
 	return struct{}{}, nil
 }
 
-// resynced takes what a worker holds after a gap in its events.
-func (h *Home) resynced(_ context.Context, _ string, m *marks) (struct{}, error) {
+// resynced handles the full contents that a worker holds after a gap in its events.
+func (h *Home) resynced(_ context.Context, _ string, m *blockNotice) (struct{}, error) {
 	h.index.Resync(m.Worker, m.Marks)
 	return struct{}{}, nil
 }
@@ -372,9 +384,10 @@
 func (h *Home) engine(t *conf.Target) *target.Engine { return target.NewEngine(t.URL, h.o.Client) }
 func (h *Home) store(t *conf.Target) *target.Store   { return target.NewStore(t.URL, h.o.Client) }
 
-// tell sends marks to a daemon; where they are lost, requests find out.
-func (h *Home) tell(name string, kind wire.Kind, m *marks) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellLimit)
+// notifyBlocks sends a block notice to a daemon. If the notice is lost, the recorded blocks
+// stay wrong until a request finds out.
+func (h *Home) notifyBlocks(name string, kind wire.Kind, m *blockNotice) {
+	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	switch {
 	case name != h.o.Fleet.View().Self():
@@ -386,24 +399,25 @@
 	}
 }
 
-// warmLimit is how long a new daemon that has a configuration waits to hear of the
+// warmupLimit is how long a new daemon that has a configuration waits for reports of the
 // workers.
-const warmLimit = 5 * time.Second
+const warmupLimit = 5 * time.Second
 
-// Warm reports whether enough is known of the workers to place requests: of
-// all that may be used a load is known, or they had the time to tell it.
+// Warm reports whether the load of enough workers is known to place requests: every usable
+// worker has reported, or warmupLimit has passed.
 func (h *Home) Warm() bool {
 	if h.warm.Load() {
 		return true
 	}
 	if !h.o.Conf.Loaded() {
-		// No worker is named yet, which is not the same as none being there.
+		// Without a configuration no worker is known, which does not mean that there is
+		// none.
 		return false
 	}
 	snap, view, now := h.o.Conf.Snapshot(), h.o.Fleet.View(), time.Now()
-	h.configured.Do(func() { h.began = now })
-	if now.Sub(h.began) < warmLimit {
-		for _, name := range h.plan(snap, view).workers {
+	h.configured.Do(func() { h.configuredAt = now })
+	if now.Sub(h.configuredAt) < warmupLimit {
+		for _, name := range h.targets(snap, view).workers {
 			if _, ok := h.loads.load(name, 0, now); !ok && view.Usable(name, snap.Target(name)) {
 				return false
 			}
@@ -413,7 +427,8 @@
 	return true
 }
 
-// WorkerStatus is what is known of a worker, for operators.
+// WorkerStatus is the recent state of a worker, for operators. Queued is in prompt tokens,
+// Running in requests, Free and Total in blocks; Holds names the loaded weights.
 type WorkerStatus struct {
 	Queued  int
 	Running int
@@ -423,14 +438,14 @@
 	Loading bool
 }
 
-// Worker returns what is known of a worker, or false where nothing is fresh.
+// Worker returns the state of a worker, or false if there is no recent report.
 func (h *Home) Worker(name string) (WorkerStatus, bool) {
 	l, ok := h.loads.load(name, 0, time.Now())
-	return WorkerStatus{l.waiting, l.Running, l.Free, l.Total, l.Holds, l.Loading}, ok
+	return WorkerStatus{l.tokensAhead, l.Running, l.Free, l.Total, l.Holds, l.Loading}, ok
 }
 
-// LinkStatus returns the backlog in bytes and the rate in bytes a second of a
-// store's link.
+// LinkStatus returns the backlog of a store's link in bytes and its rate in bytes per
+// second.
 func (h *Home) LinkStatus(store string, t *conf.Target) (backlog int64, rate float64) {
 	return h.links.state(store, t.Link())
 }
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -19,105 +19,106 @@
 	"embertally.dev/core/target"
 )
 
-var start = time.Unix(1000, 0)
+var baseTime = time.Unix(1000, 0)
 
-func TestLoadsCountWhatReportsCannotShowYet(t *testing.T) {
+func TestLoadsCountPendingRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l loads
-	l.set(workerLoad{Worker: "w", Queued: []int{100, 0, 50}, Total: 300, Holds: []string{}}, start)
-	tests := []struct{ priority, waiting int }{{0, 150}, {1, 50}, {2, 50}, {3, 0}, {9, 0}}
+	l.set(workerLoad{Worker: "w", Queued: []int{100, 0, 50}, Total: 300, Holds: []string{}}, baseTime)
+	tests := []struct{ priority, tokensAhead int }{{0, 150}, {1, 50}, {2, 50}, {3, 0}, {9, 0}}
 	for _, tc := range tests {
-		w, ok := l.load("w", tc.priority, start)
+		w, ok := l.load("w", tc.priority, baseTime)
 		g.Expect(ok).To(gomega.BeTrue())
-		g.Expect(w.waiting).To(gomega.Equal(tc.waiting), fmt.Sprint("priority ", tc.priority))
+		g.Expect(w.tokensAhead).To(gomega.Equal(tc.tokensAhead), fmt.Sprint("priority ", tc.priority))
 	}
-	l.place("w", placed{request: "r", tokens: 1000, blocks: 16, priority: 1, at: start})
-	w, _ := l.load("w", 1, start)
-	g.Expect([]int{w.waiting, w.room}).To(gomega.Equal([]int{1050, 284}))
-	w, _ = l.load("w", 2, start)
-	g.Expect(w.waiting).To(gomega.Equal(50), "a lower priority does not delay")
+	l.addPending("w", pendingRequest{request: "r", tokens: 1000, blocks: 16, priority: 1, at: baseTime})
+	w, _ := l.load("w", 1, baseTime)
+	g.Expect([]int{w.tokensAhead, w.availableBlocks}).To(gomega.Equal([]int{1050, 284}))
+	w, _ = l.load("w", 2, baseTime)
+	g.Expect(w.tokensAhead).To(gomega.Equal(50), "requests of a lower priority do not delay")
 
-	l.set(workerLoad{Worker: "w", Queued: []int{0, 1000}, Total: 300}, start.Add(reportLag/2))
-	w, _ = l.load("w", 1, start.Add(reportLag/2))
-	g.Expect(w.waiting).To(gomega.Equal(2000), "a report that may not show it yet does not end the correction")
-	l.done("w", "r")
-	w, _ = l.load("w", 1, start.Add(reportLag/2))
-	g.Expect(w.waiting).To(gomega.Equal(1000))
+	l.set(workerLoad{Worker: "w", Queued: []int{0, 1000}, Total: 300}, baseTime.Add(reportLag/2))
+	w, _ = l.load("w", 1, baseTime.Add(reportLag/2))
+	g.Expect(w.tokensAhead).To(gomega.Equal(2000), "a report that may not include the request does not remove it from pending")
+	l.removePending("w", "r")
+	w, _ = l.load("w", 1, baseTime.Add(reportLag/2))
+	g.Expect(w.tokensAhead).To(gomega.Equal(1000))
 }
 
-func TestLoadsOfSilentOrFailedWorkersDoNotCount(t *testing.T) {
+func TestLoadsOfStaleOrFailedWorkersAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l loads
-	l.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}}, start)
-	_, ok := l.load("w", 0, start.Add(staleAfter+time.Second))
+	l.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}}, baseTime)
+	_, ok := l.load("w", 0, baseTime.Add(maxReportAge+time.Second))
 	g.Expect(ok).To(gomega.BeFalse())
-	l.fail("w", start)
-	_, ok = l.load("w", 0, start)
+	l.markFailed("w", baseTime)
+	_, ok = l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
-	_, ok = l.load("w", 0, start.Add(2*failPause))
+	_, ok = l.load("w", 0, baseTime.Add(2*failurePause))
 	g.Expect(ok).To(gomega.BeTrue())
-	_, ok = l.load("v", 0, start)
+	_, ok = l.load("v", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
-	ready, total := l.holds([]string{"w", "v"}, "m@v1", start)
+	ready, total := l.ready([]string{"w", "v"}, "m@v1", baseTime)
 	g.Expect([]int{ready, total}).To(gomega.Equal([]int{1, 1}))
-	g.Expect(l.set(workerLoad{Worker: "w", AgeMillis: 60000}, start)).To(gomega.BeFalse(), "an older report is passed over")
+	g.Expect(l.set(workerLoad{Worker: "w", AgeMillis: 60000}, baseTime)).To(gomega.BeFalse(), "an older report is ignored")
 }
 
-func TestLoadsTellOnlyWhatChanged(t *testing.T) {
+func TestLoadsSendOnlyChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var mine, theirs loads
+	var local, remote loads
 	report := workerLoad{Worker: "w", Running: 3, Holds: []string{"m@v1"}}
-	mine.setOwn(report, time.Now())
-	raw, err := msgpack.Marshal(mine.Collect(false))
+	local.setFollowed(report, time.Now())
+	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	theirs.Receive("peer", raw)
-	w, ok := theirs.load("w", 0, time.Now())
+	remote.Receive("peer", raw)
+	w, ok := remote.load("w", 0, time.Now())
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(w.Running).To(gomega.Equal(3))
-	mine.setOwn(report, time.Now())
-	g.Expect(mine.Collect(false)).To(gomega.BeNil(), "nothing new")
+	local.setFollowed(report, time.Now())
+	g.Expect(local.Collect(false)).To(gomega.BeNil(), "nothing changed")
 	report.Running = 4
-	mine.setOwn(report, time.Now())
-	raw, err = msgpack.Marshal(mine.Collect(false))
+	local.setFollowed(report, time.Now())
+	raw, err = msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	theirs.Receive("peer", raw)
-	w, _ = theirs.load("w", 0, time.Now())
+	remote.Receive("peer", raw)
+	w, _ = remote.load("w", 0, time.Now())
 	g.Expect(w.Running).To(gomega.Equal(4))
-	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}), "weights are told once")
-	g.Expect(mine.Collect(true)).To(gomega.HaveLen(1))
-	mine.disown("w")
-	g.Expect(mine.Collect(true)).To(gomega.BeNil())
-	theirs.Receive("peer", []byte("no message"))
+	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}), "weights are sent once and kept")
+	g.Expect(local.Collect(true)).To(gomega.HaveLen(1))
+	local.unfollow("w")
+	g.Expect(local.Collect(true)).To(gomega.BeNil())
+	remote.Receive("peer", []byte("no message"))
 }
 
-func TestLinksGiveTurnsAndTakeThemBack(t *testing.T) {
+func TestLinksGrantAndReleaseTransfers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l links
 	ctx := context.Background()
-	var turns []linkTurn
+	var grants []linkGrant
 	for range 4 {
-		turn, err := l.ask(ctx, &linkAsk{Store: "s", Organisation: "o", Bytes: 1 << 20, Waiting: true})
+		grant, err := l.acquire(ctx, &linkRequest{Store: "s", Organisation: "o", Bytes: 1 << 20, Waiting: true})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		turns = append(turns, turn)
+		grants = append(grants, grant)
 	}
 	backlog, rate := l.state("s", 7)
 	g.Expect(backlog).To(gomega.Equal(int64(4 << 20)))
 	g.Expect(rate).To(gomega.Equal(7.0), "not measured yet")
-	short, cancel := context.WithTimeout(ctx, time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(ctx, time.Millisecond)
 	defer cancel()
-	_, err := l.ask(short, &linkAsk{Store: "s", Organisation: "o", Bytes: 1, Waiting: true})
-	g.Expect(err).To(gomega.MatchError(context.DeadlineExceeded), "nobody ended a transfer")
-	for _, turn := range turns {
-		l.end(&linkDone{Store: "s", ID: turn.ID, Bytes: 1 << 20, Took: time.Second})
-		l.end(&linkDone{Store: "s", ID: turn.ID, Bytes: 1 << 20, Took: time.Second})
+	_, err := l.acquire(shortCtx, &linkRequest{Store: "s", Organisation: "o", Bytes: 1, Waiting: true})
+	g.Expect(err).To(gomega.MatchError(context.DeadlineExceeded), "no transfer was released")
+	for _, grant := range grants {
+		l.release(&linkRelease{Store: "s", ID: grant.ID, Bytes: 1 << 20, Took: time.Second})
+		l.release(&linkRelease{Store: "s", ID: grant.ID, Bytes: 1 << 20, Took: time.Second})
 	}
 	backlog, rate = l.state("s", 7)
 	g.Expect(backlog).To(gomega.BeZero())
 	g.Expect(rate).To(gomega.Equal(float64(1 << 20)))
 }
 
-// A manifest names only what is the asker's own and in order.
-func TestFitting(t *testing.T) {
+// A manifest matches only under the salt of the request, and only up to the first different
+// block.
+func TestMatchingBlocks(t *testing.T) {
 	salt := cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}
 	chain := cache.Chain(salt.Seed(), strings.Repeat("x", 4*cache.BlockBytes))
 	blocks := func(hashes ...cache.Hash) []target.Block {
@@ -127,8 +128,8 @@
 		}
 		return out
 	}
-	rival, next := salt, salt
-	rival.Organisation, next.WeightVersion = "rival", "v2"
+	otherOrg, otherVersion := salt, salt
+	otherOrg.Organisation, otherVersion.WeightVersion = "rival", "v2"
 	tests := []struct {
 		name     string
 		manifest *target.Manifest
@@ -138,19 +139,19 @@
 		{"whole", &target.Manifest{Salt: salt, Blocks: blocks(chain...)}, 4},
 		{"shorter", &target.Manifest{Salt: salt, Blocks: blocks(chain[:2]...)}, 2},
 		{"longer", &target.Manifest{Salt: salt, Blocks: blocks(append(chain[:4:4], chain[0])...)}, 4},
-		{"another text after two", &target.Manifest{Salt: salt, Blocks: blocks(chain[0], chain[1], chain[3])}, 2},
-		{"another organisation's", &target.Manifest{Salt: rival, Blocks: blocks(chain...)}, 0},
-		{"other weights'", &target.Manifest{Salt: next, Blocks: blocks(chain...)}, 0},
+		{"different after two blocks", &target.Manifest{Salt: salt, Blocks: blocks(chain[0], chain[1], chain[3])}, 2},
+		{"another organisation's salt", &target.Manifest{Salt: otherOrg, Blocks: blocks(chain...)}, 0},
+		{"another weight version", &target.Manifest{Salt: otherVersion, Blocks: blocks(chain...)}, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			got := fitting(tc.manifest, &Ask{Salt: salt, Chain: chain})
+			got := matchingBlocks(tc.manifest, &Ask{Salt: salt, Chain: chain})
 			gomega.NewWithT(t).Expect(got).To(gomega.Equal(tc.want))
 		})
 	}
 }
 
-func TestVersionsOfWeights(t *testing.T) {
+func TestVersionOf(t *testing.T) {
 	tests := []struct {
 		held, model, want string
 		ok                bool
@@ -166,27 +167,27 @@
 	}
 }
 
-// A heartbeat that says only what changed and was meant for the former process
-// of a box tells a new one nothing: without the weights the worker would count
-// as holding none until the next full one.
-func TestLoadsWithoutKnownWeightsAreNotTaken(t *testing.T) {
+// A heartbeat that contains only changes and was meant for the previous daemon process of a
+// box must be ignored by its successor: without the weights the worker would count as
+// holding none until the next full heartbeat.
+func TestFirstReportWithoutWeightsIsIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l loads
-	l.set(workerLoad{Worker: "w", Running: 1}, start)
-	_, ok := l.load("w", 0, start)
+	l.set(workerLoad{Worker: "w", Running: 1}, baseTime)
+	_, ok := l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
-	l.set(workerLoad{Worker: "w", Running: 1, Holds: []string{"m@v1"}, AgeMillis: 1}, start)
-	w, ok := l.load("w", 0, start)
+	l.set(workerLoad{Worker: "w", Running: 1, Holds: []string{"m@v1"}, AgeMillis: 1}, baseTime)
+	w, ok := l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}))
-	l.set(workerLoad{Worker: "w", Running: 2}, start.Add(time.Second))
-	w, _ = l.load("w", 0, start.Add(time.Second))
+	l.set(workerLoad{Worker: "w", Running: 2}, baseTime.Add(time.Second))
+	w, _ = l.load("w", 0, baseTime.Add(time.Second))
 	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}))
 }
 
-// A daemon that has just started is known to its peers before it knows the
-// workers; it must not say that there are none.
-func TestNewHomeDoesNotDecide(t *testing.T) {
+// Peers list a daemon that has just started before it has the load of the workers. It must
+// not answer that there is no worker.
+func TestNewDaemonDoesNotPlaceRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := fleet.New(fleet.Options{Name: "me", Log: &event.Log{}})
 	store := conf.NewStore(&event.Log{})
@@ -196,17 +197,18 @@
 		{Seq: 2, Kind: conf.KindTarget, Name: "w", Spec: spec(`{"type":"engine","url":"http://127.0.0.1:1","deployments":["d"]}`)},
 	}})
 	h := New(Options{Placement: route.Returning, Conf: store, Fleet: f, Log: &event.Log{}})
-	ask := &Ask{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
-	_, err := h.Place(context.Background(), f.View(), ask)
+	req := &Ask{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
+	_, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).To(gomega.MatchError(errNotWarm))
 	h.loads.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}, Speed: 8000}, time.Now())
-	ans, err := h.Place(context.Background(), f.View(), ask)
+	ans, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ans.Worker).To(gomega.Equal("w"))
 }
 
-// Peers ask a daemon that is just heard of, also before its configuration has come.
-func TestADaemonWithoutAConfigurationDecidesNothing(t *testing.T) {
+// Peers query a daemon as soon as they discover it, possibly before it has received its
+// configuration.
+func TestUnconfiguredDaemonDoesNotPlaceRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := New(Options{
 		Placement: route.Returning, Conf: conf.NewStore(&event.Log{}), Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
--- a/core/home/links.go
+++ b/core/home/links.go
@@ -11,140 +11,147 @@
 	"embertally.dev/core/route"
 )
 
-// links schedules the links of the stores that this daemon has the duty for,
-// and knows the state of the others. The zero value is ready.
+// links schedules transfers on the store links assigned to this daemon, and records the
+// state of the others. The zero value is ready.
 type links struct {
 	linksMu sync.Mutex
-	// sched are the links scheduled here by store. Guarded by linksMu.
-	sched map[string]*scheduled
-	// known is what other schedulers said. Guarded by linksMu.
-	known map[string]linkState
-	next  uint64 // last transfer's number; guarded by linksMu
+	// schedulers are the links scheduled here, by store. Guarded by linksMu.
+	schedulers map[string]*linkScheduler
+	// remote are the states that other schedulers sent, by store. Guarded by linksMu.
+	remote map[string]linkState
+	lastID uint64 // ID of the last transfer; guarded by linksMu
 }
 
-// scheduled is one link with those who wait for their turn.
-type scheduled struct {
+// linkScheduler is one link with the transfers that wait for it or use it.
+type linkScheduler struct {
 	link route.Link
-	// turns are closed when the transfer may begin.
-	turns map[uint64]chan struct{}
-	// rate is the measured capacity in bytes a second; zero until measured.
-	rate    float64
+	// grants has a channel for each transfer by ID; it is closed when the transfer may
+	// start.
+	grants map[uint64]chan struct{}
+	// rate is the measured capacity in bytes per second; zero until measured.
+	rate float64
+	// changed is set if the state may have changed since the last heartbeat.
 	changed bool
 }
 
 var errLinkBusy = errors.New("too many transfers wait for the link")
 
-// turnLimit bounds how long a transfer may hold its turn without saying that
-// it is done.
-const turnLimit = 20 * time.Second
+// grantTimeout is how long a transfer may use the link before it is ended without a release.
+const grantTimeout = 20 * time.Second
 
-// ask waits for the turn of a transfer.
-func (l *links) ask(ctx context.Context, a *linkAsk) (linkTurn, error) {
-	id, turn, ok := l.enqueue(a)
+// acquire waits until a transfer may start.
+func (l *links) acquire(ctx context.Context, req *linkRequest) (linkGrant, error) {
+	id, granted, ok := l.enqueue(req)
 	if !ok {
-		return linkTurn{}, errLinkBusy
+		return linkGrant{}, errLinkBusy
 	}
 	select {
 	case <-ctx.Done():
-		l.end(&linkDone{Store: a.Store, ID: id})
-		return linkTurn{}, ctx.Err()
-	case <-turn:
-		time.AfterFunc(turnLimit, func() { l.end(&linkDone{Store: a.Store, ID: id}) })
-		return linkTurn{ID: id}, nil
+		l.release(&linkRelease{Store: req.Store, ID: id})
+		return linkGrant{}, ctx.Err()
+	case <-granted:
+		time.AfterFunc(grantTimeout, func() { l.release(&linkRelease{Store: req.Store, ID: id}) })
+		return linkGrant{ID: id}, nil
 	}
 }
 
-func (l *links) enqueue(a *linkAsk) (uint64, chan struct{}, bool) {
+// enqueue adds a transfer and returns its ID and the channel closed when it may start. It
+// returns false if too many wait.
+func (l *links) enqueue(req *linkRequest) (uint64, chan struct{}, bool) {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	s := l.of(a.Store)
-	l.next++
-	t := route.Transfer{ID: l.next, Organisation: a.Organisation, Bytes: a.Bytes, Waiting: a.Waiting}
+	s := l.scheduler(req.Store)
+	l.lastID++
+	t := route.Transfer{ID: l.lastID, Organisation: req.Organisation, Bytes: req.Bytes, Waiting: req.Waiting}
 	if !s.link.Ask(t) {
 		return 0, nil, false
 	}
-	turn := make(chan struct{})
-	s.turns[t.ID] = turn
-	s.start()
-	return t.ID, turn, true
+	granted := make(chan struct{})
+	s.grants[t.ID] = granted
+	s.startNext()
+	return t.ID, granted, true
 }
 
-func (l *links) of(store string) *scheduled {
-	if l.sched == nil {
-		l.sched, l.known = map[string]*scheduled{}, map[string]linkState{}
+// scheduler returns the scheduler of a store's link; the caller holds linksMu.
+func (l *links) scheduler(store string) *linkScheduler {
+	if l.schedulers == nil {
+		l.schedulers, l.remote = map[string]*linkScheduler{}, map[string]linkState{}
 	}
-	s := l.sched[store]
+	s := l.schedulers[store]
 	if s == nil {
-		s = &scheduled{turns: map[uint64]chan struct{}{}}
-		l.sched[store] = s
+		s = &linkScheduler{grants: map[uint64]chan struct{}{}}
+		l.schedulers[store] = s
 	}
 	return s
 }
 
-// start lets all transfers begin that may.
-func (s *scheduled) start() {
+// startNext starts all transfers that may start now.
+func (s *linkScheduler) startNext() {
 	s.changed = true
 	for {
 		t, ok := s.link.Next()
 		if !ok {
 			return
 		}
-		if turn := s.turns[t.ID]; turn != nil {
-			close(turn)
+		if granted := s.grants[t.ID]; granted != nil {
+			close(granted)
 		}
 	}
 }
 
-// rateShare is how much one transfer moves the measured rate.
-const rateShare = 0.2
+// rateWeight is the weight of one transfer in the moving average of the rate.
+const rateWeight = 0.2
 
-// minMeasured is the shortest transfer that says something of the rate.
-const minMeasured = 64 << 10
+// minMeasuredBytes is the size below which a transfer says nothing about the rate.
+const minMeasuredBytes = 64 << 10
 
-// end ends a transfer. Ending one twice does nothing.
-func (l *links) end(d *linkDone) {
+// release ends a transfer. It has no effect the second time.
+func (l *links) release(d *linkRelease) {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	s := l.of(d.Store)
-	if s.turns[d.ID] == nil {
+	s := l.scheduler(d.Store)
+	if s.grants[d.ID] == nil {
 		return
 	}
-	delete(s.turns, d.ID)
-	if d.Bytes >= minMeasured && d.Took > 0 {
+	delete(s.grants, d.ID)
+	if d.Bytes >= minMeasuredBytes && d.Took > 0 {
 		s.measure(float64(d.Bytes) / d.Took.Seconds())
 	}
 	s.link.Done(d.ID)
-	s.start()
+	s.startNext()
 }
 
-func (s *scheduled) measure(rate float64) {
+// measure adds a measured rate to the moving average.
+func (s *linkScheduler) measure(rate float64) {
 	if s.rate == 0 {
 		s.rate = rate
 		return
 	}
-	s.rate += rateShare * (rate - s.rate)
+	s.rate += rateWeight * (rate - s.rate)
 }
 
-// state returns the backlog of a link and its measured rate, or def.
-func (l *links) state(store string, def float64) (backlog int64, rate float64) {
+// state returns the backlog of a link and its measured rate, or defaultRate if there is
+// none.
+func (l *links) state(store string, defaultRate float64) (backlog int64, rate float64) {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	st := l.known[store]
-	if s := l.sched[store]; s != nil {
-		st = linkState{Store: store, Backlog: s.link.Backlog(), Rate: s.rate}
+	state := l.remote[store]
+	if s := l.schedulers[store]; s != nil {
+		state = linkState{Store: store, Backlog: s.link.Backlog(), Rate: s.rate}
 	}
-	if st.Rate == 0 {
-		st.Rate = def
+	if state.Rate == 0 {
+		state.Rate = defaultRate
 	}
-	return st.Backlog, st.Rate
+	return state.Backlog, state.Rate
 }
 
-// Collect returns the states of the links scheduled here that changed.
+// Collect returns the states of the links scheduled here: those that changed, or all if full
+// is set.
 func (l *links) Collect(full bool) any {
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
 	var out []linkState
-	for store, s := range l.sched {
+	for store, s := range l.schedulers {
 		if full || s.changed {
 			s.changed = s.changed && full
 			out = append(out, linkState{Store: store, Backlog: s.link.Backlog(), Rate: s.rate})
@@ -156,7 +163,7 @@
 	return out
 }
 
-// Receive takes a scheduler's states.
+// Receive records the states that another scheduler sent.
 func (l *links) Receive(_ string, body []byte) {
 	var list []linkState
 	if msgpack.Unmarshal(body, &list) != nil {
@@ -164,10 +171,10 @@
 	}
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
-	if l.known == nil {
-		l.sched, l.known = map[string]*scheduled{}, map[string]linkState{}
+	if l.remote == nil {
+		l.schedulers, l.remote = map[string]*linkScheduler{}, map[string]linkState{}
 	}
 	for _, s := range list {
-		l.known[s.Store] = s
+		l.remote[s.Store] = s
 	}
 }
--- a/core/home/loads.go
+++ b/core/home/loads.go
@@ -8,213 +8,217 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// staleAfter is the age at which a worker's report counts as no report.
-const staleAfter = 4 * time.Second
+// maxReportAge is the age beyond which a worker's report is ignored.
+const maxReportAge = 4 * time.Second
 
-// loads is what is known of the workers' work. The zero value knows nothing.
+// loads tracks the load of the workers. The zero value is empty.
 type loads struct {
 	loadsMu sync.Mutex
-	// reports are the latest by worker. Guarded by loadsMu.
+	// reports are the latest reports by worker. Guarded by loadsMu.
 	reports map[string]report
-	// sent are this daemon's placements that no report can show yet, by
-	// worker. Guarded by loadsMu.
-	sent map[string][]placed
-	// failed is until when a worker counts as not answering. Guarded by
+	// pending are this daemon's placements that no report shows yet, by worker. Guarded by
 	// loadsMu.
-	failed map[string]time.Time
-	// fresh are the workers followed here whose report changed since the last
-	// heartbeat. Guarded by loadsMu.
-	fresh map[string]bool
-	// moved are those whose weights changed since, and told is when each was
-	// last told. Guarded by loadsMu.
-	moved map[string]bool
-	told  map[string]time.Time
-	// own are the workers followed here. Guarded by loadsMu.
-	own map[string]bool
-	// ended, if set, hears of runs of workers that another run has taken the place of. It
-	// is called with loadsMu held.
-	ended func(run string)
+	pending map[string][]pendingRequest
+	// failedUntil is until when a worker counts as not answering. Guarded by loadsMu.
+	failedUntil map[string]time.Time
+	// changed are the workers followed here whose report changed since the last heartbeat.
+	// Guarded by loadsMu.
+	changed map[string]bool
+	// newWeights are those whose weights or incarnation changed since, and lastSent is when
+	// each was last sent to peers. Guarded by loadsMu.
+	newWeights map[string]bool
+	lastSent   map[string]time.Time
+	// followed are the workers followed here. Guarded by loadsMu.
+	followed map[string]bool
+	// onReplaced, if set, is called with the name of a worker incarnation that another one
+	// has replaced, with loadsMu held.
+	onReplaced func(incarnation string)
 }
 
+// report is a worker's load and when it was measured.
 type report struct {
 	workerLoad
-	// taken is when the worker made the report, by this daemon's clock.
-	taken time.Time
+	// takenAt is when the worker made the report, by this daemon's clock.
+	takenAt time.Time
 }
 
-type placed struct {
+// pendingRequest is a request placed on a worker that has no first token yet.
+type pendingRequest struct {
 	request string
-	tokens  int
+	// tokens is the number of prompt tokens that the worker has to compute.
+	tokens int
 	// blocks is the length of the whole prompt.
 	blocks   int
 	priority int
 	at       time.Time
 }
 
-// set records a report and reports whether it is newer than the one known.
+// set records a report and returns true, unless a newer one is recorded.
 func (l *loads) set(w workerLoad, now time.Time) bool {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	l.init()
-	taken := now.Add(-time.Duration(w.AgeMillis) * time.Millisecond)
-	old, known := l.reports[w.Worker]
-	if known && old.taken.After(taken) {
+	takenAt := now.Add(-time.Duration(w.AgeMillis) * time.Millisecond)
+	previous, recorded := l.reports[w.Worker]
+	if recorded && previous.takenAt.After(takenAt) {
 		return false
 	}
-	if w.Holds == nil && !known {
-		// Meant for a former process at this address, which knew the weights.
+	if w.Holds == nil && !recorded {
+		// The report was meant for a previous daemon process at this address, which had
+		// recorded the weights.
 		return false
 	}
 	if w.Holds == nil {
-		w.Holds, w.Boot = old.Holds, old.Boot
+		w.Holds, w.Boot = previous.Holds, previous.Boot
 	}
-	if known && old.Boot != w.Boot && l.ended != nil {
-		l.ended(runName(w.Worker, old.Boot))
+	if recorded && previous.Boot != w.Boot && l.onReplaced != nil {
+		l.onReplaced(incarnationName(w.Worker, previous.Boot))
 	}
-	if !known {
+	if !recorded {
 		l.forget(now)
 	}
-	l.reports[w.Worker] = report{w, taken}
-	l.sent[w.Worker] = slices.DeleteFunc(l.sent[w.Worker], func(p placed) bool { return p.at.Before(taken.Add(-reportLag)) })
+	l.reports[w.Worker] = report{w, takenAt}
+	l.pending[w.Worker] = slices.DeleteFunc(l.pending[w.Worker], func(p pendingRequest) bool { return p.at.Before(takenAt.Add(-reportLag)) })
 	return true
 }
 
-// forgetAfter is how long a worker that no report comes of is remembered.
+// forgetAfter is how long a worker without reports is remembered.
 const forgetAfter = 10 * time.Minute
 
-// forget drops workers that are long gone; the caller holds loadsMu.
+// forget removes workers without recent reports; the caller holds loadsMu.
 func (l *loads) forget(now time.Time) {
 	for name, r := range l.reports {
-		if now.Sub(r.taken) > forgetAfter {
+		if now.Sub(r.takenAt) > forgetAfter {
 			delete(l.reports, name)
-			delete(l.sent, name)
-			delete(l.failed, name)
+			delete(l.pending, name)
+			delete(l.failedUntil, name)
 		}
 	}
 }
 
-// reportLag is how long after it was sent a request may be missing from the
-// worker's report.
+// reportLag is how long a request may be missing from the worker's reports after it was
+// sent.
 const reportLag = 300 * time.Millisecond
 
+// init allocates the maps; the caller holds loadsMu.
 func (l *loads) init() {
 	if l.reports == nil {
-		l.reports, l.sent = map[string]report{}, map[string][]placed{}
-		l.failed, l.fresh, l.own = map[string]time.Time{}, map[string]bool{}, map[string]bool{}
-		l.moved, l.told = map[string]bool{}, map[string]time.Time{}
+		l.reports, l.pending = map[string]report{}, map[string][]pendingRequest{}
+		l.failedUntil, l.changed, l.followed = map[string]time.Time{}, map[string]bool{}, map[string]bool{}
+		l.newWeights, l.lastSent = map[string]bool{}, map[string]time.Time{}
 	}
 }
 
-// setOwn records a report of a worker that is followed here.
-func (l *loads) setOwn(w workerLoad, now time.Time) {
+// setFollowed records a report of a worker that is followed here.
+func (l *loads) setFollowed(w workerLoad, now time.Time) {
 	l.loadsMu.Lock()
 	l.init()
-	old := l.reports[w.Worker]
+	previous := l.reports[w.Worker]
 	l.loadsMu.Unlock()
 	l.set(w, now)
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
-	l.own[w.Worker] = true
-	if !slices.Equal(old.Holds, w.Holds) || old.Boot != w.Boot {
-		l.moved[w.Worker] = true
+	l.followed[w.Worker] = true
+	if !slices.Equal(previous.Holds, w.Holds) || previous.Boot != w.Boot {
+		l.newWeights[w.Worker] = true
 	}
-	if !same(old.workerLoad, w) || now.Sub(l.told[w.Worker]) > tellAgain {
-		l.fresh[w.Worker] = true
+	if !sameLoad(previous.workerLoad, w) || now.Sub(l.lastSent[w.Worker]) > resendInterval {
+		l.changed[w.Worker] = true
 	}
 }
 
-// tellAgain is how often an unchanged report is told, well below staleAfter.
-const tellAgain = staleAfter / 4
+// resendInterval is how often an unchanged report is sent to peers, well below maxReportAge.
+const resendInterval = maxReportAge / 4
 
-// same reports whether two reports say the same.
-func same(a, b workerLoad) bool {
+// sameLoad reports whether two reports have the same content apart from their age.
+func sameLoad(a, b workerLoad) bool {
 	return slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Holds, b.Holds) && a.Running == b.Running &&
 		a.Boot == b.Boot && a.Free == b.Free && a.Total == b.Total && a.Speed == b.Speed && a.Loading == b.Loading
 }
 
-// disown records that a worker is no longer followed here.
-func (l *loads) disown(worker string) {
+// unfollow records that a worker is no longer followed here.
+func (l *loads) unfollow(worker string) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
-	delete(l.fresh, worker)
-	delete(l.own, worker)
-	delete(l.moved, worker)
-	delete(l.told, worker)
+	delete(l.changed, worker)
+	delete(l.followed, worker)
+	delete(l.newWeights, worker)
+	delete(l.lastSent, worker)
 }
 
-// place records that a request is on its way to a worker.
-func (l *loads) place(worker string, p placed) {
+// addPending records that a request has been placed on a worker.
+func (l *loads) addPending(worker string, p pendingRequest) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	l.init()
-	l.sent[worker] = append(l.sent[worker], p)
+	l.pending[worker] = append(l.pending[worker], p)
 }
 
-// boot returns what names the run of a worker.
+// boot returns the identifier of the worker's incarnation, or "" if there is no report.
 func (l *loads) boot(worker string) string {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	return l.reports[worker].Boot
 }
 
-// done records that a worker has begun to answer a request, or failed.
-func (l *loads) done(worker, request string) {
+// removePending records that a worker has begun to answer a request, or failed it.
+func (l *loads) removePending(worker, request string) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
-	l.sent[worker] = slices.DeleteFunc(l.sent[worker], func(p placed) bool { return p.request == request })
+	l.pending[worker] = slices.DeleteFunc(l.pending[worker], func(p pendingRequest) bool { return p.request == request })
 }
 
-// failPause is how long a worker that did not answer gets no work.
-const failPause = time.Second
+// failurePause is how long a worker that did not answer receives no requests.
+const failurePause = time.Second
 
-// fail records that a worker did not answer.
-func (l *loads) fail(worker string, now time.Time) {
+// markFailed records that a worker did not answer.
+func (l *loads) markFailed(worker string, now time.Time) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	l.init()
-	l.failed[worker] = now.Add(failPause)
+	l.failedUntil[worker] = now.Add(failurePause)
 }
 
-// work is what a new request meets at a worker.
-type work struct {
+// estimatedLoad is the load of a worker as a new request would find it.
+type estimatedLoad struct {
 	workerLoad
-	// waiting is the tokens that the request waits for.
-	waiting int
-	// room is how many blocks the memory takes beside the requests that were
-	// placed here and have no first token yet.
-	room int
+	// tokensAhead is the number of prompt tokens to be computed before the request.
+	tokensAhead int
+	// availableBlocks is the worker's capacity in blocks, less the prompts of the requests
+	// that this daemon placed there and that have no first token yet.
+	availableBlocks int
 }
 
-// load returns what a request of the priority meets at a worker, or false if
-// the worker cannot be counted on.
-func (l *loads) load(worker string, priority int, now time.Time) (work, bool) {
+// load returns the load that a request of the priority would find at a worker, or false if
+// the worker has no recent report or did not answer lately.
+func (l *loads) load(worker string, priority int, now time.Time) (estimatedLoad, bool) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	r, ok := l.reports[worker]
-	if !ok || now.Sub(r.taken) > staleAfter || now.Before(l.failed[worker]) {
-		return work{}, false
+	if !ok || now.Sub(r.takenAt) > maxReportAge || now.Before(l.failedUntil[worker]) {
+		return estimatedLoad{}, false
 	}
-	w := work{workerLoad: r.workerLoad, room: r.Total}
+	w := estimatedLoad{workerLoad: r.workerLoad, availableBlocks: r.Total}
 	for p := priority; p < len(r.Queued); p++ {
-		w.waiting += r.Queued[p]
+		w.tokensAhead += r.Queued[p]
 	}
-	for _, p := range l.sent[worker] {
+	for _, p := range l.pending[worker] {
 		if p.priority >= priority {
-			w.waiting += p.tokens
+			w.tokensAhead += p.tokens
 		}
-		w.room -= p.blocks
+		w.availableBlocks -= p.blocks
 	}
 	return w, true
 }
 
-// holds returns how many of the given workers are fresh and how many of those
-// hold the weights.
-func (l *loads) holds(workers []string, weights string, now time.Time) (ready, total int) {
+// ready returns how many of the workers have a recent report, as total, and how many of
+// those have the weights loaded.
+func (l *loads) ready(workers []string, weights string, now time.Time) (ready, total int) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	for _, w := range workers {
 		r, ok := l.reports[w]
-		if !ok || now.Sub(r.taken) > staleAfter {
+		if !ok || now.Sub(r.takenAt) > maxReportAge {
 			continue
 		}
 		total++
@@ -225,29 +229,30 @@
 	return ready, total
 }
 
-// Collect returns the reports of the workers followed here.
+// Collect returns the reports of the workers followed here: those that changed, or all if
+// full is set.
 func (l *loads) Collect(full bool) any {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	var out []workerLoad
 	now := time.Now()
-	for w := range l.own {
-		if !full && !l.fresh[w] {
+	for w := range l.followed {
+		if !full && !l.changed[w] {
 			continue
 		}
 		r := l.reports[w]
-		r.AgeMillis = int(now.Sub(r.taken).Milliseconds())
-		if !full && !l.moved[w] {
+		r.AgeMillis = int(now.Sub(r.takenAt).Milliseconds())
+		if !full && !l.newWeights[w] {
 			r.Holds = nil
 		}
 		out = append(out, r.workerLoad)
 		if !full {
-			l.told[w] = now
+			l.lastSent[w] = now
 		}
 	}
 	if !full {
-		clear(l.fresh)
-		clear(l.moved)
+		clear(l.changed)
+		clear(l.newWeights)
 	}
 	if len(out) == 0 {
 		return nil
@@ -255,7 +260,7 @@
 	return out
 }
 
-// Receive takes a peer's reports.
+// Receive records the reports that a peer sent.
 func (l *loads) Receive(_ string, body []byte) {
 	var list []workerLoad
 	if msgpack.Unmarshal(body, &list) != nil {
--- a/core/home/move.go
+++ b/core/home/move.go
@@ -17,28 +17,28 @@
 	"embertally.dev/core/target"
 )
 
-// manifests are those found for a request, by store.
+// manifests are the manifests found for a request, by store.
 type manifests map[string]*target.Manifest
 
-// stores returns the stores of the cell in the order in which the context is
-// placed on them. Anyone computes the same order, so that a kept context is
-// found without an index.
+// stores returns the stores of the cell in the order in which a context is placed on them.
+// Every daemon computes the same order, so a stored context is found without an index.
 func (h *Home) stores(snap *conf.Snapshot, view *fleet.View, root cache.Hash) []string {
-	return fleet.Rank(root.Short(), h.plan(snap, view).stores)
+	return fleet.Rank(root.Short(), h.targets(snap, view).stores)
 }
 
-// storesAsked bounds the stores that are asked for one context.
-const storesAsked = 2
+// maxStoresQueried bounds the stores that are queried for one context.
+const maxStoresQueried = 2
 
-// look asks the stores for a context that is not known here yet.
-func (h *Home) look(ctx context.Context, snap *conf.Snapshot, view *fleet.View, a *Ask, root cache.Hash, pos *cache.Position) manifests {
-	d := snap.Deployment(a.Deployment)
-	if pos.Looked || !h.o.Placement.Exports() || d == nil || len(a.Chain) < d.ExportFrom() {
+// queryStores queries the stores for a context, unless they have been queried already. It
+// adds what they hold to pos.
+func (h *Home) queryStores(ctx context.Context, snap *conf.Snapshot, view *fleet.View, req *Ask, root cache.Hash, pos *cache.Position) manifests {
+	d := snap.Deployment(req.Deployment)
+	if pos.Looked || !h.o.Placement.Exports() || d == nil || len(req.Chain) < d.ExportFrom() {
 		return nil
 	}
 	names := h.stores(snap, view, root)
-	names = names[:min(len(names), storesAsked)]
-	got := make([]*target.Manifest, len(names))
+	names = names[:min(len(names), maxStoresQueried)]
+	found := make([]*target.Manifest, len(names))
 	failed := make([]bool, len(names))
 	var wg sync.WaitGroup
 	for i, name := range names {
@@ -48,19 +48,19 @@
 		}
 		wg.Go(func() {
 			m, err := h.store(snap.Target(name)).Manifest(ctx, root)
-			got[i], failed[i] = m, err != nil
+			found[i], failed[i] = m, err != nil
 			if err != nil && ctx.Err() == nil {
-				h.down(name)
+				h.markDown(name)
 			}
 		})
 	}
 	wg.Wait()
-	now, shorts, out := time.Now(), cache.Shorts(a.Chain), manifests{}
-	for i, m := range got {
+	now, shorts, out := time.Now(), cache.Shorts(req.Chain), manifests{}
+	for i, m := range found {
 		if failed[i] {
 			continue
 		}
-		n := fitting(m, a)
+		n := matchingBlocks(m, req)
 		h.index.Kept(root.Short(), shorts, names[i], n, now)
 		if n > 0 {
 			out[names[i]] = m
@@ -70,41 +70,44 @@
 	return out
 }
 
-// fitting returns how many first blocks of the chain a manifest names. A
-// manifest of another organisation or weight version names none.
-func fitting(m *target.Manifest, a *Ask) int {
-	if m == nil || m.Salt != a.Salt {
+// matchingBlocks returns how many first blocks of the chain a manifest lists. It is zero for
+// a manifest of another organisation, model, weight version or adapter.
+func matchingBlocks(m *target.Manifest, req *Ask) int {
+	if m == nil || m.Salt != req.Salt {
 		return 0
 	}
-	n := min(len(m.Blocks), len(a.Chain))
+	n := min(len(m.Blocks), len(req.Chain))
 	for i := range n {
-		if m.Blocks[i].Hash != a.Chain[i] {
+		if m.Blocks[i].Hash != req.Chain[i] {
 			return i
 		}
 	}
 	return n
 }
 
-// downPause is how long a store that did not answer is not asked.
-const downPause = 2 * time.Second
+// storeRetryPause is how long a store that failed is not queried.
+const storeRetryPause = 2 * time.Second
 
-func (h *Home) down(store string) {
+// markDown records that a store failed.
+func (h *Home) markDown(store string) {
 	h.storeMu.Lock()
 	defer h.storeMu.Unlock()
-	h.storeDown[store] = time.Now().Add(downPause)
+	h.downUntil[store] = time.Now().Add(storeRetryPause)
 }
 
+// isDown reports whether a store failed within storeRetryPause.
 func (h *Home) isDown(store string) bool {
 	h.storeMu.Lock()
 	defer h.storeMu.Unlock()
-	return time.Now().Before(h.storeDown[store])
+	return time.Now().Before(h.downUntil[store])
 }
 
-// storeLatency is the time before the first byte from a store.
+// storeLatency is the assumed delay before the first byte from a store.
 const storeLatency = 3 * time.Millisecond
 
-// kept returns what the stores keep in the form that decisions need.
-func (h *Home) kept(snap *conf.Snapshot, pos cache.Position, blockBytes int64) []route.Kept {
+// importSources returns the stores that hold blocks of the context, in the form that
+// route.Place expects.
+func (h *Home) importSources(snap *conf.Snapshot, pos cache.Position, blockBytes int64) []route.Kept {
 	var out []route.Kept
 	for _, k := range pos.Keepings {
 		t := snap.Target(k.Store)
@@ -120,16 +123,16 @@
 	return out
 }
 
-// fetch makes the chosen worker read blocks from a store, checks what it read
-// and commits what passed. A failure costs computing the blocks again.
-func (h *Home) fetch(ctx context.Context, snap *conf.Snapshot, a *Ask, root cache.Hash, found manifests, im route.Import, ans *Answer) {
-	ref := event.Ref{Request: a.Request, Context: root.String(), Organisation: a.Salt.Organisation, Target: ans.Worker}
-	n, bytes, err := h.imports(ctx, snap, a, root, found[im.Store], im, ans.Worker)
+// importContext makes the chosen worker read blocks from a store and records the result.
+// After a failure the worker computes the blocks again.
+func (h *Home) importContext(ctx context.Context, snap *conf.Snapshot, req *Ask, root cache.Hash, found manifests, imp route.Import, ans *Answer) {
+	ref := event.Ref{Request: req.Request, Context: root.String(), Organisation: req.Salt.Organisation, Target: ans.Worker}
+	n, bytes, err := h.importBlocks(ctx, snap, req, root, found[imp.Store], imp, ans.Worker)
 	h.stats.LinkBytes.Add(bytes)
 	ans.LinkBytes = bytes
 	if err != nil {
 		h.stats.ImportsRejected.Add(1)
-		h.o.Log.Emit(event.ImportRejected, ref, im.Store+": "+err.Error())
+		h.o.Log.Emit(event.ImportRejected, ref, imp.Store+": "+err.Error())
 	}
 	if n == 0 {
 		return
@@ -137,113 +140,115 @@
 	ans.Imported = n
 	h.stats.Imports.Add(1)
 	h.stats.ImportedBlocks.Add(int64(n))
-	h.index.Held(root.Short(), cache.Shorts(a.Chain), ans.Worker, im.From+n, time.Now())
-	h.o.Log.Emit(event.ContextImported, ref, fmt.Sprintf("%d blocks, %d bytes from %s", n, bytes, im.Store))
+	h.index.Held(root.Short(), cache.Shorts(req.Chain), ans.Worker, imp.From+n, time.Now())
+	h.o.Log.Emit(event.ContextImported, ref, fmt.Sprintf("%d blocks, %d bytes from %s", n, bytes, imp.Store))
 }
 
-// imports returns how many blocks were committed and how many bytes moved.
-func (h *Home) imports(ctx context.Context, snap *conf.Snapshot, a *Ask, root cache.Hash, m *target.Manifest, im route.Import, worker string) (int, int64, error) {
-	st := snap.Target(im.Store)
+// importBlocks makes a worker read blocks from a store and returns how many were committed
+// and how many bytes were moved.
+func (h *Home) importBlocks(ctx context.Context, snap *conf.Snapshot, req *Ask, root cache.Hash, m *target.Manifest, imp route.Import, worker string) (int, int64, error) {
+	st := snap.Target(imp.Store)
 	if m == nil {
 		var err error
 		m, err = h.store(st).Manifest(ctx, root)
 		if err != nil {
-			h.down(im.Store)
+			h.markDown(imp.Store)
 			return 0, 0, err
 		}
 	}
-	to := min(im.To, fitting(m, a))
-	if to <= im.From {
-		h.index.Kept(root.Short(), cache.Shorts(a.Chain), im.Store, to, time.Now())
-		return 0, 0, errors.New("the store no longer keeps the context")
+	to := min(imp.To, matchingBlocks(m, req))
+	if to <= imp.From {
+		h.index.Kept(root.Short(), cache.Shorts(req.Chain), imp.Store, to, time.Now())
+		return 0, 0, errors.New("the store no longer holds the context")
 	}
-	parent := a.seed()
-	if im.From > 0 {
-		parent = a.Chain[im.From-1]
+	parent := req.seed()
+	if imp.From > 0 {
+		parent = req.Chain[imp.From-1]
 	}
-	want := m.Blocks[im.From:to]
-	end, err := h.turnFor(ctx, im.Store, a.Salt.Organisation, int64(len(want)*h.blockBytes(worker)), true)
+	want := m.Blocks[imp.From:to]
+	release, err := h.acquireLink(ctx, imp.Store, req.Salt.Organisation, int64(len(want)*h.blockBytes(worker)), true)
 	if err != nil {
 		return 0, 0, err
 	}
-	began := time.Now()
+	start := time.Now()
 	e := h.engine(snap.Target(worker))
 	staged, err := e.Import(ctx, st.URL, parent, want)
-	end(staged.Bytes, time.Since(began))
+	release(staged.Bytes, time.Since(start))
 	if err != nil {
-		h.down(im.Store)
+		h.markDown(imp.Store)
 		return 0, 0, err
 	}
-	return h.commit(ctx, e, a, root, im, want, staged)
+	return h.commit(ctx, e, req, root, imp, want, staged)
 }
 
-// commit compares what the worker read with the manifest and commits the
-// blocks before the first that differs.
-func (h *Home) commit(ctx context.Context, e *target.Engine, a *Ask, root cache.Hash, im route.Import, want []target.Block, staged target.Staged) (int, int64, error) {
-	good := 0
-	for good < min(len(staged.Blocks), len(want)) && staged.Blocks[good] == want[good] {
-		good++
-	}
-	err := e.Commit(ctx, staged.ID, good)
+// commit compares the blocks that the worker read with the manifest and commits those before
+// the first mismatch.
+func (h *Home) commit(ctx context.Context, e *target.Engine, req *Ask, root cache.Hash, imp route.Import, want []target.Block, staged target.Staged) (int, int64, error) {
+	verified := 0
+	for verified < min(len(staged.Blocks), len(want)) && staged.Blocks[verified] == want[verified] {
+		verified++
+	}
+	err := e.Commit(ctx, staged.ID, verified)
 	if err != nil {
 		return 0, staged.Bytes, err
 	}
-	if good < len(want) {
-		h.index.Kept(root.Short(), cache.Shorts(a.Chain), im.Store, im.From+good, time.Now())
-		err = errors.Errorf("%d of %d blocks differ from the manifest", len(want)-good, len(want))
+	if verified < len(want) {
+		h.index.Kept(root.Short(), cache.Shorts(req.Chain), imp.Store, imp.From+verified, time.Now())
+		err = errors.Errorf("%d of %d blocks differ from the manifest", len(want)-verified, len(want))
 	}
-	return good, staged.Bytes, err
+	return verified, staged.Bytes, err
 }
 
+// blockBytes returns the size of a block on a worker, or 0 if there is no recent report.
 func (h *Home) blockBytes(worker string) int {
 	load, _ := h.loads.load(worker, 0, time.Now())
 	return load.BlockBytes
 }
 
-// turnLimits bound the wait for a link's turn.
+// Bounds of the wait for a link.
 const (
-	importTurnLimit = 2 * time.Second
-	exportTurnLimit = 60 * time.Second
+	importLinkTimeout = 2 * time.Second
+	exportLinkTimeout = 60 * time.Second
 )
 
-// turnFor waits for the turn of a transfer and returns how to end it. Where
-// the scheduler does not answer, a transfer that a caller waits for goes ahead
-// and an export does not.
-func (h *Home) turnFor(ctx context.Context, store, organisation string, bytes int64, waiting bool) (end func(int64, time.Duration), err error) {
-	limit := exportTurnLimit
+// acquireLink waits for a link and returns the function that releases it. waiting tells that
+// a caller waits for the transfer: it goes ahead if the link's scheduler does not answer,
+// while an export does not.
+func (h *Home) acquireLink(ctx context.Context, store, organisation string, bytes int64, waiting bool) (release func(int64, time.Duration), err error) {
+	limit := exportLinkTimeout
 	if waiting {
-		limit = importTurnLimit
+		limit = importLinkTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	view := h.o.Fleet.View()
 	name := view.Duty(fleet.Key("link/" + store))
-	ask := &linkAsk{Store: store, Organisation: organisation, Bytes: bytes, Waiting: waiting}
+	req := &linkRequest{Store: store, Organisation: organisation, Bytes: bytes, Waiting: waiting}
 	if name == view.Self() || name == "" {
-		turn, err := h.links.ask(ctx, ask)
+		grant, err := h.links.acquire(ctx, req)
 		if err != nil {
 			return nil, err
 		}
 		return func(n int64, took time.Duration) {
-			h.links.end(&linkDone{Store: store, ID: turn.ID, Bytes: n, Took: took})
+			h.links.release(&linkRelease{Store: store, ID: grant.ID, Bytes: n, Took: took})
 		}, nil
 	}
-	var turn linkTurn
-	if err := h.o.Fleet.Call(ctx, name, kindLinkAsk, ask, &turn); err != nil {
+	var grant linkGrant
+	if err := h.o.Fleet.Call(ctx, name, kindLinkRequest, req, &grant); err != nil {
 		if waiting && ctx.Err() == nil {
 			return func(int64, time.Duration) {}, nil
 		}
 		return nil, err
 	}
 	return func(n int64, took time.Duration) {
-		ctx, cancel := context.WithTimeout(context.Background(), tellLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
-		// A lost notice ends by the turn's limit.
-		_ = h.o.Fleet.Notify(ctx, name, kindLinkDone, &linkDone{Store: store, ID: turn.ID, Bytes: n, Took: took})
+		// If the notification is lost, the scheduler ends the transfer after grantTimeout.
+		_ = h.o.Fleet.Notify(ctx, name, kindLinkRelease, &linkRelease{Store: store, ID: grant.ID, Bytes: n, Took: took})
 	}, nil
 }
 
-// export is a context that may be written to a store.
+// export is a context that may be written to a store, and the worker that holds it.
 type export struct {
 	root   cache.Hash
 	salt   cache.Salt
@@ -251,12 +256,12 @@
 	worker string
 }
 
-// exporters is how many exports one daemon runs at once.
+// exporters is the number of concurrent exports of a daemon.
 const exporters = 2
 
-// wishExport queues an export unless one is running, a store keeps the context
-// already, or too many wait.
-func (h *Home) wishExport(x export) {
+// enqueueExport queues an export, unless one of the context is running or queued, a store
+// holds the context already, or the queue is full.
+func (h *Home) enqueueExport(x export) {
 	if !h.index.BeginExport(x.root.Short(), len(x.chain)) {
 		return
 	}
@@ -267,9 +272,10 @@
 	}
 }
 
-// exporter writes contexts to stores, one after the other.
+// exporter writes contexts to stores, one at a time.
 type exporter struct{ *Home }
 
+// run handles queued exports until ctx ends.
 func (e exporter) run(ctx context.Context) {
 	for {
 		select {
@@ -281,11 +287,12 @@
 	}
 }
 
-// exportLimit bounds one export.
-const exportLimit = 90 * time.Second
+// exportTimeout bounds one export.
+const exportTimeout = 90 * time.Second
 
+// handle runs one export and logs its result.
 func (e exporter) handle(ctx context.Context, x export) {
-	ctx, cancel := context.WithTimeout(ctx, exportLimit)
+	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
 	defer e.index.EndExport(x.root.Short())
 	ref := event.Ref{Context: x.root.String(), Organisation: x.salt.Organisation, Target: x.worker}
@@ -302,7 +309,8 @@
 	}
 }
 
-// write exports what the first store that answers lacks of a context.
+// write exports the blocks of a context that are missing in the first store that is not
+// down.
 func (e exporter) write(ctx context.Context, x export) (store string, written int, err error) {
 	snap, view := e.o.Conf.Snapshot(), e.o.Fleet.View()
 	worker := snap.Target(x.worker)
@@ -316,66 +324,68 @@
 		n, err := e.writeTo(ctx, x, name, snap.Target(name), e.engine(worker))
 		return name, n, err
 	}
-	return "", 0, errors.New("no store can be used")
+	return "", 0, errors.New("no store is available")
 }
 
+// writeTo exports the blocks that one store lacks, and returns how many it wrote.
 func (e exporter) writeTo(ctx context.Context, x export, name string, t *conf.Target, eng *target.Engine) (int, error) {
 	st := e.store(t)
-	old, err := st.Manifest(ctx, x.root)
+	manifest, err := st.Manifest(ctx, x.root)
 	if err != nil {
-		e.down(name)
+		e.markDown(name)
 		return 0, err
 	}
-	ask := &Ask{Salt: x.salt, Chain: x.chain}
-	have := fitting(old, ask)
-	if have == len(x.chain) {
-		e.index.Kept(x.root.Short(), cache.Shorts(x.chain), name, have, time.Now())
+	req := &Ask{Salt: x.salt, Chain: x.chain}
+	stored := matchingBlocks(manifest, req)
+	if stored == len(x.chain) {
+		e.index.Kept(x.root.Short(), cache.Shorts(x.chain), name, stored, time.Now())
 		return 0, nil
 	}
-	lack := x.chain[have:]
-	out, err := e.send(ctx, x, name, st, eng, lack)
+	missing := x.chain[stored:]
+	out, err := e.exportBlocks(ctx, x, name, st, eng, missing)
 	if err != nil {
 		return 0, err
 	}
 	m := target.Manifest{Root: x.root, Salt: x.salt}
-	if have > 0 {
-		m.Blocks = append(m.Blocks, old.Blocks[:have]...)
+	if stored > 0 {
+		m.Blocks = append(m.Blocks, manifest.Blocks[:stored]...)
 	}
 	m.Blocks = append(m.Blocks, out.Blocks...)
-	n := fitting(&m, ask)
+	n := matchingBlocks(&m, req)
 	m.Blocks = m.Blocks[:n]
-	if n <= have {
+	if n <= stored {
 		return 0, errors.New("the worker no longer holds the blocks")
 	}
 	if err := st.PutManifest(ctx, m); err != nil {
 		return 0, err
 	}
 	e.index.Kept(x.root.Short(), cache.Shorts(x.chain), name, n, time.Now())
-	return n - have, nil
+	return n - stored, nil
 }
 
-// send moves blocks in the link's turn; a full store gives up others first.
-func (e exporter) send(ctx context.Context, x export, name string, st *target.Store, eng *target.Engine, lack []cache.Hash) (target.Exported, error) {
-	bytes := int64(len(lack) * e.blockBytes(x.worker))
-	for try := 0; ; try++ {
-		end, err := e.turnFor(ctx, name, x.salt.Organisation, bytes, false)
+// exportBlocks acquires the link and copies blocks to a store. If the store is full, it
+// removes other contexts there and tries once more.
+func (e exporter) exportBlocks(ctx context.Context, x export, name string, st *target.Store, eng *target.Engine, missing []cache.Hash) (target.Exported, error) {
+	bytes := int64(len(missing) * e.blockBytes(x.worker))
+	for attempt := 0; ; attempt++ {
+		release, err := e.acquireLink(ctx, name, x.salt.Organisation, bytes, false)
 		if err != nil {
 			return target.Exported{}, err
 		}
-		began := time.Now()
-		out, err := eng.Export(ctx, st.URL(), lack)
-		end(out.Bytes, time.Since(began))
+		start := time.Now()
+		out, err := eng.Export(ctx, st.URL(), missing)
+		release(out.Bytes, time.Since(start))
 		e.stats.LinkBytes.Add(out.Bytes)
-		if target.Status(err) != http.StatusInsufficientStorage || try > 0 {
+		if target.Status(err) != http.StatusInsufficientStorage || attempt > 0 {
 			return out, err
 		}
-		if err := e.reclaim(ctx, name, st, len(lack)); err != nil {
+		if err := e.reclaim(ctx, name, st, len(missing)); err != nil {
 			return target.Exported{}, err
 		}
 	}
 }
 
-// reclaim makes a full store give up contexts until blocks are free.
+// reclaim removes contexts from a full store until the given number of blocks is free.
 func (e exporter) reclaim(ctx context.Context, name string, st *target.Store, blocks int) error {
 	u, err := st.Usage(ctx)
 	if err != nil {
@@ -385,17 +395,17 @@
 	for i, c := range u.Contexts {
 		list[i] = route.Shed{Index: i, Blocks: c.Blocks, IdleSeconds: c.IdleSeconds, Reads: c.Reads}
 	}
-	need := blocks - (u.TotalBlocks - u.UsedBlocks) + u.TotalBlocks/reclaimShare
-	gone := route.GiveUp(list, need)
-	for _, i := range gone {
+	need := blocks - (u.TotalBlocks - u.UsedBlocks) + u.TotalBlocks/reclaimDivisor
+	removed := route.GiveUp(list, need)
+	for _, i := range removed {
 		if err := st.Remove(ctx, u.Contexts[i].Root); err != nil {
 			return err
 		}
 	}
-	e.o.Log.Emit(event.StoreReclaimed, event.Ref{Target: name}, fmt.Sprintf("%d contexts", len(gone)))
+	e.o.Log.Emit(event.StoreReclaimed, event.Ref{Target: name}, fmt.Sprintf("%d contexts", len(removed)))
 	return nil
 }
 
-// reclaimShare is the part of a full store that is freed beyond the need, so
-// that the next exports find room.
-const reclaimShare = 50
+// reclaimDivisor sets what is freed in a full store beyond the need: one reclaimDivisor-th
+// of its blocks, so that the next exports find free capacity.
+const reclaimDivisor = 50
--- a/core/home/msgs.go
+++ b/core/home/msgs.go
@@ -8,126 +8,131 @@
 	"embertally.dev/core/wire"
 )
 
-// Kinds of messages between daemons.
+// Message kinds between daemons.
 const (
-	kindPlace    wire.Kind = "home.place"
-	kindDone     wire.Kind = "home.done"
-	kindLost     wire.Kind = "home.lost"
-	kindResynced wire.Kind = "home.resynced"
-	kindLinkAsk  wire.Kind = "home.linkAsk"
-	kindLinkDone wire.Kind = "home.linkDone"
+	kindPlace       wire.Kind = "home.place"
+	kindDone        wire.Kind = "home.done"
+	kindLost        wire.Kind = "home.lost"
+	kindResynced    wire.Kind = "home.resynced"
+	kindLinkRequest wire.Kind = "home.linkAsk"
+	kindLinkRelease wire.Kind = "home.linkDone"
 )
 
-// Ask is a request for a worker, sent to the home of its context.
+// Ask is a request for a worker, sent to the context owner.
 type Ask struct {
 	Request    string     `msgpack:"i"`
 	Deployment string     `msgpack:"d"`
 	Salt       cache.Salt `msgpack:"s"`
-	// Roots is how many first blocks name the context.
+	// Roots is the number of first blocks that identify the context.
 	Roots int          `msgpack:"r"`
 	Chain []cache.Hash `msgpack:"c"`
 	// Tokens is the length of the prompt.
 	Tokens int `msgpack:"t"`
-	// Deadline is the time left until the first token is due; zero means that
-	// it has been given.
+	// Deadline is the time remaining until the first token is due; zero if it has been sent
+	// already.
 	Deadline time.Duration `msgpack:"l"`
 	Priority int           `msgpack:"p"`
 	Prices   route.Policy  `msgpack:"w"`
-	// Targets restricts the workers; empty means all of the deployment.
+	// Targets restricts the choice of workers; empty allows all of the deployment.
 	Targets []string `msgpack:"a,omitempty"`
-	// Exclude are workers that failed this request, and those that asked the daemon for rest.
+	// Exclude are the workers that failed this request or are under pushback.
 	Exclude []string `msgpack:"x,omitempty"`
 }
 
-// seed returns the start of the chain.
-func (a *Ask) seed() cache.Hash { return a.Salt.Seed() }
+// seed returns the hash that starts the chain.
+func (req *Ask) seed() cache.Hash { return req.Salt.Seed() }
 
-// Root returns the hash that names the context.
-func (a *Ask) Root() cache.Hash { return cache.Root(a.seed(), a.Chain, a.Roots) }
+// Root returns the hash that identifies the context.
+func (req *Ask) Root() cache.Hash { return cache.Root(req.seed(), req.Chain, req.Roots) }
 
-// Answer says where a request goes and why.
+// Answer is the decision where a request goes, with its reasons.
 type Answer struct {
 	Verdict    route.Verdict  `msgpack:"v"`
 	Worker     string         `msgpack:"w"`
 	Expected   time.Duration  `msgpack:"e"`
 	RetryAfter time.Duration  `msgpack:"r,omitempty"`
 	Weighed    []route.Option `msgpack:"o,omitempty"`
-	// Held is how many blocks the worker was believed to hold.
+	// Held is how many first blocks of the prompt the worker was recorded as holding.
 	Held int `msgpack:"h"`
-	// Imported is how many blocks were read from a store for the request.
+	// Imported is the number of blocks read from a store for the request, and LinkBytes the
+	// bytes moved for that.
 	Imported  int   `msgpack:"m"`
 	LinkBytes int64 `msgpack:"b,omitempty"`
 	// Home is the daemon that decided.
 	Home string `msgpack:"n"`
-	// Boot names the run of the worker, as far as its home knows.
+	// Boot identifies the incarnation of the worker, if the owner has it.
 	Boot string `msgpack:"z,omitempty"`
 }
 
-// Run names the run of the chosen worker.
-func (a *Answer) Run() string { return runName(a.Worker, a.Boot) }
+// Run returns the name of the chosen worker's incarnation.
+func (ans *Answer) Run() string { return incarnationName(ans.Worker, ans.Boot) }
 
-// RunOf names the run of a worker as far as this daemon knows, or returns "".
+// RunOf returns the name of a worker's incarnation, or "" if this daemon has no report of
+// it.
 func (h *Home) RunOf(worker string) string {
 	boot := h.loads.boot(worker)
 	if boot == "" {
 		return ""
 	}
-	return runName(worker, boot)
+	return incarnationName(worker, boot)
 }
 
-// runName names one run of a worker: it may start again under its name.
-func runName(worker, boot string) string { return worker + "@" + boot }
+// incarnationName returns the name of one incarnation of a worker, which may restart under
+// the same worker name.
+func incarnationName(worker, boot string) string { return worker + "@" + boot }
 
-// Done tells the home of a context how a request ended.
+// Done reports the outcome of a request to the context owner.
 type Done struct {
 	Request string       `msgpack:"i"`
 	Salt    cache.Salt   `msgpack:"s"`
 	Roots   int          `msgpack:"r"`
 	Chain   []cache.Hash `msgpack:"c"`
 	Worker  string       `msgpack:"w"`
-	// Prefilled tells that the worker computed the whole prompt, so that it
-	// holds its blocks.
+	// Prefilled is set if the worker computed the whole prompt, so that it holds its blocks.
 	Prefilled bool `msgpack:"p"`
-	// ExportFrom is the shortest context worth keeping, in blocks.
+	// ExportFrom is the minimum length of a context to export, in blocks.
 	ExportFrom int `msgpack:"x"`
-	// Failed tells that the worker did not answer.
+	// Failed is set if the worker did not answer.
 	Failed bool `msgpack:"f,omitempty"`
 }
 
-// marks tells the home of contexts what a worker lost or holds.
-type marks struct {
+// blockNotice notifies the owner of contexts which blocks a worker lost or holds.
+type blockNotice struct {
 	Worker string       `msgpack:"w"`
 	Marks  []cache.Mark `msgpack:"m"`
 }
 
-// linkAsk asks the scheduler of a store's link for its turn.
-type linkAsk struct {
+// linkRequest requests permission for a transfer from the scheduler of a store's link.
+type linkRequest struct {
 	Store        string `msgpack:"s"`
 	Organisation string `msgpack:"o"`
 	Bytes        int64  `msgpack:"b"`
-	Waiting      bool   `msgpack:"w"`
+	// Waiting is set if a caller waits for the transfer.
+	Waiting bool `msgpack:"w"`
 }
 
-// linkTurn allows a transfer.
-type linkTurn struct {
+// linkGrant permits a transfer.
+type linkGrant struct {
 	ID uint64 `msgpack:"i"`
 }
 
-// linkDone ends a transfer.
-type linkDone struct {
+// linkRelease ends a transfer.
+type linkRelease struct {
 	Store string `msgpack:"s"`
 	ID    uint64 `msgpack:"i"`
-	// Bytes and Took are what was moved and in which time; zero if it failed.
+	// Bytes and Took are the size and duration of the transfer; zero if it failed.
 	Bytes int64         `msgpack:"b"`
 	Took  time.Duration `msgpack:"t"`
 }
 
-// workerLoad is what the follower of a worker tells its cell.
+// workerLoad is the load of a worker, sent to the daemons of its cell by the one that
+// follows it.
 type workerLoad struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Worker   string
-	// Queued is the waiting prompt tokens by priority, lowest first.
+	// Queued is the number of queued prompt tokens by priority, lowest first. Free and Total
+	// count blocks, and Speed is in prompt tokens per second.
 	Queued     []int
 	Running    int
 	Free       int
@@ -135,20 +140,21 @@
 	Speed      float32
 	BlockBytes int
 	Loading    bool
-	// Holds lists loaded weights as "model@version", with adapters after "+";
-	// nil says that they are as before.
+	// Holds lists the loaded weights as "model@version", with "+adapter" for adapters; nil
+	// means unchanged.
 	Holds []string
-	// AgeMillis is how old the report was when it was sent.
+	// AgeMillis is the age of the report when it was sent.
 	AgeMillis int
-	// Boot names the run of the worker; it is told with Holds.
+	// Boot identifies the worker's incarnation. It is sent with Holds.
 	Boot string
 }
 
-// linkState is what the scheduler of a link tells its cell.
+// linkState is the state of a link, sent by its scheduler to the daemons of its cell.
 type linkState struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Store    string
-	Backlog  int64
-	Rate     float64
+	// Backlog is in bytes, and Rate in bytes per second.
+	Backlog int64
+	Rate    float64
 }
--- a/core/home/plan.go
+++ b/core/home/plan.go
@@ -5,52 +5,53 @@
 	"embertally.dev/core/fleet"
 )
 
-// plan is what one configuration and one view of the fleet say of the targets
-// of this cell. It never changes; it is made anew when either changes, so that
-// a request does not look through the targets of the whole fleet.
-type plan struct {
+// cellTargets are the targets of this cell under one configuration and one view of the
+// fleet. It is immutable and rebuilt when either changes, so that a request need not scan
+// the targets of the whole fleet.
+type cellTargets struct {
 	snap *conf.Snapshot
 	view *fleet.View
-	// workers are the engines of the cell, usable or not, ordered by name.
+	// workers are the engines of the cell, usable or not, sorted by name.
 	workers []string
-	// usable are the engines of each deployment that may get new work.
+	// usable are the engines of each deployment that may receive new work.
 	usable map[string][]string
-	// stores are the stores that may be used.
+	// stores are the usable stores.
 	stores []string
 }
 
-// plan returns the plan for a snapshot and a view.
-func (h *Home) plan(snap *conf.Snapshot, view *fleet.View) *plan {
-	if p := h.planned.Load(); p != nil && p.snap == snap && p.view == view {
-		return p
+// targets returns the targets for a snapshot and a view.
+func (h *Home) targets(snap *conf.Snapshot, view *fleet.View) *cellTargets {
+	if c := h.cachedTargets.Load(); c != nil && c.snap == snap && c.view == view {
+		return c
 	}
-	p := &plan{snap: snap, view: view, usable: map[string][]string{}}
+	c := &cellTargets{snap: snap, view: view, usable: map[string][]string{}}
 	for _, r := range snap.List(conf.KindTarget) {
 		t := r.Spec().(*conf.Target)
 		if view.CellOf(r.Name()) == view.Cell() {
-			p.add(r.Name(), t, view.Usable(r.Name(), t))
+			c.add(r.Name(), t, view.Usable(r.Name(), t))
 		}
 	}
-	h.planned.Store(p)
-	return p
+	h.cachedTargets.Store(c)
+	return c
 }
 
-func (p *plan) add(name string, t *conf.Target, usable bool) {
+// add sorts a target into the lists.
+func (c *cellTargets) add(name string, t *conf.Target, usable bool) {
 	if t.Type == conf.TypeEngine {
-		p.workers = append(p.workers, name)
+		c.workers = append(c.workers, name)
 	}
 	switch {
 	case !usable:
 	case t.Type == conf.TypeStore:
-		p.stores = append(p.stores, name)
+		c.stores = append(c.stores, name)
 	case t.Type == conf.TypeEngine:
 		for _, d := range t.Deployments {
-			p.usable[d] = append(p.usable[d], name)
+			c.usable[d] = append(c.usable[d], name)
 		}
 	}
 }
 
-// Workers returns the engines of this cell.
+// Workers returns the names of the engines of this cell.
 func (h *Home) Workers(snap *conf.Snapshot, view *fleet.View) []string {
-	return h.plan(snap, view).workers
+	return h.targets(snap, view).workers
 }
