--- a/core/cache/cache_test.go
+++ b/core/cache/cache_test.go
@@ -58,6 +58,7 @@
 	})
 }
 
+// chainOf returns the chain of short hashes 1 to n; a nonzero last replaces the last hash.
 func chainOf(n int, last uint64) []uint64 {
 	out := make([]uint64, n)
 	for i := range out {
@@ -85,9 +86,9 @@
 
 func TestIndexLose(t *testing.T) {
 	tests := []struct {
-		name string
-		mark Mark
-		want []WorkerBlocks
+		name  string
+		block Mark
+		want  []WorkerBlocks
 	}{
 		{"inner block", Mark{7, 4, 4}, []WorkerBlocks{{"w", 3}}},
 		{"first block", Mark{7, 1, 1}, nil},
@@ -99,7 +100,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var x Index
 			x.Held(7, chainOf(10, 0), "w", 10, time.Unix(1, 0))
-			x.Lose("w", []Mark{tc.mark})
+			x.Lose("w", []Mark{tc.block})
 			gomega.NewWithT(t).Expect(x.Find(7, chainOf(10, 0)).Holdings).To(gomega.Equal(tc.want))
 		})
 	}
@@ -138,10 +139,11 @@
 	return f.contents, nil
 }
 
+// recordingListener records all lost blocks and the tips of the latest resync.
 type recordingListener struct{ lost, tips []Mark }
 
-func (h *recordingListener) Lost(_ string, m []Mark)     { h.lost = append(h.lost, m...) }
-func (h *recordingListener) Resynced(_ string, m []Mark) { h.tips = m }
+func (l *recordingListener) Lost(_ string, blocks []Mark)     { l.lost = append(l.lost, blocks...) }
+func (l *recordingListener) Resynced(_ string, blocks []Mark) { l.tips = blocks }
 
 func TestFollowerReportsFirstBlockLostOfEachContext(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/core/cache/follow.go
+++ b/core/cache/follow.go
@@ -66,11 +66,11 @@
 
 // listener receives the changes that a follower observes.
 type listener interface {
-	// Lost reports that the worker no longer holds the marked blocks, nor any block after
+	// Lost reports that the worker no longer holds the given blocks, nor any block after
 	// them.
-	Lost(worker string, marks []Mark)
-	// Resynced replaces all earlier information about the worker: it holds the chains that
-	// end in the blocks tips.
+	Lost(worker string, blocks []Mark)
+	// Resynced replaces all earlier information about the worker: it holds the chains whose
+	// last blocks are tips.
 	Resynced(worker string, tips []Mark)
 }
 
--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -211,10 +211,10 @@
 	return r != nil && m.Depth >= 1 && m.Depth <= len(r.chain) && r.chain[m.Depth-1] == m.Short
 }
 
-// retained returns how many first blocks of the context a worker may still hold without the
-// marked one. The blocks before the one that identifies the context belong to many contexts,
-// so no mark reports their removal: without the identifying block the worker counts as
-// holding nothing.
+// retained returns how many first blocks of the context a worker may still hold without this
+// one. The blocks before the one that identifies the context belong to many contexts, so no
+// Mark reports their removal: without the identifying block the worker counts as holding
+// nothing.
 func (m Mark) retained() int {
 	if m.Short == m.Root {
 		return 0
@@ -222,11 +222,11 @@
 	return m.Depth - 1
 }
 
-// Lose records that a worker no longer holds the marked blocks, nor those after them.
-func (x *Index) Lose(worker string, marks []Mark) {
+// Lose records that a worker no longer holds the given blocks, nor those after them.
+func (x *Index) Lose(worker string, blocks []Mark) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
-	for _, m := range marks {
+	for _, m := range blocks {
 		r := x.record(m.Root)
 		if !m.matches(r) {
 			continue
@@ -239,7 +239,8 @@
 	}
 }
 
-// Resync replaces everything recorded about a worker by the chains that end in tips.
+// Resync replaces everything recorded about a worker by the chains whose last blocks are
+// tips.
 func (x *Index) Resync(worker string, tips []Mark) {
 	x.ForgetWorker(worker)
 	x.indexMu.Lock()
--- a/core/cache/storefollower.go
+++ b/core/cache/storefollower.go
@@ -28,7 +28,7 @@
 
 // storeFollower keeps the index of one store up to date.
 type storeFollower struct {
-	k       *Kept
+	indexes *Kept
 	address string
 }
 
@@ -40,25 +40,25 @@
 			return
 		}
 		if err == nil {
-			if !f.k.clockUnknown(f.address) {
+			if !f.indexes.clockUnknown(f.address) {
 				wait.For(ctx, batchPause)
 			}
 			continue
 		}
-		f.k.markDown(f.address, err)
+		f.indexes.markDown(f.address, err)
 		wait.For(ctx, retryPause)
 	}
 }
 
 // step fetches the whole contents if the index is not in sync, else the changes.
 func (f storeFollower) step(ctx context.Context) error {
-	since, synced := f.k.position(f.address)
+	since, synced := f.indexes.position(f.address)
 	if !synced {
-		contents, err := f.k.watcher.Contents(ctx, f.address)
+		contents, err := f.indexes.watcher.Contents(ctx, f.address)
 		if err != nil {
 			return err
 		}
-		f.k.replace(f.address, contents)
+		f.indexes.replace(f.address, contents)
 		return nil
 	}
 	return f.poll(ctx, since)
@@ -69,24 +69,24 @@
 	ctx, cancel := context.WithTimeout(ctx, longPollWait+responseAllowance)
 	defer cancel()
 	wait := longPollWait
-	if f.k.clockUnknown(f.address) {
+	if f.indexes.clockUnknown(f.address) {
 		// The contents listing does not include the targets' clock, which copies need.
 		wait = firstPollWait
 	}
-	ev, err := f.k.watcher.Events(ctx, f.address, since, wait)
+	ev, err := f.indexes.watcher.Events(ctx, f.address, since, wait)
 	if err != nil {
 		return err
 	}
-	f.k.apply(f.address, ev)
+	f.indexes.apply(f.address, ev)
 	return nil
 }
 
 // position returns where the next query to a store continues, and whether its index is in
 // sync.
-func (k *Kept) position(address string) (int64, bool) {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	ix := k.indexes[address]
+func (s *Kept) position(address string) (int64, bool) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
 	if ix == nil {
 		return 0, false
 	}
@@ -94,18 +94,18 @@
 }
 
 // clockUnknown reports whether a followed store has not yet reported its clock.
-func (k *Kept) clockUnknown(address string) bool {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	ix := k.indexes[address]
+func (s *Kept) clockUnknown(address string) bool {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
 	return ix != nil && ix.reportedAt.IsZero()
 }
 
 // replace sets the index of a store to its whole contents.
-func (k *Kept) replace(address string, contents PartEvents) {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	ix := k.indexes[address]
+func (s *Kept) replace(address string, contents PartEvents) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
 	if ix == nil {
 		return
 	}
@@ -113,21 +113,21 @@
 	ix.epoch, ix.next, ix.synced = contents.Epoch, contents.Next, true
 	ix.history, ix.historyStart = nil, contents.Next
 	ix.apply(contents)
-	k.log.Emit(event.CacheResynced, event.Ref{Target: address}, strconv.Itoa(len(ix.segments))+" segments")
+	s.log.Emit(event.CacheResynced, event.Ref{Target: address}, strconv.Itoa(len(ix.segments))+" segments")
 }
 
 // apply applies changes to the index of a store. A gap or a new epoch empties it.
-func (k *Kept) apply(address string, ev PartEvents) {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	ix := k.indexes[address]
+func (s *Kept) apply(address string, ev PartEvents) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
 	if ix == nil {
 		return
 	}
 	if ev.Epoch != ix.epoch || ev.Gap {
 		ix.synced = false
 		ix.clear()
-		k.log.Emit(event.CacheGap, event.Ref{Target: address}, "epoch "+strconv.FormatInt(ev.Epoch, 10))
+		s.log.Emit(event.CacheGap, event.Ref{Target: address}, "epoch "+strconv.FormatInt(ev.Epoch, 10))
 		return
 	}
 	ix.next = ev.Next
@@ -136,15 +136,15 @@
 }
 
 // markDown records that a query to a store failed.
-func (k *Kept) markDown(address string, err error) {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	ix := k.indexes[address]
+func (s *Kept) markDown(address string, err error) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
 	if ix == nil {
 		return
 	}
 	if !ix.down {
-		k.log.Emit(event.TargetSuspect, event.Ref{Target: address}, "store: "+err.Error())
+		s.log.Emit(event.TargetSuspect, event.Ref{Target: address}, "store: "+err.Error())
 	}
 	ix.down = true
 	ix.notify()
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -33,26 +33,26 @@
 
 // Set starts following the given stores and stops following all others. Following ends with
 // ctx.
-func (k *Kept) Set(ctx context.Context, stores []StoreInfo) {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
+func (s *Kept) Set(ctx context.Context, stores []StoreInfo) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
 	wanted := map[string]bool{}
-	for _, s := range stores {
-		wanted[s.Address] = true
-		if existing := k.indexes[s.Address]; existing != nil {
-			existing.info = s
+	for _, info := range stores {
+		wanted[info.Address] = true
+		if existing := s.indexes[info.Address]; existing != nil {
+			existing.info = info
 			continue
 		}
 		storeCtx, cancel := context.WithCancel(ctx)
-		ix := &storeIndex{info: s, stop: cancel, changed: make(chan struct{})}
+		ix := &storeIndex{info: info, stop: cancel, changed: make(chan struct{})}
 		ix.clear()
-		k.indexes[s.Address] = ix
-		go storeFollower{k, s.Address}.run(storeCtx)
+		s.indexes[info.Address] = ix
+		go storeFollower{s, info.Address}.run(storeCtx)
 	}
-	for address, ix := range k.indexes {
+	for address, ix := range s.indexes {
 		if !wanted[address] {
 			ix.stop()
-			delete(k.indexes, address)
+			delete(s.indexes, address)
 		}
 	}
 }
@@ -71,10 +71,10 @@
 // Told returns the changes that a store reported after since, or its whole contents if all
 // is set, for a peer that does not query the store itself. It returns false if this daemon's
 // view of the store is not current.
-func (k *Kept) Told(address string, since int64, all bool, now clock.Time) (PartEvents, bool) {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	ix := k.indexes[address]
+func (s *Kept) Told(address string, since int64, all bool, now clock.Time) (PartEvents, bool) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
 	if ix == nil || !ix.fresh(now) {
 		return PartEvents{}, false
 	}
@@ -83,20 +83,20 @@
 
 // News returns a channel that is closed when the store next reports or stops answering, or
 // nil if the store is not followed.
-func (k *Kept) News(address string) <-chan struct{} {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	if ix := k.indexes[address]; ix != nil {
+func (s *Kept) News(address string) <-chan struct{} {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	if ix := s.indexes[address]; ix != nil {
 		return ix.changed
 	}
 	return nil
 }
 
 // Age returns the time since the store last reported its clock, directly or through a peer.
-func (k *Kept) Age(address string, now clock.Time) time.Duration {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	if ix := k.indexes[address]; ix != nil {
+func (s *Kept) Age(address string, now clock.Time) time.Duration {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	if ix := s.indexes[address]; ix != nil {
 		return now.Sub(ix.reportedAt)
 	}
 	return now.Sub(clock.Time{})
@@ -104,10 +104,10 @@
 
 // Watchers returns how many daemons may follow a store at a time, or 0 if that is not
 // configured.
-func (k *Kept) Watchers(address string) int {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	if ix := k.indexes[address]; ix != nil {
+func (s *Kept) Watchers(address string) int {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	if ix := s.indexes[address]; ix != nil {
 		return ix.info.Watchers
 	}
 	return 0
@@ -129,11 +129,11 @@
 func (p Place) Time(domain string) time.Duration { return p.info.transferTime(p.Tokens, domain) }
 
 // Find returns the stores that hold a segment.
-func (k *Kept) Find(name PartName, now clock.Time) []Place {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
+func (s *Kept) Find(name PartName, now clock.Time) []Place {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
 	var out []Place
-	for _, ix := range k.indexes {
+	for _, ix := range s.indexes {
 		tokens := ix.segments[name]
 		if tokens == 0 || !ix.fresh(now) {
 			continue
@@ -147,11 +147,11 @@
 // Room returns the address of the store that should hold a segment, or "" if a store holds
 // it already or none has free capacity. It considers only stores in failure domains that
 // allowed accepts. Daemons with the same view choose the same store.
-func (k *Kept) Room(name PartName, tokens int, allowed func(domain string) bool, now clock.Time) string {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
+func (s *Kept) Room(name PartName, tokens int, allowed func(domain string) bool, now clock.Time) string {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
 	best, bestScore := "", 0.0
-	for address, ix := range k.indexes {
+	for address, ix := range s.indexes {
 		if ix.segments[name] > 0 {
 			return ""
 		}
@@ -169,10 +169,10 @@
 // Outdated returns up to limit segments of a store whose salt keep rejects, and the epoch
 // they were seen in. It calls keep once per salt: calling it for each of 13,000 segments
 // four times a second took more of a daemon's processor time than its heartbeats.
-func (k *Kept) Outdated(address string, limit int, keep func(salt string) bool) ([]PartName, int64) {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	ix := k.indexes[address]
+func (s *Kept) Outdated(address string, limit int, keep func(salt string) bool) ([]PartName, int64) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
 	if ix == nil || !ix.synced {
 		return nil, 0
 	}
@@ -199,29 +199,29 @@
 }
 
 // Free frees segments of a store that were seen in the given epoch.
-func (k *Kept) Free(ctx context.Context, address string, epoch int64, segments []PartName) error {
-	if err := k.watcher.Free(ctx, address, epoch, segments); err != nil {
+func (s *Kept) Free(ctx context.Context, address string, epoch int64, segments []PartName) error {
+	if err := s.watcher.Free(ctx, address, epoch, segments); err != nil {
 		return errors.Wrap(err, address)
 	}
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
-	ix := k.indexes[address]
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
 	if ix == nil || ix.epoch != epoch {
 		return nil
 	}
 	for _, name := range segments {
 		ix.set(name, 0)
 	}
-	k.log.Emit(event.StoreReclaimed, event.Ref{Target: address}, strconv.Itoa(len(segments))+" segments of outdated weights")
+	s.log.Emit(event.StoreReclaimed, event.Ref{Target: address}, strconv.Itoa(len(segments))+" segments of outdated weights")
 	return nil
 }
 
 // Stores returns the addresses of the followed stores, sorted.
-func (k *Kept) Stores() []string {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
+func (s *Kept) Stores() []string {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
 	var out []string
-	for address := range k.indexes {
+	for address := range s.indexes {
 		out = append(out, address)
 	}
 	slices.Sort(out)
@@ -229,11 +229,11 @@
 }
 
 // Tokens returns the number of tokens that all followed stores hold.
-func (k *Kept) Tokens() int {
-	k.indexesMu.Lock()
-	defer k.indexesMu.Unlock()
+func (s *Kept) Tokens() int {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
 	n := 0
-	for _, ix := range k.indexes {
+	for _, ix := range s.indexes {
 		n += ix.usedTokens
 	}
 	return n
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -26,6 +26,7 @@
 
 func newFakeStore() *fakeStore { return &fakeStore{epoch: 1, wake: make(chan struct{}, 16)} }
 
+// report adds the response to a later query for events.
 func (s *fakeStore) report(ev PartEvents) {
 	s.mu.Lock()
 	s.events = append(s.events, ev)
@@ -67,20 +68,23 @@
 	return PartEvents{Epoch: s.epoch, Next: 1, Changes: s.contents}, nil
 }
 
-func (s *fakeStore) Free(_ context.Context, _ string, epoch int64, parts []PartName) error {
+func (s *fakeStore) Free(_ context.Context, _ string, epoch int64, segments []PartName) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if epoch != s.epoch {
 		return errors.New("another epoch")
 	}
-	s.freed = append(s.freed, parts...)
+	s.freed = append(s.freed, segments...)
 	return nil
 }
 
+// change returns the change of one segment under the salt "v1/m/".
 func change(id string, tokens int) PartChange {
 	return PartChange{PartName: PartName{Salt: "v1/m/", ID: id}, Tokens: tokens}
 }
 
+// newFollowing returns a Kept that follows stores with the given capacities, at the
+// addresses "a", "b" and so on.
 func newFollowing(t *testing.T, s *fakeStore, capacities ...int) *Kept {
 	k := NewKept(s, &event.Log{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -93,6 +97,7 @@
 	return k
 }
 
+// found returns a function that reports whether any store holds the segment.
 func found(k *Kept, id string) func() bool {
 	return func() bool {
 		return len(k.Find(PartName{"v1/m/", id}, clock.Now())) > 0
--- a/core/cache/workercaches_test.go
+++ b/core/cache/workercaches_test.go
@@ -30,6 +30,7 @@
 	return out
 }
 
+// capacity returns a Where.Room with the same capacity for all workers.
 func capacity(tokens int) func(string) int { return func(string) int { return tokens } }
 
 func TestUsesAreSentOnce(t *testing.T) {
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -369,15 +369,15 @@
 }
 
 // lost handles blocks that a worker no longer holds.
-func (h *Home) lost(_ context.Context, _ string, m *blockNotice) (struct{}, error) {
-	h.index.Lose(m.Worker, m.Marks)
-	h.stats.CacheLosses.Add(int64(len(m.Marks)))
+func (h *Home) lost(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
+	h.index.Lose(n.Worker, n.Blocks)
+	h.stats.CacheLosses.Add(int64(len(n.Blocks)))
 	return struct{}{}, nil
 }
 
 // resynced handles the full contents that a worker holds after a gap in its events.
-func (h *Home) resynced(_ context.Context, _ string, m *blockNotice) (struct{}, error) {
-	h.index.Resync(m.Worker, m.Marks)
+func (h *Home) resynced(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
+	h.index.Resync(n.Worker, n.Blocks)
 	return struct{}{}, nil
 }
 
@@ -386,16 +386,16 @@
 
 // notifyBlocks sends a block notice to a daemon. If the notice is lost, the recorded blocks
 // stay wrong until a request finds out.
-func (h *Home) notifyBlocks(name string, kind wire.Kind, m *blockNotice) {
+func (h *Home) notifyBlocks(name string, kind wire.Kind, n *blockNotice) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	switch {
 	case name != h.o.Fleet.View().Self():
-		_ = h.o.Fleet.Notify(ctx, name, kind, m)
+		_ = h.o.Fleet.Notify(ctx, name, kind, n)
 	case kind == kindLost:
-		_, _ = h.lost(ctx, name, m)
+		_, _ = h.lost(ctx, name, n)
 	default:
-		_, _ = h.resynced(ctx, name, m)
+		_, _ = h.resynced(ctx, name, n)
 	}
 }
 
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -99,7 +99,7 @@
 // blockNotice notifies the owner of contexts which blocks a worker lost or holds.
 type blockNotice struct {
 	Worker string       `msgpack:"w"`
-	Marks  []cache.Mark `msgpack:"m"`
+	Blocks []cache.Mark `msgpack:"m"`
 }
 
 // linkRequest requests permission for a transfer from the scheduler of a store's link.
