--- a/core/cache/workercaches_test.go
+++ b/core/cache/workercaches_test.go
@@ -122,7 +122,7 @@
 		w := Where{Room: capacity(500)}
 		now := time.Now()
 		for range rapid.IntRange(1, 60).Draw(t, "uses") {
-			u := use("w"+strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "worker")), strconv.Itoa(rapid.IntRange(0, 9).Draw(t, "part")),
+			u := use("w"+strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "worker")), strconv.Itoa(rapid.IntRange(0, 9).Draw(t, "segment")),
 				rapid.IntRange(0, 300).Draw(t, "tokens"), rapid.IntRange(-5, 300).Draw(t, "rest"))
 			u.Salt = PartSalt{Model: "m", Version: int64(rapid.IntRange(1, 3).Draw(t, "version"))}.String()
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond)
