--- a/core/cache/storeindex.go
+++ b/core/cache/storeindex.go
@@ -55,7 +55,8 @@
 	return ix.synced && !ix.down && now.Sub(ix.reportedAt) < maxViewAge
 }
 
-// apply applies changes to the recorded contents.
+// apply applies changes to the recorded contents, records the store's clock if it was
+// reported, and wakes those who wait.
 func (ix *storeIndex) apply(ev PartEvents) {
 	for _, c := range ev.Changes {
 		ix.set(c.PartName, c.Tokens)
--- a/core/cache/workercaches.go
+++ b/core/cache/workercaches.go
@@ -31,8 +31,8 @@
 	holders map[PartName][]string
 	// lastUsed is when any worker last received a segment. Guarded by cachesMu.
 	lastUsed map[PartName]time.Time
-	// unsent are the uses not yet sent to peers; the first sending of them are in the
-	// current heartbeat. Guarded by cachesMu.
+	// unsent are the uses not yet sent to peers, and sending is how many of them, from the
+	// front, are in the heartbeat being sent. Guarded by cachesMu.
 	unsent    []Use
 	sending   int       // guarded by cachesMu
 	lastSweep time.Time // last run of removeStale; guarded by cachesMu
