--- /dev/null
+++ b/core/cache/segments.go
@@ -0,0 +1,100 @@
+package cache
+
+import (
+	"context"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// Part is one segment of a prompt, in prompt order. Requests may share their leading
+// segments.
+type Part struct {
+	ID     string
+	Tokens int
+}
+
+// PartSalt forms the cache salt under which segments are stored. Segments of other weights,
+// and those of an isolated organisation, have a different salt.
+type PartSalt struct {
+	Model   string
+	Version int64
+	// Wall is the isolated organisation, or "" if the segment may be shared.
+	Wall string
+}
+
+// String returns the salt in the form that engines and stores receive.
+func (s PartSalt) String() string {
+	return "v" + strconv.FormatInt(s.Version, 10) + "/" + s.Model + "/" + s.Wall
+}
+
+// SaltVersion parses the model and weight version from a salt that String returned.
+func SaltVersion(salt string) (model string, version int64, ok bool) {
+	head, rest, found := strings.Cut(salt, "/")
+	if !found || !strings.HasPrefix(head, "v") {
+		return "", 0, false
+	}
+	version, err := strconv.ParseInt(head[1:], 10, 64)
+	model, _, found = strings.Cut(rest, "/")
+	return model, version, err == nil && found
+}
+
+// PartName identifies a cached segment.
+type PartName struct{ Salt, ID string }
+
+// PartChange is one change of the segments that a store holds.
+type PartChange struct {
+	PartName
+	// Tokens is the number of tokens held now; 0 if the segment was removed.
+	Tokens int
+}
+
+// PartEvents is a list of changes that a store reported.
+type PartEvents struct {
+	// Epoch changes when the store restarts.
+	Epoch int64
+	// Next is the position from which the next query continues.
+	Next int64
+	// Gap is set if changes before Changes were lost.
+	Gap     bool
+	Changes []PartChange
+	// Clock is the targets' clock at the time of the report; 0 if it was not reported.
+	Clock time.Duration
+	// Age is the time since the store made the report.
+	Age time.Duration
+}
+
+// Watcher is a client of the KV-cache stores.
+type Watcher interface {
+	// Events returns the changes after since and waits up to wait for the first.
+	Events(ctx context.Context, address string, since int64, wait time.Duration) (PartEvents, error)
+	// Contents returns everything the store holds, which may take long. It gives up if the
+	// store stops sending.
+	Contents(ctx context.Context, address string) (PartEvents, error)
+	// Free frees segments of a store in the given epoch.
+	Free(ctx context.Context, address string, epoch int64, segments []PartName) error
+}
+
+// StoreInfo is the configuration of a store.
+type StoreInfo struct {
+	Address string
+	Domain  string
+	// Room is the capacity in tokens.
+	Room int
+	// TokenTime is the transfer time of one token over the store's link.
+	TokenTime time.Duration
+	// First is the delay before the first byte of a transfer.
+	First time.Duration
+	// Watchers is how many daemons may follow the store at a time; 0 if not configured.
+	Watchers int
+}
+
+// transferTime returns how long a transfer to a worker in a failure domain takes. Links
+// between domains have half the bandwidth.
+func (s *StoreInfo) transferTime(tokens int, domain string) time.Duration {
+	d := time.Duration(tokens) * s.TokenTime
+	if domain != "" && domain != s.Domain {
+		d *= 2
+	}
+	return d + s.First
+}
--- /dev/null
+++ b/core/cache/storefollower.go
@@ -0,0 +1,151 @@
+package cache
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"embertally.dev/core/event"
+	"embertally.dev/core/wait"
+)
+
+// Timing of store queries.
+const (
+	// longPollWait is how long a store may hold a query until there are changes. The
+	// platform charges for queries that wait less than 200 ms.
+	longPollWait = time.Second
+	// firstPollWait is the same for a store whose clock is not yet known: until it is,
+	// nothing may be copied, which costs more than the query.
+	firstPollWait = time.Millisecond
+	// responseAllowance is the time allowed for the response beyond the wait.
+	responseAllowance = time.Second
+	// retryPause is the delay after a failed query.
+	retryPause = 400 * time.Millisecond
+	// batchPause is the delay after a successful query, which batches changes that come one
+	// by one.
+	batchPause = 100 * time.Millisecond
+)
+
+// storeFollower keeps the index of one store up to date.
+type storeFollower struct {
+	indexes *Kept
+	address string
+}
+
+// run queries the store until ctx ends.
+func (f storeFollower) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		err := f.step(ctx)
+		if ctx.Err() != nil {
+			return
+		}
+		if err == nil {
+			if !f.indexes.clockUnknown(f.address) {
+				wait.For(ctx, batchPause)
+			}
+			continue
+		}
+		f.indexes.markDown(f.address, err)
+		wait.For(ctx, retryPause)
+	}
+}
+
+// step fetches the whole contents if the index is not in sync, else the changes.
+func (f storeFollower) step(ctx context.Context) error {
+	since, synced := f.indexes.position(f.address)
+	if !synced {
+		contents, err := f.indexes.watcher.Contents(ctx, f.address)
+		if err != nil {
+			return err
+		}
+		f.indexes.replace(f.address, contents)
+		return nil
+	}
+	return f.poll(ctx, since)
+}
+
+// poll fetches the changes after since.
+func (f storeFollower) poll(ctx context.Context, since int64) error {
+	ctx, cancel := context.WithTimeout(ctx, longPollWait+responseAllowance)
+	defer cancel()
+	wait := longPollWait
+	if f.indexes.clockUnknown(f.address) {
+		// The contents listing does not include the targets' clock, which copies need.
+		wait = firstPollWait
+	}
+	ev, err := f.indexes.watcher.Events(ctx, f.address, since, wait)
+	if err != nil {
+		return err
+	}
+	f.indexes.apply(f.address, ev)
+	return nil
+}
+
+// position returns where the next query to a store continues, and whether its index is in
+// sync.
+func (s *Kept) position(address string) (int64, bool) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
+	if ix == nil {
+		return 0, false
+	}
+	return ix.next, ix.synced
+}
+
+// clockUnknown reports whether a followed store has not yet reported its clock.
+func (s *Kept) clockUnknown(address string) bool {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
+	return ix != nil && ix.reportedAt.IsZero()
+}
+
+// replace sets the index of a store to its whole contents.
+func (s *Kept) replace(address string, contents PartEvents) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
+	if ix == nil {
+		return
+	}
+	ix.clear()
+	ix.epoch, ix.next, ix.synced = contents.Epoch, contents.Next, true
+	ix.history, ix.historyStart = nil, contents.Next
+	ix.apply(contents)
+	s.log.Emit(event.CacheResynced, event.Ref{Target: address}, strconv.Itoa(len(ix.segments))+" segments")
+}
+
+// apply applies changes to the index of a store. A gap or a new epoch empties it.
+func (s *Kept) apply(address string, ev PartEvents) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
+	if ix == nil {
+		return
+	}
+	if ev.Epoch != ix.epoch || ev.Gap {
+		ix.synced = false
+		ix.clear()
+		s.log.Emit(event.CacheGap, event.Ref{Target: address}, "epoch "+strconv.FormatInt(ev.Epoch, 10))
+		return
+	}
+	ix.next = ev.Next
+	ix.addHistory(ev)
+	ix.apply(ev)
+}
+
+// markDown records that a query to a store failed.
+func (s *Kept) markDown(address string, err error) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
+	if ix == nil {
+		return
+	}
+	if !ix.down {
+		s.log.Emit(event.TargetSuspect, event.Ref{Target: address}, "store: "+err.Error())
+	}
+	ix.down = true
+	ix.notify()
+}
--- /dev/null
+++ b/core/cache/stores.go
@@ -0,0 +1,240 @@
+package cache
+
+import (
+	"context"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"embertally.dev/core/clock"
+	"embertally.dev/core/event"
+)
+
+// Kept tracks which prompt segments the KV-cache stores hold, from their events. The zero
+// value is not usable; see NewKept.
+//
+// Lock order: indexesMu is never held together with another lock of this package.
+type Kept struct {
+	watcher Watcher
+	log     *event.Log
+
+	indexesMu sync.Mutex
+	indexes   map[string]*storeIndex // by address; guarded by indexesMu
+}
+
+// NewKept returns a Kept that follows no stores until Set is called.
+func NewKept(watcher Watcher, log *event.Log) *Kept {
+	return &Kept{watcher: watcher, log: log, indexes: map[string]*storeIndex{}}
+}
+
+// Set starts following the given stores and stops following all others. Following ends with
+// ctx.
+func (s *Kept) Set(ctx context.Context, stores []StoreInfo) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	wanted := map[string]bool{}
+	for _, info := range stores {
+		wanted[info.Address] = true
+		if existing := s.indexes[info.Address]; existing != nil {
+			existing.info = info
+			continue
+		}
+		storeCtx, cancel := context.WithCancel(ctx)
+		ix := &storeIndex{info: info, stop: cancel, changed: make(chan struct{})}
+		ix.clear()
+		s.indexes[info.Address] = ix
+		go storeFollower{s, info.Address}.run(storeCtx)
+	}
+	for address, ix := range s.indexes {
+		if !wanted[address] {
+			ix.stop()
+			delete(s.indexes, address)
+		}
+	}
+}
+
+// transferTimeout bounds a transfer from a store. The engine discards a transfer that takes
+// longer, so a segment may be freed this long after the last decision to transfer it.
+const transferTimeout = 1200 * time.Millisecond
+
+// maxFill is the fill, as a share of the capacity, above which nothing more is written to a
+// store.
+const maxFill = 0.985
+
+// CopyLimit returns the maximum duration of a transfer that is decided now.
+func CopyLimit() time.Duration { return transferTimeout }
+
+// Told returns the changes that a store reported after since, or its whole contents if all
+// is set, for a peer that does not query the store itself. It returns false if this daemon's
+// view of the store is not current.
+func (s *Kept) Told(address string, since int64, all bool, now clock.Time) (PartEvents, bool) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
+	if ix == nil || !ix.fresh(now) {
+		return PartEvents{}, false
+	}
+	return ix.eventsSince(since, all, now), true
+}
+
+// News returns a channel that is closed when the store next reports or stops answering, or
+// nil if the store is not followed.
+func (s *Kept) News(address string) <-chan struct{} {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	if ix := s.indexes[address]; ix != nil {
+		return ix.changed
+	}
+	return nil
+}
+
+// Age returns the time since the store last reported its clock, directly or through a peer.
+func (s *Kept) Age(address string, now clock.Time) time.Duration {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	if ix := s.indexes[address]; ix != nil {
+		return now.Sub(ix.reportedAt)
+	}
+	return now.Sub(clock.Time{})
+}
+
+// Watchers returns how many daemons may follow a store at a time, or 0 if that is not
+// configured.
+func (s *Kept) Watchers(address string) int {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	if ix := s.indexes[address]; ix != nil {
+		return ix.info.Watchers
+	}
+	return 0
+}
+
+// Place is a store that holds a segment.
+type Place struct {
+	Address string
+	// Tokens is the number of tokens held.
+	Tokens int
+	// Until is the time on the targets' clock after which a transfer must be discarded.
+	Until time.Duration
+
+	info *StoreInfo
+}
+
+// Time returns the expected duration of the transfer to a failure domain, from the
+// configured speed of the store's link.
+func (p Place) Time(domain string) time.Duration { return p.info.transferTime(p.Tokens, domain) }
+
+// Find returns the stores that hold a segment.
+func (s *Kept) Find(name PartName, now clock.Time) []Place {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	var out []Place
+	for _, ix := range s.indexes {
+		tokens := ix.segments[name]
+		if tokens == 0 || !ix.fresh(now) {
+			continue
+		}
+		info := ix.info
+		out = append(out, Place{Address: info.Address, Tokens: tokens, Until: ix.storeClock + now.Sub(ix.reportedAt) + transferTimeout, info: &info})
+	}
+	return out
+}
+
+// Room returns the address of the store that should hold a segment, or "" if a store holds
+// it already or none has free capacity. It considers only stores in failure domains that
+// allowed accepts. Daemons with the same view choose the same store.
+func (s *Kept) Room(name PartName, tokens int, allowed func(domain string) bool, now clock.Time) string {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	best, bestScore := "", 0.0
+	for address, ix := range s.indexes {
+		if ix.segments[name] > 0 {
+			return ""
+		}
+		if !allowed(ix.info.Domain) || !ix.fresh(now) || float64(ix.usedTokens+tokens) > maxFill*float64(ix.info.Room) {
+			continue
+		}
+		score := ix.score(name)
+		if score > bestScore {
+			best, bestScore = address, score
+		}
+	}
+	return best
+}
+
+// Outdated returns up to limit segments of a store whose salt keep rejects, and the epoch
+// they were seen in. It calls keep once per salt: calling it for each of 13,000 segments
+// four times a second took more of a daemon's processor time than its heartbeats.
+func (s *Kept) Outdated(address string, limit int, keep func(salt string) bool) ([]PartName, int64) {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
+	if ix == nil || !ix.synced {
+		return nil, 0
+	}
+	rejected := map[string]bool{}
+	for salt := range ix.salts {
+		if !keep(salt) {
+			rejected[salt] = true
+		}
+	}
+	if len(rejected) == 0 {
+		return nil, 0
+	}
+	var out []PartName
+	for name := range ix.segments {
+		if rejected[name.Salt] {
+			out = append(out, name)
+		}
+		if len(out) == limit {
+			break
+		}
+	}
+	slices.SortFunc(out, func(a, b PartName) int { return strings.Compare(a.Salt+a.ID, b.Salt+b.ID) })
+	return out, ix.epoch
+}
+
+// Free frees segments of a store that were seen in the given epoch.
+func (s *Kept) Free(ctx context.Context, address string, epoch int64, segments []PartName) error {
+	if err := s.watcher.Free(ctx, address, epoch, segments); err != nil {
+		return errors.Wrap(err, address)
+	}
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	ix := s.indexes[address]
+	if ix == nil || ix.epoch != epoch {
+		return nil
+	}
+	for _, name := range segments {
+		ix.set(name, 0)
+	}
+	s.log.Emit(event.StoreReclaimed, event.Ref{Target: address}, strconv.Itoa(len(segments))+" segments of outdated weights")
+	return nil
+}
+
+// Stores returns the addresses of the followed stores, sorted.
+func (s *Kept) Stores() []string {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	var out []string
+	for address := range s.indexes {
+		out = append(out, address)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// Tokens returns the number of tokens that all followed stores hold.
+func (s *Kept) Tokens() int {
+	s.indexesMu.Lock()
+	defer s.indexesMu.Unlock()
+	n := 0
+	for _, ix := range s.indexes {
+		n += ix.usedTokens
+	}
+	return n
+}
