--- a/core/roster/bench_test.go
+++ b/core/roster/bench_test.go
@@ -35,7 +35,7 @@
 		r.Target(fmt.Sprintf("w-%04d", 100*i)).Begin(Load{Running: 1})
 	}
 	for range b.N {
-		if body := (Share{r}).Collect(false).(*shareBody); len(body.Loads) != 20 {
+		if body := (Share{r}).Collect(false).(*heartbeatBody); len(body.Loads) != 20 {
 			b.Fatal("loads are missing")
 		}
 	}
--- a/core/roster/busy.go
+++ b/core/roster/busy.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// busyTargets are the targets that this daemon has work at, so that a heartbeat need not ask all
-// (BenchmarkCollect). The zero value holds none.
+// busyTargets is the set of targets at which this daemon has work, so that a heartbeat need not
+// visit all targets (BenchmarkCollect). The zero value is empty.
 //
 // Lock order: busyMu before a target's targetMu.
 type busyTargets struct {
 	busyMu sync.Mutex
-	// set holds all targets that have work, and may hold some that have none any more.
+	// set contains all targets that have work, and may contain some that no longer have any.
 	// Guarded by busyMu.
 	set map[*Target]bool
 }
 
-// add records that a target has work. It is called after its work was counted.
+// add records that a target has work. It is called after the work was counted.
 func (b *busyTargets) add(t *Target) {
 	b.busyMu.Lock()
 	defer b.busyMu.Unlock()
@@ -23,7 +23,7 @@
 	b.set[t] = true
 }
 
-// loads returns the work at each target that has some.
+// loads returns the work at each target that has any.
 func (b *busyTargets) loads() map[string]Load {
 	b.busyMu.Lock()
 	defer b.busyMu.Unlock()
--- a/core/roster/domains.go
+++ b/core/roster/domains.go
@@ -7,56 +7,56 @@
 	"embertally.dev/core/event"
 )
 
-// evacuation is what operators asked for a failure domain.
+// evacuation is an evacuation of a failure domain requested by operators.
 type evacuation struct {
-	// since is when this daemon heard of it, and ended when it heard that it was taken
-	// back; zero while it is in force.
+	// since is when this daemon learnt of the evacuation, and ended when it learnt that operators
+	// cancelled it; zero while it is active.
 	since, ended time.Time
 }
 
-// Evacuate records that operators ask to send nothing to the targets of a failure domain,
-// or with on false that they have taken this back.
+// Evacuate records that operators request the evacuation of a failure domain, or with on false that
+// they cancelled it.
 func (r *Roster) Evacuate(domain string, on bool, now time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	next := maps.Clone(*r.evacuations.Load())
-	was, known := next[domain]
-	inForce := known && was.ended.IsZero()
+	current, exists := next[domain]
+	active := exists && current.ended.IsZero()
 	switch {
-	case on && !inForce:
+	case on && !active:
 		next[domain] = evacuation{since: now}
 		r.log.Emit(event.DomainEvacuated, event.Ref{Resource: domain}, "")
-	case !on && inForce:
-		was.ended = now
-		next[domain] = was
-		r.log.Emit(event.DomainReturned, event.Ref{Resource: domain}, "after "+now.Sub(was.since).Round(time.Millisecond).String())
+	case !on && active:
+		current.ended = now
+		next[domain] = current
+		r.log.Emit(event.DomainReturned, event.Ref{Resource: domain}, "after "+now.Sub(current.since).Round(time.Millisecond).String())
 	}
 	r.evacuations.Store(&next)
 }
 
-// Evacuated reports whether nothing may be sent to the targets of a failure domain, and
-// for how long this daemon has known so.
+// Evacuated reports whether a failure domain is being evacuated, so that its targets get no
+// requests, and for how long this daemon has known.
 func (r *Roster) Evacuated(domain string, now time.Time) (time.Duration, bool) {
 	return evacuated(*r.evacuations.Load(), domain, now)
 }
 
-// evacuated is Evacuated by what operators had asked at some moment.
-func evacuated(asked map[string]evacuation, domain string, now time.Time) (time.Duration, bool) {
-	e, known := asked[domain]
-	if !known || !e.ended.IsZero() {
+// evacuated is Evacuated, given the evacuations at some moment.
+func evacuated(evacuations map[string]evacuation, domain string, now time.Time) (time.Duration, bool) {
+	e, exists := evacuations[domain]
+	if !exists || !e.ended.IsZero() {
 		return 0, false
 	}
 	return now.Sub(e.since), true
 }
 
-// Cold reports whether a target bears few requests since it has just started. The targets
-// of a domain whose evacuation has ended count as cold for as long as a start takes: they
-// may have been emptied or started meanwhile, and their entries say so up to a heartbeat
-// later than operators let requests go there again.
-func (r *Roster) Cold(t *Target, start time.Duration, now time.Time) bool {
-	if t.cold(now) {
+// Cold reports whether a target has just started and can take only few requests. For the time
+// warmUp after the end of an evacuation all targets of the domain count as warming up: they may
+// have been emptied or restarted meanwhile, and their entries may show that up to a heartbeat after
+// operators let requests go there again.
+func (r *Roster) Cold(t *Target, warmUp time.Duration, now time.Time) bool {
+	if t.warmingUp(now) {
 		return true
 	}
 	e := (*r.evacuations.Load())[t.Entry().Domain]
-	return !e.ended.IsZero() && now.Before(e.ended.Add(start))
+	return !e.ended.IsZero() && now.Before(e.ended.Add(warmUp))
 }
--- a/core/roster/domains_test.go
+++ b/core/roster/domains_test.go
@@ -9,15 +9,15 @@
 	"embertally.dev/core/event"
 )
 
-func TestEvacuationsOfDomains(t *testing.T) {
-	const start = 3 * time.Second
+func TestDomainEvacuations(t *testing.T) {
+	const warmUp = 3 * time.Second
 	at := time.Unix(1000, 0)
 	tests := []struct {
 		name string
 		// steps ask for an evacuation or take it back, a second apart.
 		steps []bool
 		// look is when it is looked at, after the first step.
-		look      time.Duration
+		after     time.Duration
 		evacuated bool
 		lasts     time.Duration
 		cold      bool
@@ -26,7 +26,7 @@
 		{"in force", []bool{true}, 5 * time.Second, true, 5 * time.Second, false},
 		{"told twice", []bool{true, true}, 5 * time.Second, true, 5 * time.Second, false},
 		{"just taken back", []bool{true, false}, time.Second, false, 0, true},
-		{"taken back for as long as a start takes", []bool{true, false}, time.Second + start, false, 0, false},
+		{"taken back for as long as a start takes", []bool{true, false}, time.Second + warmUp, false, 0, false},
 		{"again", []bool{true, false, true}, 4 * time.Second, true, 2 * time.Second, false},
 		{"taken back without one", []bool{false}, time.Second, false, 0, false},
 	}
@@ -40,18 +40,18 @@
 			for i, on := range tc.steps {
 				r.Evacuate("d", on, at.Add(time.Duration(i)*time.Second))
 			}
-			now := at.Add(tc.look)
+			now := at.Add(tc.after)
 			lasts, on := r.Evacuated("d", now)
 			g.Expect(on).To(gomega.Equal(tc.evacuated))
 			g.Expect(lasts).To(gomega.Equal(tc.lasts))
-			g.Expect(r.Cold(r.Target("a"), start, now)).To(gomega.Equal(tc.cold))
+			g.Expect(r.Cold(r.Target("a"), warmUp, now)).To(gomega.Equal(tc.cold))
 			_, on = r.Evacuated("other", now)
 			g.Expect(on).To(gomega.BeFalse())
 		})
 	}
 }
 
-func TestTargetsAreColdForAsLongAsTheirEntriesSay(t *testing.T) {
+func TestWarmUpFollowsListEntry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	e := entry("a")
--- a/core/roster/gate.go
+++ b/core/roster/gate.go
@@ -6,175 +6,177 @@
 	"embertally.dev/core/clock"
 )
 
-// Stop says why a target may get no send now.
+// Stop is the reason why a target may not get a request now.
 type Stop uint8
 
-// Reasons, in the order in which they are looked for.
+// Reasons, in the order in which they are checked.
 const (
-	// Open: it may get a send.
+	// Open: the target is available.
 	Open Stop = iota
 	// Gone: it is no longer listed.
 	Gone
-	// Leaves: the list, itself or a peer says that it leaves.
+	// Leaves: the list, the target itself or a peer reports that it is shutting down.
 	Leaves
-	// Swaps: it is about to change its weights.
+	// Swaps: it has a weight update pending.
 	Swaps
-	// Rests: it asked this daemon for nothing for a while, or bears little just after that.
+	// Rests: it is under pushback for this daemon, or in the ramp that follows.
 	Rests
-	// Limited: it named a request rate, of which this daemon has nothing left now.
+	// Limited: it is rate-limited, and this daemon has no permit now.
 	Limited
-	// Suspect: it did not answer lately.
+	// Suspect: recent requests got no response.
 	Suspect
-	// Evacuated: operators ask to send nothing to its failure domain.
+	// Evacuated: operators requested the evacuation of its failure domain.
 	Evacuated
 )
 
-var stopNames = [...]string{"open", "gone", "leaves", "changes its weights", "rests", "is over the limit that it named", "does not answer", "evacuated"}
+var reasonNames = [...]string{"open", "gone", "leaves", "changes its weights", "rests", "is over the limit that it named", "does not answer", "evacuated"}
 
-// String returns the reason as it stands in log lines.
-func (s Stop) String() string { return stopNames[s] }
+// String returns the reason as it appears in log lines.
+func (s Stop) String() string { return reasonNames[s] }
 
-// Gate answers for one moment whether targets may get a send. All ways of sending ask it, when
-// they choose and again by Enter when a connection is there, so that a reason that one of them meets
-// holds for all. It never changes.
+// Gate is an immutable snapshot of the availability of all targets. Every way of sending consults
+// it when it chooses a target, and then Enter once a connection is open, so that a reason found by
+// one of them applies to all.
 type Gate struct {
-	at          time.Time
-	ordered     map[string]bool
-	words       map[string]word
-	evacuations map[string]evacuation
+	at           time.Time
+	updating     map[string]bool
+	selfStatuses map[string]selfStatus
+	evacuations  map[string]evacuation
 }
 
-// word is what a target said of itself, as it counts at one moment.
-type word struct {
-	leaves bool
-	// rests is for how much longer it gets nothing.
-	rests time.Duration
-	// limited tells that it named a request rate, and over for how much longer that leaves nothing
-	// for this daemon.
-	limited bool
-	over    time.Duration
+// selfStatus is what a target reported about itself, evaluated at one moment.
+type selfStatus struct {
+	shuttingDown bool
+	// pushback is how much longer it gets no requests.
+	pushback time.Duration
+	// limited means that it has a rate limit, and limitWait is how long until this daemon has a
+	// permit.
+	limited   bool
+	limitWait time.Duration
 }
 
-// Gate returns the gate of a moment.
+// Gate returns a snapshot of the availability of all targets.
 func (r *Roster) Gate(now time.Time) *Gate {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	g := &Gate{at: now, ordered: r.orderedNow(now), evacuations: *r.evacuations.Load()}
-	if len(r.said) == 0 {
+	g := &Gate{at: now, updating: r.updatingNow(now), evacuations: *r.evacuations.Load()}
+	if len(r.selfReports) == 0 {
 		return g
 	}
-	g.words = make(map[string]word, len(r.said))
-	steady := clock.Now()
-	for id, s := range r.said {
-		if w := r.word(id, s, steady); w != (word{}) {
-			g.words[id] = w
+	g.selfStatuses = make(map[string]selfStatus, len(r.selfReports))
+	clockNow := clock.Now()
+	for id, report := range r.selfReports {
+		if status := r.selfStatusOf(id, report, clockNow); status != (selfStatus{}) {
+			g.selfStatuses[id] = status
 		}
 	}
 	return g
 }
 
-// Stop returns why a target may get no send, and how long that holds where it is known: what is
-// left of a rest or until this daemon has a token under a limit, or as long again as an evacuation
-// has lasted.
+// Stop returns why a target is unavailable, and for how much longer if that is known: what is left
+// of its pushback, the time until this daemon has a permit, or, as an estimate for an evacuation,
+// as long again as it has lasted.
 func (g *Gate) Stop(t *Target) (Stop, time.Duration) {
-	return g.stop(t, g.ordered[t.id], g.words[t.id])
+	return g.reason(t, g.updating[t.id], g.selfStatuses[t.id])
 }
 
-// stop is Stop by what is known of one target.
-func (g *Gate) stop(t *Target, ordered bool, w word) (Stop, time.Duration) {
+// reason is Stop, given the status of the target.
+func (g *Gate) reason(t *Target, updating bool, self selfStatus) (Stop, time.Duration) {
 	health, entry := t.Health(g.at), t.Entry()
 	switch {
 	case health.Gone:
 		return Gone, 0
-	case w.leaves || entry.Leaving:
+	case self.shuttingDown || entry.Leaving:
 		return Leaves, 0
-	case ordered:
+	case updating:
 		return Swaps, 0
-	case w.rests > 0:
-		return Rests, max(w.rests, w.over)
-	case w.over > 0:
-		return Limited, w.over
+	case self.pushback > 0:
+		return Rests, max(self.pushback, self.limitWait)
+	case self.limitWait > 0:
+		return Limited, self.limitWait
 	case health.Suspect:
 		return Suspect, 0
 	}
-	if lasts, on := evacuated(g.evacuations, entry.Domain, g.at); on {
-		return Evacuated, lasts
+	if duration, on := evacuated(g.evacuations, entry.Domain, g.at); on {
+		return Evacuated, duration
 	}
 	return Open, 0
 }
 
-// Limits reports whether a target named a request rate.
-func (g *Gate) Limits(t *Target) bool { return g.words[t.id].limited }
+// Limits reports whether a target has a rate limit.
+func (g *Gate) Limits(t *Target) bool { return g.selfStatuses[t.id].limited }
 
-// Enter reports by Open that a send may go out to a target now, and counts it. It is asked last,
-// when a connection is there: between the choice and that time the target may have said to another
-// request that it leaves, rests or takes few. A request with a token has been counted under the
-// target's limit.
+// Enter returns Open if a request may be sent to a target now, and counts it. It is called last,
+// once a connection is open: since the target was chosen, it may have told another request that it
+// is shutting down, under pushback or rate-limited. A request with a permit has already been
+// counted against the rate limit.
 //
-// It looks at one target only: a gate of all that is known takes two maps, for each send.
-func (r *Roster) Enter(t *Target, token Token) Stop {
+// It looks at one target only, because a Gate allocates two maps, which is too much for each
+// request.
+func (r *Roster) Enter(t *Target, permit Token) Stop {
 	now := time.Now()
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	s, w, steady := r.said[t.id], word{}, clock.Time{}
-	if s != nil {
-		steady = clock.Now()
-		w = r.word(t.id, s, steady)
+	report, status, clockNow := r.selfReports[t.id], selfStatus{}, clock.Time{}
+	if report != nil {
+		clockNow = clock.Now()
+		status = r.selfStatusOf(t.id, report, clockNow)
 	}
 	switch {
-	case token.Held:
-		w.over = 0
-	case token.Far && w.limited:
-		w.over = max(w.over, time.Nanosecond)
+	case permit.Held:
+		status.limitWait = 0
+	case permit.Far && status.limited:
+		status.limitWait = max(status.limitWait, time.Nanosecond)
 	}
 	g := Gate{at: now, evacuations: *r.evacuations.Load()}
-	stop, _ := g.stop(t, r.isOrdered(t.id, now), w)
-	if stop == Open && s != nil {
-		s.rest.take(steady)
-		if s.limit.on && !token.Held {
-			s.limit.take(steady)
+	reason, _ := g.reason(t, r.isUpdating(t.id, now), status)
+	if reason == Open && report != nil {
+		report.pushback.take(clockNow)
+		if report.limit.active && !permit.Held {
+			report.limit.take(clockNow)
 		}
 	}
-	return stop
+	return reason
 }
 
-// word returns what a run said, as it counts now. It is called with rosterMu held.
-func (r *Roster) word(id string, s *said, now clock.Time) word {
-	w := word{leaves: s.leaves, rests: s.rest.left(now)}
+// selfStatusOf evaluates what an incarnation reported. It is called with rosterMu held.
+func (r *Roster) selfStatusOf(id string, report *selfReport, now clock.Time) selfStatus {
+	status := selfStatus{shuttingDown: report.shuttingDown, pushback: report.pushback.remaining(now)}
 	t := r.find(id)
 	if t == nil {
-		return w
+		return status
 	}
-	if l := r.limitOf(t, now); l != nil {
-		w.limited, w.over = true, l.left(now)
+	if l := r.limitFor(t, now); l != nil {
+		status.limited, status.limitWait = true, l.wait(now)
 	}
-	return w
+	return status
 }
 
-// Leaving reports whether a run leaves, and by what that is known.
+// Leaving reports whether an incarnation is shutting down, and how that is known.
 func (r *Roster) Leaving(t *Target) (Source, bool) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	return r.leaving(t)
+	return r.shuttingDown(t)
 }
 
-// leaving is called with rosterMu held.
-func (r *Roster) leaving(t *Target) (Source, bool) {
-	if s := r.said[t.id]; s != nil && s.leaves {
-		return s.source, true
+// shuttingDown is Leaving with rosterMu held.
+func (r *Roster) shuttingDown(t *Target) (Source, bool) {
+	if report := r.selfReports[t.id]; report != nil && report.shuttingDown {
+		return report.source, true
 	}
 	return ByList, t.Entry().Leaving
 }
 
-// Stopped returns the targets of a service that may get no send by their own word.
+// Stopped returns the targets of a service that are unavailable because they reported shutting down
+// or pushback.
 func (r *Roster) Stopped(service string) []string {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	var out []string
 	now := clock.Now()
-	for id, s := range r.said {
+	for id, report := range r.selfReports {
 		t := r.find(id)
-		if t != nil && t.Entry().Service == service && (s.leaves || s.rest.left(now) > 0) {
+		if t != nil && t.Entry().Service == service && (report.shuttingDown || report.pushback.remaining(now) > 0) {
 			out = append(out, id)
 		}
 	}
--- a/core/roster/guest.go
+++ b/core/roster/guest.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// guests are targets that this daemon's list does not hold: another daemon, whose list holds them,
-// named them for one send each. The zero value holds none.
-type guests struct {
-	byID map[string]*guest
-	// swept is when old ones were last looked for.
-	swept time.Time
+// externalTargets are targets that this daemon's list does not contain. Another daemon, whose list
+// contains them, named each of them for one attempt. The zero value is empty.
+type externalTargets struct {
+	byID map[string]*externalTarget
+	// lastSweep is when unused ones were last removed.
+	lastSweep time.Time
 }
 
-// guest is one of them.
-type guest struct {
-	target *Target
-	used   time.Time
+// externalTarget is an external target and when it was last used.
+type externalTarget struct {
+	target   *Target
+	lastUsed time.Time
 }
 
 const (
-	// guestLife is how long a guest is kept after its last use: longer than a request lasts, so
-	// that its end still finds it.
-	guestLife = time.Minute
-	// guestSweep is the pause between looks for old ones.
-	guestSweep = 5 * time.Second
+	// externalTTL is how long an external target is kept after its last use. It is longer than a
+	// request lasts, so that the end of the request still finds it.
+	externalTTL = time.Minute
+	// externalSweepInterval is the minimum time between removals of unused ones.
+	externalSweepInterval = 5 * time.Second
 )
 
-// find returns a guest, or nil.
-func (g *guests) find(id string) *Target {
+// find returns an external target and marks it as used, or returns nil.
+func (g *externalTargets) find(id string) *Target {
 	if found := g.byID[id]; found != nil {
-		found.used = time.Now()
+		found.lastUsed = time.Now()
 		return found.target
 	}
 	return nil
 }
 
-// take returns a guest that the list holds from now on, or nil.
-func (g *guests) take(id string) *Target {
+// take removes and returns an external target that is now listed, or returns nil.
+func (g *externalTargets) take(id string) *Target {
 	found := g.byID[id]
 	if found == nil {
 		return nil
@@ -43,32 +43,32 @@
 	return found.target
 }
 
-// put keeps a guest, and forgets those that were not used for long.
-func (g *guests) put(t *Target, now time.Time) {
+// put adds an external target, and from time to time removes those unused for long.
+func (g *externalTargets) put(t *Target, now time.Time) {
 	if g.byID == nil {
-		g.byID = map[string]*guest{}
+		g.byID = map[string]*externalTarget{}
 	}
-	g.byID[t.id] = &guest{t, now}
-	if now.Sub(g.swept) < guestSweep {
+	g.byID[t.id] = &externalTarget{t, now}
+	if now.Sub(g.lastSweep) < externalSweepInterval {
 		return
 	}
-	g.swept = now
+	g.lastSweep = now
 	for id, old := range g.byID {
-		if now.Sub(old.used) > guestLife && old.target.Own() == (Load{}) {
+		if now.Sub(old.lastUsed) > externalTTL && old.target.Own() == (Load{}) {
 			delete(g.byID, id)
 		}
 	}
 }
 
-// Sizes returns how many targets the list holds, and how many guests there are.
-func (r *Roster) Sizes() (listed, guests int) {
+// Sizes returns the number of listed and of external targets.
+func (r *Roster) Sizes() (listed, external int) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	return len(r.targets), len(r.guests.byID)
+	return len(r.targets), len(r.external.byID)
 }
 
-// Guest returns the target of an entry that another daemon named. Where the list holds that run,
-// it goes by the list.
+// Guest returns the target of an entry that another daemon sent. If this daemon's list contains the
+// incarnation, the listed target is returned and the entry is ignored.
 func (r *Roster) Guest(e Entry) *Target {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -78,11 +78,11 @@
 	if t := r.targets[e.ID]; t != nil {
 		return t
 	}
-	t := r.guests.find(e.ID)
+	t := r.external.find(e.ID)
 	if t == nil {
 		t = &Target{id: e.ID, busy: &r.busy}
 	}
 	t.set(e)
-	r.guests.put(t, time.Now())
+	r.external.put(t, time.Now())
 	return t
 }
--- a/core/roster/guest_test.go
+++ b/core/roster/guest_test.go
@@ -10,7 +10,7 @@
 )
 
 // What becomes of a target that this daemon's list does not hold.
-func TestTargetsThatTheListDoesNotHold(t *testing.T) {
+func TestExternalTargets(t *testing.T) {
 	tests := []struct {
 		name  string
 		steps func(r *Roster) *Target
@@ -18,32 +18,32 @@
 		listed bool
 		stop   Stop
 	}{
-		{"named by another daemon", func(r *Roster) *Target { return r.Guest(run("a@1000", 1000)) }, false, Open},
+		{"named by another daemon", func(r *Roster) *Target { return r.Guest(incarnationEntry("a@1000", 1000)) }, false, Open},
 		{"named twice", func(r *Roster) *Target {
-			r.Guest(run("a@1000", 1000))
-			return r.Guest(run("a@1000", 1000))
+			r.Guest(incarnationEntry("a@1000", 1000))
+			return r.Guest(incarnationEntry("a@1000", 1000))
 		}, false, Open},
 		{"said that it leaves", func(r *Roster) *Target {
-			guest := r.Guest(run("a@1000", 1000))
+			external := r.Guest(incarnationEntry("a@1000", 1000))
 			r.Leaves("a@1000", ByAnswer)
-			return guest
+			return external
 		}, false, Leaves},
 		{"the list holds it from now on", func(r *Roster) *Target {
-			guest := r.Guest(run("a@1000", 1000))
-			r.Put(run("a@1000", 1000))
-			return guest
+			external := r.Guest(incarnationEntry("a@1000", 1000))
+			r.Put(incarnationEntry("a@1000", 1000))
+			return external
 		}, true, Open},
 		{"the list holds it no more", func(r *Roster) *Target {
-			r.Put(run("a@1000", 1000))
+			r.Put(incarnationEntry("a@1000", 1000))
 			listed := r.Target("a@1000")
 			r.Drop("a")
 			return listed
 		}, false, Open},
 		{"dropped and held again", func(r *Roster) *Target {
-			r.Put(run("a@1000", 1000))
+			r.Put(incarnationEntry("a@1000", 1000))
 			listed := r.Target("a@1000")
 			r.Drop("a")
-			r.Put(run("a@1000", 1000))
+			r.Put(incarnationEntry("a@1000", 1000))
 			return listed
 		}, true, Open},
 	}
@@ -51,24 +51,24 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			r := New(&event.Log{}, nil)
-			ended := 0
-			r.Removed = func(string, bool) { ended++ }
+			removed := 0
+			r.Removed = func(string, bool) { removed++ }
 			target := tc.steps(r)
 			g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(target), "its running work goes on")
 			g.Expect(len(r.Of("s")) == 1).To(gomega.Equal(tc.listed))
 			g.Expect(r.Enter(target, Token{})).To(gomega.Equal(tc.stop))
-			g.Expect(ended).To(gomega.BeZero(), "no run has ended")
+			g.Expect(removed).To(gomega.BeZero(), "no run has ended")
 		})
 	}
 }
 
-func TestGuestsAreForgotten(t *testing.T) {
+func TestUnusedExternalTargetsExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, now := New(&event.Log{}, nil), time.Now()
-	r.Guest(run("a@1000", 1000))
-	busy := r.Guest(run("b@1000", 1000))
+	r.Guest(incarnationEntry("a@1000", 1000))
+	busy := r.Guest(incarnationEntry("b@1000", 1000))
 	busy.Begin(Load{Running: 1})
-	r.guests.put(&Target{id: "c", busy: &r.busy}, now.Add(guestLife+guestSweep))
+	r.external.put(&Target{id: "c", busy: &r.busy}, now.Add(externalTTL+externalSweepInterval))
 	g.Expect(r.Target("a@1000")).To(gomega.BeNil())
 	g.Expect(r.Target("b@1000")).To(gomega.BeIdenticalTo(busy), "its request has not ended")
 }
--- a/core/roster/limit.go
+++ b/core/roster/limit.go
@@ -9,326 +9,328 @@
 	"embertally.dev/core/event"
 )
 
-// Limit is the request rate that one answer of a target names. The zero value names none.
+// Limit is the rate limit that a response of a target states. The zero value states none.
 type Limit struct {
 	Named bool
-	// PerSecond is the rate, in requests a second from all daemons together.
+	// PerSecond is the number of requests a second from all daemons together.
 	PerSecond float64
-	// Odd is a value that can't be read, or "".
+	// Odd is an unreadable value, or "".
 	Odd string
 }
 
-// Each daemon that uses a limited target has a token bucket of one request, which starts empty and
-// fills at an equal share of the rate. Buckets of h daemons let through at most h + rate*window
-// requests; h is bounded by the rate and not by the size of the fleet, so that the full buckets of a
-// large fleet add up to no more than those of a small one.
+// Each daemon that sends to a rate-limited target has a token bucket of one permit, which starts
+// empty and fills at an equal share of the rate. The buckets of h daemons let through at most h +
+// rate*window requests. h is bounded by the rate, independently of the fleet's size, so that the
+// full buckets of a large fleet add up to no more than those of a small one.
 const (
-	// limitHolders is how many daemons use a limited target at least, where there are as many. One
-	// more does for each request a second.
-	limitHolders = 4
-	// limitLeast is the lowest rate that is kept to: without any request nothing tells that the
-	// target takes more again.
-	limitLeast = 0.1
-	// placeLife is how long the place of this daemon among those that may use a target is
-	// remembered: working it out takes a hash for each daemon.
-	placeLife = 200 * time.Millisecond
+	// minSenders is the minimum number of daemons that send to a rate-limited target, if there are
+	// as many. Each request a second adds one.
+	minSenders = 4
+	// minRate is the lowest rate that is applied. Without any request, this daemon would not learn
+	// that the target accepts more again.
+	minRate = 0.1
+	// rankTTL is how long this daemon's rank among those that may use a target is cached, because
+	// computing it takes a hash for each daemon.
+	rankTTL = 200 * time.Millisecond
 )
 
-// holders returns how many of some daemons use a target with a rate.
-func holders(perSecond float64, daemons int) int {
-	return int(min(float64(daemons), limitHolders+math.Floor(perSecond)))
+// senderCount returns how many of the daemons send to a target with the given rate.
+func senderCount(perSecond float64, daemons int) int {
+	return int(min(float64(daemons), minSenders+math.Floor(perSecond)))
 }
 
-// limit is the rate that one run of a target named, and this daemon's bucket. The zero value limits
-// nothing.
-type limit struct {
-	on        bool
+// limitState is the rate limit of one incarnation of a target and this daemon's bucket. The zero
+// value limits nothing.
+type limitState struct {
+	active    bool
 	perSecond float64
-	// seq orders the changes of all daemons: each is one above the highest that its daemon knew.
+	// seq orders the changes of all daemons: each change gets a number one above the highest that
+	// its daemon has seen.
 	seq uint64
-	// changed is when this daemon heard of the last change, and named when it last heard an answer
-	// that names the rate. A request sent before says nothing newer.
-	changed, named clock.Time
-	// line is when the last line was written.
-	line clock.Time
+	// changed is when this daemon received the last change, and lastStated when it last received a
+	// response that states the rate. A response to a request sent before then is not newer.
+	changed, lastStated clock.Time
+	// lastLogged is when the last line was logged.
+	lastLogged clock.Time
 
-	// place of so many daemons, as of placed.
-	place, of int
-	placed    clock.Time
-	// holds tells that this daemon uses the target; next is when its bucket is full.
-	holds bool
-	next  clock.Time
+	// rank of this daemon among this many daemons, as of rankedAt.
+	rank, daemons int
+	rankedAt      clock.Time
+	// sends means that this daemon sends to the target. nextPermit is when its bucket is full.
+	sends      bool
+	nextPermit clock.Time
 }
 
-// rate returns the rate that is kept to, in requests a second.
-func (l *limit) rate() float64 { return max(l.perSecond, limitLeast) }
+// rate returns the applied rate in requests a second.
+func (l *limitState) rate() float64 { return max(l.perSecond, minRate) }
 
 // period returns how long this daemon's bucket takes to fill.
-func (l *limit) period() time.Duration {
-	return time.Duration(float64(holders(l.rate(), l.of)) / l.rate() * float64(time.Second))
+func (l *limitState) period() time.Duration {
+	return time.Duration(float64(senderCount(l.rate(), l.daemons)) / l.rate() * float64(time.Second))
 }
 
-// set takes a rate, or that there is none any more, and reports whether that is a change.
-func (l *limit) set(on bool, perSecond float64, now clock.Time) bool {
-	if on == l.on && (!on || perSecond == l.perSecond) {
+// set applies a rate, or with active false ends the limit, and reports whether that is a change.
+func (l *limitState) set(active bool, perSecond float64, now clock.Time) bool {
+	if active == l.active && (!active || perSecond == l.perSecond) {
 		return false
 	}
-	if was := l.rate(); l.on && on && now.Before(l.next) {
-		// What has been filled of the bucket stays.
-		left := float64(l.next.Sub(now)) * was / max(perSecond, limitLeast)
-		l.next = now.Add(time.Duration(left))
+	if oldRate := l.rate(); l.active && active && now.Before(l.nextPermit) {
+		// The bucket keeps its fill level.
+		remaining := float64(l.nextPermit.Sub(now)) * oldRate / max(perSecond, minRate)
+		l.nextPermit = now.Add(time.Duration(remaining))
 	}
-	if !on {
-		l.holds = false
+	if !active {
+		l.sends = false
 	}
-	l.on, l.perSecond, l.changed = on, perSecond, now
+	l.active, l.perSecond, l.changed = active, perSecond, now
 	return true
 }
 
-// setPlace takes the place of this daemon among those that may use the target.
-func (l *limit) setPlace(place, of int, now clock.Time) {
-	l.place, l.of, l.placed = place, of, now
-	holds := place < holders(l.rate(), of)
-	if holds && !l.holds {
-		// The first tokens of the daemons are spread over one period.
-		l.next = now.Add(time.Duration(float64(place+1) / l.rate() * float64(time.Second)))
+// setRank applies this daemon's rank among those that may use the target.
+func (l *limitState) setRank(rank, daemons int, now clock.Time) {
+	l.rank, l.daemons, l.rankedAt = rank, daemons, now
+	sends := rank < senderCount(l.rate(), daemons)
+	if sends && !l.sends {
+		// The first permits of the daemons are spread over one period.
+		l.nextPermit = now.Add(time.Duration(float64(rank+1) / l.rate() * float64(time.Second)))
 	}
-	l.holds = holds
+	l.sends = sends
 }
 
-// left returns for how much longer this daemon may send nothing; 0 where it may. A daemon that does
-// not use the target is told the mean time between two requests of others.
-func (l *limit) left(now clock.Time) time.Duration {
+// wait returns how long this daemon must not send; 0 if it may. For a daemon that does not send to
+// the target it is the mean interval between requests of the others.
+func (l *limitState) wait(now clock.Time) time.Duration {
 	switch {
-	case !l.on:
+	case !l.active:
 		return 0
-	case !l.holds:
+	case !l.sends:
 		return time.Duration(float64(time.Second) / l.rate())
 	}
-	return max(0, l.next.Sub(now))
+	return max(0, l.nextPermit.Sub(now))
 }
 
 // take empties the bucket.
-func (l *limit) take(now clock.Time) { l.next = now.Add(l.period()) }
+func (l *limitState) take(now clock.Time) { l.nextPermit = now.Add(l.period()) }
 
-// text returns the rate as it stands in log lines.
-func (l *limit) text() string {
+// text formats the rate for log lines.
+func (l *limitState) text() string {
 	return strconv.FormatFloat(l.perSecond, 'g', -1, 64) + " requests a second"
 }
 
-// Token is the right to send one request to a target. The zero value is that of a request whose
-// target had no limit when it was chosen.
+// Token is a permit to send one request to a target. The zero value belongs to a request whose
+// target had no rate limit when it was chosen.
 type Token struct {
-	// Held tells that a token was taken, and Far that another daemon chose the target and so
-	// decides about its tokens.
+	// Held means that a permit was taken. Far means that another daemon chose the target and so
+	// took the permit, if there was a rate limit.
 	Held, Far bool
-	// seq is the state of the limit in which it was taken here; 0 for one that was taken elsewhere.
+	// seq is the limit's seq when the permit was taken here; 0 if it was taken elsewhere.
 	seq uint64
 }
 
-// limitOf returns the limit of a run, with the place of this daemon, or nil where it has none. It is
-// called with rosterMu held.
-func (r *Roster) limitOf(t *Target, now clock.Time) *limit {
-	s := r.said[t.id]
-	if s == nil || !s.limit.on {
+// limitFor returns an incarnation's rate limit with this daemon's rank up to date, or nil if it has
+// none. It is called with rosterMu held.
+func (r *Roster) limitFor(t *Target, now clock.Time) *limitState {
+	report := r.selfReports[t.id]
+	if report == nil || !report.limit.active {
 		return nil
 	}
-	l := &s.limit
-	if l.placed.IsZero() || now.Sub(l.placed) >= placeLife {
-		place, of := 0, 1
+	l := &report.limit
+	if l.rankedAt.IsZero() || now.Sub(l.rankedAt) >= rankTTL {
+		rank, daemons := 0, 1
 		if r.Place != nil {
-			place, of = r.Place(t)
+			rank, daemons = r.Place(t)
 		}
-		l.setPlace(place, of, now)
+		l.setRank(rank, daemons, now)
 	}
 	return l
 }
 
-// Holders returns how many daemons use a target that named a request rate; 0 where it did not.
+// Holders returns how many daemons send to a rate-limited target; 0 if it has no rate limit.
 func (r *Roster) Holders(t *Target) int {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	l := r.limitOf(t, clock.Now())
+	l := r.limitFor(t, clock.Now())
 	if l == nil {
 		return 0
 	}
-	return holders(l.rate(), l.of)
+	return senderCount(l.rate(), l.daemons)
 }
 
-// Take takes a token for a request to a target that was chosen here, and reports whether it may be
-// sent.
+// Take takes a permit for a request to a target that was chosen here, and reports whether the
+// request may be sent.
 func (r *Roster) Take(t *Target) (Token, bool) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	now := clock.Now()
-	l := r.limitOf(t, now)
+	l := r.limitFor(t, now)
 	if l == nil {
 		return Token{}, true
 	}
-	if l.left(now) > 0 {
+	if l.wait(now) > 0 {
 		return Token{}, false
 	}
 	l.take(now)
 	return Token{Held: true, seq: l.seq}, true
 }
 
-// Return gives back the token of a request that was not sent.
-func (r *Roster) Return(t *Target, token Token) {
+// Return gives back the permit of a request that was not sent.
+func (r *Roster) Return(t *Target, permit Token) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	s := r.said[t.id]
-	if !token.Held || token.seq == 0 || s == nil || !s.limit.on || s.limit.seq != token.seq {
+	report := r.selfReports[t.id]
+	if !permit.Held || permit.seq == 0 || report == nil || !report.limit.active || report.limit.seq != permit.seq {
 		return
 	}
-	s.limit.next = clock.Now()
+	report.limit.nextPermit = clock.Now()
 }
 
-// HearLimit takes the rate that an answer of a run names, or that it names none. sent is when the
-// request was sent, and ran tells that the run took and signed it: any other answer without a rate ends no limit. It
-// reports whether that is news for other daemons.
-func (r *Roster) HearLimit(id string, named Limit, sent clock.Time, ran bool) bool {
+// HearLimit records the rate limit that a response of an incarnation states, or that it states
+// none. sent is when the request was sent. executed means that the incarnation accepted the request
+// and signed the response: any other response without a rate does not end a limit. It reports
+// whether other daemons need to be notified.
+func (r *Roster) HearLimit(id string, stated Limit, sent clock.Time, executed bool) bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	s := r.said[id]
-	if named == (Limit{}) && (s == nil || !s.limit.on) {
+	report := r.selfReports[id]
+	if stated == (Limit{}) && (report == nil || !report.limit.active) {
 		return false
 	}
-	s, now := r.saidOf(id), clock.Now()
-	if named.Odd != "" {
-		r.unreadable(id, s, "a limit of "+named.Odd)
+	report, now := r.selfReportOf(id), clock.Now()
+	if stated.Odd != "" {
+		r.logInvalid(id, report, "invalid rate limit "+stated.Odd)
 	}
-	l := &s.limit
+	l := &report.limit
 	switch {
-	case named.Named && l.on && named.PerSecond > l.perSecond && sent.Before(l.changed):
-		// The answer may be older than the one that named the lower rate.
-	case named.Named:
-		l.named = now
-		return r.setLimit(id, l, LimitNews{On: true, PerSecond: named.PerSecond, Seq: l.seq + 1}, ByAnswer)
-	case ran && named.Odd == "" && l.on && sent.After(l.named) && sent.After(l.changed):
+	case stated.Named && l.active && stated.PerSecond > l.perSecond && sent.Before(l.changed):
+		// The response may be older than the one that stated the lower rate.
+	case stated.Named:
+		l.lastStated = now
+		return r.setLimit(id, l, LimitNews{On: true, PerSecond: stated.PerSecond, Seq: l.seq + 1}, ByAnswer)
+	case executed && stated.Odd == "" && l.active && sent.After(l.lastStated) && sent.After(l.changed):
 		return r.setLimit(id, l, LimitNews{Seq: l.seq + 1}, ByAnswer)
 	}
 	return false
 }
 
-// setLimit takes a change and reports whether it is one. It is called with rosterMu held.
-func (r *Roster) setLimit(id string, l *limit, n LimitNews, by Source) bool {
-	now, was := clock.Now(), l.text()
-	if !l.set(n.On, n.PerSecond, now) {
+// setLimit applies an update and reports whether it is a change. It is called with rosterMu held.
+func (r *Roster) setLimit(id string, l *limitState, update LimitNews, source Source) bool {
+	now, oldText := clock.Now(), l.text()
+	if !l.set(update.On, update.PerSecond, now) {
 		return false
 	}
-	l.seq, l.placed = n.Seq, clock.Time{}
-	if !l.line.IsZero() && now.Sub(l.line) < limitLine {
+	l.seq, l.rankedAt = update.Seq, clock.Time{}
+	if !l.lastLogged.IsZero() && now.Sub(l.lastLogged) < limitLogInterval {
 		return true
 	}
-	l.line = now
-	if n.On {
-		r.log.Emit(event.TargetLimits, event.Ref{Target: id}, l.text()+", known by "+string(by))
+	l.lastLogged = now
+	if update.On {
+		r.log.Emit(event.TargetLimits, event.Ref{Target: id}, l.text()+", reported by "+string(source))
 	} else {
-		r.log.Emit(event.TargetUnlimited, event.Ref{Target: id}, "no longer "+was+", known by "+string(by))
+		r.log.Emit(event.TargetUnlimited, event.Ref{Target: id}, "no longer "+oldText+", reported by "+string(source))
 	}
 	return true
 }
 
-// limitLine is the least time between lines of the limits of one target.
-const limitLine = time.Second
+// limitLogInterval is the minimum time between log lines about the rate limit of one target.
+const limitLogInterval = time.Second
 
-// LimitNews is what daemons tell each other of the limit of a run.
+// LimitNews is the update about an incarnation's rate limit that daemons send each other.
 type LimitNews struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack  struct{} `msgpack:",as_array"`
 	On        bool
 	PerSecond float64
-	// Seq orders the changes; see limit.
+	// Seq orders the changes; see limitState.
 	Seq uint64
 }
 
-// limitTold is how long other daemons are told that a limit has ended. One that has not heard of it
-// tells of the limit and is told again.
-const limitTold = 2 * time.Second
+// limitEndNotifyTime is how long other daemons are notified that a limit has ended. A daemon that
+// missed this keeps sending the old limit and is then notified again.
+const limitEndNotifyTime = 2 * time.Second
 
-// limitNews returns what other daemons are to hear of limits. It is called with rosterMu held.
-func (r *Roster) limitNews() map[string]LimitNews {
+// limitUpdates returns the rate limit updates for other daemons. It is called with rosterMu held.
+func (r *Roster) limitUpdates() map[string]LimitNews {
 	var out map[string]LimitNews
 	now := clock.Now()
-	for id, s := range r.said {
-		l := &s.limit
-		if l.seq == 0 || (!l.on && now.Sub(l.changed) > limitTold) {
+	for id, report := range r.selfReports {
+		l := &report.limit
+		if l.seq == 0 || (!l.active && now.Sub(l.changed) > limitEndNotifyTime) {
 			continue
 		}
 		if out == nil {
 			out = map[string]LimitNews{}
 		}
-		out[id] = LimitNews{On: l.on, PerSecond: l.perSecond, Seq: l.seq}
+		out[id] = LimitNews{On: l.active, PerSecond: l.perSecond, Seq: l.seq}
 	}
 	return out
 }
 
-// mergeLimits takes what another daemon told of limits. It is called with rosterMu held.
-func (r *Roster) mergeLimits(told map[string]LimitNews) {
-	for id, n := range told {
+// mergeLimits applies the updates of another daemon. It is called with rosterMu held.
+func (r *Roster) mergeLimits(updates map[string]LimitNews) {
+	for id, update := range updates {
 		if r.find(id) == nil {
-			// The first answer of what is not known here says so itself.
+			// An unknown target's first response will state its limit.
 			continue
 		}
-		if n.Seq == 0 || math.IsNaN(n.PerSecond) || n.PerSecond < 0 {
+		if update.Seq == 0 || math.IsNaN(update.PerSecond) || update.PerSecond < 0 {
 			continue
 		}
-		l := &r.saidOf(id).limit
-		newer := n.Seq > l.seq
-		if n.Seq == l.seq {
-			// Two daemons heard of two changes at once: the lower rate is the safer one.
-			newer = n.On && (!l.on || n.PerSecond < l.perSecond)
+		l := &r.selfReportOf(id).limit
+		newer := update.Seq > l.seq
+		if update.Seq == l.seq {
+			// Two daemons received two changes at the same time: the lower rate is the safer one.
+			newer = update.On && (!l.active || update.PerSecond < l.perSecond)
 		}
 		if newer {
-			r.setLimit(id, l, n, ByPeer)
-			l.seq = n.Seq
-		} else if n.Seq < l.seq && !l.on {
+			r.setLimit(id, l, update, ByPeer)
+			l.seq = update.Seq
+		} else if update.Seq < l.seq && !l.active {
 			l.changed = clock.Now()
 		}
 	}
 }
 
-// Limits returns the limits of a service's targets that are in force here, for a daemon that is to
-// choose among them.
+// Limits returns the rate limits applied here to a service's targets, for another daemon that
+// chooses among them.
 func (r *Roster) Limits(service string) map[string]LimitNews {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	out := r.limitNews()
-	for id, n := range out {
+	out := r.limitUpdates()
+	for id, update := range out {
 		t := r.find(id)
-		if !n.On || t == nil || t.Entry().Service != service {
+		if !update.On || t == nil || t.Entry().Service != service {
 			delete(out, id)
 		}
 	}
 	return out
 }
 
-// MergeLimits takes what another daemon told of limits.
-func (r *Roster) MergeLimits(told map[string]LimitNews) {
+// MergeLimits applies rate limit updates of another daemon.
+func (r *Roster) MergeLimits(updates map[string]LimitNews) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	r.mergeLimits(told)
+	r.mergeLimits(updates)
 }
 
-// LimitedTarget is a target with a limit in force.
+// LimitedTarget is a rate-limited target.
 type LimitedTarget struct {
 	ID        string
 	PerSecond float64
-	// Age is how long ago this daemon heard of the last change of it.
+	// Age is how long ago this daemon received the last change of the limit.
 	Age time.Duration
-	// Holds tells that this daemon sends to it.
+	// Holds means that this daemon sends to the target.
 	Holds bool
 }
 
-// Limited returns the listed targets with a limit in force, in no order.
+// Limited returns the listed targets that have a rate limit, in no order.
 func (r *Roster) Limited() []LimitedTarget {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	var out []LimitedTarget
 	now := clock.Now()
-	for id, s := range r.said {
-		if s.limit.on && r.targets[id] != nil {
-			out = append(out, LimitedTarget{id, s.limit.perSecond, now.Sub(s.limit.changed), s.limit.holds})
+	for id, report := range r.selfReports {
+		if report.limit.active && r.targets[id] != nil {
+			out = append(out, LimitedTarget{id, report.limit.perSecond, now.Sub(report.limit.changed), report.limit.sends})
 		}
 	}
 	return out
--- a/core/roster/limit_test.go
+++ b/core/roster/limit_test.go
@@ -20,22 +20,22 @@
 // limitSim sends requests of daemons that share a limited target, on a clock of its own.
 type limitSim struct {
 	random  *rand.Rand
-	buckets []limit
+	buckets []limitState
 	// places of the daemons; two may believe to have the same one.
-	places []int
-	of     int
-	sent   []time.Duration
+	ranks []int
+	total int
+	sent  []time.Duration
 }
 
 // run sends for a while: each daemon gets requests at a mean rate, and each takes up to transit to
 // arrive.
-func (s *limitSim) run(began clock.Time, perSecond, demand float64, lasts, transit time.Duration) {
+func (s *limitSim) simulate(start clock.Time, perSecond, demand float64, duration, transit time.Duration) {
 	for i := range s.buckets {
-		s.buckets[i].set(true, perSecond, began)
-		s.buckets[i].setPlace(s.places[i], s.of, began)
-		for at := time.Duration(0); at < lasts; {
+		s.buckets[i].set(true, perSecond, start)
+		s.buckets[i].setRank(s.ranks[i], s.total, start)
+		for at := time.Duration(0); at < duration; {
 			at += time.Duration(s.random.ExpFloat64() / demand * float64(time.Second))
-			if now := began.Add(at); s.buckets[i].left(now) == 0 {
+			if now := start.Add(at); s.buckets[i].wait(now) == 0 {
 				s.buckets[i].take(now)
 				s.sent = append(s.sent, at+time.Duration(s.random.Float64()*float64(transit)))
 			}
@@ -44,7 +44,7 @@
 }
 
 // most returns the most arrivals within limitSpan.
-func (s *limitSim) most() int {
+func (s *limitSim) maxArrivals() int {
 	most := 0
 	for _, from := range s.sent {
 		n := 0
@@ -60,19 +60,19 @@
 
 // The size of the fleet does not enter: h daemons with full buckets let through h + 4 s of the rate, and
 // h is at most 4 + the rate.
-func TestALimitHoldsForAllDaemonsTogether(t *testing.T) {
-	const lasts, transit = 40 * time.Second, 500 * time.Millisecond
+func TestRateLimitHoldsAcrossDaemons(t *testing.T) {
+	const duration, transit = 40 * time.Second, 500 * time.Millisecond
 	for _, daemons := range []int{1, 8, 295, 986} {
 		for _, perSecond := range []float64{0, 0.01, 0.5, 1, 2.9, 4.9, 20, 300} {
 			for seed := range uint64(5) {
 				name := fmt.Sprintf("%d daemons, %g a second, seed %d", daemons, perSecond, seed)
 				random := rand.New(rand.NewPCG(seed, 1))
-				sim := &limitSim{random: random, buckets: make([]limit, daemons), places: random.Perm(daemons), of: daemons}
-				sim.run(clock.Now(), perSecond, 5, lasts, transit)
+				sim := &limitSim{random: random, buckets: make([]limitState, daemons), ranks: random.Perm(daemons), total: daemons}
+				sim.simulate(clock.Now(), perSecond, 5, duration, transit)
 				g := gomega.NewWithT(t)
-				g.Expect(sim.most()).To(gomega.BeNumerically("<=", limitBound(perSecond)), name)
-				if used := min(perSecond, float64(min(daemons, limitHolders))); perSecond >= limitLeast {
-					least := used * (lasts - time.Duration(float64(limitHolders)/perSecond*float64(time.Second))).Seconds() / 2
+				g.Expect(sim.maxArrivals()).To(gomega.BeNumerically("<=", limitBound(perSecond)), name)
+				if used := min(perSecond, float64(min(daemons, minSenders))); perSecond >= minRate {
+					least := used * (duration - time.Duration(float64(minSenders)/perSecond*float64(time.Second))).Seconds() / 2
 					g.Expect(float64(len(sim.sent))).To(gomega.BeNumerically(">=", least), name+": half of the limit is used")
 				}
 			}
@@ -81,19 +81,19 @@
 }
 
 // Daemons may disagree about who they are while some start or end: here two take each place.
-func TestALimitHoldsWhileDaemonsDisagreeAboutTheirPlaces(t *testing.T) {
+func TestRateLimitHoldsWhenDaemonsShareARank(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.5, 2.9, 4.9, 20} {
 		for seed := range uint64(20) {
 			const daemons = 40
 			random := rand.New(rand.NewPCG(seed, 2))
-			sim := &limitSim{random: random, buckets: make([]limit, daemons), of: daemons}
+			sim := &limitSim{random: random, buckets: make([]limitState, daemons), total: daemons}
 			for i := range daemons {
-				sim.places = append(sim.places, i)
+				sim.ranks = append(sim.ranks, i)
 			}
 			// One more daemon holds than should.
-			sim.places[daemons-1] = 0
-			sim.run(clock.Now(), perSecond, 50, 30*time.Second, 0)
-			gomega.NewWithT(t).Expect(sim.most()).To(gomega.BeNumerically("<=", limitBound(perSecond)), "%g a second, seed %d", perSecond, seed)
+			sim.ranks[daemons-1] = 0
+			sim.simulate(clock.Now(), perSecond, 50, 30*time.Second, 0)
+			gomega.NewWithT(t).Expect(sim.maxArrivals()).To(gomega.BeNumerically("<=", limitBound(perSecond)), "%g a second, seed %d", perSecond, seed)
 		}
 	}
 }
@@ -102,14 +102,14 @@
 func newLimited(log *event.Log) (*Roster, *Target) {
 	r := New(log, nil)
 	r.Place = func(*Target) (int, int) { return 0, 1 }
-	r.Put(run("a@1000", 1000))
+	r.Put(incarnationEntry("a@1000", 1000))
 	return r, r.Target("a@1000")
 }
 
 // names is an answer without a rate, or with one.
-func names(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
+func statedRate(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
 
-func TestALimitHoldsAsLongAsItIsNamed(t *testing.T) {
+func TestRateLimitFollowsResponses(t *testing.T) {
 	type answer struct {
 		limit Limit
 		// sent tells that its request was sent before the answer before it arrived.
@@ -121,17 +121,17 @@
 		want    float64 // -1 for none
 	}{
 		{"never named", []answer{{}}, -1},
-		{"named", []answer{{limit: names(5)}}, 5},
-		{"named no more", []answer{{limit: names(5)}, {}}, -1},
-		{"named no more in a refusal", []answer{{limit: names(5)}, {refused: true}}, 5},
-		{"named in a refusal", []answer{{limit: names(5), refused: true}}, 5},
-		{"an answer to an older request without it", []answer{{limit: names(5)}, {early: true}}, 5},
-		{"another rate", []answer{{limit: names(5)}, {limit: names(7)}}, 7},
-		{"a higher rate in an answer to an older request", []answer{{limit: names(5)}, {limit: names(7), early: true}}, 5},
-		{"a lower rate in an answer to an older request", []answer{{limit: names(5)}, {limit: names(3), early: true}}, 3},
-		{"one that can't be read", []answer{{limit: names(5)}, {limit: Limit{Odd: "x"}}}, 5},
+		{"named", []answer{{limit: statedRate(5)}}, 5},
+		{"named no more", []answer{{limit: statedRate(5)}, {}}, -1},
+		{"named no more in a refusal", []answer{{limit: statedRate(5)}, {refused: true}}, 5},
+		{"named in a refusal", []answer{{limit: statedRate(5), refused: true}}, 5},
+		{"an answer to an older request without it", []answer{{limit: statedRate(5)}, {early: true}}, 5},
+		{"another rate", []answer{{limit: statedRate(5)}, {limit: statedRate(7)}}, 7},
+		{"a higher rate in an answer to an older request", []answer{{limit: statedRate(5)}, {limit: statedRate(7), early: true}}, 5},
+		{"a lower rate in an answer to an older request", []answer{{limit: statedRate(5)}, {limit: statedRate(3), early: true}}, 3},
+		{"one that can't be read", []answer{{limit: statedRate(5)}, {limit: Limit{Odd: "x"}}}, 5},
 		{"one that can't be read first", []answer{{limit: Limit{Odd: "x"}}}, -1},
-		{"zero", []answer{{limit: names(0)}}, 0},
+		{"zero", []answer{{limit: statedRate(0)}}, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -158,31 +158,31 @@
 }
 
 // A limit is of the run that named it; the token of a request that was not sent is given back.
-func TestTokensOfALimit(t *testing.T) {
+func TestRateLimitPermits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, target := newLimited(&event.Log{})
-	token, may := r.Take(target)
-	g.Expect(may).To(gomega.BeTrue())
-	g.Expect(token).To(gomega.Equal(Token{}), "there is no limit")
-	g.Expect(r.HearLimit("a@1000", names(2), clock.Now(), true)).To(gomega.BeTrue())
-	g.Expect(r.Enter(target, token)).To(gomega.Equal(Limited), "it was named after the choice")
-	stop, left := r.Gate(time.Now()).Stop(target)
+	permit, ok := r.Take(target)
+	g.Expect(ok).To(gomega.BeTrue())
+	g.Expect(permit).To(gomega.Equal(Token{}), "there is no limit")
+	g.Expect(r.HearLimit("a@1000", statedRate(2), clock.Now(), true)).To(gomega.BeTrue())
+	g.Expect(r.Enter(target, permit)).To(gomega.Equal(Limited), "it was named after the choice")
+	stop, wait := r.Gate(time.Now()).Stop(target)
 	g.Expect(stop).To(gomega.Equal(Limited))
-	g.Expect(left).To(gomega.BeNumerically("~", 500*time.Millisecond, 100*time.Millisecond))
+	g.Expect(wait).To(gomega.BeNumerically("~", 500*time.Millisecond, 100*time.Millisecond))
 
 	clock.Suspend(500 * time.Millisecond)
-	token, may = r.Take(target)
-	g.Expect(may).To(gomega.BeTrue())
-	g.Expect(r.Enter(target, token)).To(gomega.Equal(Open))
-	_, may = r.Take(target)
-	g.Expect(may).To(gomega.BeFalse())
-	r.Return(target, token)
-	token, may = r.Take(target)
-	g.Expect(may).To(gomega.BeTrue(), "it was given back")
-	g.Expect(r.HearLimit("a@1000", names(1), clock.Now(), true)).To(gomega.BeTrue())
-	r.Return(target, token)
-	_, may = r.Take(target)
-	g.Expect(may).To(gomega.BeFalse(), "the limit has changed since")
+	permit, ok = r.Take(target)
+	g.Expect(ok).To(gomega.BeTrue())
+	g.Expect(r.Enter(target, permit)).To(gomega.Equal(Open))
+	_, ok = r.Take(target)
+	g.Expect(ok).To(gomega.BeFalse())
+	r.Return(target, permit)
+	permit, ok = r.Take(target)
+	g.Expect(ok).To(gomega.BeTrue(), "it was given back")
+	g.Expect(r.HearLimit("a@1000", statedRate(1), clock.Now(), true)).To(gomega.BeTrue())
+	r.Return(target, permit)
+	_, ok = r.Take(target)
+	g.Expect(ok).To(gomega.BeFalse(), "the limit has changed since")
 
 	g.Expect(r.Enter(target, Token{Held: true, Far: true})).To(gomega.Equal(Open), "its home took a token")
 	clock.Suspend(time.Minute)
@@ -190,38 +190,38 @@
 	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Open))
 	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Limited))
 
-	r.Put(run("a@2000", 2000))
+	r.Put(incarnationEntry("a@2000", 2000))
 	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open), "the next run named nothing")
 }
 
 // Daemons that do not use a limited target send it nothing, and leave no limit behind where it ends.
-func TestPeersHearOfALimit(t *testing.T) {
+func TestRateLimitReachesPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	from, _ := newLimited(&event.Log{})
 	to, target := newLimited(&event.Log{})
-	to.Place = func(*Target) (int, int) { return limitHolders + 2, 100 }
-	tell := func() { told(g, from, to) }
-	from.HearLimit("a@1000", names(2), clock.Now(), true)
-	tell()
+	to.Place = func(*Target) (int, int) { return minSenders + 2, 100 }
+	heartbeat := func() { sendHeartbeat(g, from, to) }
+	from.HearLimit("a@1000", statedRate(2), clock.Now(), true)
+	heartbeat()
 	g.Expect(to.Enter(target, Token{})).To(gomega.Equal(Limited))
 	clock.Suspend(time.Hour)
 	g.Expect(to.Enter(target, Token{})).To(gomega.Equal(Limited))
-	from.HearLimit("a@1000", names(50), clock.Now(), true)
-	tell()
+	from.HearLimit("a@1000", statedRate(50), clock.Now(), true)
+	heartbeat()
 	g.Expect(to.Limited()[0].PerSecond).To(gomega.Equal(50.0))
 	clock.Suspend(time.Second)
 	from.HearLimit("a@1000", Limit{}, clock.Now(), true)
-	clock.Suspend(2 * limitTold)
-	tell()
+	clock.Suspend(2 * limitEndNotifyTime)
+	heartbeat()
 	g.Expect(to.Limited()).NotTo(gomega.BeEmpty(), "it missed the end")
-	told(g, to, from)
-	tell()
+	sendHeartbeat(g, to, from)
+	heartbeat()
 	g.Expect(to.Limited()).To(gomega.BeEmpty(), "it was told again")
 	g.Expect(from.Limited()).To(gomega.BeEmpty())
 }
 
 // A target that names another rate in each answer writes one line a second.
-func TestLinesOfLimitsAreBounded(t *testing.T) {
+func TestRateLimitLogLinesAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := &event.Log{}
 	r, _ := newLimited(log)
@@ -235,22 +235,22 @@
 	}
 	g.Expect(lines[event.TargetLimits]).To(gomega.Equal(1))
 	g.Expect(lines[event.TargetUnreadable]).To(gomega.Equal(1))
-	clock.Suspend(limitLine)
+	clock.Suspend(limitLogInterval)
 	r.HearLimit("a@1000", Limit{}, clock.Now(), true)
 	g.Expect(log.Since(0, 1000)[len(log.Since(0, 1000))-1].Code).To(gomega.Equal(event.TargetUnlimited))
 }
 
 // A rate that changes with each answer keeps no daemon from its next token.
-func TestARateThatChangesOftenStarvesNobody(t *testing.T) {
+func TestFrequentRateChangesDoNotDelayPermits(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var l limit
+	var l limitState
 	now := clock.Now()
 	l.set(true, 2, now)
-	l.setPlace(3, 4, now)
+	l.setRank(3, 4, now)
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
 		l.set(true, 1.9, now)
 		l.set(true, 2, now)
 	}
-	g.Expect(l.left(now)).To(gomega.BeZero())
+	g.Expect(l.wait(now)).To(gomega.BeZero())
 }
--- a/core/roster/rest.go
+++ b/core/roster/rest.go
@@ -7,154 +7,157 @@
 	"embertally.dev/core/clock"
 )
 
-// rest is the time in which a target that turned requests away wants nothing, and the while after
-// it in which it gets little. The zero value is over. It counts time that the machine is
-// suspended, as the target's clock does.
-type rest struct {
+// pushback is the time in which a target that rejected requests wants none, and the ramp after it,
+// in which it gets few. The zero value is neither. It counts time in system suspend, as the
+// target's clock does.
+type pushback struct {
 	until clock.Time
-	// sent counts the sends after until; it is not used while the rest lasts.
-	sent int
-	// told is when a line was last due for a rest, and noted tells that one was for this rest.
-	told  clock.Time
-	noted bool
+	// rampAttempts counts the attempts after until; it is unused before.
+	rampAttempts int
+	// lastLogged is when a log line was last due, and logged means that one was due for this
+	// pushback.
+	lastLogged clock.Time
+	logged     bool
 }
 
 const (
-	// RestMost is the longest rest that is believed, the longest time that the users' pages name
-	// for anything (a lease of the platform's store). A longer one would keep a target out for good
-	// by one wrong digit; after this time one request finds out.
-	RestMost = 10 * time.Minute
-	// rampStep is the pause between the first sends after a rest, until one is taken: the time
-	// of a new connection and an answer's head on a busy target. Without it all that waits goes there at
-	// once, and what was about to bear requests again turns them away once more.
+	// MaxPushback is the longest pushback that is honoured: the longest time that the users'
+	// specification names for anything (a lease of the coordination store). A longer one could
+	// exclude a target for good because of one wrong digit; after this time one request finds out.
+	MaxPushback = 10 * time.Minute
+	// rampStep is the interval between the first attempts after a pushback, until one is accepted:
+	// the time for a new connection and a response header on a busy target. Without it all queued
+	// requests would go there at once, and a target that was about to recover would reject them
+	// again.
 	rampStep = 100 * time.Millisecond
-	// rampSteps is how many such sends there are before the target counts as any other.
+	// rampSteps is the number of such attempts before the target counts as any other.
 	rampSteps = 10
-	// restLine is the least time between lines of the rests of one target: one that turns away all
-	// that it gets would otherwise write one for each request.
-	restLine = time.Second
+	// pushbackLogInterval is the minimum time between log lines about the pushback of one target. A
+	// target that rejects everything would otherwise cause a line for each request.
+	pushbackLogInterval = time.Second
 )
 
-// ask prolongs the rest, and reports whether it begins and a line is due for it. Of two the one that
-// ends later holds: a target that asked for three seconds does not want requests after one because
-// it told another request so.
-func (r *rest) ask(d time.Duration, now clock.Time) bool {
-	begins := !now.Before(r.until)
-	if until := now.Add(min(d, RestMost)); until.After(r.until) {
+// extend prolongs the pushback by a request for d, and reports whether a new pushback starts and a
+// log line is due. Of two requests the one that ends later applies: a target that asked for three
+// seconds does not want requests after one because it told another request so.
+func (r *pushback) extend(d time.Duration, now clock.Time) bool {
+	starts := !now.Before(r.until)
+	if until := now.Add(min(d, MaxPushback)); until.After(r.until) {
 		r.until = until
 	}
-	r.sent = 0
-	if !begins || (!r.told.IsZero() && now.Sub(r.told) < restLine) {
+	r.rampAttempts = 0
+	if !starts || (!r.lastLogged.IsZero() && now.Sub(r.lastLogged) < pushbackLogInterval) {
 		return false
 	}
-	r.told, r.noted = now, true
+	r.lastLogged, r.logged = now, true
 	return true
 }
 
-// left returns for how much longer the target gets nothing; 0 where it may get a send.
-func (r *rest) left(now clock.Time) time.Duration {
+// remaining returns how much longer the target gets no requests; 0 if it may get one.
+func (r *pushback) remaining(now clock.Time) time.Duration {
 	if now.Before(r.until) {
 		return r.until.Sub(now)
 	}
-	if r.over(now) {
+	if r.rampDone(now) {
 		return 0
 	}
-	return max(0, r.until.Add(time.Duration(r.sent)*rampStep).Sub(now))
+	return max(0, r.until.Add(time.Duration(r.rampAttempts)*rampStep).Sub(now))
 }
 
-// over reports whether the target counts as any other.
-func (r *rest) over(now clock.Time) bool {
+// rampDone reports whether the target counts as any other.
+func (r *pushback) rampDone(now clock.Time) bool {
 	return r.until.IsZero() || now.Sub(r.until) >= rampSteps*rampStep
 }
 
-// take counts a send, and reports whether it may go out.
-func (r *rest) take(now clock.Time) bool {
-	if r.left(now) > 0 {
+// take counts an attempt, and reports whether it may be sent.
+func (r *pushback) take(now clock.Time) bool {
+	if r.remaining(now) > 0 {
 		return false
 	}
-	r.sent++
+	r.rampAttempts++
 	return true
 }
 
-// end ends the while after the rest, and reports whether a line is due: one was for its begin.
-func (r *rest) end(now clock.Time) bool {
+// endRamp ends the ramp because a request was accepted, and reports whether a log line is due: it
+// is if one was due when the pushback started.
+func (r *pushback) endRamp(now clock.Time) bool {
 	if r.until.IsZero() || now.Before(r.until) {
 		return false
 	}
-	noted := r.noted
-	*r = rest{told: r.told}
-	return noted
+	logged := r.logged
+	*r = pushback{lastLogged: r.lastLogged}
+	return logged
 }
 
-// RestList keeps the rests that targets asked this daemon for, by name, for those who keep no Roster.
-// The zero value is ready.
+// RestList holds the pushback of targets by name, for callers without a Roster. The zero value is
+// ready to use.
 type RestList struct {
-	restsMu sync.Mutex
-	byName  map[string]*namedRest // guarded by restsMu
+	pushbacksMu sync.Mutex
+	byName      map[string]*namedPushback // guarded by pushbacksMu
 }
 
-// namedRest is the rest of one run of a target.
-type namedRest struct {
-	run string // "" where it is not known
-	rest
+// namedPushback is the pushback of one incarnation of a target.
+type namedPushback struct {
+	incarnation string // "" if unknown
+	pushback
 }
 
-// Turned records that a run of a target turned a request away and asked for rest. It reports
-// whether a line is due for that.
-func (r *RestList) Turned(name, run string, d time.Duration) bool {
+// Turned records that an incarnation of a target rejected a request with a pushback of d. It
+// reports whether a log line is due for that.
+func (r *RestList) Turned(name, incarnation string, d time.Duration) bool {
 	if d <= 0 {
 		return false
 	}
-	r.restsMu.Lock()
-	defer r.restsMu.Unlock()
+	r.pushbacksMu.Lock()
+	defer r.pushbacksMu.Unlock()
 	if r.byName == nil {
-		r.byName = map[string]*namedRest{}
+		r.byName = map[string]*namedPushback{}
 	}
-	known := r.byName[name]
-	if known == nil || known.run != run {
-		known = &namedRest{run: run}
-		r.byName[name] = known
+	p := r.byName[name]
+	if p == nil || p.incarnation != incarnation {
+		p = &namedPushback{incarnation: incarnation}
+		r.byName[name] = p
 	}
-	return known.ask(d, clock.Now())
+	return p.extend(d, clock.Now())
 }
 
-// Took records that a target has taken a request. It reports whether that ended the while after
-// a rest and a line is due for it.
+// Took records that a target accepted a request. It reports whether that ended a ramp and a log
+// line is due for it.
 func (r *RestList) Took(name string) bool {
-	r.restsMu.Lock()
-	defer r.restsMu.Unlock()
-	known := r.byName[name]
-	return known != nil && known.end(clock.Now())
+	r.pushbacksMu.Lock()
+	defer r.pushbacksMu.Unlock()
+	p := r.byName[name]
+	return p != nil && p.endRamp(clock.Now())
 }
 
-// Take counts a send to a target, and reports whether it may go out.
+// Take counts an attempt at a target, and reports whether it may be sent.
 func (r *RestList) Take(name string) bool {
-	r.restsMu.Lock()
-	defer r.restsMu.Unlock()
-	known := r.byName[name]
-	return known == nil || known.take(clock.Now())
+	r.pushbacksMu.Lock()
+	defer r.pushbacksMu.Unlock()
+	p := r.byName[name]
+	return p == nil || p.take(clock.Now())
 }
 
-// Left returns for how much longer each target gets nothing, without those that may get a send.
-// run returns the run that a name stands for now, or "" where that is not known: another run than the
-// one that asked gets requests. Targets that count as any other again are forgotten.
-func (r *RestList) Left(run func(name string) string) map[string]time.Duration {
-	r.restsMu.Lock()
-	defer r.restsMu.Unlock()
+// Left returns how much longer each target gets no requests, without those that may get one.
+// incarnationOf returns the current incarnation of a name, or "" if unknown: the pushback of
+// another incarnation does not apply to it. Targets whose ramp is over are forgotten.
+func (r *RestList) Left(incarnationOf func(name string) string) map[string]time.Duration {
+	r.pushbacksMu.Lock()
+	defer r.pushbacksMu.Unlock()
 	now := clock.Now()
 	var out map[string]time.Duration
-	for name, known := range r.byName {
-		if is := run(name); is != "" && known.run != "" && is != known.run {
+	for name, p := range r.byName {
+		if current := incarnationOf(name); current != "" && p.incarnation != "" && current != p.incarnation {
 			delete(r.byName, name)
 			continue
 		}
-		left := known.left(now)
+		remaining := p.remaining(now)
 		switch {
-		case left > 0 && out == nil:
-			out = map[string]time.Duration{name: left}
-		case left > 0:
-			out[name] = left
-		case known.over(now) && now.Sub(known.told) >= restLine:
+		case remaining > 0 && out == nil:
+			out = map[string]time.Duration{name: remaining}
+		case remaining > 0:
+			out[name] = remaining
+		case p.rampDone(now) && now.Sub(p.lastLogged) >= pushbackLogInterval:
 			delete(r.byName, name)
 		}
 	}
--- a/core/roster/rest_test.go
+++ b/core/roster/rest_test.go
@@ -11,74 +11,74 @@
 )
 
 // ask is that a target asks for rest at a time.
-type ask struct{ at, rest time.Duration }
+type pushbackAt struct{ at, rest time.Duration }
 
-func TestHowLongARestLasts(t *testing.T) {
+func TestPushbackDuration(t *testing.T) {
 	tests := []struct {
-		name string
-		asks []ask
-		at   time.Duration
-		want time.Duration
+		name      string
+		pushbacks []pushbackAt
+		at        time.Duration
+		want      time.Duration
 	}{
 		{"not asked", nil, 0, 0},
-		{"asked", []ask{{0, 3 * time.Second}}, time.Second, 2 * time.Second},
-		{"over", []ask{{0, 3 * time.Second}}, 3 * time.Second, 0},
-		{"two at once", []ask{{0, 3 * time.Second}, {0, 3 * time.Second}}, time.Second, 2 * time.Second},
-		{"a shorter one later", []ask{{0, 3 * time.Second}, {time.Second, time.Second}}, time.Second, 2 * time.Second},
-		{"a longer one later", []ask{{0, time.Second}, {500 * time.Millisecond, 3 * time.Second}}, time.Second, 2500 * time.Millisecond},
-		{"one after the other", []ask{{0, time.Second}, {2 * time.Second, time.Second}}, 2500 * time.Millisecond, 500 * time.Millisecond},
-		{"the longest that is believed", []ask{{0, RestMost}}, 0, RestMost},
-		{"a longer one", []ask{{0, 1e9 * time.Second}}, 0, RestMost},
-		{"a tenth of a millisecond", []ask{{0, 100 * time.Microsecond}}, 0, 100 * time.Microsecond},
+		{"asked", []pushbackAt{{0, 3 * time.Second}}, time.Second, 2 * time.Second},
+		{"over", []pushbackAt{{0, 3 * time.Second}}, 3 * time.Second, 0},
+		{"two at once", []pushbackAt{{0, 3 * time.Second}, {0, 3 * time.Second}}, time.Second, 2 * time.Second},
+		{"a shorter one later", []pushbackAt{{0, 3 * time.Second}, {time.Second, time.Second}}, time.Second, 2 * time.Second},
+		{"a longer one later", []pushbackAt{{0, time.Second}, {500 * time.Millisecond, 3 * time.Second}}, time.Second, 2500 * time.Millisecond},
+		{"one after the other", []pushbackAt{{0, time.Second}, {2 * time.Second, time.Second}}, 2500 * time.Millisecond, 500 * time.Millisecond},
+		{"the longest that is believed", []pushbackAt{{0, MaxPushback}}, 0, MaxPushback},
+		{"a longer one", []pushbackAt{{0, 1e9 * time.Second}}, 0, MaxPushback},
+		{"a tenth of a millisecond", []pushbackAt{{0, 100 * time.Microsecond}}, 0, 100 * time.Microsecond},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			start := clock.Now()
-			var r rest
-			for _, a := range tc.asks {
-				r.ask(a.rest, start.Add(a.at))
+			var p pushback
+			for _, a := range tc.pushbacks {
+				p.extend(a.rest, start.Add(a.at))
 			}
-			g.Expect(r.left(start.Add(tc.at))).To(gomega.Equal(tc.want))
+			g.Expect(p.remaining(start.Add(tc.at))).To(gomega.Equal(tc.want))
 		})
 	}
 }
 
 // After a rest one send goes out, then one more each rampStep, until one is taken or the
 // target counts as any other. One that is turned away again begins the next rest.
-func TestFewSendsFollowARest(t *testing.T) {
+func TestRampAfterPushback(t *testing.T) {
 	g := gomega.NewWithT(t)
 	start := clock.Now()
 	end := start.Add(time.Second)
-	var r rest
-	g.Expect(r.ask(time.Second, start)).To(gomega.BeTrue())
-	g.Expect(r.take(start.Add(999 * time.Millisecond))).To(gomega.BeFalse())
-	g.Expect(r.take(end)).To(gomega.BeTrue())
-	g.Expect(r.take(end)).To(gomega.BeFalse())
-	g.Expect(r.left(end)).To(gomega.Equal(rampStep))
+	var p pushback
+	g.Expect(p.extend(time.Second, start)).To(gomega.BeTrue())
+	g.Expect(p.take(start.Add(999 * time.Millisecond))).To(gomega.BeFalse())
+	g.Expect(p.take(end)).To(gomega.BeTrue())
+	g.Expect(p.take(end)).To(gomega.BeFalse())
+	g.Expect(p.remaining(end)).To(gomega.Equal(rampStep))
 	sent := 1
 	for at := time.Duration(0); at < rampSteps*rampStep; at += rampStep / 10 {
-		if r.take(end.Add(at)) {
+		if p.take(end.Add(at)) {
 			sent++
 		}
 	}
 	g.Expect(sent).To(gomega.Equal(rampSteps))
-	g.Expect(r.left(end.Add(rampSteps * rampStep))).To(gomega.BeZero())
+	g.Expect(p.remaining(end.Add(rampSteps * rampStep))).To(gomega.BeZero())
 
-	g.Expect(r.ask(time.Second, end)).To(gomega.BeTrue())
-	g.Expect(r.left(end)).To(gomega.Equal(time.Second))
-	g.Expect(r.end(end)).To(gomega.BeFalse(), "an answer to what was under way ends no rest")
-	g.Expect(r.take(end.Add(time.Second))).To(gomega.BeTrue())
-	g.Expect(r.end(end.Add(time.Second))).To(gomega.BeTrue())
-	g.Expect(r.take(end.Add(time.Second))).To(gomega.BeTrue())
-	g.Expect(r.take(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.extend(time.Second, end)).To(gomega.BeTrue())
+	g.Expect(p.remaining(end)).To(gomega.Equal(time.Second))
+	g.Expect(p.endRamp(end)).To(gomega.BeFalse(), "an answer to what was under way ends no rest")
+	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.endRamp(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
 }
 
 // A rest is of the run that asked, and counts the time that the machine was suspended.
-func TestARestIsOfOneRun(t *testing.T) {
+func TestPushbackIsPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
-	r.Put(run("a@1000", 1000))
+	r.Put(incarnationEntry("a@1000", 1000))
 	target := r.Target("a@1000")
 	r.Turned("a@1000", Asked{})
 	r.Turned("a@1000", Asked{Odd: "x"})
@@ -86,12 +86,12 @@
 	r.Turned("a@1000", Asked{Rest: time.Minute})
 	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Rests))
 	g.Expect(r.Stopped(target.Entry().Service)).To(gomega.Equal([]string{"a@1000"}))
-	stop, left := r.Gate(time.Now()).Stop(target)
+	stop, wait := r.Gate(time.Now()).Stop(target)
 	g.Expect(stop).To(gomega.Equal(Rests))
-	g.Expect(left).To(gomega.BeNumerically("~", time.Minute, 5*time.Second))
-	r.Put(run("a@1000", 1000))
+	g.Expect(wait).To(gomega.BeNumerically("~", time.Minute, 5*time.Second))
+	r.Put(incarnationEntry("a@1000", 1000))
 	g.Expect(r.Enter(r.Target("a@1000"), Token{})).To(gomega.Equal(Rests), "its entry says that it is ready")
-	r.Put(run("a@2000", 2000))
+	r.Put(incarnationEntry("a@2000", 2000))
 	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open), "the next run asked for nothing")
 
 	r.Turned("a@2000", Asked{Rest: time.Minute})
@@ -103,47 +103,47 @@
 }
 
 // Peers are not told of a rest: it was asked of one daemon.
-func TestPeersDoNotHearOfARest(t *testing.T) {
+func TestPushbackIsNotSentToPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	r.Put(entry("a"))
 	r.Turned("a", Asked{Rest: time.Minute})
-	body := Share{r}.Collect(true).(*shareBody)
-	g.Expect(body.Leaving).To(gomega.BeEmpty())
+	body := Share{r}.Collect(true).(*heartbeatBody)
+	g.Expect(body.ShuttingDown).To(gomega.BeEmpty())
 	g.Expect(body.Reloading).To(gomega.BeEmpty())
 }
 
 // The rests of named targets: a run that is known to be another one gets requests.
-func TestNamedRests(t *testing.T) {
+func TestRestListPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
-	is := func(run string) func(string) string { return func(string) string { return run } }
+	current := func(incarnation string) func(string) string { return func(string) string { return incarnation } }
 	var r RestList
 	g.Expect(r.Turned("a", "1", 0)).To(gomega.BeFalse())
-	g.Expect(r.Left(is(""))).To(gomega.BeEmpty())
+	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
 	g.Expect(r.Turned("a", "1", time.Minute)).To(gomega.BeTrue())
 	g.Expect(r.Turned("a", "1", time.Second)).To(gomega.BeFalse(), "it rests already")
 	g.Expect(r.Take("a")).To(gomega.BeFalse())
 	g.Expect(r.Took("a")).To(gomega.BeFalse(), "what was under way ends no rest")
-	for _, run := range []string{"", "1"} {
-		g.Expect(r.Left(is(run))).To(gomega.HaveKeyWithValue("a", gomega.BeNumerically("~", time.Minute, 5*time.Second)))
+	for _, incarnation := range []string{"", "1"} {
+		g.Expect(r.Left(current(incarnation))).To(gomega.HaveKeyWithValue("a", gomega.BeNumerically("~", time.Minute, 5*time.Second)))
 	}
-	g.Expect(r.Left(is("2"))).To(gomega.BeEmpty())
+	g.Expect(r.Left(current("2"))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
 
 	r.Turned("a", "", time.Minute)
-	g.Expect(r.Left(is("2"))).To(gomega.HaveKey("a"), "which run asked is not known")
+	g.Expect(r.Left(current("2"))).To(gomega.HaveKey("a"), "which run asked is not known")
 	clock.Suspend(time.Minute)
-	g.Expect(r.Left(is(""))).To(gomega.BeEmpty())
+	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
-	g.Expect(r.Left(is(""))).To(gomega.HaveKey("a"), "few at first")
+	g.Expect(r.Left(current(""))).To(gomega.HaveKey("a"), "few at first")
 	g.Expect(r.Took("a")).To(gomega.BeTrue())
-	g.Expect(r.Left(is(""))).To(gomega.BeEmpty())
+	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
 }
 
 // A target that turns away and takes in turn, and asks for a moment of rest each time, writes one
 // line of its begin and one of its end a second; what can't be read one for each run.
-func TestLinesOfRestsAreBounded(t *testing.T) {
+func TestPushbackLogLinesAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := &event.Log{}
 	r := New(log, nil)
@@ -160,7 +160,7 @@
 	g.Expect(lines[event.TargetRests]).To(gomega.Equal(1))
 	g.Expect(lines[event.TargetRested]).To(gomega.Equal(1))
 	g.Expect(lines[event.TargetUnreadable]).To(gomega.Equal(1))
-	clock.Suspend(restLine)
+	clock.Suspend(pushbackLogInterval)
 	r.Turned("a", Asked{Rest: time.Second})
 	g.Expect(log.Since(0, 1000)).To(gomega.HaveLen(5), "with the one of its entry")
 }
--- a/core/roster/restored.go
+++ b/core/roster/restored.go
@@ -8,76 +8,79 @@
 	"embertally.dev/core/plat"
 )
 
-// A list that comes back from an older copy names targets that had gone, says that leaving ones are
-// ready, and lacks new ones. What was known of a run stays: one that leaves is not ready again, one
-// that had gone is believed only once its entry changes or has stood for staleTime.
+// A list that is restored from an older copy contains targets that were removed, shows ones that
+// are shutting down as ready, and lacks new ones. What was recorded about an incarnation is kept:
+// one that is shutting down does not become ready again, and one that was removed is accepted only
+// once its entry changes or has stayed for staleEntryTime.
 
-// staleTime is how long an entry of a run that had gone is not believed. It is longer than a target
-// serves on after it has left, and than the platform keeps an entry that nobody renews.
-const staleTime = 10 * time.Second
+// staleEntryTime is how long an entry of a removed incarnation is not accepted. It is longer than a
+// target continues to serve after its shutdown was announced, and than the platform keeps an entry
+// that nobody renews.
+const staleEntryTime = 10 * time.Second
 
-// removedRun is a run that the list no longer names.
-type removedRun struct {
+// removedIncarnation is an incarnation that is no longer listed.
+type removedIncarnation struct {
 	revision int64
 	at       clock.Time
 }
 
-// keepRemoved remembers a run that is taken off. It is called with rosterMu held.
-func (r *Roster) keepRemoved(t *Target) {
+// recordRemoved records an incarnation that is being removed. It is called with rosterMu held.
+func (r *Roster) recordRemoved(t *Target) {
 	now := clock.Now()
 	for id, old := range r.removed {
-		if now.Sub(old.at) > saidLife {
+		if now.Sub(old.at) > selfReportTTL {
 			delete(r.removed, id)
 		}
 	}
-	r.removed[t.id] = removedRun{t.Entry().Revision, now}
+	r.removed[t.id] = removedIncarnation{t.Entry().Revision, now}
 }
 
-// isStale reports whether an entry may be from before its run was taken off the list, and keeps it
-// if so. It is called with rosterMu held.
+// isStale reports whether an entry may have been written before its incarnation was removed, and
+// keeps the entry if so. It is called with rosterMu held.
 func (r *Roster) isStale(e Entry) bool {
-	gone, known := r.removed[e.ID]
-	if !known || plat.Era(e.Revision) <= plat.Era(gone.revision) || plat.Number(e.Revision) > plat.Number(gone.revision) {
+	removed, known := r.removed[e.ID]
+	if !known || plat.Era(e.Revision) <= plat.Era(removed.revision) || plat.Number(e.Revision) > plat.Number(removed.revision) {
 		return false
 	}
-	if old, there := r.stale[e.Name]; there && old.ID == e.ID && plat.Era(old.Revision) == plat.Era(e.Revision) {
-		// It has changed since the list came back, unless it is told again.
+	if old, exists := r.stale[e.Name]; exists && old.ID == e.ID && plat.Era(old.Revision) == plat.Era(e.Revision) {
+		// The entry has changed since the list was restored, unless it is the same one again.
 		return old.Revision == e.Revision
 	}
 	r.stale[e.Name] = e
-	r.log.Emit(event.TargetSuspect, event.Ref{Target: e.ID}, "it had gone before the list came back from an older copy")
-	time.AfterFunc(staleTime, func() { r.acceptStale(e) })
+	r.log.Emit(event.TargetSuspect, event.Ref{Target: e.ID}, "it was removed before the list was restored from an older copy")
+	time.AfterFunc(staleEntryTime, func() { r.acceptStale(e) })
 	return true
 }
 
-// acceptStale takes an entry that has stood for staleTime.
+// acceptStale adds the incarnation of an entry that has stayed for staleEntryTime.
 func (r *Roster) acceptStale(e Entry) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	if old, there := r.stale[e.Name]; there && old.ID == e.ID && old.Revision == e.Revision && r.targets[r.runs[e.Name]] == nil {
-		r.begin(e)
+	if old, exists := r.stale[e.Name]; exists && old.ID == e.ID && old.Revision == e.Revision && r.targets[r.incarnations[e.Name]] == nil {
+		r.add(e)
 	}
 }
 
-// Lose records that a list which has come back from an older copy does not name a target. It is kept
-// for as long as its entry may take to be written again, unless it leaves.
+// Lose records that a list restored from an older copy lacks a target. The target is kept for as
+// long as its entry may take to be written again, unless it is shutting down.
 func (r *Roster) Lose(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	t := r.clear(name)
+	t := r.clearPending(name)
 	if t == nil {
 		return
 	}
-	if _, leaving := r.leaving(t); leaving {
+	if _, shuttingDown := r.shuttingDown(t); shuttingDown {
 		r.remove(t)
 		return
 	}
-	r.lapse(t, returnTime, "the list came back from an older copy without its entry")
+	r.keepLapsed(t, lapsedEntryTime, "the list was restored from an older copy without its entry")
 }
 
-// listLeaves records that the list said that a run leaves. It is called with rosterMu held.
-func (r *Roster) listLeaves(id string) {
-	if s := r.saidOf(id); !s.leaves {
-		s.leaves, s.source, s.at = true, ByList, clock.Now()
+// recordListedShutdown records that the list shows an incarnation as shutting down. It is called
+// with rosterMu held.
+func (r *Roster) recordListedShutdown(id string) {
+	if report := r.selfReportOf(id); !report.shuttingDown {
+		report.shuttingDown, report.source, report.since = true, ByList, clock.Now()
 	}
 }
--- a/core/roster/restored_test.go
+++ b/core/roster/restored_test.go
@@ -12,82 +12,82 @@
 )
 
 // written is an entry as the list holds it since a revision of an era.
-func written(id string, leaving bool, era, number int64) Entry {
+func entryAt(id string, leaving bool, storeIncarnation, revision int64) Entry {
 	e := entry(id)
-	e.Name, e.Leaving, e.Revision = id, leaving, plat.Revision(era, number)
+	e.Name, e.Leaving, e.Revision = id, leaving, plat.Revision(storeIncarnation, revision)
 	return e
 }
 
 // What is believed of a run by a list that came back from an older copy.
-func TestWhatIsKnownOfARunOutlivesAnOlderList(t *testing.T) {
+func TestLocalViewOutlivesRestoredList(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(r *Roster)
 		want Stop
 	}{
-		{"ready as before", func(r *Roster) { r.Put(written("a", false, 2, 10)) }, Open},
+		{"ready as before", func(r *Roster) { r.Put(entryAt("a", false, 2, 10)) }, Open},
 		{"left, and ready in the copy", func(r *Roster) {
-			r.Put(written("a", true, 1, 20))
-			r.Put(written("a", false, 2, 10))
+			r.Put(entryAt("a", true, 1, 20))
+			r.Put(entryAt("a", false, 2, 10))
 		}, Leaves},
 		{"left and gone, and ready in the copy", func(r *Roster) {
-			r.Put(written("a", true, 1, 20))
+			r.Put(entryAt("a", true, 1, 20))
 			r.Remove("a", clock.Now())
-			r.Put(written("a", false, 2, 30))
+			r.Put(entryAt("a", false, 2, 30))
 		}, Leaves},
 		{"gone, and ready in the copy", func(r *Roster) {
 			r.Remove("a", clock.Now())
-			r.Put(written("a", false, 2, 10))
+			r.Put(entryAt("a", false, 2, 10))
 		}, Gone},
 		{"gone, and told twice from the copy", func(r *Roster) {
 			r.Remove("a", clock.Now())
-			r.Put(written("a", false, 2, 10))
-			r.Put(written("a", false, 2, 10))
+			r.Put(entryAt("a", false, 2, 10))
+			r.Put(entryAt("a", false, 2, 10))
 		}, Gone},
 		{"gone, in the copy, and written since", func(r *Roster) {
 			r.Remove("a", clock.Now())
-			r.Put(written("a", false, 2, 9))
-			r.Put(written("a", false, 2, 10))
+			r.Put(entryAt("a", false, 2, 9))
+			r.Put(entryAt("a", false, 2, 10))
 		}, Open},
 		{"gone, and written after all that was known", func(r *Roster) {
 			r.Remove("a", clock.Now())
-			r.Put(written("a", false, 2, 11))
+			r.Put(entryAt("a", false, 2, 11))
 		}, Open},
 		{"gone and back within an era", func(r *Roster) {
 			r.Remove("a", clock.Now())
-			r.Put(written("a", false, 1, 12))
+			r.Put(entryAt("a", false, 1, 12))
 		}, Open},
 		{"gone, in the copy for long", func(r *Roster) {
 			r.Remove("a", clock.Now())
-			r.Put(written("a", false, 2, 10))
-			r.acceptStale(written("a", false, 2, 10))
+			r.Put(entryAt("a", false, 2, 10))
+			r.acceptStale(entryAt("a", false, 2, 10))
 		}, Open},
 		{"gone, in the copy, and gone again", func(r *Roster) {
 			r.Remove("a", clock.Now())
-			r.Put(written("a", false, 2, 10))
+			r.Put(entryAt("a", false, 2, 10))
 			r.Remove("a", clock.Now())
-			r.acceptStale(written("a", false, 2, 10))
+			r.acceptStale(entryAt("a", false, 2, 10))
 		}, Gone},
 		{"not in the copy", func(r *Roster) { r.Lose("a") }, Open},
 		{"left, and not in the copy", func(r *Roster) {
-			r.Put(written("a", true, 1, 20))
+			r.Put(entryAt("a", true, 1, 20))
 			r.Lose("a")
 		}, Gone},
 		{"not in the copy, and not written again", func(r *Roster) {
 			r.Lose("a")
-			r.expire("a")
+			r.removeLapsed("a")
 		}, Gone},
 		{"not in the copy, and written again", func(r *Roster) {
 			r.Lose("a")
-			r.Put(written("a", false, 2, 10))
-			r.expire("a")
+			r.Put(entryAt("a", false, 2, 10))
+			r.removeLapsed("a")
 		}, Open},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			r := New(&event.Log{}, nil)
-			r.Put(written("a", false, 1, 10))
+			r.Put(entryAt("a", false, 1, 10))
 			tc.do(r)
 			target := r.Target("a")
 			if target == nil {
@@ -101,19 +101,19 @@
 }
 
 // A worker that was cold when its entry was written is not so again when a restored list tells it.
-func TestAWarmTargetIsNotColdByAnOlderEntry(t *testing.T) {
+func TestRestoredEntryDoesNotRestartWarmUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
-	cold := written("a", false, 1, 10)
+	cold := entryAt("a", false, 1, 10)
 	cold.Cold = time.Hour
 	r.Put(cold)
-	g.Expect(r.Target("a").cold(time.Now())).To(gomega.BeTrue())
-	r.Put(written("a", false, 1, 12))
-	g.Expect(r.Target("a").cold(time.Now())).To(gomega.BeFalse())
+	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeTrue())
+	r.Put(entryAt("a", false, 1, 12))
+	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeFalse())
 	cold.Revision = plat.Revision(2, 10)
 	r.Put(cold)
-	g.Expect(r.Target("a").cold(time.Now())).To(gomega.BeFalse())
+	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeFalse())
 	cold.Revision = plat.Revision(2, 13)
 	r.Put(cold)
-	g.Expect(r.Target("a").cold(time.Now())).To(gomega.BeTrue(), "it was written since")
+	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeTrue(), "it was written since")
 }
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,9 +1,7 @@
-// Package roster owns the targets of a site: which are listed, what each
-// reported of itself, how much work is on its way to each from this daemon and
-// from the others, and which of them answer badly.
+// Package roster keeps the targets of a site: which are listed, what each reports about itself, how
+// much work this daemon and the others have in flight at each, and which of them fail to answer.
 //
-// It must not know how a target is chosen or how the list is written on the
-// platform.
+// It must not know how a target is chosen or how the list is stored on the platform.
 package roster
 
 import (
@@ -17,211 +15,212 @@
 	"embertally.dev/core/event"
 )
 
-// Entry is what the platform's list says of a target. It never changes.
+// Entry is a target's entry in the platform's list. It is immutable.
 type Entry struct {
-	// ID names one run of a target; its next run has another. What is known of a run is
-	// kept under it, so that nothing of it passes to the next one.
+	// ID identifies one incarnation of a target. Whatever is recorded about an incarnation is kept
+	// under its ID, so that nothing carries over to the next one.
 	ID string
-	// Name is what the list calls the target. Its next run may have the same; "" stands
-	// for ID.
+	// Name is the target's name in the list, which successive incarnations may share. "" stands for
+	// ID.
 	Name string
-	// Born is when the run began, by the target's clock; zero where it does not say.
+	// Born is when the incarnation started, by the target's clock; zero if not reported.
 	Born    time.Time
 	Service string
-	// Address is IP and port; it may pass to a target of another service.
+	// Address is IP and port. It may later be reused by a target of another service.
 	Address string
 	Domain  string
-	// Version is that of the target's software; "" where the list does not say.
+	// Version is the version of the target's software; "" if the list does not give it.
 	Version string
 	Slots   int
-	// Leaving tells that the target takes no new work.
+	// Leaving means that the target is shutting down and takes no new work.
 	Leaving bool
-	// Cold is how much longer the target stays slow from its start.
+	// Cold is how much longer the target is warming up after its start.
 	Cold time.Duration
-	// Weights holds the version of each model that the target has.
+	// Weights holds the weights version that the target has of each model.
 	Weights map[string]int64
-	// Orders is how many orders the target has taken.
+	// Orders is how many orders the target has accepted.
 	Orders int64
-	// Revision is that of the list at which the entry was written; 0 where it is not known.
+	// Revision is the list's revision at which the entry was written; 0 if unknown.
 	Revision int64
 }
 
-// Load is the work on its way to a target.
+// Load is work in flight at a target.
 type Load struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// Running is how many requests have not ended.
+	// Running is the number of unfinished requests.
 	Running int
-	// Unread is how many prompt tokens belong to requests without an answer.
+	// Unread is the number of prompt tokens of requests that have no response yet.
 	Unread int
-	// Held is how many tokens of context all running requests hold.
+	// Held is the number of context tokens held by all running requests.
 	Held int
 }
 
-// add adds m, or with sign -1 takes it off.
+// add adds m if sign is 1 and subtracts it if sign is -1.
 func (l *Load) add(m Load, sign int) {
 	l.Running += sign * m.Running
 	l.Unread += sign * m.Unread
 	l.Held += sign * m.Held
 }
 
-// Roster keeps the targets current.
+// Roster is this daemon's local view of the targets.
 //
 // Lock order: rosterMu before a target's targetMu.
 type Roster struct {
 	log *event.Log
-	// regained tells when the list's last outage ended and how long it was.
-	regained func() (clock.Time, time.Duration)
-	// byName holds the targets by service, or nil where they have changed since.
-	byName atomic.Pointer[map[string][]*Target]
-	// evacuations holds what operators asked, by failure domain. A map that was stored
-	// never changes; a new one is stored with rosterMu held.
+	// lastOutage returns when the list's last outage ended and how long it lasted.
+	lastOutage func() (clock.Time, time.Duration)
+	// byService holds the targets by service, or nil if they have changed since it was built.
+	byService atomic.Pointer[map[string][]*Target]
+	// evacuations holds the evacuations requested by operators, by failure domain. A stored map is
+	// immutable; a new one is stored with rosterMu held.
 	evacuations atomic.Pointer[map[string]evacuation]
 
 	busy busyTargets
 
-	// Place, if set, returns how many daemons come before this one for a target, of how many that may
-	// choose it. It is set before use, and called with rosterMu held.
+	// Place, if set, returns this daemon's rank for a target (the number of daemons before it) and
+	// the number of daemons that may choose the target. It is set before use, and called with
+	// rosterMu held.
 	Place func(t *Target) (place, of int)
-	// Removed, if set, hears of each run that is taken off, and whether it was leaving. It is
-	// set before use, and called with rosterMu held.
+	// Removed, if set, is called for each incarnation that is removed, and is passed whether it was
+	// shutting down. It is set before use, and called with rosterMu held.
 	Removed func(id string, leaving bool)
 
 	rosterMu sync.Mutex
 	targets  map[string]*Target // by ID; guarded by rosterMu
-	// guests are targets that this daemon's list does not hold. Guarded by rosterMu.
-	guests guests
-	// runs holds the run that each name stands for. Guarded by rosterMu.
-	runs map[string]string
-	// ended holds, by name, the run that was seen to be over before the list said so.
+	// external are targets that this daemon's list does not contain. Guarded by rosterMu.
+	external externalTargets
+	// incarnations holds the ID of the current incarnation of each name. Guarded by rosterMu.
+	incarnations map[string]string
+	// replaced holds, by name, the ID of an incarnation that was found to be over before the list
+	// showed it. Guarded by rosterMu.
+	replaced map[string]string
+	// outOfOrder holds, by name, the entry of an incarnation that seems older than the current one:
+	// either the write is late, or the target's clock went back. Guarded by rosterMu.
+	outOfOrder map[string]Entry
+	// removed holds, by ID, the last revision of incarnations that are no longer listed. stale
+	// holds, by name, entries of such incarnations in a list that was restored from an older copy.
 	// Guarded by rosterMu.
-	ended map[string]string
-	// early holds, by name, the entry of a run that seems older than the one in use: a
-	// late write, or a target whose clock went back. Guarded by rosterMu.
-	early map[string]Entry
-	// removed holds the revision of the last entry of runs that the list no longer names, and stale,
-	// by name, entries of such runs in a list that has come back from an older copy. Guarded by
-	// rosterMu.
-	removed map[string]removedRun
+	removed map[string]removedIncarnation
 	stale   map[string]Entry
-	// peers holds the loads that other daemons told. Guarded by rosterMu.
+	// peers holds the loads reported by other daemons. Guarded by rosterMu.
 	peers map[string]peerLoads
-	// loaded are the targets that peers have work at. Guarded by rosterMu.
-	loaded map[string]bool
-	// ordered says which targets this daemon takes to be about to change their
-	// weights, and until when. Guarded by rosterMu.
-	ordered map[string]time.Time
-	// peerOrdered is the same for each peer, from its last heartbeat; it is not
-	// passed on. Guarded by rosterMu.
-	peerOrdered map[string]map[string]time.Time
-	// reloading says until when a target that refused work while its weights were older than
-	// named is passed over, and peerReloading the same as peers told. Guarded by rosterMu.
+	// peerLoaded holds the IDs of targets at which peers have work. Guarded by rosterMu.
+	peerLoaded map[string]bool
+	// updating holds, by ID, until when a target has a weight update pending that this daemon
+	// recorded. Guarded by rosterMu.
+	updating map[string]time.Time
+	// peerUpdating holds the same for each peer, from its last heartbeat. It is not forwarded.
+	// Guarded by rosterMu.
+	peerUpdating map[string]map[string]time.Time
+	// reloading holds, by ID, until when a target is passed over that rejected work while its
+	// weights were older than desired. peerReloading holds the same as reported by peers. Guarded
+	// by rosterMu.
 	reloading, peerReloading map[string]time.Time
-	// said holds what runs said of themselves in their answers, by ID. It outlives their entries,
-	// which may go and come back. Guarded by rosterMu.
-	said map[string]*said
-	// learnedAt says when a target was last seen to hold newer weights than were
-	// known. Guarded by rosterMu.
-	learnedAt map[string]time.Time
+	// selfReports holds, by ID, what incarnations reported about themselves in their responses. It
+	// outlives their entries, which may disappear and return. Guarded by rosterMu.
+	selfReports map[string]*selfReport
+	// versionsSeen holds, by ID, when a target was last seen to have newer weights than were
+	// recorded. Guarded by rosterMu.
+	versionsSeen map[string]time.Time
 }
 
-// peerLoads is what one daemon told of its work, and when.
+// peerLoads holds the loads that one daemon reported, and when.
 type peerLoads struct {
 	at    time.Time
 	loads map[string]Load
 }
 
-// New returns an empty roster. regained may be nil.
-func New(log *event.Log, regained func() (clock.Time, time.Duration)) *Roster {
-	if regained == nil {
-		regained = func() (clock.Time, time.Duration) { return clock.Time{}, 0 }
+// New returns an empty roster. lastOutage may be nil.
+func New(log *event.Log, lastOutage func() (clock.Time, time.Duration)) *Roster {
+	if lastOutage == nil {
+		lastOutage = func() (clock.Time, time.Duration) { return clock.Time{}, 0 }
 	}
 	r := &Roster{
-		log: log, regained: regained, targets: map[string]*Target{}, runs: map[string]string{}, ended: map[string]string{}, early: map[string]Entry{}, removed: map[string]removedRun{}, stale: map[string]Entry{}, peers: map[string]peerLoads{}, loaded: map[string]bool{},
-		reloading: map[string]time.Time{}, peerReloading: map[string]time.Time{}, said: map[string]*said{},
-		ordered: map[string]time.Time{}, peerOrdered: map[string]map[string]time.Time{}, learnedAt: map[string]time.Time{},
+		log: log, lastOutage: lastOutage, targets: map[string]*Target{}, incarnations: map[string]string{}, replaced: map[string]string{}, outOfOrder: map[string]Entry{}, removed: map[string]removedIncarnation{}, stale: map[string]Entry{}, peers: map[string]peerLoads{}, peerLoaded: map[string]bool{},
+		reloading: map[string]time.Time{}, peerReloading: map[string]time.Time{}, selfReports: map[string]*selfReport{},
+		updating: map[string]time.Time{}, peerUpdating: map[string]map[string]time.Time{}, versionsSeen: map[string]time.Time{},
 	}
 	r.evacuations.Store(&map[string]evacuation{})
 	return r
 }
 
-// Times of the list.
 const (
-	// returnTime is how long after an outage of the list an entry that lapsed
-	// meanwhile may take to come back: the users' letter 2 says about two
-	// seconds, and that what is still missing then is gone.
-	returnTime = 2 * time.Second
-	// lapseFrom is the shortest outage in which entries lapse.
-	lapseFrom = 1500 * time.Millisecond
-	// peerLoadLife is how long the loads that a peer told are counted.
-	peerLoadLife = 1200 * time.Millisecond
+	// lapsedEntryTime is how long after an outage of the list an entry that lapsed meanwhile may
+	// take to return. The users' specification says about two seconds, and that a target still
+	// missing then is gone.
+	lapsedEntryTime = 2 * time.Second
+	// minLapseOutage is the shortest outage in which entries lapse.
+	minLapseOutage = 1500 * time.Millisecond
+	// peerLoadTTL is how long the loads reported by a peer count.
+	peerLoadTTL = 1200 * time.Millisecond
 )
 
-// Put records what the list says of a target. Where that is another run than the one in
-// use, it returns the former, of which nothing is kept.
-func (r *Roster) Put(e Entry) (former *Target) {
+// Put records an entry of the list. If it is another incarnation than the current one of its name,
+// Put returns the previous one, whose state is discarded.
+func (r *Roster) Put(e Entry) (previous *Target) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	if e.Name == "" {
 		e.Name = e.ID
 	}
-	if r.ended[e.Name] == e.ID {
+	if r.replaced[e.Name] == e.ID {
 		return nil
 	}
-	former = r.targets[r.runs[e.Name]]
-	if former != nil && former.id == e.ID {
-		r.renew(former, e)
+	previous = r.targets[r.incarnations[e.Name]]
+	if previous != nil && previous.id == e.ID {
+		r.update(previous, e)
 		return nil
 	}
-	if former == nil && r.isStale(e) {
+	if previous == nil && r.isStale(e) {
 		return nil
 	}
-	if former != nil && e.Born.Before(former.Entry().Born) {
-		r.early[e.Name] = e
-		r.log.Emit(event.TargetSuspect, event.Ref{Target: e.ID}, "its entry is older than run "+former.id)
+	if previous != nil && e.Born.Before(previous.Entry().Born) {
+		r.outOfOrder[e.Name] = e
+		r.log.Emit(event.TargetSuspect, event.Ref{Target: e.ID}, "its entry is older than incarnation "+previous.id)
 		return nil
 	}
-	if former != nil {
-		r.remove(former)
+	if previous != nil {
+		r.remove(previous)
 	}
-	r.begin(e)
-	return former
+	r.add(e)
+	return previous
 }
 
-// begin takes a new run. It is called with rosterMu held.
-func (r *Roster) begin(e Entry) {
-	t := r.guests.take(e.ID)
+// add makes an incarnation the current one of its name. It is called with rosterMu held.
+func (r *Roster) add(e Entry) {
+	t := r.external.take(e.ID)
 	if t == nil {
 		t = &Target{id: e.ID, busy: &r.busy}
 	}
 	t.set(e)
-	r.targets[e.ID], r.runs[e.Name] = t, e.ID
-	delete(r.early, e.Name)
-	delete(r.ended, e.Name)
+	r.targets[e.ID], r.incarnations[e.Name] = t, e.ID
+	delete(r.outOfOrder, e.Name)
+	delete(r.replaced, e.Name)
 	delete(r.stale, e.Name)
 	delete(r.removed, e.ID)
 	if e.Leaving {
-		r.listLeaves(e.ID)
+		r.recordListedShutdown(e.ID)
 	}
 	r.log.Emit(event.BoxAppeared, event.Ref{Target: e.ID}, e.Service+" at "+e.Address)
-	r.publish()
+	r.invalidateLists()
 }
 
-// renew takes what the list says anew of a run. It is called with rosterMu held.
-func (r *Roster) renew(t *Target, e Entry) {
-	if _, known := r.leaving(t); e.Leaving && !known {
+// update records a newer entry of the current incarnation. It is called with rosterMu held.
+func (r *Roster) update(t *Target, e Entry) {
+	if _, reported := r.shuttingDown(t); e.Leaving && !reported {
 		r.log.Emit(event.BoxLeaving, event.Ref{Target: e.ID}, e.Service+" at "+e.Address)
-		r.listLeaves(e.ID)
+		r.recordListedShutdown(e.ID)
 	}
-	moved := e.Service != t.Entry().Service
+	serviceChanged := e.Service != t.Entry().Service
 	t.set(e)
-	if moved {
-		r.publish()
+	if serviceChanged {
+		r.invalidateLists()
 	}
 }
 
-// Ended records that another run answers in place of one: the target has started again,
-// and the list does not say so yet. Until it does the target gets nothing.
+// Ended records that another incarnation answers in place of the given one: the target has
+// restarted, but the list does not show it yet. Until it does, the target gets no requests.
 func (r *Roster) Ended(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -230,74 +229,74 @@
 		return
 	}
 	name := t.Entry().Name
-	next, known := r.early[name]
+	next, exists := r.outOfOrder[name]
 	r.remove(t)
-	r.ended[name] = id
-	r.log.Emit(event.TargetSuspect, event.Ref{Target: id}, "another run of it answers")
-	if known {
-		r.begin(next)
+	r.replaced[name] = id
+	r.log.Emit(event.TargetSuspect, event.Ref{Target: id}, "another incarnation of it answers")
+	if exists {
+		r.add(next)
 	}
 }
 
-// Remove records that the list no longer names a target. After an outage of
-// the list the entry may have lapsed while its target lives; it is kept for as
-// long as such entries take to come back.
+// Remove records that a name is no longer listed. After an outage of the list the entry may have
+// lapsed although the target is alive; the target is then kept for as long as such entries take to
+// return.
 func (r *Roster) Remove(name string, now clock.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	t := r.clear(name)
+	t := r.clearPending(name)
 	if t == nil {
 		return
 	}
-	back, silence := r.regained()
-	_, leaving := r.leaving(t)
-	if until := back.Add(returnTime); silence >= lapseFrom && now.Before(until) && !leaving {
-		r.lapse(t, until.Sub(now), "its entry lapsed in an outage of the list")
+	outageEnd, outage := r.lastOutage()
+	_, shuttingDown := r.shuttingDown(t)
+	if until := outageEnd.Add(lapsedEntryTime); outage >= minLapseOutage && now.Before(until) && !shuttingDown {
+		r.keepLapsed(t, until.Sub(now), "its entry lapsed in an outage of the list")
 		return
 	}
 	r.remove(t)
 }
 
-// lapse keeps a target for a while without an entry. It is called with rosterMu held.
-func (r *Roster) lapse(t *Target, lasts time.Duration, why string) {
-	t.lapse(time.Now().Add(lasts))
-	r.log.Emit(event.TargetSuspect, event.Ref{Target: t.id}, why)
-	time.AfterFunc(lasts, func() { r.expire(t.id) })
+// keepLapsed keeps a target without an entry for a while. It is called with rosterMu held.
+func (r *Roster) keepLapsed(t *Target, duration time.Duration, reason string) {
+	t.lapse(time.Now().Add(duration))
+	r.log.Emit(event.TargetSuspect, event.Ref{Target: t.id}, reason)
+	time.AfterFunc(duration, func() { r.removeLapsed(t.id) })
 }
 
-// Unlist records that a target's entry names nothing that can be used, as another writer
-// may leave it there. Unlike one that is missing it is not waited for.
+// Unlist records that a name's entry is unusable, as another writer may leave it. Unlike with a
+// missing entry, the target is removed at once.
 func (r *Roster) Unlist(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	delete(r.early, name)
-	if t := r.targets[r.runs[name]]; t != nil {
+	delete(r.outOfOrder, name)
+	if t := r.targets[r.incarnations[name]]; t != nil {
 		r.remove(t)
 	}
 }
 
-// Drop records that the list of this daemon does not hold a target any more, which may still be
-// there for others.
+// Drop records that this daemon's list no longer contains a target, which other daemons may still
+// list. The target becomes an external one.
 func (r *Roster) Drop(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	if t := r.clear(name); t != nil {
-		r.unuse(t)
-		r.guests.put(t, time.Now())
+	if t := r.clearPending(name); t != nil {
+		r.delist(t)
+		r.external.put(t, time.Now())
 	}
 }
 
-// clear forgets what the list said of a name beside the run in use, which it returns, or nil. It is
-// called with rosterMu held.
-func (r *Roster) clear(name string) *Target {
-	delete(r.ended, name)
-	delete(r.early, name)
+// clearPending deletes everything recorded for a name other than the current incarnation, which it
+// returns, or nil. It is called with rosterMu held.
+func (r *Roster) clearPending(name string) *Target {
+	delete(r.replaced, name)
+	delete(r.outOfOrder, name)
 	delete(r.stale, name)
-	return r.targets[r.runs[name]]
+	return r.targets[r.incarnations[name]]
 }
 
-// expire removes a target whose lapsed entry has not come back.
-func (r *Roster) expire(id string) {
+// removeLapsed removes a target whose lapsed entry has not returned.
+func (r *Roster) removeLapsed(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	if t := r.targets[id]; t != nil && t.lapsed() {
@@ -305,50 +304,50 @@
 	}
 }
 
-// unuse takes a target off the lists. It is called with rosterMu held.
-func (r *Roster) unuse(t *Target) {
+// delist takes a target off the lists. It is called with rosterMu held.
+func (r *Roster) delist(t *Target) {
 	name := t.Entry().Name
 	delete(r.targets, t.id)
-	delete(r.ordered, t.id)
-	if r.runs[name] == t.id {
-		delete(r.runs, name)
+	delete(r.updating, t.id)
+	if r.incarnations[name] == t.id {
+		delete(r.incarnations, name)
 	}
-	r.publish()
+	r.invalidateLists()
 }
 
-// remove is called with rosterMu held.
+// remove discards an incarnation and notifies Removed. It is called with rosterMu held.
 func (r *Roster) remove(t *Target) {
-	r.unuse(t)
-	t.retire()
-	r.keepRemoved(t)
+	r.delist(t)
+	t.markRemoved()
+	r.recordRemoved(t)
 	if r.Removed != nil {
-		_, leaving := r.leaving(t)
-		r.Removed(t.id, leaving)
+		_, shuttingDown := r.shuttingDown(t)
+		r.Removed(t.id, shuttingDown)
 	}
 	r.log.Emit(event.BoxGone, event.Ref{Target: t.id}, t.Entry().Service+" at "+t.Entry().Address)
 }
 
-// publish makes the lists by service be made anew when they are next asked for: entries come in
-// series. It is called with rosterMu held.
-func (r *Roster) publish() { r.byName.Store(nil) }
+// invalidateLists has the lists by service rebuilt when they are next requested, because entries
+// arrive in bursts. It is called with rosterMu held.
+func (r *Roster) invalidateLists() { r.byService.Store(nil) }
 
-// Of returns the targets of a service, leaving ones included, ordered by name.
-// The list must not be changed; it is the same one until the targets change.
+// Of returns the targets of a service, including those that are shutting down, ordered by ID. The
+// list must not be changed; the same one is returned until the targets change.
 func (r *Roster) Of(service string) []*Target {
-	if lists := r.byName.Load(); lists != nil {
-		return (*lists)[service]
+	if byService := r.byService.Load(); byService != nil {
+		return (*byService)[service]
 	}
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	if r.byName.Load() == nil {
-		lists := r.lists()
-		r.byName.Store(&lists)
+	if r.byService.Load() == nil {
+		byService := r.buildLists()
+		r.byService.Store(&byService)
 	}
-	return (*r.byName.Load())[service]
+	return (*r.byService.Load())[service]
 }
 
-// lists returns the targets by service, ordered by name. It is called with rosterMu held.
-func (r *Roster) lists() map[string][]*Target {
+// buildLists returns the targets by service, ordered by ID. It is called with rosterMu held.
+func (r *Roster) buildLists() map[string][]*Target {
 	out := map[string][]*Target{}
 	for _, t := range r.targets {
 		name := t.Entry().Service
@@ -360,14 +359,14 @@
 	return out
 }
 
-// Named returns the run that a name of the list stands for, or nil.
+// Named returns the current incarnation of a name in the list, or nil.
 func (r *Roster) Named(name string) *Target {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	return r.targets[r.runs[name]]
+	return r.targets[r.incarnations[name]]
 }
 
-// Target returns a run of a target by ID, listed or guest, or nil.
+// Target returns the incarnation with an ID, listed or external, or nil.
 func (r *Roster) Target(id string) *Target {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -379,5 +378,5 @@
 	if t := r.targets[id]; t != nil {
 		return t
 	}
-	return r.guests.find(id)
+	return r.external.find(id)
 }
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -23,7 +23,7 @@
 	return out
 }
 
-func TestEntriesComeAndGo(t *testing.T) {
+func TestPutAndRemove(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	r.Put(entry("b"))
@@ -40,12 +40,12 @@
 	r.Remove("none", clock.Now())
 }
 
-func TestEntriesThatLapseInAnOutageMayComeBack(t *testing.T) {
+func TestEntriesLapsedInAnOutageMayReturn(t *testing.T) {
 	tests := []struct {
 		name    string
-		silence time.Duration
+		outage  time.Duration
 		leaving bool
-		stays   bool
+		kept    bool
 	}{
 		{"after an outage", 4 * time.Second, false, true},
 		{"after a short silence", 100 * time.Millisecond, false, false},
@@ -54,22 +54,22 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			now, aged := time.Now(), clock.Now()
-			r := New(&event.Log{}, func() (clock.Time, time.Duration) { return aged, tc.silence })
+			now, clockNow := time.Now(), clock.Now()
+			r := New(&event.Log{}, func() (clock.Time, time.Duration) { return clockNow, tc.outage })
 			e := entry("a")
 			e.Leaving = tc.leaving
 			r.Put(e)
-			r.Remove("a", aged)
-			g.Expect(r.Target("a") != nil).To(gomega.Equal(tc.stays))
-			if !tc.stays {
+			r.Remove("a", clockNow)
+			g.Expect(r.Target("a") != nil).To(gomega.Equal(tc.kept))
+			if !tc.kept {
 				return
 			}
 			g.Expect(r.Target("a").Health(now).Lapsed).To(gomega.BeTrue())
 			r.Put(e)
-			r.expire("a")
+			r.removeLapsed("a")
 			g.Expect(r.Target("a").Health(now).Lapsed).To(gomega.BeFalse())
-			r.Remove("a", aged)
-			r.expire("a")
+			r.Remove("a", clockNow)
+			r.removeLapsed("a")
 			g.Expect(r.Target("a")).To(gomega.BeNil())
 		})
 	}
@@ -86,7 +86,7 @@
 	r.Learn("none", "m", 9)
 }
 
-func TestSuspicionGrowsAndEnds(t *testing.T) {
+func TestSuspectTimeGrowsAndResets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	r.Put(entry("a"))
@@ -96,12 +96,12 @@
 	g.Expect(a.Health(now.Add(suspectTime)).Suspect).To(gomega.BeFalse())
 	a.Silent(now)
 	g.Expect(a.Health(now.Add(suspectTime)).Suspect).To(gomega.BeTrue())
-	g.Expect(a.Health(now.Add(suspectMost)).Suspect).To(gomega.BeFalse())
+	g.Expect(a.Health(now.Add(maxSuspectTime)).Suspect).To(gomega.BeFalse())
 	a.Answered()
 	g.Expect(a.Health(now).Suspect).To(gomega.BeFalse())
 }
 
-func TestLoadsOfPeersAreAddedAndForgotten(t *testing.T) {
+func TestPeerLoadsAreAddedAndExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	mine, other := New(&event.Log{}, nil), New(&event.Log{}, nil)
 	mine.Put(entry("a"))
@@ -116,7 +116,7 @@
 	g.Expect(mine.Ordered(time.Now())).To(gomega.HaveKey("a"))
 	mine.Done("a")
 	g.Expect(mine.Ordered(time.Now())).To(gomega.BeEmpty())
-	mine.sum(time.Now().Add(2 * peerLoadLife))
+	mine.sumPeerLoads(time.Now().Add(2 * peerLoadTTL))
 	g.Expect(mine.Target("a").Load()).To(gomega.Equal(Load{Running: 1, Unread: 10, Held: 10}))
 	Share{mine}.Receive("other", []byte("no msgpack"))
 	mine.Target("a").End(Load{Running: 1, Unread: 10, Held: 10})
@@ -124,44 +124,44 @@
 }
 
 // told passes one heartbeat's part from one roster to another.
-func told(g *gomega.WithT, from, to *Roster) {
+func sendHeartbeat(g *gomega.WithT, from, to *Roster) {
 	raw, err := msgpack.Marshal(Share{from}.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	Share{to}.Receive("from", raw)
 }
 
-func TestPeersHearThatASwapHasEnded(t *testing.T) {
+func TestWeightUpdateEndReachesPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	giver, peer, third := New(&event.Log{}, nil), New(&event.Log{}, nil), New(&event.Log{}, nil)
-	for _, r := range []*Roster{giver, peer, third} {
+	owner, peer, third := New(&event.Log{}, nil), New(&event.Log{}, nil), New(&event.Log{}, nil)
+	for _, r := range []*Roster{owner, peer, third} {
 		r.Put(entry("a"))
 	}
 	now := time.Now()
-	giver.Order("a", now.Add(time.Minute))
-	told(g, giver, peer)
+	owner.Order("a", now.Add(time.Minute))
+	sendHeartbeat(g, owner, peer)
 	g.Expect(peer.Ordered(now)).To(gomega.HaveKey("a"))
-	told(g, peer, third)
+	sendHeartbeat(g, peer, third)
 	g.Expect(third.Ordered(now)).To(gomega.BeEmpty(), "who gives the order tells of it")
-	giver.Learn("a", "m", 2)
-	giver.Done("a")
-	told(g, giver, peer)
+	owner.Learn("a", "m", 2)
+	owner.Done("a")
+	sendHeartbeat(g, owner, peer)
 	g.Expect(peer.Ordered(now)).To(gomega.BeEmpty())
 	g.Expect(peer.Target("a").Entry().Weights["m"]).To(gomega.Equal(int64(2)))
 }
 
-func TestASwapOfALostPeerCountsUntilItsTime(t *testing.T) {
+func TestWeightUpdateOfLostPeerExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
-	giver, peer := New(&event.Log{}, nil), New(&event.Log{}, nil)
+	owner, peer := New(&event.Log{}, nil), New(&event.Log{}, nil)
 	peer.Put(entry("a"))
 	now := time.Now()
-	giver.Order("a", now.Add(3*time.Second))
-	told(g, giver, peer)
-	peer.sum(now.Add(2 * peerLoadLife))
+	owner.Order("a", now.Add(3*time.Second))
+	sendHeartbeat(g, owner, peer)
+	peer.sumPeerLoads(now.Add(2 * peerLoadTTL))
 	g.Expect(peer.Ordered(now.Add(2 * time.Second))).To(gomega.HaveKey("a"))
 	g.Expect(peer.Ordered(now.Add(4 * time.Second))).To(gomega.BeEmpty())
 }
 
-func TestPeersHearWhichTargetsRest(t *testing.T) {
+func TestReloadingReachesPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	one, other := New(&event.Log{}, nil), New(&event.Log{}, nil)
 	one.Put(Entry{ID: "w"})
@@ -175,13 +175,13 @@
 	g.Expect(other.Ordered(now)).To(gomega.BeEmpty())
 }
 
-func TestOnlyTargetsWithWorkAreToldOf(t *testing.T) {
+func TestHeartbeatHoldsOnlyBusyTargets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	for _, id := range []string{"a", "b", "c"} {
 		r.Put(entry(id))
 	}
-	loads := func() map[string]Load { return (Share{r}).Collect(false).(*shareBody).Loads }
+	loads := func() map[string]Load { return (Share{r}).Collect(false).(*heartbeatBody).Loads }
 	g.Expect(loads()).To(gomega.BeEmpty())
 	one := Load{Running: 1, Unread: 5}
 	r.Target("a").Begin(one)
--- a/core/roster/runs_test.go
+++ b/core/roster/runs_test.go
@@ -11,13 +11,13 @@
 )
 
 // run is an entry of one run of the target a.
-func run(id string, born int64) Entry {
+func incarnationEntry(id string, born int64) Entry {
 	e := entry(id)
 	e.Name, e.Born = "a", time.UnixMilli(born)
 	return e
 }
 
-func TestATargetThatStartsAgainKnowsNothingOfBefore(t *testing.T) {
+func TestRestartedTargetStartsFresh(t *testing.T) {
 	tests := []struct {
 		name string
 		// steps change a roster that uses the run a@1000, which holds version 3 after
@@ -26,26 +26,26 @@
 		// want is the run in use, "" for none.
 		want string
 	}{
-		{"younger", func(r *Roster) { r.Put(run("a@2000", 2000)) }, "a@2000"},
+		{"younger", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
 		{"younger at another address", func(r *Roster) {
-			e := run("a@2000", 2000)
+			e := incarnationEntry("a@2000", 2000)
 			e.Address = "10.0.0.9:1"
 			r.Put(e)
 		}, "a@2000"},
-		{"late word of an older run", func(r *Roster) { r.Put(run("a@2000", 2000)); r.Put(run("a@1000", 1000)) }, "a@2000"},
+		{"late word of an older run", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.Put(incarnationEntry("a@1000", 1000)) }, "a@2000"},
 		{"another run answers", func(r *Roster) { r.Ended("a@1000") }, ""},
-		{"another run answers, the list lags", func(r *Roster) { r.Ended("a@1000"); r.Put(run("a@1000", 1000)) }, ""},
-		{"another run answers, the list follows", func(r *Roster) { r.Ended("a@1000"); r.Put(run("a@2000", 2000)) }, "a@2000"},
-		{"its clock went back", func(r *Roster) { r.Put(run("a@500", 500)); r.Ended("a@1000") }, "a@500"},
-		{"taken off the list and back", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(run("a@500", 500)) }, "a@500"},
+		{"another run answers, the list lags", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
+		{"another run answers, the list follows", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
+		{"its clock went back", func(r *Roster) { r.Put(incarnationEntry("a@500", 500)); r.Ended("a@1000") }, "a@500"},
+		{"taken off the list and back", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(incarnationEntry("a@500", 500)) }, "a@500"},
 		{"another writer's entry", func(r *Roster) { r.Unlist("a") }, ""},
-		{"a good entry after another writer's", func(r *Roster) { r.Unlist("a"); r.Put(run("a@2000", 2000)) }, "a@2000"},
+		{"a good entry after another writer's", func(r *Roster) { r.Unlist("a"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			r, now := New(&event.Log{}, nil), time.Now()
-			first := run("a@1000", 1000)
+			first := incarnationEntry("a@1000", 1000)
 			first.Orders = 5
 			r.Put(first)
 			old := r.Target("a@1000")
@@ -76,12 +76,12 @@
 	}
 }
 
-func TestTheSameRunWrittenAnewStays(t *testing.T) {
+func TestSameIncarnationIsKept(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
-	r.Put(run("a@1000", 1000))
+	r.Put(incarnationEntry("a@1000", 1000))
 	kept := r.Target("a@1000")
-	g.Expect(r.Put(run("a@1000", 1000))).To(gomega.BeNil())
+	g.Expect(r.Put(incarnationEntry("a@1000", 1000))).To(gomega.BeNil())
 	g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(kept))
-	g.Expect(r.Put(run("a@2000", 2000))).To(gomega.BeIdenticalTo(kept), "its connections are given up")
+	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(kept), "its connections are given up")
 }
--- a/core/roster/said.go
+++ b/core/roster/said.go
@@ -8,165 +8,172 @@
 	"embertally.dev/core/event"
 )
 
-// Source is by what it is known that a target leaves.
+// Source is how it is known that a target is shutting down or what its rate limit is.
 type Source string
 
-// Sources.
 const (
 	ByList   Source = "list"
 	ByAnswer Source = "answer"
 	ByPeer   Source = "peer"
 )
 
-// said is what one run of a target said of itself. It outlives the run's entry, since the list may be
-// behind, away, or back from an older copy.
-type said struct {
-	// leaves never ends: a run that leaves is not ready again, whatever its entry says later.
-	leaves bool
-	source Source
-	// at is when it was first heard that the run leaves, or else when anything was.
-	at clock.Time
-	// rest is what the run asked this daemon for. It is not told to others: how much a target bears
-	// of one of them says little of what it bears of the next.
-	rest rest
-	// limit is the request rate that the run named for all daemons together.
-	limit limit
-	// odd tells that a line was written of what can't be read.
-	odd bool
+// selfReport is what one incarnation of a target reported about itself. It outlives the
+// incarnation's entry, since the list may lag, be unavailable, or be restored from an older copy.
+type selfReport struct {
+	// shuttingDown is never reset: an incarnation that is shutting down does not become ready
+	// again, whatever its entry shows later.
+	shuttingDown bool
+	source       Source
+	// since is when the shutdown was first reported, or else when the first report of any kind
+	// arrived.
+	since clock.Time
+	// pushback is the pushback for this daemon. It is not sent to other daemons: how much a target
+	// accepts from one of them says little about the next.
+	pushback pushback
+	// limit is the rate limit for all daemons together.
+	limit limitState
+	// invalidLogged means that an unreadable value has been logged.
+	invalidLogged bool
 }
 
-// saidLife is how long what a run said is kept after its entry went, in case the entry is back:
-// longer than any outage of the list that was seen (20 s) and than a target serves on after it
-// has left.
-const saidLife = time.Hour
-
-// saidOf returns what a run said, to be changed. It is called with rosterMu held.
-func (r *Roster) saidOf(id string) *said {
-	s := r.said[id]
-	if s != nil {
-		return s
+// selfReportTTL is how long an incarnation's report is kept after its entry disappeared, in case
+// the entry returns. It is longer than any observed outage of the list (20 s) and than a target
+// continues to serve after its shutdown was announced.
+const selfReportTTL = time.Hour
+
+// selfReportOf returns an incarnation's report for modification, and creates it if needed. It is
+// called with rosterMu held.
+func (r *Roster) selfReportOf(id string) *selfReport {
+	report := r.selfReports[id]
+	if report != nil {
+		return report
 	}
 	now := clock.Now()
-	for other, old := range r.said {
-		if r.targets[other] == nil && now.Sub(old.at) > saidLife {
-			delete(r.said, other)
+	for other, old := range r.selfReports {
+		if r.targets[other] == nil && now.Sub(old.since) > selfReportTTL {
+			delete(r.selfReports, other)
 		}
 	}
-	s = &said{at: now}
-	r.said[id] = s
-	return s
+	report = &selfReport{since: now}
+	r.selfReports[id] = report
+	return report
 }
 
-// Leaves records that a run of a target said that it leaves, and by what that is known.
-// It reports whether this is new.
-func (r *Roster) Leaves(id string, by Source) bool {
+// Leaves records that an incarnation reported that it is shutting down, and the source of the
+// report. It returns whether this is new.
+func (r *Roster) Leaves(id string, source Source) bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	return r.leaves(id, by)
+	return r.recordShutdown(id, source)
 }
 
-// leaves is called with rosterMu held.
-func (r *Roster) leaves(id string, by Source) bool {
-	if s := r.said[id]; s != nil && s.leaves {
+// recordShutdown is Leaves with rosterMu held.
+func (r *Roster) recordShutdown(id string, source Source) bool {
+	if report := r.selfReports[id]; report != nil && report.shuttingDown {
 		return false
 	}
-	s := r.saidOf(id)
-	s.leaves, s.source, s.at = true, by, clock.Now()
-	r.log.Emit(event.TargetSaysLeaving, event.Ref{Target: id}, "known by "+string(by))
+	report := r.selfReportOf(id)
+	report.shuttingDown, report.source, report.since = true, source, clock.Now()
+	r.log.Emit(event.TargetSaysLeaving, event.Ref{Target: id}, "reported by "+string(source))
 	return true
 }
 
-// leavingTold is how long other daemons are told that a run said that it leaves: a few heartbeats
-// may be lost. Who hears of it later finds out by its own first answer.
-const leavingTold = 2 * time.Second
+// shutdownNotifyTime is how long other daemons are notified of a shutdown, because a few heartbeats
+// may be lost. A daemon that lists the target later learns of it from the target's first response.
+const shutdownNotifyTime = 2 * time.Second
 
-// leavingLately returns the runs that other daemons are to hear of. It is called with rosterMu held.
-func (r *Roster) leavingLately() []string {
-	out := r.leftWithin(leavingTold)
+// recentShutdowns returns the listed incarnations whose shutdown other daemons are to be notified
+// of. It is called with rosterMu held.
+func (r *Roster) recentShutdowns() []string {
+	out := r.shutdownsWithin(shutdownNotifyTime)
 	return slices.DeleteFunc(out, func(id string) bool { return r.targets[id] == nil })
 }
 
-// leftWithin returns the runs that said within a time that they leave. It is called with rosterMu held.
-func (r *Roster) leftWithin(age time.Duration) []string {
+// shutdownsWithin returns the incarnations whose shutdown was reported at most age ago. It is
+// called with rosterMu held.
+func (r *Roster) shutdownsWithin(age time.Duration) []string {
 	var out []string
 	now := clock.Now()
-	for id, s := range r.said {
-		if s.leaves && now.Sub(s.at) <= age {
+	for id, report := range r.selfReports {
+		if report.shuttingDown && now.Sub(report.since) <= age {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// leavingRecalled is how far back LeavingRuns reaches: longer than a store that comes back from a copy loses.
-const leavingRecalled = time.Minute
+// shutdownRecallTime is how far back LeavingRuns reaches. It is longer than the time whose writes
+// are lost when a coordination store is restored from a copy.
+const shutdownRecallTime = time.Minute
 
-// LeavingRuns returns the runs that lately said that they leave, whether the list still names them or not.
+// LeavingRuns returns the incarnations that recently reported shutting down, whether still listed
+// or not.
 func (r *Roster) LeavingRuns() []string {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	return r.leftWithin(leavingRecalled)
+	return r.shutdownsWithin(shutdownRecallTime)
 }
 
-// Asked is what a refusal of a target asked this daemon for.
+// Asked is the pushback that came with a rejection.
 type Asked struct {
-	// Rest is how long the target wants nothing; 0 where it says nothing of that.
+	// Rest is how long the target wants no requests; 0 if it did not say.
 	Rest time.Duration
-	// Odd is what it said of that and can't be read, or "".
+	// Odd is an unreadable value, or "".
 	Odd string
 }
 
-// Turned records that a run of a target turned a request of this daemon away.
-func (r *Roster) Turned(id string, asked Asked) {
-	if asked == (Asked{}) {
+// Turned records that an incarnation rejected a request of this daemon.
+func (r *Roster) Turned(id string, p Asked) {
+	if p == (Asked{}) {
 		return
 	}
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	s, now := r.saidOf(id), clock.Now()
-	if asked.Odd != "" {
-		r.unreadable(id, s, "a rest of "+asked.Odd)
+	report, now := r.selfReportOf(id), clock.Now()
+	if p.Odd != "" {
+		r.logInvalid(id, report, "invalid pushback "+p.Odd)
 	}
-	if asked.Rest > 0 && s.rest.ask(asked.Rest, now) {
-		r.log.Emit(event.TargetRests, event.Ref{Target: id}, "asked for "+asked.Rest.String())
+	if p.Rest > 0 && report.pushback.extend(p.Rest, now) {
+		r.log.Emit(event.TargetRests, event.Ref{Target: id}, "pushback of "+p.Rest.String())
 	}
 }
 
-// unreadable writes a line of what a run said and can't be read, once for each run. It is called with
-// rosterMu held.
-func (r *Roster) unreadable(id string, s *said, what string) {
-	if s.odd {
+// logInvalid logs an unreadable value that an incarnation reported, once for each incarnation. It
+// is called with rosterMu held.
+func (r *Roster) logInvalid(id string, report *selfReport, what string) {
+	if report.invalidLogged {
 		return
 	}
-	s.odd = true
+	report.invalidLogged = true
 	r.log.Emit(event.TargetUnreadable, event.Ref{Target: id}, what)
 }
 
-// Took records that a run of a target has taken a request, which ends what is left of its rest
-// once the time that it asked for is over.
+// Took records that an incarnation accepted a request. This ends the ramp after a pushback, but not
+// the pushback itself.
 func (r *Roster) Took(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	if s := r.said[id]; s != nil && s.rest.end(clock.Now()) {
-		r.log.Emit(event.TargetRested, event.Ref{Target: id}, "takes requests again")
+	if report := r.selfReports[id]; report != nil && report.pushback.endRamp(clock.Now()) {
+		r.log.Emit(event.TargetRested, event.Ref{Target: id}, "accepts requests again")
 	}
 }
 
-// WordCounts returns how many listed targets said that they leave, and how many rest.
-func (r *Roster) WordCounts() (leaving, resting int) {
+// WordCounts returns how many listed targets reported shutting down in a response or through a
+// peer, and how many are under pushback.
+func (r *Roster) WordCounts() (shuttingDown, underPushback int) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	now := clock.Now()
-	for id, s := range r.said {
+	for id, report := range r.selfReports {
 		if r.targets[id] == nil {
 			continue
 		}
-		if s.leaves && s.source != ByList {
-			leaving++
+		if report.shuttingDown && report.source != ByList {
+			shuttingDown++
 		}
-		if s.rest.left(now) > 0 {
-			resting++
+		if report.pushback.remaining(now) > 0 {
+			underPushback++
 		}
 	}
-	return leaving, resting
+	return shuttingDown, underPushback
 }
--- a/core/roster/share.go
+++ b/core/roster/share.go
@@ -6,53 +6,51 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Share tells other daemons, in heartbeats, what this one knows of targets
-// first, and takes what they tell.
+// Share is the roster's part of heartbeats: it sends other daemons what this one learns first about
+// targets, and receives the same from them.
 type Share struct{ *Roster }
 
-// shareBody is a part of a heartbeat.
-type shareBody struct {
+// heartbeatBody is the roster's part of a heartbeat.
+type heartbeatBody struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// Loads is the sender's work on its way, by target.
+	// Loads is the sender's work in flight, by target.
 	Loads map[string]Load
-	// Ordered says for how many more milliseconds the sender takes a target to
-	// be about to change its weights.
-	Ordered map[string]int64
-	// Learned holds the versions of models that the sender saw targets to hold
-	// lately, by target and model.
-	Learned map[string]map[string]int64
-	// Reloading says for how many more milliseconds the sender passes over a target that
-	// refused work while its weights were older than named.
+	// Updating is for how many more milliseconds each target has a weight update pending that the
+	// sender recorded.
+	Updating map[string]int64
+	// Versions holds the weights versions that the sender recently saw, by target and model.
+	Versions map[string]map[string]int64
+	// Reloading is for how many more milliseconds the sender passes over a target that rejected
+	// work while its weights were older than desired.
 	Reloading map[string]int64
-	// Leaving are the runs that lately said in their answers that they leave.
-	Leaving []string
-	// Limits are the request rates that runs named, and those that ended lately.
-	Limits map[string]LimitNews
+	// ShuttingDown holds the incarnations that recently reported shutting down.
+	ShuttingDown []string
+	// RateLimits holds the rate limits of incarnations, including those that ended recently.
+	RateLimits map[string]LimitNews
 }
 
-// mostReloading bounds the milliseconds that a peer may tell of a target that reloads.
-const mostReloading = 2000
+// maxReloadingMillis bounds the milliseconds that a peer may report for a reloading target.
+const maxReloadingMillis = 2000
 
 // Collect returns this daemon's part of a heartbeat.
 func (s Share) Collect(bool) any {
-	body := shareBody{Loads: s.busy.loads()}
+	body := heartbeatBody{Loads: s.busy.loads()}
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
 	now := time.Now()
-	body.Ordered = millisLeft(s.ordered, now)
-	body.Reloading = millisLeft(s.reloading, now)
-	body.Leaving = s.leavingLately()
-	body.Limits = s.limitNews()
-	body.Learned = s.learnedLately(now)
+	body.Updating = millisRemaining(s.updating, now)
+	body.Reloading = millisRemaining(s.reloading, now)
+	body.ShuttingDown = s.recentShutdowns()
+	body.RateLimits = s.limitUpdates()
+	body.Versions = s.recentVersions(now)
 	return &body
 }
 
-// millisLeft returns for how many more milliseconds each of some times is to come,
-// or nil without any.
-func millisLeft(times map[string]time.Time, now time.Time) map[string]int64 {
+// millisRemaining returns the milliseconds until each future deadline, or nil if there is none.
+func millisRemaining(deadlines map[string]time.Time, now time.Time) map[string]int64 {
 	var out map[string]int64
-	for id, until := range times {
+	for id, until := range deadlines {
 		if d := until.Sub(now); d > 0 {
 			if out == nil {
 				out = map[string]int64{}
@@ -63,9 +61,9 @@
 	return out
 }
 
-// Receive takes a peer's part of a heartbeat.
+// Receive applies a peer's part of a heartbeat.
 func (s Share) Receive(peer string, raw []byte) {
-	var body shareBody
+	var body heartbeatBody
 	if err := msgpack.Unmarshal(raw, &body); err != nil {
 		// A peer of another version; its loads are not counted.
 		return
@@ -74,57 +72,58 @@
 	defer s.rosterMu.Unlock()
 	now := time.Now()
 	s.peers[peer] = peerLoads{now, body.Loads}
-	s.setPeerOrdered(peer, body.Ordered, now)
+	s.setPeerUpdating(peer, body.Updating, now)
 	for id, millis := range body.Reloading {
-		if until := now.Add(time.Duration(min(max(0, millis), mostReloading)) * time.Millisecond); until.After(s.peerReloading[id]) {
+		if until := now.Add(time.Duration(min(max(0, millis), maxReloadingMillis)) * time.Millisecond); until.After(s.peerReloading[id]) {
 			s.peerReloading[id] = until
 		}
 	}
-	for _, id := range body.Leaving {
-		// What is not listed here yet is not taken from a peer: its first answer will say so.
+	for _, id := range body.ShuttingDown {
+		// The report of a target that is not listed here yet is ignored: the target's first
+		// response will state it.
 		if s.targets[id] != nil {
-			s.leaves(id, ByPeer)
+			s.recordShutdown(id, ByPeer)
 		}
 	}
-	s.mergeLimits(body.Limits)
-	for id, weights := range body.Learned {
+	s.mergeLimits(body.RateLimits)
+	for id, weights := range body.Versions {
 		for model, version := range weights {
-			s.learn(id, model, version)
+			s.recordVersion(id, model, version)
 		}
 	}
-	s.sum(now)
+	s.sumPeerLoads(now)
 }
 
-// sum adds up what peers told. It looks only at targets that somebody has work at. It is called with
-// rosterMu held.
-func (r *Roster) sum(now time.Time) {
+// sumPeerLoads adds up the loads that peers reported. It visits only targets at which a peer has
+// work. It is called with rosterMu held.
+func (r *Roster) sumPeerLoads(now time.Time) {
 	total := map[string]Load{}
-	for peer, told := range r.peers {
-		if now.Sub(told.at) > peerLoadLife {
+	for peer, report := range r.peers {
+		if now.Sub(report.at) > peerLoadTTL {
 			delete(r.peers, peer)
 			continue
 		}
-		for id, l := range told.loads {
+		for id, l := range report.loads {
 			t := total[id]
 			t.add(l, 1)
 			total[id] = t
 		}
 	}
-	for id := range r.loaded {
-		if _, still := total[id]; !still {
-			r.setOthers(id, Load{})
-			delete(r.loaded, id)
+	for id := range r.peerLoaded {
+		if _, exists := total[id]; !exists {
+			r.setRemoteLoad(id, Load{})
+			delete(r.peerLoaded, id)
 		}
 	}
 	for id, l := range total {
-		r.setOthers(id, l)
-		r.loaded[id] = true
+		r.setRemoteLoad(id, l)
+		r.peerLoaded[id] = true
 	}
 }
 
-// setOthers is called with rosterMu held.
-func (r *Roster) setOthers(id string, l Load) {
+// setRemoteLoad sets a target's load from other daemons. It is called with rosterMu held.
+func (r *Roster) setRemoteLoad(id string, l Load) {
 	if t := r.targets[id]; t != nil {
-		t.setOthers(l)
+		t.setRemoteLoad(l)
 	}
 }
--- a/core/roster/swaps.go
+++ b/core/roster/swaps.go
@@ -6,86 +6,86 @@
 	"embertally.dev/core/event"
 )
 
-// Order records that a target is about to change its weights, so that it gets
-// no new work until then. Other daemons hear of it until Done.
+// Order records that a target has a weight update pending until a deadline, so that it gets no new
+// work. Other daemons are notified of it until Done.
 func (r *Roster) Order(id string, until time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	if until.After(r.ordered[id]) {
-		r.ordered[id] = until
+	if until.After(r.updating[id]) {
+		r.updating[id] = until
 	}
 }
 
-// setPeerOrdered replaces what a peer takes to be about to change its weights, each
-// for some more milliseconds. It is called with rosterMu held.
-func (r *Roster) setPeerOrdered(peer string, millis map[string]int64, now time.Time) {
-	delete(r.peerOrdered, peer)
+// setPeerUpdating replaces the targets for which a peer reports a pending weight update, each with
+// the milliseconds left. It is called with rosterMu held.
+func (r *Roster) setPeerUpdating(peer string, millis map[string]int64, now time.Time) {
+	delete(r.peerUpdating, peer)
 	if len(millis) == 0 {
 		return
 	}
-	until := make(map[string]time.Time, len(millis))
+	deadlines := make(map[string]time.Time, len(millis))
 	for id, ms := range millis {
-		until[id] = now.Add(time.Duration(ms) * time.Millisecond)
+		deadlines[id] = now.Add(time.Duration(ms) * time.Millisecond)
 	}
-	r.peerOrdered[peer] = until
+	r.peerUpdating[peer] = deadlines
 }
 
-// Done records that a target has changed its weights, or will not.
+// Done records that a target has finished its weight update, or will not do it.
 func (r *Roster) Done(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	delete(r.ordered, id)
-	for _, ordered := range r.peerOrdered {
-		delete(ordered, id)
+	delete(r.updating, id)
+	for _, updating := range r.peerUpdating {
+		delete(updating, id)
 	}
 }
 
-// Ordered returns the targets that are about to change their weights, as this
-// daemon or a peer says.
+// Ordered returns the targets with a pending weight update, as recorded by this daemon or reported
+// by a peer.
 func (r *Roster) Ordered(now time.Time) map[string]bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	return r.orderedNow(now)
+	return r.updatingNow(now)
 }
 
-// orderedNow is called with rosterMu held.
-func (r *Roster) orderedNow(now time.Time) map[string]bool {
+// updatingNow is Ordered with rosterMu held.
+func (r *Roster) updatingNow(now time.Time) map[string]bool {
 	out := map[string]bool{}
-	addOrdered(out, r.ordered, now)
-	for _, ordered := range r.peerOrdered {
-		addOrdered(out, ordered, now)
+	addPending(out, r.updating, now)
+	for _, updating := range r.peerUpdating {
+		addPending(out, updating, now)
 	}
 	return out
 }
 
-// isOrdered reports whether one target is about to change its weights. It is called with rosterMu
+// isUpdating reports whether one target has a pending weight update. It is called with rosterMu
 // held.
-func (r *Roster) isOrdered(id string, now time.Time) bool {
-	if now.Before(r.ordered[id]) {
+func (r *Roster) isUpdating(id string, now time.Time) bool {
+	if now.Before(r.updating[id]) {
 		return true
 	}
-	for _, ordered := range r.peerOrdered {
-		if now.Before(ordered[id]) {
+	for _, updating := range r.peerUpdating {
+		if now.Before(updating[id]) {
 			return true
 		}
 	}
 	return false
 }
 
-// addOrdered adds the targets whose time has not come to out, and deletes the
-// others from times.
-func addOrdered(out map[string]bool, times map[string]time.Time, now time.Time) {
-	for id, until := range times {
+// addPending adds to out the targets whose deadline is in the future, and deletes the others from
+// deadlines.
+func addPending(out map[string]bool, deadlines map[string]time.Time, now time.Time) {
+	for id, until := range deadlines {
 		if now.Before(until) {
 			out[id] = true
 		} else {
-			delete(times, id)
+			delete(deadlines, id)
 		}
 	}
 }
 
-// Reloads records that a target refuses work while it changes its weights. Other daemons
-// hear of it; unlike Order it does not count as a change that this daemon knows of.
+// Reloads records that a target rejects work while it changes its weights. Other daemons are
+// notified. Unlike Order, it does not count as a weight update that this daemon recorded.
 func (r *Roster) Reloads(id string, until time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -94,49 +94,48 @@
 	}
 }
 
-// Reloading returns the targets that lately refused work while their weights were older than
-// named, as this daemon or a peer says.
+// Reloading returns the targets that recently rejected work while their weights were older than
+// desired, as recorded by this daemon or reported by a peer.
 func (r *Roster) Reloading(now time.Time) map[string]bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	out := map[string]bool{}
-	addOrdered(out, r.reloading, now)
-	addOrdered(out, r.peerReloading, now)
+	addPending(out, r.reloading, now)
+	addPending(out, r.peerReloading, now)
 	return out
 }
 
-// Learn records the version of a model that a target was seen to hold, which
-// only rises within one run of it.
+// Learn records the weights version of a model that a target was seen to have. Within one
+// incarnation the version only rises.
 func (r *Roster) Learn(id, model string, version int64) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	r.learn(id, model, version)
+	r.recordVersion(id, model, version)
 }
 
-// learn is called with rosterMu held.
-func (r *Roster) learn(id, model string, version int64) {
+// recordVersion is Learn with rosterMu held.
+func (r *Roster) recordVersion(id, model string, version int64) {
 	t := r.targets[id]
 	if t == nil || t.Entry().Weights[model] >= version {
 		return
 	}
-	t.raise(model, version)
-	r.learnedAt[id] = time.Now()
+	t.raiseVersion(model, version)
+	r.versionsSeen[id] = time.Now()
 	r.log.Emit(event.OrderDone, event.Ref{Target: id}, model+" version "+itoa(version))
 }
 
-// learnedLife is how long other daemons are told of a version that a target was
-// seen to hold: a few heartbeats may be lost.
-const learnedLife = 2 * time.Second
+// versionNotifyTime is how long other daemons are notified of a newly seen version, because a few
+// heartbeats may be lost.
+const versionNotifyTime = 2 * time.Second
 
-// learnedLately returns the weights of the targets that other daemons are still to
-// hear of, or nil without any, and forgets the others. It is called with rosterMu
-// held.
-func (r *Roster) learnedLately(now time.Time) map[string]map[string]int64 {
+// recentVersions returns the weights of the targets whose versions other daemons are to be notified
+// of, or nil if there are none, and forgets the others. It is called with rosterMu held.
+func (r *Roster) recentVersions(now time.Time) map[string]map[string]int64 {
 	var out map[string]map[string]int64
-	for id, at := range r.learnedAt {
+	for id, at := range r.versionsSeen {
 		t := r.targets[id]
-		if t == nil || now.Sub(at) > learnedLife {
-			delete(r.learnedAt, id)
+		if t == nil || now.Sub(at) > versionNotifyTime {
+			delete(r.versionsSeen, id)
 			continue
 		}
 		if out == nil {
--- a/core/roster/target.go
+++ b/core/roster/target.go
@@ -10,47 +10,44 @@
 	"embertally.dev/core/plat"
 )
 
-// itoa writes a number as it stands in log lines.
+// itoa formats a number for log lines.
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-// Target is one run of one target. Its methods may be called at any time, also
-// after it was removed from the list.
+// Target is one incarnation of a target. Its methods may be called concurrently, and also after it
+// was removed.
 type Target struct {
 	id    string
 	entry atomic.Pointer[Entry]
-	// busy are the busy targets of the roster.
+	// busy is the roster's set of busy targets.
 	busy *busyTargets
 
 	targetMu sync.Mutex
-	own      Load // guarded by targetMu
-	// others is the work on its way from other daemons. Guarded by targetMu.
-	others Load
-	// failures counts failures to get any answer since the last answer.
-	// Guarded by targetMu.
+	local    Load // guarded by targetMu
+	// remote is the work in flight from other daemons. Guarded by targetMu.
+	remote Load
+	// failures counts consecutive requests without any response. Guarded by targetMu.
 	failures int
-	// failed is when the last of them was. Guarded by targetMu.
-	failed time.Time
-	// until is when a lapsed entry counts as gone; zero where it is listed.
-	// Guarded by targetMu.
-	until time.Time
-	// coldUntil is when the target is no longer slow from its start, as its entry said.
+	// lastFailure is the time of the last of them. Guarded by targetMu.
+	lastFailure time.Time
+	// lapsedUntil is when a lapsed entry counts as removed; zero while the target is listed.
 	// Guarded by targetMu.
-	coldUntil time.Time
-	gone      bool // guarded by targetMu
+	lapsedUntil time.Time
+	// warmUpUntil is when the target stops warming up according to its entry. Guarded by targetMu.
+	warmUpUntil time.Time
+	removed     bool // guarded by targetMu
 }
 
-// ID returns what this run of the target is called; see Entry.
+// ID returns the ID of this incarnation; see Entry.
 func (t *Target) ID() string { return t.id }
 
-// Entry returns what the list says. It must not be changed.
+// Entry returns the target's entry in the list. It must not be changed.
 func (t *Target) Entry() *Entry { return t.entry.Load() }
 
-// set takes what the list says, which ends a lapse. It is called with rosterMu
-// held.
+// set stores an entry, which ends a lapse. It is called with rosterMu held.
 func (t *Target) set(e Entry) {
 	old := t.entry.Load()
 	if old != nil {
-		// Entries are written seldom; what was seen since may be newer.
+		// Entries are written rarely; versions observed since may be newer.
 		weights := maps.Clone(e.Weights)
 		for model, v := range old.Weights {
 			if weights != nil && weights[model] < v {
@@ -63,27 +60,27 @@
 	t.entry.Store(&e)
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	t.until = time.Time{}
+	t.lapsedUntil = time.Time{}
 	if old != nil && plat.Era(e.Revision) > plat.Era(old.Revision) && plat.Number(e.Revision) <= plat.Number(old.Revision) {
-		// It is told again by a list that came back from an older copy.
+		// The same entry again, from a list that was restored from an older copy.
 		return
 	}
-	t.coldUntil = time.Time{}
+	t.warmUpUntil = time.Time{}
 	if e.Cold > 0 {
-		// Counted from now, which is later than the target wrote it.
-		t.coldUntil = time.Now().Add(e.Cold)
+		// The time counts from now, which is later than when the target wrote the entry.
+		t.warmUpUntil = time.Now().Add(e.Cold)
 	}
 }
 
-// cold reports whether the target is slow from its start, as its entry said.
-func (t *Target) cold(now time.Time) bool {
+// warmingUp reports whether the target is still warming up according to its entry.
+func (t *Target) warmingUp(now time.Time) bool {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	return now.Before(t.coldUntil)
+	return now.Before(t.warmUpUntil)
 }
 
-// raise records a newer version of a model. It is called with rosterMu held.
-func (t *Target) raise(model string, version int64) {
+// raiseVersion records a newer weights version of a model. It is called with rosterMu held.
+func (t *Target) raiseVersion(model string, version int64) {
 	e := *t.Entry()
 	e.Weights = maps.Clone(e.Weights)
 	if e.Weights == nil {
@@ -93,108 +90,106 @@
 	t.entry.Store(&e)
 }
 
-// lapse records that the entry went and counts as gone from until on.
+// lapse records that the entry disappeared and counts as removed from until on.
 func (t *Target) lapse(until time.Time) {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	t.until = until
+	t.lapsedUntil = until
 }
 
-// lapsed reports whether the entry went and has not come back.
+// lapsed reports whether the entry disappeared and has not returned.
 func (t *Target) lapsed() bool {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	return !t.until.IsZero()
+	return !t.lapsedUntil.IsZero()
 }
 
-// retire records that the target is gone.
-func (t *Target) retire() {
+// markRemoved records that the target was removed.
+func (t *Target) markRemoved() {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	t.gone = true
+	t.removed = true
 }
 
-// Begin records work that is sent to the target, and End that it has ended.
+// Begin adds work that is sent to the target. End subtracts it when it has finished.
 func (t *Target) Begin(l Load) {
-	t.change(l, 1)
+	t.adjustLoad(l, 1)
 	t.busy.add(t)
 }
 
-// End takes back what Begin recorded.
-func (t *Target) End(l Load) { t.change(l, -1) }
+// End subtracts what Begin added.
+func (t *Target) End(l Load) { t.adjustLoad(l, -1) }
 
-// change adds to this daemon's work, or with sign -1 takes off it.
-func (t *Target) change(l Load, sign int) {
+// adjustLoad adds l to this daemon's work if sign is 1 and subtracts it if sign is -1.
+func (t *Target) adjustLoad(l Load, sign int) {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	t.own.add(l, sign)
+	t.local.add(l, sign)
 }
 
-// Own returns the work that this daemon has on its way to the target.
+// Own returns the work that this daemon has in flight at the target.
 func (t *Target) Own() Load {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	return t.own
+	return t.local
 }
 
-// Health is how a target answers.
+// Health describes whether a target is listed and responds.
 type Health struct {
-	// Suspect tells that it did not answer lately.
+	// Suspect means that recent requests got no response.
 	Suspect bool
-	// Lapsed tells that its entry went in an outage of the list.
+	// Lapsed means that its entry disappeared in an outage of the list.
 	Lapsed bool
 	Gone   bool
 }
 
-// Times of silence.
 const (
-	// suspectTime is how long a target that gave no answer is passed over; it
-	// doubles with each failure in a row up to suspectMost, so that a target
-	// that comes back is tried within the users' recovery times.
-	suspectTime = 250 * time.Millisecond
-	suspectMost = 2 * time.Second
+	// suspectTime is how long a target is passed over after a request without a response. It
+	// doubles with each consecutive failure up to maxSuspectTime, so that a target that recovers is
+	// tried within the recovery times that users require.
+	suspectTime    = 250 * time.Millisecond
+	maxSuspectTime = 2 * time.Second
 )
 
-// Health returns how the target answers.
+// Health returns the target's health.
 func (t *Target) Health(now time.Time) Health {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	h := Health{Lapsed: !t.until.IsZero(), Gone: t.gone}
+	h := Health{Lapsed: !t.lapsedUntil.IsZero(), Gone: t.removed}
 	if t.failures > 0 {
-		pause := min(suspectTime<<min(t.failures-1, 8), suspectMost)
-		h.Suspect = now.Sub(t.failed) < pause
+		pause := min(suspectTime<<min(t.failures-1, 8), maxSuspectTime)
+		h.Suspect = now.Sub(t.lastFailure) < pause
 	}
 	return h
 }
 
-// Silent records that the target gave no answer.
+// Silent records that a request got no response.
 func (t *Target) Silent(now time.Time) {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
 	t.failures++
-	t.failed = now
+	t.lastFailure = now
 }
 
-// Answered records that the target gave an answer.
+// Answered records that the target responded.
 func (t *Target) Answered() {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
 	t.failures = 0
 }
 
-// Load returns all work on its way to the target, from this daemon and from
-// others.
+// Load returns all work in flight at the target, from this daemon and others.
 func (t *Target) Load() Load {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	l := t.own
-	l.add(t.others, 1)
+	l := t.local
+	l.add(t.remote, 1)
 	return l
 }
 
-// setOthers records the work on its way from other daemons.
-func (t *Target) setOthers(l Load) {
+// setRemoteLoad records the work in flight from other daemons.
+func (t *Target) setRemoteLoad(l Load) {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	t.others = l
+	t.remote = l
 }
