--- a/core/roster/bench_test.go
+++ b/core/roster/bench_test.go
@@ -10,8 +10,7 @@
 	"embertally.dev/core/event"
 )
 
-// BenchmarkStart lists 3,000 targets, as a daemon does that starts, and asks for them
-// once.
+// BenchmarkStart adds 3,000 targets, as a daemon does at its start, and lists them once.
 func BenchmarkStart(b *testing.B) {
 	for range b.N {
 		r := New(&event.Log{}, nil)
@@ -24,8 +23,8 @@
 	}
 }
 
-// BenchmarkCollect makes the roster's part of a heartbeat of a daemon that has work at 20
-// of 3,000 targets.
+// BenchmarkCollect builds the roster's part of a heartbeat for a daemon that has work at 20 of
+// 3,000 targets.
 func BenchmarkCollect(b *testing.B) {
 	r := New(&event.Log{}, nil)
 	for i := range 3000 {
@@ -41,8 +40,8 @@
 	}
 }
 
-// BenchmarkGate asks of 110 targets, those of a cell, for one choice; 10 of them said that they leave or
-// rest.
+// BenchmarkGate checks the availability of the 110 targets of a cell for one choice; 10 of them
+// reported shutting down or pushback.
 func BenchmarkGate(b *testing.B) {
 	r := New(&event.Log{}, nil)
 	for i := range 110 {
@@ -71,7 +70,7 @@
 	}
 }
 
-// BenchmarkGateLimits does the same where 10 of the targets named a request rate.
+// BenchmarkGateLimits does the same with 10 rate-limited targets.
 func BenchmarkGateLimits(b *testing.B) {
 	r := New(&event.Log{}, nil)
 	r.Place = func(*Target) (int, int) { return 3, 12 }
--- a/core/roster/domains.go
+++ b/core/roster/domains.go
@@ -35,7 +35,7 @@
 }
 
 // Evacuated reports whether a failure domain is being evacuated, so that its targets get no
-// requests, and for how long this daemon has known.
+// requests, and for how long this daemon has recorded it.
 func (r *Roster) Evacuated(domain string, now time.Time) (time.Duration, bool) {
 	return evacuated(*r.evacuations.Load(), domain, now)
 }
--- a/core/roster/domains_test.go
+++ b/core/roster/domains_test.go
@@ -14,21 +14,21 @@
 	at := time.Unix(1000, 0)
 	tests := []struct {
 		name string
-		// steps ask for an evacuation or take it back, a second apart.
+		// steps request an evacuation (true) or cancel it (false), a second apart.
 		steps []bool
-		// look is when it is looked at, after the first step.
+		// after is the time of the check, counted from the first step.
 		after     time.Duration
 		evacuated bool
 		lasts     time.Duration
 		cold      bool
 	}{
 		{"none", nil, 0, false, 0, false},
-		{"in force", []bool{true}, 5 * time.Second, true, 5 * time.Second, false},
-		{"told twice", []bool{true, true}, 5 * time.Second, true, 5 * time.Second, false},
-		{"just taken back", []bool{true, false}, time.Second, false, 0, true},
-		{"taken back for as long as a start takes", []bool{true, false}, time.Second + warmUp, false, 0, false},
-		{"again", []bool{true, false, true}, 4 * time.Second, true, 2 * time.Second, false},
-		{"taken back without one", []bool{false}, time.Second, false, 0, false},
+		{"active", []bool{true}, 5 * time.Second, true, 5 * time.Second, false},
+		{"requested twice", []bool{true, true}, 5 * time.Second, true, 5 * time.Second, false},
+		{"just cancelled", []bool{true, false}, time.Second, false, 0, true},
+		{"cancelled for as long as the warm-up lasts", []bool{true, false}, time.Second + warmUp, false, 0, false},
+		{"requested again", []bool{true, false, true}, 4 * time.Second, true, 2 * time.Second, false},
+		{"cancelled without one", []bool{false}, time.Second, false, 0, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -62,8 +62,8 @@
 	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(4*time.Second))).To(gomega.BeFalse())
 	e.Cold = 0
 	r.Put(e)
-	g.Expect(r.Cold(r.Target("a"), time.Second, now)).To(gomega.BeFalse(), "it says that it is warm")
+	g.Expect(r.Cold(r.Target("a"), time.Second, now)).To(gomega.BeFalse(), "its entry shows the warm-up as over")
 	e.Cold = time.Minute
 	r.Put(e)
-	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(50*time.Second))).To(gomega.BeTrue(), "it turned cold while it served")
+	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(50*time.Second))).To(gomega.BeTrue(), "its entry shows a new warm-up while it serves")
 }
--- a/core/roster/gate_test.go
+++ b/core/roster/gate_test.go
@@ -11,26 +11,26 @@
 	"embertally.dev/core/event"
 )
 
-// A run that said that it leaves gets nothing, whatever its entry says later; the next run of the
-// target begins without the mark.
+// An incarnation that reported shutting down gets no requests, whatever its entry shows later. The
+// next incarnation of the target is not affected.
 func TestShutdownReportOutlivesListEntry(t *testing.T) {
-	leavingEntry := incarnationEntry("a@1000", 1000)
-	leavingEntry.Leaving = true
+	shuttingDownEntry := incarnationEntry("a@1000", 1000)
+	shuttingDownEntry.Leaving = true
 	tests := []struct {
 		name string
-		// steps change a roster that uses the run a@1000, which said that it leaves.
+		// steps change a roster whose current incarnation a@1000 reported shutting down.
 		steps func(r *Roster)
-		// use is the run that is asked of, want what the gate says of it.
+		// use is the incarnation that is checked, and want its expected availability.
 		use  string
 		want Stop
 	}{
-		{"nothing more", func(*Roster) {}, "a@1000", Leaves},
-		{"its entry says ready", func(r *Roster) { r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", Leaves},
-		{"its entry goes and comes back", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", Leaves},
-		{"its entry says that it leaves, then ready", func(r *Roster) { r.Put(leavingEntry); r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", Leaves},
-		{"the next run", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Open},
-		{"the next run at once, its entry late", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Open},
-		{"late word of the former run", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.Leaves("a@1000", ByAnswer) }, "a@2000", Open},
+		{"nothing else happens", func(*Roster) {}, "a@1000", Leaves},
+		{"its entry shows ready", func(r *Roster) { r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", Leaves},
+		{"its entry is removed and returns", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", Leaves},
+		{"its entry shows shutting down, then ready", func(r *Roster) { r.Put(shuttingDownEntry); r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", Leaves},
+		{"the next incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Open},
+		{"the next incarnation answers before its entry", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Open},
+		{"a late report of the previous incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.Leaves("a@1000", ByAnswer) }, "a@2000", Open},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -38,17 +38,17 @@
 			r := New(&event.Log{}, nil)
 			r.Put(incarnationEntry("a@1000", 1000))
 			g.Expect(r.Leaves("a@1000", ByAnswer)).To(gomega.BeTrue())
-			g.Expect(r.Leaves("a@1000", ByPeer)).To(gomega.BeFalse(), "it is known already")
+			g.Expect(r.Leaves("a@1000", ByPeer)).To(gomega.BeFalse(), "it was recorded already")
 			tc.steps(r)
 			target := r.Target(tc.use)
 			g.Expect(target).NotTo(gomega.BeNil())
 			stop, _ := r.Gate(time.Now()).Stop(target)
 			g.Expect(stop).To(gomega.Equal(tc.want), stop.String())
 			g.Expect(r.Enter(target, Token{})).To(gomega.Equal(tc.want))
-			by, leaves := r.Leaving(target)
-			g.Expect(leaves).To(gomega.Equal(tc.want == Leaves))
-			if leaves {
-				g.Expect(by).To(gomega.Equal(ByAnswer))
+			source, shuttingDown := r.Leaving(target)
+			g.Expect(shuttingDown).To(gomega.Equal(tc.want == Leaves))
+			if shuttingDown {
+				g.Expect(source).To(gomega.Equal(ByAnswer))
 			}
 		})
 	}
@@ -63,14 +63,14 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	Share{to}.Receive("peer", raw)
 	to.Put(incarnationEntry("a@1000", 1000))
-	g.Expect(to.Enter(to.Target("a@1000"), Token{})).To(gomega.Equal(Open), "what is not listed here is not taken from a peer")
+	g.Expect(to.Enter(to.Target("a@1000"), Token{})).To(gomega.Equal(Open), "a peer's report of a target that is not listed here is ignored")
 	Share{to}.Receive("peer", raw)
-	by, leaves := to.Leaving(to.Target("a@1000"))
-	g.Expect(leaves).To(gomega.BeTrue())
-	g.Expect(by).To(gomega.Equal(ByPeer))
+	source, shuttingDown := to.Leaving(to.Target("a@1000"))
+	g.Expect(shuttingDown).To(gomega.BeTrue())
+	g.Expect(source).To(gomega.Equal(ByPeer))
 }
 
-// Daemons that start on an older list are told of runs that it names again.
+// Daemons that start on an older list are notified of incarnations that it lists again.
 func TestLeavingRunsIncludesRemovedIncarnations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
@@ -85,7 +85,7 @@
 	g.Expect(r.LeavingRuns()).To(gomega.BeEmpty())
 }
 
-// What runs said is kept for entries that come back, and not for ever.
+// Reports of removed incarnations are kept in case their entries return, but not for ever.
 func TestSelfReportsExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
--- a/core/roster/guest_test.go
+++ b/core/roster/guest_test.go
@@ -9,37 +9,38 @@
 	"embertally.dev/core/event"
 )
 
-// What becomes of a target that this daemon's list does not hold.
+// A target that this daemon's list does not contain is available, is not listed, and keeps its
+// state when the list starts or stops containing it.
 func TestExternalTargets(t *testing.T) {
 	tests := []struct {
 		name  string
 		steps func(r *Roster) *Target
-		// listed tells that it is among the targets of its service.
+		// listed is whether it is among the targets of its service.
 		listed bool
 		stop   Stop
 	}{
-		{"named by another daemon", func(r *Roster) *Target { return r.Guest(incarnationEntry("a@1000", 1000)) }, false, Open},
-		{"named twice", func(r *Roster) *Target {
+		{"sent by another daemon", func(r *Roster) *Target { return r.Guest(incarnationEntry("a@1000", 1000)) }, false, Open},
+		{"sent twice", func(r *Roster) *Target {
 			r.Guest(incarnationEntry("a@1000", 1000))
 			return r.Guest(incarnationEntry("a@1000", 1000))
 		}, false, Open},
-		{"said that it leaves", func(r *Roster) *Target {
+		{"reported shutting down", func(r *Roster) *Target {
 			external := r.Guest(incarnationEntry("a@1000", 1000))
 			r.Leaves("a@1000", ByAnswer)
 			return external
 		}, false, Leaves},
-		{"the list holds it from now on", func(r *Roster) *Target {
+		{"listed from now on", func(r *Roster) *Target {
 			external := r.Guest(incarnationEntry("a@1000", 1000))
 			r.Put(incarnationEntry("a@1000", 1000))
 			return external
 		}, true, Open},
-		{"the list holds it no more", func(r *Roster) *Target {
+		{"no longer listed", func(r *Roster) *Target {
 			r.Put(incarnationEntry("a@1000", 1000))
 			listed := r.Target("a@1000")
 			r.Drop("a")
 			return listed
 		}, false, Open},
-		{"dropped and held again", func(r *Roster) *Target {
+		{"dropped and listed again", func(r *Roster) *Target {
 			r.Put(incarnationEntry("a@1000", 1000))
 			listed := r.Target("a@1000")
 			r.Drop("a")
@@ -54,10 +55,10 @@
 			removed := 0
 			r.Removed = func(string, bool) { removed++ }
 			target := tc.steps(r)
-			g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(target), "its running work goes on")
+			g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(target), "its state is kept")
 			g.Expect(len(r.Of("s")) == 1).To(gomega.Equal(tc.listed))
 			g.Expect(r.Enter(target, Token{})).To(gomega.Equal(tc.stop))
-			g.Expect(removed).To(gomega.BeZero(), "no run has ended")
+			g.Expect(removed).To(gomega.BeZero(), "no incarnation was removed")
 		})
 	}
 }
@@ -70,5 +71,5 @@
 	busy.Begin(Load{Running: 1})
 	r.external.put(&Target{id: "c", busy: &r.busy}, now.Add(externalTTL+externalSweepInterval))
 	g.Expect(r.Target("a@1000")).To(gomega.BeNil())
-	g.Expect(r.Target("b@1000")).To(gomega.BeIdenticalTo(busy), "its request has not ended")
+	g.Expect(r.Target("b@1000")).To(gomega.BeIdenticalTo(busy), "its request is unfinished")
 }
--- a/core/roster/limit_test.go
+++ b/core/roster/limit_test.go
@@ -12,23 +12,24 @@
 	"embertally.dev/core/event"
 )
 
-// limitBound is what the users allow a target in 4 s, and limitSpan that time.
+// limitBound is the number of requests that users allow a target within limitSpan.
 func limitBound(perSecond float64) int { return int(1.5*perSecond*4) + 5 }
 
 const limitSpan = 4 * time.Second
 
-// limitSim sends requests of daemons that share a limited target, on a clock of its own.
+// limitSim simulates, with its own clock, daemons that send to one rate-limited target.
 type limitSim struct {
 	random  *rand.Rand
 	buckets []limitState
-	// places of the daemons; two may believe to have the same one.
+	// ranks holds each daemon's rank; two daemons may have the same one. total is the number of
+	// daemons that they assume.
 	ranks []int
 	total int
 	sent  []time.Duration
 }
 
-// run sends for a while: each daemon gets requests at a mean rate, and each takes up to transit to
-// arrive.
+// simulate has each daemon receive requests at a mean rate of demand for a while. Each request
+// takes up to transit to arrive at the target.
 func (s *limitSim) simulate(start clock.Time, perSecond, demand float64, duration, transit time.Duration) {
 	for i := range s.buckets {
 		s.buckets[i].set(true, perSecond, start)
@@ -43,7 +44,7 @@
 	}
 }
 
-// most returns the most arrivals within limitSpan.
+// maxArrivals returns the largest number of arrivals within limitSpan.
 func (s *limitSim) maxArrivals() int {
 	most := 0
 	for _, from := range s.sent {
@@ -58,8 +59,8 @@
 	return most
 }
 
-// The size of the fleet does not enter: h daemons with full buckets let through h + 4 s of the rate, and
-// h is at most 4 + the rate.
+// The bound does not depend on the fleet's size: h daemons with full buckets let through h + 4 s of
+// the rate, and h is at most 4 + the rate.
 func TestRateLimitHoldsAcrossDaemons(t *testing.T) {
 	const duration, transit = 40 * time.Second, 500 * time.Millisecond
 	for _, daemons := range []int{1, 8, 295, 986} {
@@ -73,14 +74,14 @@
 				g.Expect(sim.maxArrivals()).To(gomega.BeNumerically("<=", limitBound(perSecond)), name)
 				if used := min(perSecond, float64(min(daemons, minSenders))); perSecond >= minRate {
 					least := used * (duration - time.Duration(float64(minSenders)/perSecond*float64(time.Second))).Seconds() / 2
-					g.Expect(float64(len(sim.sent))).To(gomega.BeNumerically(">=", least), name+": half of the limit is used")
+					g.Expect(float64(len(sim.sent))).To(gomega.BeNumerically(">=", least), name+": at least half of the limit is used")
 				}
 			}
 		}
 	}
 }
 
-// Daemons may disagree about who they are while some start or end: here two take each place.
+// While daemons start or stop they may disagree about the fleet, and two may compute the same rank.
 func TestRateLimitHoldsWhenDaemonsShareARank(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.5, 2.9, 4.9, 20} {
 		for seed := range uint64(20) {
@@ -90,7 +91,7 @@
 			for i := range daemons {
 				sim.ranks = append(sim.ranks, i)
 			}
-			// One more daemon holds than should.
+			// One daemon more than intended sends.
 			sim.ranks[daemons-1] = 0
 			sim.simulate(clock.Now(), perSecond, 50, 30*time.Second, 0)
 			gomega.NewWithT(t).Expect(sim.maxArrivals()).To(gomega.BeNumerically("<=", limitBound(perSecond)), "%g a second, seed %d", perSecond, seed)
@@ -98,7 +99,7 @@
 	}
 }
 
-// newLimited returns a roster with one target that this daemon alone uses.
+// newLimited returns a roster with one target to which only this daemon sends.
 func newLimited(log *event.Log) (*Roster, *Target) {
 	r := New(log, nil)
 	r.Place = func(*Target) (int, int) { return 0, 1 }
@@ -106,13 +107,14 @@
 	return r, r.Target("a@1000")
 }
 
-// names is an answer without a rate, or with one.
+// statedRate returns the limit of a response that states a rate.
 func statedRate(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
 
 func TestRateLimitFollowsResponses(t *testing.T) {
 	type answer struct {
 		limit Limit
-		// sent tells that its request was sent before the answer before it arrived.
+		// early means that the request was sent before the first response arrived, and refused that
+		// the target rejected it.
 		early, refused bool
 	}
 	tests := []struct {
@@ -120,17 +122,17 @@
 		answers []answer
 		want    float64 // -1 for none
 	}{
-		{"never named", []answer{{}}, -1},
-		{"named", []answer{{limit: statedRate(5)}}, 5},
-		{"named no more", []answer{{limit: statedRate(5)}, {}}, -1},
-		{"named no more in a refusal", []answer{{limit: statedRate(5)}, {refused: true}}, 5},
-		{"named in a refusal", []answer{{limit: statedRate(5), refused: true}}, 5},
-		{"an answer to an older request without it", []answer{{limit: statedRate(5)}, {early: true}}, 5},
+		{"never stated", []answer{{}}, -1},
+		{"stated", []answer{{limit: statedRate(5)}}, 5},
+		{"no longer stated", []answer{{limit: statedRate(5)}, {}}, -1},
+		{"no longer stated in a rejection", []answer{{limit: statedRate(5)}, {refused: true}}, 5},
+		{"stated in a rejection", []answer{{limit: statedRate(5), refused: true}}, 5},
+		{"not stated in the response to an older request", []answer{{limit: statedRate(5)}, {early: true}}, 5},
 		{"another rate", []answer{{limit: statedRate(5)}, {limit: statedRate(7)}}, 7},
-		{"a higher rate in an answer to an older request", []answer{{limit: statedRate(5)}, {limit: statedRate(7), early: true}}, 5},
-		{"a lower rate in an answer to an older request", []answer{{limit: statedRate(5)}, {limit: statedRate(3), early: true}}, 3},
-		{"one that can't be read", []answer{{limit: statedRate(5)}, {limit: Limit{Odd: "x"}}}, 5},
-		{"one that can't be read first", []answer{{limit: Limit{Odd: "x"}}}, -1},
+		{"a higher rate in the response to an older request", []answer{{limit: statedRate(5)}, {limit: statedRate(7), early: true}}, 5},
+		{"a lower rate in the response to an older request", []answer{{limit: statedRate(5)}, {limit: statedRate(3), early: true}}, 3},
+		{"an unreadable rate", []answer{{limit: statedRate(5)}, {limit: Limit{Odd: "x"}}}, 5},
+		{"an unreadable rate first", []answer{{limit: Limit{Odd: "x"}}}, -1},
 		{"zero", []answer{{limit: statedRate(0)}}, 0},
 	}
 	for _, tc := range tests {
@@ -157,7 +159,8 @@
 	}
 }
 
-// A limit is of the run that named it; the token of a request that was not sent is given back.
+// A rate limit belongs to the incarnation that stated it, and the permit of a request that was not
+// sent is returned.
 func TestRateLimitPermits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, target := newLimited(&event.Log{})
@@ -165,7 +168,7 @@
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(permit).To(gomega.Equal(Token{}), "there is no limit")
 	g.Expect(r.HearLimit("a@1000", statedRate(2), clock.Now(), true)).To(gomega.BeTrue())
-	g.Expect(r.Enter(target, permit)).To(gomega.Equal(Limited), "it was named after the choice")
+	g.Expect(r.Enter(target, permit)).To(gomega.Equal(Limited), "it was stated after the target was chosen")
 	stop, wait := r.Gate(time.Now()).Stop(target)
 	g.Expect(stop).To(gomega.Equal(Limited))
 	g.Expect(wait).To(gomega.BeNumerically("~", 500*time.Millisecond, 100*time.Millisecond))
@@ -178,23 +181,24 @@
 	g.Expect(ok).To(gomega.BeFalse())
 	r.Return(target, permit)
 	permit, ok = r.Take(target)
-	g.Expect(ok).To(gomega.BeTrue(), "it was given back")
+	g.Expect(ok).To(gomega.BeTrue(), "the permit was returned")
 	g.Expect(r.HearLimit("a@1000", statedRate(1), clock.Now(), true)).To(gomega.BeTrue())
 	r.Return(target, permit)
 	_, ok = r.Take(target)
 	g.Expect(ok).To(gomega.BeFalse(), "the limit has changed since")
 
-	g.Expect(r.Enter(target, Token{Held: true, Far: true})).To(gomega.Equal(Open), "its home took a token")
+	g.Expect(r.Enter(target, Token{Held: true, Far: true})).To(gomega.Equal(Open), "the remote daemon took a permit")
 	clock.Suspend(time.Minute)
-	g.Expect(r.Enter(target, Token{Far: true})).To(gomega.Equal(Limited), "its home knew of no limit")
+	g.Expect(r.Enter(target, Token{Far: true})).To(gomega.Equal(Limited), "the remote daemon had recorded no limit")
 	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Open))
 	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Limited))
 
 	r.Put(incarnationEntry("a@2000", 2000))
-	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open), "the next run named nothing")
+	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open), "the next incarnation stated none")
 }
 
-// Daemons that do not use a limited target send it nothing, and leave no limit behind where it ends.
+// Daemons that are not senders of a rate-limited target send it nothing, and a limit that ended
+// does not stay with a daemon that missed the notification.
 func TestRateLimitReachesPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	from, _ := newLimited(&event.Log{})
@@ -213,14 +217,14 @@
 	from.HearLimit("a@1000", Limit{}, clock.Now(), true)
 	clock.Suspend(2 * limitEndNotifyTime)
 	heartbeat()
-	g.Expect(to.Limited()).NotTo(gomega.BeEmpty(), "it missed the end")
+	g.Expect(to.Limited()).NotTo(gomega.BeEmpty(), "the peer missed the notification")
 	sendHeartbeat(g, to, from)
 	heartbeat()
-	g.Expect(to.Limited()).To(gomega.BeEmpty(), "it was told again")
+	g.Expect(to.Limited()).To(gomega.BeEmpty(), "it was notified again")
 	g.Expect(from.Limited()).To(gomega.BeEmpty())
 }
 
-// A target that names another rate in each answer writes one line a second.
+// A target that states another rate in each response causes one log line a second.
 func TestRateLimitLogLinesAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := &event.Log{}
@@ -240,7 +244,7 @@
 	g.Expect(log.Since(0, 1000)[len(log.Since(0, 1000))-1].Code).To(gomega.Equal(event.TargetUnlimited))
 }
 
-// A rate that changes with each answer keeps no daemon from its next token.
+// A rate that changes with each response must not postpone a daemon's next permit for ever.
 func TestFrequentRateChangesDoNotDelayPermits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l limitState
--- a/core/roster/rest_test.go
+++ b/core/roster/rest_test.go
@@ -10,8 +10,8 @@
 	"embertally.dev/core/event"
 )
 
-// ask is that a target asks for rest at a time.
-type pushbackAt struct{ at, rest time.Duration }
+// pushbackAt is a pushback of a duration, received at a time.
+type pushbackAt struct{ at, duration time.Duration }
 
 func TestPushbackDuration(t *testing.T) {
 	tests := []struct {
@@ -20,15 +20,15 @@
 		at        time.Duration
 		want      time.Duration
 	}{
-		{"not asked", nil, 0, 0},
-		{"asked", []pushbackAt{{0, 3 * time.Second}}, time.Second, 2 * time.Second},
+		{"none", nil, 0, 0},
+		{"one", []pushbackAt{{0, 3 * time.Second}}, time.Second, 2 * time.Second},
 		{"over", []pushbackAt{{0, 3 * time.Second}}, 3 * time.Second, 0},
 		{"two at once", []pushbackAt{{0, 3 * time.Second}, {0, 3 * time.Second}}, time.Second, 2 * time.Second},
 		{"a shorter one later", []pushbackAt{{0, 3 * time.Second}, {time.Second, time.Second}}, time.Second, 2 * time.Second},
 		{"a longer one later", []pushbackAt{{0, time.Second}, {500 * time.Millisecond, 3 * time.Second}}, time.Second, 2500 * time.Millisecond},
 		{"one after the other", []pushbackAt{{0, time.Second}, {2 * time.Second, time.Second}}, 2500 * time.Millisecond, 500 * time.Millisecond},
-		{"the longest that is believed", []pushbackAt{{0, MaxPushback}}, 0, MaxPushback},
-		{"a longer one", []pushbackAt{{0, 1e9 * time.Second}}, 0, MaxPushback},
+		{"the longest that is honoured", []pushbackAt{{0, MaxPushback}}, 0, MaxPushback},
+		{"one beyond the bound", []pushbackAt{{0, 1e9 * time.Second}}, 0, MaxPushback},
 		{"a tenth of a millisecond", []pushbackAt{{0, 100 * time.Microsecond}}, 0, 100 * time.Microsecond},
 	}
 	for _, tc := range tests {
@@ -37,15 +37,15 @@
 			start := clock.Now()
 			var p pushback
 			for _, a := range tc.pushbacks {
-				p.extend(a.rest, start.Add(a.at))
+				p.extend(a.duration, start.Add(a.at))
 			}
 			g.Expect(p.remaining(start.Add(tc.at))).To(gomega.Equal(tc.want))
 		})
 	}
 }
 
-// After a rest one send goes out, then one more each rampStep, until one is taken or the
-// target counts as any other. One that is turned away again begins the next rest.
+// After a pushback one attempt is allowed, then one more each rampStep, until one is accepted or
+// the ramp is over. If one is rejected again, the next pushback starts.
 func TestRampAfterPushback(t *testing.T) {
 	g := gomega.NewWithT(t)
 	start := clock.Now()
@@ -67,14 +67,14 @@
 
 	g.Expect(p.extend(time.Second, end)).To(gomega.BeTrue())
 	g.Expect(p.remaining(end)).To(gomega.Equal(time.Second))
-	g.Expect(p.endRamp(end)).To(gomega.BeFalse(), "an answer to what was under way ends no rest")
+	g.Expect(p.endRamp(end)).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
 	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
 	g.Expect(p.endRamp(end.Add(time.Second))).To(gomega.BeTrue())
 	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
 	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
 }
 
-// A rest is of the run that asked, and counts the time that the machine was suspended.
+// A pushback belongs to the incarnation that sent it, and time in system suspend counts.
 func TestPushbackIsPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
@@ -82,7 +82,7 @@
 	target := r.Target("a@1000")
 	r.Turned("a@1000", Asked{})
 	r.Turned("a@1000", Asked{Odd: "x"})
-	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Open), "it asked for nothing, or for what can't be read")
+	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Open), "no pushback, or an unreadable one")
 	r.Turned("a@1000", Asked{Rest: time.Minute})
 	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Rests))
 	g.Expect(r.Stopped(target.Entry().Service)).To(gomega.Equal([]string{"a@1000"}))
@@ -90,19 +90,19 @@
 	g.Expect(stop).To(gomega.Equal(Rests))
 	g.Expect(wait).To(gomega.BeNumerically("~", time.Minute, 5*time.Second))
 	r.Put(incarnationEntry("a@1000", 1000))
-	g.Expect(r.Enter(r.Target("a@1000"), Token{})).To(gomega.Equal(Rests), "its entry says that it is ready")
+	g.Expect(r.Enter(r.Target("a@1000"), Token{})).To(gomega.Equal(Rests), "its entry shows ready")
 	r.Put(incarnationEntry("a@2000", 2000))
-	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open), "the next run asked for nothing")
+	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open), "the next incarnation sent no pushback")
 
 	r.Turned("a@2000", Asked{Rest: time.Minute})
 	clock.Suspend(time.Minute)
 	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open))
-	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Rests), "few at first")
+	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Rests), "the ramp allows one attempt at first")
 	r.Took("a@2000")
 	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open))
 }
 
-// Peers are not told of a rest: it was asked of one daemon.
+// A pushback is meant for one daemon, so peers are not notified.
 func TestPushbackIsNotSentToPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
@@ -113,7 +113,7 @@
 	g.Expect(body.Reloading).To(gomega.BeEmpty())
 }
 
-// The rests of named targets: a run that is known to be another one gets requests.
+// An incarnation that is known to differ from the one that sent the pushback gets requests.
 func TestRestListPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	current := func(incarnation string) func(string) string { return func(string) string { return incarnation } }
@@ -122,9 +122,9 @@
 	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
 	g.Expect(r.Turned("a", "1", time.Minute)).To(gomega.BeTrue())
-	g.Expect(r.Turned("a", "1", time.Second)).To(gomega.BeFalse(), "it rests already")
+	g.Expect(r.Turned("a", "1", time.Second)).To(gomega.BeFalse(), "a pushback is in effect already")
 	g.Expect(r.Take("a")).To(gomega.BeFalse())
-	g.Expect(r.Took("a")).To(gomega.BeFalse(), "what was under way ends no rest")
+	g.Expect(r.Took("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
 	for _, incarnation := range []string{"", "1"} {
 		g.Expect(r.Left(current(incarnation))).To(gomega.HaveKeyWithValue("a", gomega.BeNumerically("~", time.Minute, 5*time.Second)))
 	}
@@ -132,17 +132,18 @@
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
 
 	r.Turned("a", "", time.Minute)
-	g.Expect(r.Left(current("2"))).To(gomega.HaveKey("a"), "which run asked is not known")
+	g.Expect(r.Left(current("2"))).To(gomega.HaveKey("a"), "the incarnation that sent it is unknown")
 	clock.Suspend(time.Minute)
 	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
-	g.Expect(r.Left(current(""))).To(gomega.HaveKey("a"), "few at first")
+	g.Expect(r.Left(current(""))).To(gomega.HaveKey("a"), "the ramp allows one attempt at first")
 	g.Expect(r.Took("a")).To(gomega.BeTrue())
 	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
 }
 
-// A target that turns away and takes in turn, and asks for a moment of rest each time, writes one
-// line of its begin and one of its end a second; what can't be read one for each run.
+// A target that alternates between rejecting with a very short pushback and accepting causes one
+// log line a second for the start and one for the end, and one line for each incarnation about
+// unreadable values.
 func TestPushbackLogLinesAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := &event.Log{}
@@ -162,5 +163,5 @@
 	g.Expect(lines[event.TargetUnreadable]).To(gomega.Equal(1))
 	clock.Suspend(pushbackLogInterval)
 	r.Turned("a", Asked{Rest: time.Second})
-	g.Expect(log.Since(0, 1000)).To(gomega.HaveLen(5), "with the one of its entry")
+	g.Expect(log.Since(0, 1000)).To(gomega.HaveLen(5), "including the one about its entry")
 }
--- a/core/roster/restored.go
+++ b/core/roster/restored.go
@@ -38,11 +38,11 @@
 // isStale reports whether an entry may have been written before its incarnation was removed, and
 // keeps the entry if so. It is called with rosterMu held.
 func (r *Roster) isStale(e Entry) bool {
-	removed, known := r.removed[e.ID]
-	if !known || plat.Era(e.Revision) <= plat.Era(removed.revision) || plat.Number(e.Revision) > plat.Number(removed.revision) {
+	removed, exists := r.removed[e.ID]
+	if !exists || plat.Era(e.Revision) <= plat.Era(removed.revision) || plat.Number(e.Revision) > plat.Number(removed.revision) {
 		return false
 	}
-	if old, exists := r.stale[e.Name]; exists && old.ID == e.ID && plat.Era(old.Revision) == plat.Era(e.Revision) {
+	if old, sameName := r.stale[e.Name]; sameName && old.ID == e.ID && plat.Era(old.Revision) == plat.Era(e.Revision) {
 		// The entry has changed since the list was restored, unless it is the same one again.
 		return old.Revision == e.Revision
 	}
--- a/core/roster/restored_test.go
+++ b/core/roster/restored_test.go
@@ -11,14 +11,14 @@
 	"embertally.dev/core/plat"
 )
 
-// written is an entry as the list holds it since a revision of an era.
+// entryAt is an entry written at a revision of a store incarnation.
 func entryAt(id string, leaving bool, storeIncarnation, revision int64) Entry {
 	e := entry(id)
 	e.Name, e.Leaving, e.Revision = id, leaving, plat.Revision(storeIncarnation, revision)
 	return e
 }
 
-// What is believed of a run by a list that came back from an older copy.
+// What was recorded about an incarnation outlives a list that is restored from an older copy.
 func TestLocalViewOutlivesRestoredList(t *testing.T) {
 	tests := []struct {
 		name string
@@ -26,50 +26,50 @@
 		want Stop
 	}{
 		{"ready as before", func(r *Roster) { r.Put(entryAt("a", false, 2, 10)) }, Open},
-		{"left, and ready in the copy", func(r *Roster) {
+		{"shutting down, and ready in the copy", func(r *Roster) {
 			r.Put(entryAt("a", true, 1, 20))
 			r.Put(entryAt("a", false, 2, 10))
 		}, Leaves},
-		{"left and gone, and ready in the copy", func(r *Roster) {
+		{"shut down and removed, and ready in the copy", func(r *Roster) {
 			r.Put(entryAt("a", true, 1, 20))
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 30))
 		}, Leaves},
-		{"gone, and ready in the copy", func(r *Roster) {
+		{"removed, and ready in the copy", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 10))
 		}, Gone},
-		{"gone, and told twice from the copy", func(r *Roster) {
+		{"removed, and put twice from the copy", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 10))
 			r.Put(entryAt("a", false, 2, 10))
 		}, Gone},
-		{"gone, in the copy, and written since", func(r *Roster) {
+		{"removed, in the copy, and written since", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 9))
 			r.Put(entryAt("a", false, 2, 10))
 		}, Open},
-		{"gone, and written after all that was known", func(r *Roster) {
+		{"removed, and written at a later revision", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 11))
 		}, Open},
-		{"gone and back within an era", func(r *Roster) {
+		{"removed and put again within a store incarnation", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 1, 12))
 		}, Open},
-		{"gone, in the copy for long", func(r *Roster) {
+		{"removed, in the copy for long", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 10))
 			r.acceptStale(entryAt("a", false, 2, 10))
 		}, Open},
-		{"gone, in the copy, and gone again", func(r *Roster) {
+		{"removed, in the copy, and removed again", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 10))
 			r.Remove("a", clock.Now())
 			r.acceptStale(entryAt("a", false, 2, 10))
 		}, Gone},
 		{"not in the copy", func(r *Roster) { r.Lose("a") }, Open},
-		{"left, and not in the copy", func(r *Roster) {
+		{"shutting down, and not in the copy", func(r *Roster) {
 			r.Put(entryAt("a", true, 1, 20))
 			r.Lose("a")
 		}, Gone},
@@ -100,7 +100,8 @@
 	}
 }
 
-// A worker that was cold when its entry was written is not so again when a restored list tells it.
+// A target that has warmed up does not count as warming up again because a restored list contains
+// its entry from before.
 func TestRestoredEntryDoesNotRestartWarmUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -148,7 +148,7 @@
 const (
 	// lapsedEntryTime is how long after an outage of the list an entry that lapsed meanwhile may
 	// take to return. The users' specification says about two seconds, and that a target still
-	// missing then is gone.
+	// missing then has been removed.
 	lapsedEntryTime = 2 * time.Second
 	// minLapseOutage is the shortest outage in which entries lapse.
 	minLapseOutage = 1500 * time.Millisecond
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -48,8 +48,8 @@
 		kept    bool
 	}{
 		{"after an outage", 4 * time.Second, false, true},
-		{"after a short silence", 100 * time.Millisecond, false, false},
-		{"was leaving", 4 * time.Second, true, false},
+		{"after a short outage", 100 * time.Millisecond, false, false},
+		{"was shutting down", 4 * time.Second, true, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 	r.Put(entry("a"))
 	r.Learn("a", "m", 3)
 	r.Learn("a", "m", 2)
-	r.Put(entry("a")) // an entry that was written before
+	r.Put(entry("a")) // an entry written before
 	g.Expect(r.Target("a").Entry().Weights["m"]).To(gomega.Equal(int64(3)))
 	r.Learn("none", "m", 9)
 }
@@ -123,7 +123,7 @@
 	g.Expect(mine.Target("a").Own()).To(gomega.Equal(Load{}))
 }
 
-// told passes one heartbeat's part from one roster to another.
+// sendHeartbeat passes one heartbeat from one roster to another.
 func sendHeartbeat(g *gomega.WithT, from, to *Roster) {
 	raw, err := msgpack.Marshal(Share{from}.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -141,7 +141,7 @@
 	sendHeartbeat(g, owner, peer)
 	g.Expect(peer.Ordered(now)).To(gomega.HaveKey("a"))
 	sendHeartbeat(g, peer, third)
-	g.Expect(third.Ordered(now)).To(gomega.BeEmpty(), "who gives the order tells of it")
+	g.Expect(third.Ordered(now)).To(gomega.BeEmpty(), "only the daemon that gave the order reports it")
 	owner.Learn("a", "m", 2)
 	owner.Done("a")
 	sendHeartbeat(g, owner, peer)
@@ -171,7 +171,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	Share{other}.Receive("peer", raw)
 	g.Expect(other.Reloading(now)).To(gomega.HaveKey("w"))
-	g.Expect(other.Reloading(now.Add(time.Minute))).To(gomega.BeEmpty(), "what a peer tells is bounded")
+	g.Expect(other.Reloading(now.Add(time.Minute))).To(gomega.BeEmpty(), "the time that a peer reports is bounded")
 	g.Expect(other.Ordered(now)).To(gomega.BeEmpty())
 }
 
@@ -191,9 +191,9 @@
 	g.Expect(loads()).To(gomega.Equal(map[string]Load{"b": one}))
 	r.Target("a").Begin(one)
 	g.Expect(loads()).To(gomega.HaveLen(2), "it has work again")
-	gone := r.Target("b")
+	removed := r.Target("b")
 	r.Unlist("b")
-	g.Expect(loads()).To(gomega.HaveKey("b"), "its work has not ended")
-	gone.End(one)
+	g.Expect(loads()).To(gomega.HaveKey("b"), "its work is unfinished")
+	removed.End(one)
 	g.Expect(loads()).To(gomega.Equal(map[string]Load{"a": one}))
 }
--- a/core/roster/runs_test.go
+++ b/core/roster/runs_test.go
@@ -10,7 +10,7 @@
 	"embertally.dev/core/event"
 )
 
-// run is an entry of one run of the target a.
+// incarnationEntry is an entry of one incarnation of the target a.
 func incarnationEntry(id string, born int64) Entry {
 	e := entry(id)
 	e.Name, e.Born = "a", time.UnixMilli(born)
@@ -20,10 +20,11 @@
 func TestRestartedTargetStartsFresh(t *testing.T) {
 	tests := []struct {
 		name string
-		// steps change a roster that uses the run a@1000, which holds version 3 after
-		// five orders, has work on its way, rests, and is about to change its weights.
+		// steps change a roster whose current incarnation a@1000 has version 3 after five orders,
+		// has work in flight, is suspect, rejects work while reloading, and has a weight update
+		// pending.
 		steps func(r *Roster)
-		// want is the run in use, "" for none.
+		// want is the current incarnation, "" for none.
 		want string
 	}{
 		{"younger", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
@@ -32,14 +33,14 @@
 			e.Address = "10.0.0.9:1"
 			r.Put(e)
 		}, "a@2000"},
-		{"late word of an older run", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.Put(incarnationEntry("a@1000", 1000)) }, "a@2000"},
-		{"another run answers", func(r *Roster) { r.Ended("a@1000") }, ""},
-		{"another run answers, the list lags", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
-		{"another run answers, the list follows", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
+		{"a late entry of an older incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.Put(incarnationEntry("a@1000", 1000)) }, "a@2000"},
+		{"another incarnation answers", func(r *Roster) { r.Ended("a@1000") }, ""},
+		{"another incarnation answers, the list lags", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
+		{"another incarnation answers, the list follows", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
 		{"its clock went back", func(r *Roster) { r.Put(incarnationEntry("a@500", 500)); r.Ended("a@1000") }, "a@500"},
 		{"taken off the list and back", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(incarnationEntry("a@500", 500)) }, "a@500"},
-		{"another writer's entry", func(r *Roster) { r.Unlist("a") }, ""},
-		{"a good entry after another writer's", func(r *Roster) { r.Unlist("a"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
+		{"unusable entry of another writer", func(r *Roster) { r.Unlist("a") }, ""},
+		{"a usable entry after an unusable one", func(r *Roster) { r.Unlist("a"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -71,7 +72,7 @@
 			g.Expect(r.Ordered(now)).NotTo(gomega.HaveKey(tc.want))
 			g.Expect(r.Reloading(now)).NotTo(gomega.HaveKey(tc.want))
 			r.Learn("a@1000", "m", 9)
-			g.Expect(got.Entry().Weights).To(gomega.Equal(map[string]int64{"m": 1}), "late word of the former run")
+			g.Expect(got.Entry().Weights).To(gomega.Equal(map[string]int64{"m": 1}), "a late version of the previous incarnation")
 		})
 	}
 }
@@ -83,5 +84,5 @@
 	kept := r.Target("a@1000")
 	g.Expect(r.Put(incarnationEntry("a@1000", 1000))).To(gomega.BeNil())
 	g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(kept))
-	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(kept), "its connections are given up")
+	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(kept), "the caller closes its connections")
 }
