--- a/core/target/client.go
+++ b/core/target/client.go
@@ -1,9 +1,8 @@
-// Package target owns the clients of what the system routes to: model engines
-// and store boxes. The clients of plain services are ordinary HTTP and stand
-// where calls are relayed.
+// Package target owns the clients of the targets: model engines and KV-cache stores, and the
+// connection pool for requests to any target. Plain services are called by ordinary HTTP in the
+// code that forwards requests to them.
 //
-// It must not know which target is chosen or why. It repeats nothing by
-// itself.
+// It must not know which target is chosen or why. It never retries.
 package target
 
 import (
@@ -21,23 +20,23 @@
 	"embertally.dev/core/cache"
 )
 
-// Headers between the system and engines.
+// Headers of requests to engines.
 const (
 	HeaderRequestID     = "X-Request-Id"
 	HeaderWeightVersion = "X-Weight-Version"
 )
 
-// StatusError is a reply of a target with a status other than success.
+// StatusError is a response of a target with a status other than success.
 type StatusError struct {
 	Status int
 	Text   string
-	// Rest is how long the target wants nothing, where it says so.
+	// Rest is the pushback in the response; 0 if there is none.
 	Rest time.Duration
 }
 
-// Error describes the reply.
+// Error returns the status and the start of the response's body.
 func (e *StatusError) Error() string {
-	return "target answered " + strconv.Itoa(e.Status) + ": " + e.Text
+	return "target responded with status " + strconv.Itoa(e.Status) + ": " + e.Text
 }
 
 // Status returns the HTTP status in err, or 0.
@@ -49,7 +48,7 @@
 	return 0
 }
 
-// Rest returns the rest that the reply of a target in err asks for, or 0.
+// Rest returns the pushback of the response in err, or 0.
 func Rest(err error) time.Duration {
 	var s *StatusError
 	if errors.As(err, &s) {
@@ -59,37 +58,37 @@
 }
 
 const (
-	dialLimit = time.Second
-	// idlePerTarget bounds the connections kept open to one target.
-	idlePerTarget = 32
-	idleLimit     = 30 * time.Second
+	dialTimeout = time.Second
+	// maxIdlePerTarget bounds the idle connections kept to one target.
+	maxIdlePerTarget = 32
+	idleTimeout      = 30 * time.Second
 )
 
-// NewTransport returns the transport for engines and stores.
+// NewTransport returns the transport for engines and KV-cache stores.
 func NewTransport() *http.Transport {
-	d := &net.Dialer{Timeout: dialLimit}
+	d := &net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
-		DialContext: d.DialContext, MaxIdleConnsPerHost: idlePerTarget, IdleConnTimeout: idleLimit,
+		DialContext: d.DialContext, MaxIdleConnsPerHost: maxIdlePerTarget, IdleConnTimeout: idleTimeout,
 		DisableCompression: true,
 	}
 }
 
-// NewOnceTransport returns a transport that opens a connection for each call.
-// The standard transport repeats some calls by itself when a kept connection
-// fails; on a new connection it never does.
+// NewOnceTransport returns a transport that opens a connection for each call. The standard
+// transport retries some calls by itself when a reused connection fails, but never on a new
+// connection.
 func NewOnceTransport() *http.Transport {
 	t := NewTransport()
 	t.DisableKeepAlives = true
 	return t
 }
 
-// Block names the content of one block in a store.
+// Block identifies the content of one KV-cache block in a store.
 type Block struct {
 	Hash cache.Hash `json:"hash"`
-	// Generation is the store's number for this writing of the block; a block
-	// that was freed and written again has another.
+	// Generation is the store's number for this write of the block. It changes when the block is
+	// freed and written again.
 	Generation uint64 `json:"generation"`
-	// Sum is the checksum of the content as hexadecimal digits.
+	// Sum is the checksum of the content in hexadecimal digits.
 	Sum string `json:"sum"`
 }
 
@@ -102,47 +101,46 @@
 // NewEngine returns a client of the engine at url.
 func NewEngine(url string, client *http.Client) *Engine { return &Engine{url, client} }
 
-// News is what an engine tells who follows it.
+// News is an engine's response to a poll for cache events.
 type News struct {
 	Events []cache.Note `json:"events"`
 	Load   Load         `json:"load"`
 }
 
-// News gathers cache events after seq for the given time and returns them with
-// the load. One call for both, and for many events, is most of what keeps
-// following cheap.
+// News waits for the time gather, and returns the cache events after seq together with the load.
+// Polling is cheap mainly because one call returns both, and many events at once.
 func (e *Engine) News(ctx context.Context, seq uint64, gather time.Duration) (News, error) {
-	ctx, cancel := context.WithTimeout(ctx, gather+callLimit)
+	ctx, cancel := context.WithTimeout(ctx, gather+callTimeout)
 	defer cancel()
 	var n News
 	path := "/v1/cache/events?after=" + strconv.FormatUint(seq, 10) + "&gatherMillis=" + strconv.FormatInt(gather.Milliseconds(), 10)
 	return n, e.do(ctx, http.MethodGet, path, nil, &n)
 }
 
-// callLimit bounds short calls of targets.
-const callLimit = 2 * time.Second
+// callTimeout bounds short calls of targets.
+const callTimeout = 2 * time.Second
 
-// CacheContents reads all blocks that the engine holds.
+// CacheContents returns all KV-cache blocks that the engine holds.
 func (e *Engine) CacheContents(ctx context.Context) (cache.Contents, error) {
-	ctx, cancel := context.WithTimeout(ctx, 2*callLimit)
+	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
 	var c cache.Contents
 	return c, e.do(ctx, http.MethodGet, "/v1/cache/contents", nil, &c)
 }
 
-// Weights is one loaded set of weights of an engine.
+// Weights is one set of weights loaded by an engine.
 type Weights struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	// Adapters are loaded with the weights.
+	// Adapters are the adapters loaded with the weights.
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// Load is an engine's report of its work, which lags.
+// Load is an engine's report of its work, which lags behind.
 type Load struct {
-	// Boot tells one run of the engine from the next.
+	// Boot identifies the engine's incarnation.
 	Boot string `json:"boot"`
-	// QueuedTokens is the waiting prompt tokens by priority, lowest first.
+	// QueuedTokens holds the numbers of waiting prompt tokens by priority, lowest first.
 	QueuedTokens []int `json:"queuedTokens"`
 	Running      int   `json:"running"`
 	FreeBlocks   int   `json:"freeBlocks"`
@@ -154,15 +152,14 @@
 	Loading                bool      `json:"loading,omitempty"`
 }
 
-// Staged says what an engine read from a store. Nothing of it is used until a
-// request names it.
+// Staged is the result of an import. The blocks are not used until a request refers to them.
 type Staged struct {
 	ID     string  `json:"id"`
 	Blocks []Block `json:"blocks"`
 	Bytes  int64   `json:"bytes"`
 }
 
-// Import makes the engine read blocks, which follow parent, from a store.
+// Import has the engine read blocks, which follow parent in the prefix hash chain, from a store.
 func (e *Engine) Import(ctx context.Context, store string, parent cache.Hash, blocks []Block) (Staged, error) {
 	body := struct {
 		Store  string     `json:"store"`
@@ -173,8 +170,7 @@
 	return s, e.do(ctx, http.MethodPost, "/v1/cache/import", body, &s)
 }
 
-// Commit makes the first n staged blocks part of the engine's cache and drops
-// the rest.
+// Commit adds the first n staged blocks to the engine's cache and drops the others.
 func (e *Engine) Commit(ctx context.Context, id string, n int) error {
 	body := struct {
 		ID     string `json:"id"`
@@ -183,13 +179,13 @@
 	return e.do(ctx, http.MethodPost, "/v1/cache/commit", body, nil)
 }
 
-// Exported says what an engine wrote to a store.
+// Exported is the result of an export to a store.
 type Exported struct {
 	Blocks []Block `json:"blocks"`
 	Bytes  int64   `json:"bytes"`
 }
 
-// Export makes the engine write blocks to a store.
+// Export has the engine write blocks to a store.
 func (e *Engine) Export(ctx context.Context, store string, hashes []cache.Hash) (Exported, error) {
 	body := struct {
 		Store  string       `json:"store"`
@@ -201,10 +197,10 @@
 
 // Order is a fenced order to an engine.
 type Order struct {
-	// Fence rises with each holder of orders; an engine that checks it
-	// refuses a lower one than it has seen.
+	// Fence increases each time another daemon becomes the one that gives orders. An engine that
+	// checks it rejects orders with a lower value than it has seen.
 	Fence uint64 `json:"fence"`
-	// Expires is when the order must no longer begin.
+	// Expires is the time after which the engine must not start to carry out the order.
 	Expires  time.Time `json:"expires"`
 	Model    string    `json:"model"`
 	Version  string    `json:"version"`
@@ -213,13 +209,13 @@
 
 // Order sends an order to load weights.
 func (e *Engine) Order(ctx context.Context, o Order) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return e.do(ctx, http.MethodPost, "/v1/orders", o, nil)
 }
 
-// Prompt is a request to an engine in the published completions form, with
-// the published extensions for cache salts, priorities and transfers.
+// Prompt is a request to an engine in the published completions format, with the published
+// extensions for cache salts and priorities.
 type Prompt struct {
 	Model         string        `json:"model"`
 	Prompt        string        `json:"prompt"`
@@ -230,16 +226,16 @@
 	Stream        bool          `json:"stream"`
 	StreamOptions StreamOptions `json:"stream_options"`
 	CacheSalt     string        `json:"cache_salt"`
-	// Priority follows the engines' form: the lowest number goes first.
+	// Priority uses the engines' convention: the lowest number is served first.
 	Priority int `json:"priority"`
 }
 
-// StreamOptions are the published options of a stream.
+// StreamOptions are the published options of a streamed response.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Stream begins a streamed answer. The caller closes the reply's body.
+// Stream starts a streamed response. The caller closes its body.
 func (e *Engine) Stream(ctx context.Context, id, version string, p Prompt) (*http.Response, error) {
 	raw, err := json.Marshal(p)
 	if err != nil {
@@ -255,7 +251,7 @@
 	return e.send(req)
 }
 
-// Resume goes on with a stream after n tokens were received.
+// Resume continues a stream after n received tokens.
 func (e *Engine) Resume(ctx context.Context, id string, n int) (*http.Response, error) {
 	path := e.url + "/v1/streams/" + id + "?after=" + strconv.Itoa(n)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, path, nil)
@@ -265,9 +261,9 @@
 	return e.send(req)
 }
 
-// Cancel ends a stream.
+// Cancel cancels a stream.
 func (e *Engine) Cancel(ctx context.Context, id string) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return e.do(ctx, http.MethodDelete, "/v1/streams/"+id, nil, nil)
 }
@@ -287,29 +283,29 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, errorText))
-	// What can't be read asks for nothing; the error's text goes into the log.
-	rest, _ := AskedRest(resp.StatusCode, resp.Header)
-	return nil, errors.WithStack(&StatusError{Status: resp.StatusCode, Text: string(text), Rest: rest})
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
+	// An unreadable pushback counts as none; the error's text is logged.
+	pushback, _ := AskedRest(resp.StatusCode, resp.Header)
+	return nil, errors.WithStack(&StatusError{Status: resp.StatusCode, Text: string(text), Rest: pushback})
 }
 
 const (
-	// errorText bounds what is read of an error's text.
-	errorText = 512
-	// maxReply bounds a reply that is read whole.
+	// maxErrorText bounds the bytes read of an error's text.
+	maxErrorText = 512
+	// maxReply bounds the size of a response that is read completely.
 	maxReply = 64 << 20
 )
 
 func do(ctx context.Context, client *http.Client, method, url string, body, reply any) error {
-	var in io.Reader
+	var reader io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
 			return errors.WithStack(err)
 		}
-		in = bytes.NewReader(raw)
+		reader = bytes.NewReader(raw)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, in)
+	req, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -323,5 +319,5 @@
 	if err != nil || reply == nil {
 		return errors.WithStack(err)
 	}
-	return errors.Wrap(json.Unmarshal(got, reply), "reply of a target")
+	return errors.Wrap(json.Unmarshal(got, reply), "parse the response of a target")
 }
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -19,25 +19,25 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a connection that was used a moment ago or a new one, so
-	// that the request does not meet one that the target is just closing.
+	// Fresh, if positive, is the longest time that a reused connection may have been idle, so that
+	// the request does not go out on one that the target is about to close.
 	Fresh time.Duration
-	// May, if set, is asked when a connection is there and nothing was written yet. Where it
-	// returns an error nothing is, and the error is the cause of Send's.
+	// May, if set, is called when a connection is open and nothing has been written yet. If it
+	// returns an error, nothing is written and the error is the cause of Send's.
 	May func() error
 }
 
-// SendError is a failure to get an answer.
+// SendError is a failure to get a response.
 type SendError struct {
-	// Sent tells that any byte of the request may have reached the target.
+	// Sent means that bytes of the request may have reached the target.
 	Sent bool
-	// Early tells that a kept connection ended sooner than an answer could have come over
-	// it: it was closed before the request arrived.
+	// Early means that a reused connection was closed sooner than a response could have arrived on
+	// it: the target closed it before it received the request.
 	Early bool
 	cause error
 }
 
-// Error describes the failure.
+// Error returns the cause and whether the request may have been sent.
 func (e *SendError) Error() string {
 	if e.Sent {
 		return "after sending: " + e.cause.Error()
@@ -60,72 +60,72 @@
 	return errors.As(err, &s) && s.Early
 }
 
-// Incoming is the answer of a target, whose body is still to be read.
+// Incoming is the response of a target, whose body is still to be read.
 type Incoming struct {
 	Status int
 	Header http.Header
-	// Length is -1 where the answer says none.
-	Length int64
-	body   io.Reader
-	line   *line
-	stop   func() bool
-	wrote  chan error
-	whole  bool
-	failed bool
+	// Length is the length of the body; -1 if the response does not state it.
+	Length     int64
+	body       io.Reader
+	conn       *poolConn
+	stopCancel func() bool
+	written    chan error
+	complete   bool
+	failed     bool
 }
 
-// Read reads the body. It returns io.EOF only when the answer is whole.
+// Read reads the body. It returns io.EOF only when the response is complete.
 func (in *Incoming) Read(b []byte) (int, error) {
 	n, err := in.body.Read(b)
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		in.whole = true
+		in.complete = true
 	default:
 		in.failed = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only when the answer and the
-// request are whole and nothing else has arrived.
+// Close ends the exchange. The connection is kept only if the response and the request are complete
+// and nothing else has arrived.
 func (in *Incoming) Close() {
-	alive := in.stop()
-	l := in.line
-	in.line = nil
-	if l == nil {
+	alive := in.stopCancel()
+	conn := in.conn
+	in.conn = nil
+	if conn == nil {
 		return
 	}
-	if !alive || !in.reusable() || l.r.Buffered() > 0 || l.dead() {
-		l.pool.drop(l)
+	if !alive || !in.reusable() || conn.r.Buffered() > 0 || conn.isDead() {
+		conn.pool.drop(conn)
 		return
 	}
-	l.pool.put(l, in.Header.Get("Keep-Alive"))
+	conn.pool.put(conn, in.Header.Get("Keep-Alive"))
 }
 
-// Spoil makes Close give up the connection.
+// Spoil makes Close discard the connection.
 func (in *Incoming) Spoil() { in.failed = true }
 
-// reusable reports whether the answer and the request are whole.
+// reusable reports whether the response and the request are complete.
 func (in *Incoming) reusable() bool {
-	if in.failed || !in.whole || in.Header.Get("Connection") == "close" {
+	if in.failed || !in.complete || in.Header.Get("Connection") == "close" {
 		return false
 	}
-	t := time.NewTimer(wroteWait)
+	t := time.NewTimer(writeWait)
 	defer t.Stop()
 	select {
-	case err := <-in.wrote:
+	case err := <-in.written:
 		return err == nil
 	case <-t.C:
-		// The target answered before it had read the request.
+		// The target responded before it had read the request.
 		return false
 	}
 }
 
-// head reads the head of the answer.
-func (in *Incoming) head(method string) error {
+// readHead reads the status and header of the response, and skips interim responses.
+func (in *Incoming) readHead(method string) error {
 	for {
-		resp, err := http.ReadResponse(in.line.r, &http.Request{Method: method})
+		resp, err := http.ReadResponse(in.conn.r, &http.Request{Method: method})
 		if err != nil {
 			return errors.WithStack(err)
 		}
@@ -142,23 +142,23 @@
 
 // writer writes one request.
 type writer struct {
-	line *line
+	conn *poolConn
 	out  *Outgoing
 	done chan<- error
 }
 
-// run writes the request and says how that ended.
+// run writes the request and reports the result to done.
 func (w writer) run() {
 	err := w.write()
 	if err != nil {
-		// The answer will not come; reading ends too. Where this fails the
+		// There will be no response, so reading must end as well. If CloseWrite fails, the
 		// connection is closed already.
-		_ = w.line.conn.CloseWrite()
+		_ = w.conn.tcp.CloseWrite()
 	}
 	w.done <- err
 }
 
-// write writes the head and the body.
+// write writes the request line, the header and the body.
 func (w writer) write() error {
 	var b strings.Builder
 	b.WriteString(w.out.Method + " " + w.out.URI + " HTTP/1.1\r\nHost: " + w.out.Host + "\r\n")
@@ -173,6 +173,6 @@
 	if len(w.out.Body) > 0 {
 		parts = append(parts, w.out.Body)
 	}
-	_, err := parts.WriteTo(w.line.conn)
+	_, err := parts.WriteTo(w.conn.tcp)
 	return errors.WithStack(err)
 }
--- a/core/target/line.go
+++ b/core/target/line.go
@@ -11,77 +11,78 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of opening connections and of noticing dead ones.
+// Timeouts for opening connections and for detecting dead ones.
 const (
-	// openLimit bounds the opening of a connection; targets answer within a
-	// few milliseconds, and a lost packet is sent again after a second.
-	openLimit = 1200 * time.Millisecond
-	// unackedLimit breaks a connection whose bytes nobody acknowledges, so that
-	// a target without power is noticed.
-	unackedLimit = 2500 * time.Millisecond
-	// probeEvery and probes do the same while only answers are awaited.
-	probeEvery = time.Second
-	probes     = 2
+	// openTimeout bounds the opening of a connection. Targets respond within a few milliseconds,
+	// and a lost packet is sent again after a second.
+	openTimeout = 1200 * time.Millisecond
+	// unackedTimeout breaks a connection with unacknowledged bytes, so that a target that lost
+	// power is detected.
+	unackedTimeout = 2500 * time.Millisecond
+	// probeInterval and probeCount do the same while the connection only waits for a response.
+	probeInterval = time.Second
+	probeCount    = 2
 )
 
-// readSize is the buffer of a connection: a head and some events fit.
-const readSize = 4 << 10
+// readBufferSize is the size of a connection's read buffer: a header and some events fit.
+const readBufferSize = 4 << 10
 
-// tcpUserTimeout is the socket option of the kernel, in milliseconds.
+// tcpUserTimeout is the number of the kernel's socket option TCP_USER_TIMEOUT, whose value is in
+// milliseconds.
 const tcpUserTimeout = 18
 
-// line is one connection to a target.
-type line struct {
-	pool    *Pool
-	address string
-	conn    *net.TCPConn
-	r       *bufio.Reader
-	used    time.Time
+// poolConn is one connection to a target.
+type poolConn struct {
+	pool     *Pool
+	address  string
+	tcp      *net.TCPConn
+	r        *bufio.Reader
+	lastUsed time.Time
 }
 
-// open opens a connection, which take has counted.
-func (p *Pool) open(ctx context.Context, address string) (*line, error) {
+// open opens a connection, which reserve has counted.
+func (p *Pool) open(ctx context.Context, address string) (*poolConn, error) {
 	d := net.Dialer{
-		Timeout: openLimit,
+		Timeout: openTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probes,
+			Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount,
 		},
-		Control: func(_, _ string, c syscall.RawConn) error { return c.Control(setUnacked) },
+		Control: func(_, _ string, c syscall.RawConn) error { return c.Control(setUserTimeout) },
 	}
-	began := time.Now()
+	start := time.Now()
 	conn, err := d.DialContext(ctx, "tcp", address)
-	p.opened(address, time.Since(began), err)
+	p.recordOpen(address, time.Since(start), err)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
 	if p.Opened != nil {
 		p.Opened.Inc()
 	}
-	return &line{pool: p, address: address, conn: conn.(*net.TCPConn), r: bufio.NewReaderSize(conn, readSize)}, nil
+	return &poolConn{pool: p, address: address, tcp: conn.(*net.TCPConn), r: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
-// opened records how the opening of a connection went.
-func (p *Pool) opened(address string, took time.Duration, err error) {
+// recordOpen records the result of opening a connection.
+func (p *Pool) recordOpen(address string, elapsed time.Duration, err error) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	known := p.peer(address)
+	state := p.state(address)
 	switch {
 	case err != nil:
-		known.open--
-	case known.trip == 0 || took < known.trip:
-		known.trip = took
+		state.open--
+	case state.roundTrip == 0 || elapsed < state.roundTrip:
+		state.roundTrip = elapsed
 	}
 }
 
-// setUnacked sets unackedLimit on a connection.
-func setUnacked(fd uintptr) {
-	// Without the option a dead target is noticed later, by the probes.
-	_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedLimit.Milliseconds()))
+// setUserTimeout sets unackedTimeout on a connection.
+func setUserTimeout(fd uintptr) {
+	// Without the option a dead target is detected later, by the probes.
+	_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 }
 
-// leastTrip returns the least round trip that the kernel measured on the connection, or 0.
-func (l *line) leastTrip() time.Duration {
-	raw, err := l.conn.SyscallConn()
+// minRoundTrip returns the shortest round trip that the kernel measured on the connection, or 0.
+func (c *poolConn) minRoundTrip() time.Duration {
+	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return 0
 	}
@@ -90,16 +91,15 @@
 		info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
 	if controlErr != nil || err != nil || info.Min_rtt == ^uint32(0) {
-		// Not measured.
+		// There is no measurement.
 		return 0
 	}
 	return time.Duration(info.Min_rtt) * time.Microsecond
 }
 
-// dead reports whether the connection was closed by the target or holds bytes
-// that nobody asked for.
-func (l *line) dead() bool {
-	raw, err := l.conn.SyscallConn()
+// isDead reports whether the target closed the connection or sent bytes that belong to no request.
+func (c *poolConn) isDead() bool {
+	raw, err := c.tcp.SyscallConn()
 	if err != nil {
 		return true
 	}
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -12,139 +12,137 @@
 	"embertally.dev/core/wait"
 )
 
-// Pool keeps connections to targets and sends requests on them, each exactly
-// once. Unlike the standard transport it never repeats a request by itself,
-// says whether a failed one may have arrived, bounds the connections to each
-// target, and gives up a connection on which bytes arrive that nobody asked
-// for. The zero value is ready.
+// Pool keeps connections to targets and sends requests on them, each exactly once. Unlike the
+// standard transport it never retries a request by itself, reports whether a failed one may have
+// arrived, bounds the connections to each target, and discards a connection on which unrequested
+// bytes arrive. The zero value is ready to use.
 //
 // Lock order: poolMu is taken alone.
 type Pool struct {
-	// Opened counts the connections that were opened, if set.
+	// Opened, if set, counts the connections that were opened.
 	Opened interface{ Inc() }
 
-	poolMu sync.Mutex
-	peers  map[string]*peer // guarded by poolMu
+	poolMu    sync.Mutex
+	addresses map[string]*addressState // guarded by poolMu
 }
 
-// peer is what the pool knows of one address.
-type peer struct {
-	idle []*line
-	open int
-	most int
-	// keep is how long the target keeps an idle connection.
-	keep time.Duration
-	// trip is the least time that a connection took to open: a round trip.
-	trip time.Duration
+// addressState is the state of the connections to one address.
+type addressState struct {
+	idle    []*poolConn
+	open    int
+	maxOpen int
+	// keepAlive is how long the target keeps an idle connection.
+	keepAlive time.Duration
+	// roundTrip is the shortest time that a connection took to open.
+	roundTrip time.Duration
 }
 
-// Bounds of kept connections.
+// Bounds of idle connections and of writing.
 const (
-	// keepDefault is how long an idle connection is used where the target does
-	// not say how long it keeps one.
-	keepDefault = 4 * time.Second
-	// keepMargin is left of the time that a target says.
-	keepMargin = 700 * time.Millisecond
-	// directWrite is the body up to which a request fits into the buffers of a
-	// connection, so that its writing does not wait for the target to read.
-	directWrite = 4 << 10
-	// wroteWait is how long the end of a longer request's writing is waited for
-	// when its answer is whole: the last write has returned by then or the
-	// target has not read the request.
-	wroteWait = 10 * time.Millisecond
-	// idleMost bounds the idle connections to one target.
-	idleMost = 24
-	// waitStep is the pause between looks for a free connection.
-	waitStep = 5 * time.Millisecond
+	// defaultKeepAlive is how long an idle connection is reused if the target does not state how
+	// long it keeps one.
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is subtracted from the time that a target states.
+	keepAliveMargin = 700 * time.Millisecond
+	// maxDirectWrite is the largest body that is written synchronously. Such a request fits into
+	// the buffers of a connection, so that writing it does not wait for the target to read.
+	maxDirectWrite = 4 << 10
+	// writeWait is how long to wait for the writing of a longer request to finish once its response
+	// is complete: by then the last write has returned, or the target has not read the request.
+	writeWait = 10 * time.Millisecond
+	// maxIdle bounds the idle connections to one target.
+	maxIdle = 24
+	// pollInterval is the interval between checks for a free connection.
+	pollInterval = 5 * time.Millisecond
 )
 
-// ErrFull says that the target has as many connections as it may have.
+// ErrFull means that the target has as many connections as it may have.
 var ErrFull = errors.New("all connections to the target are in use")
 
 // SetMost bounds the connections to an address; 0 means no bound.
-func (p *Pool) SetMost(address string, most int) {
+func (p *Pool) SetMost(address string, maxOpen int) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	p.peer(address).most = most
+	p.state(address).maxOpen = maxOpen
 }
 
-// peer returns what is known of an address. It is called with poolMu held.
-func (p *Pool) peer(address string) *peer {
-	if p.peers == nil {
-		p.peers = map[string]*peer{}
+// state returns the state of an address, and creates it if needed. It is called with poolMu held.
+func (p *Pool) state(address string) *addressState {
+	if p.addresses == nil {
+		p.addresses = map[string]*addressState{}
 	}
-	got := p.peers[address]
-	if got == nil {
-		got = &peer{keep: keepDefault}
-		p.peers[address] = got
+	state := p.addresses[address]
+	if state == nil {
+		state = &addressState{keepAlive: defaultKeepAlive}
+		p.addresses[address] = state
 	}
-	return got
+	return state
 }
 
-// Forget closes the idle connections to an address that is gone.
+// Forget closes the idle connections to an address that was removed.
 func (p *Pool) Forget(address string) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	known := p.peers[address]
-	if known == nil {
+	state := p.addresses[address]
+	if state == nil {
 		return
 	}
-	for _, l := range known.idle {
-		l.conn.Close()
-		known.open--
+	for _, conn := range state.idle {
+		conn.tcp.Close()
+		state.open--
 	}
-	known.idle = nil
-	if known.open <= 0 {
-		delete(p.peers, address)
+	state.idle = nil
+	if state.open <= 0 {
+		delete(p.addresses, address)
 	}
 }
 
-// Room returns how many more requests the connections to an address bear.
+// Room returns how many more requests can be sent to an address at once.
 func (p *Pool) Room(address string) int {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	known := p.peers[address]
-	if known == nil || known.most == 0 {
-		return idleMost
+	state := p.addresses[address]
+	if state == nil || state.maxOpen == 0 {
+		return maxIdle
 	}
-	return known.most - known.open + len(known.idle)
+	return state.maxOpen - state.open + len(state.idle)
 }
 
-// Warm reports whether a connection to an address is open and idle.
+// Warm reports whether an idle connection to an address is open.
 func (p *Pool) Warm(address string) bool {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	known := p.peers[address]
-	if known == nil || len(known.idle) == 0 {
+	state := p.addresses[address]
+	if state == nil || len(state.idle) == 0 {
 		return false
 	}
-	return time.Since(known.idle[len(known.idle)-1].used) < known.keep
+	return time.Since(state.idle[len(state.idle)-1].lastUsed) < state.keepAlive
 }
 
-// Send sends a request and returns the answer's head. The caller must Close
-// the answer. An error is a *SendError.
+// Send sends a request and returns the response with its header read. The caller must Close the
+// response. An error is a *SendError.
 func (p *Pool) Send(ctx context.Context, address string, out *Outgoing) (*Incoming, error) {
-	l, err := p.get(ctx, address, out.Fresh)
+	conn, err := p.get(ctx, address, out.Fresh)
 	if err != nil {
 		return nil, &SendError{cause: err}
 	}
 	if out.May != nil {
 		if err := out.May(); err != nil {
-			p.giveBack(l)
+			p.putUnused(conn)
 			return nil, &SendError{cause: err}
 		}
 	}
-	in := &Incoming{line: l, wrote: make(chan error, 1)}
-	began := time.Now()
-	in.stop = context.AfterFunc(ctx, func() { l.conn.SetDeadline(time.Unix(1, 0)) })
-	w := writer{l, out, in.wrote}
-	if len(out.Body) <= directWrite {
+	in := &Incoming{conn: conn, written: make(chan error, 1)}
+	start := time.Now()
+	in.stopCancel = context.AfterFunc(ctx, func() { conn.tcp.SetDeadline(time.Unix(1, 0)) })
+	w := writer{conn, out, in.written}
+	if len(out.Body) <= maxDirectWrite {
 		w.run()
 	} else {
 		go w.run()
 	}
-	if err := in.head(out.Method); err != nil {
-		early := !l.used.IsZero() && time.Since(began) < p.trip(l)
+	if err := in.readHead(out.Method); err != nil {
+		early := !conn.lastUsed.IsZero() && time.Since(start) < p.roundTrip(conn)
 		in.failed = true
 		in.Close()
 		if c := context.Cause(ctx); c != nil {
@@ -158,133 +156,136 @@
 // Try opens a connection to an address and keeps it for the next request.
 func (p *Pool) Try(ctx context.Context, address string) error {
 	p.poolMu.Lock()
-	known := p.peer(address)
-	full := known.most > 0 && known.open >= known.most
+	state := p.state(address)
+	full := state.maxOpen > 0 && state.open >= state.maxOpen
 	if !full {
-		known.open++
+		state.open++
 	}
 	p.poolMu.Unlock()
 	if full {
 		return errors.WithStack(ErrFull)
 	}
-	l, err := p.open(ctx, address)
+	conn, err := p.open(ctx, address)
 	if err != nil {
 		return err
 	}
-	p.put(l, "")
+	p.put(conn, "")
 	return nil
 }
 
-// trip returns the round trip of a connection: an end that comes sooner after a request was
-// there before the target could read it. A request that was sent to a second worker while that
-// one was ending as well, of something else, was taken for what it ended of.
+// roundTrip returns the round trip of a connection. A connection that is closed sooner after a
+// request was sent was closed before the target could read the request. Without this check, a
+// request sent to a second worker that was crashing for another reason was taken for the cause of
+// that crash.
 //
-// The least time that a connection to the address took to open stands in where the kernel
-// measures none: it is longer by what the processes wait for their processor. Taken by itself it
-// passed over one end in four tries on a busy machine.
-func (p *Pool) trip(l *line) time.Duration {
-	if measured := l.leastTrip(); measured > 0 {
+// If the kernel has no measurement, the shortest time to open a connection to the address is used.
+// It is longer, because it includes the time that processes wait for a processor: used alone, it
+// hid one crash in four tries on a busy machine.
+func (p *Pool) roundTrip(conn *poolConn) time.Duration {
+	if measured := conn.minRoundTrip(); measured > 0 {
 		return measured
 	}
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	if known := p.peers[l.address]; known != nil {
-		return known.trip
+	if state := p.addresses[conn.address]; state != nil {
+		return state.roundTrip
 	}
 	return 0
 }
 
-// get returns a connection to an address, waiting a little where all are used.
-func (p *Pool) get(ctx context.Context, address string, fresh time.Duration) (*line, error) {
+// get returns a connection to an address. If all are in use, it waits until one is free or ctx
+// ends.
+func (p *Pool) get(ctx context.Context, address string, fresh time.Duration) (*poolConn, error) {
 	for {
-		l, may := p.take(address, fresh)
-		if l != nil {
-			return l, nil
+		conn, canOpen := p.reserve(address, fresh)
+		if conn != nil {
+			return conn, nil
 		}
-		if may {
+		if canOpen {
 			return p.open(ctx, address)
 		}
-		if !wait.For(ctx, waitStep) {
+		if !wait.For(ctx, pollInterval) {
 			return nil, errors.WithStack(ErrFull)
 		}
 	}
 }
 
-// take returns an idle connection that is still alive, or whether a new one
-// may be opened, which is then counted.
-func (p *Pool) take(address string, fresh time.Duration) (*line, bool) {
+// reserve returns an idle connection that is still alive, or whether a new one may be opened. In
+// that case the new one is counted already.
+func (p *Pool) reserve(address string, fresh time.Duration) (*poolConn, bool) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	known := p.peer(address)
-	most := known.keep
+	state := p.state(address)
+	maxIdleTime := state.keepAlive
 	if fresh > 0 {
-		most = min(most, fresh)
+		maxIdleTime = min(maxIdleTime, fresh)
 	}
-	for len(known.idle) > 0 {
-		l := known.idle[len(known.idle)-1]
-		known.idle = known.idle[:len(known.idle)-1]
-		if time.Since(l.used) < most && !l.dead() {
-			return l, false
+	for len(state.idle) > 0 {
+		conn := state.idle[len(state.idle)-1]
+		state.idle = state.idle[:len(state.idle)-1]
+		if time.Since(conn.lastUsed) < maxIdleTime && !conn.isDead() {
+			return conn, false
 		}
-		l.conn.Close()
-		known.open--
+		conn.tcp.Close()
+		state.open--
 	}
-	if known.most > 0 && known.open >= known.most {
+	if state.maxOpen > 0 && state.open >= state.maxOpen {
 		return nil, false
 	}
-	known.open++
+	state.open++
 	return nil, true
 }
 
 // drop closes a connection.
-func (p *Pool) drop(l *line) {
-	l.conn.Close()
+func (p *Pool) drop(conn *poolConn) {
+	conn.tcp.Close()
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	if known := p.peers[l.address]; known != nil {
-		known.open--
+	if state := p.addresses[conn.address]; state != nil {
+		state.open--
 	}
 }
 
 // put keeps a connection for the next request.
-func (p *Pool) put(l *line, keepAlive string) {
-	l.used = time.Now()
-	p.keepIdle(l, keepAlive)
+func (p *Pool) put(conn *poolConn, keepAlive string) {
+	conn.lastUsed = time.Now()
+	p.keepIdle(conn, keepAlive)
 }
 
-// giveBack keeps a connection that was not used after all; it is as old as before to the target.
-func (p *Pool) giveBack(l *line) {
-	if l.used.IsZero() {
-		l.used = time.Now()
+// putUnused keeps a connection on which nothing was sent. For the target its idle time has not
+// started anew.
+func (p *Pool) putUnused(conn *poolConn) {
+	if conn.lastUsed.IsZero() {
+		conn.lastUsed = time.Now()
 	}
-	p.keepIdle(l, "")
+	p.keepIdle(conn, "")
 }
 
-// keepIdle puts a connection to the idle ones.
-func (p *Pool) keepIdle(l *line, keepAlive string) {
+// keepIdle adds a connection to the idle ones.
+func (p *Pool) keepIdle(conn *poolConn, keepAlive string) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
-	known := p.peer(l.address)
-	if d, ok := keepTime(keepAlive); ok {
-		known.keep = d
+	state := p.state(conn.address)
+	if d, ok := parseKeepAlive(keepAlive); ok {
+		state.keepAlive = d
 	}
-	if len(known.idle) >= idleMost {
-		l.conn.Close()
-		known.open--
+	if len(state.idle) >= maxIdle {
+		conn.tcp.Close()
+		state.open--
 		return
 	}
-	known.idle = append(known.idle, l)
+	state.idle = append(state.idle, conn)
 }
 
-// keepTime reads how long the target keeps an idle connection.
-func keepTime(header string) (time.Duration, bool) {
+// parseKeepAlive returns how long to reuse an idle connection according to a Keep-Alive header.
+func parseKeepAlive(header string) (time.Duration, bool) {
 	for _, f := range strings.Split(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(f), "=")
 		secs, err := strconv.Atoi(value)
 		if name != "timeout" || err != nil {
 			continue
 		}
-		return max(0, time.Duration(secs)*time.Second-keepMargin), true
+		return max(0, time.Duration(secs)*time.Second-keepAliveMargin), true
 	}
 	return 0, false
 }
--- a/core/target/pool_test.go
+++ b/core/target/pool_test.go
@@ -15,14 +15,14 @@
 	"github.com/onsi/gomega"
 )
 
-// server answers each request of each connection by a function.
+// server responds to each request on each connection by a function.
 type server struct {
-	address string
-	conns   atomic.Int64
-	arrived atomic.Int64
+	address  string
+	conns    atomic.Int64
+	requests atomic.Int64
 }
 
-func serve(t *testing.T, answer func(c net.Conn, n int64, r *http.Request) bool) *server {
+func serve(t *testing.T, respond func(c net.Conn, n int64, r *http.Request) bool) *server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,13 +36,13 @@
 				return
 			}
 			s.conns.Add(1)
-			go s.run(c, answer)
+			go s.run(c, respond)
 		}
 	}()
 	return s
 }
 
-func (s *server) run(c net.Conn, answer func(c net.Conn, n int64, r *http.Request) bool) {
+func (s *server) run(c net.Conn, respond func(c net.Conn, n int64, r *http.Request) bool) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -50,13 +50,13 @@
 		if err != nil {
 			return
 		}
-		if !answer(c, s.arrived.Add(1), req) {
+		if !respond(c, s.requests.Add(1), req) {
 			return
 		}
 	}
 }
 
-func whole(c net.Conn, text string, extra string) bool {
+func writeResponse(c net.Conn, text string, extra string) bool {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", extra, len(text), text)
 	return true
 }
@@ -71,11 +71,11 @@
 	return string(raw), err
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := serve(t, func(c net.Conn, _ int64, r *http.Request) bool {
 		io.Copy(io.Discard, r.Body)
-		return whole(c, "yes", "")
+		return writeResponse(c, "yes", "")
 	})
 	p := &Pool{}
 	for range 5 {
@@ -90,14 +90,14 @@
 	g.Expect(s.conns.Load()).To(gomega.Equal(int64(2)))
 }
 
-func TestConnectionsThatAreNotKept(t *testing.T) {
+func TestConnectionsNotReused(t *testing.T) {
 	tests := []struct {
-		name   string
-		answer func(c net.Conn) bool
+		name    string
+		respond func(c net.Conn) bool
 	}{
-		{"told to close", func(c net.Conn) bool { return whole(c, "yes", "Connection: close\r\n") }},
-		{"kept for no time", func(c net.Conn) bool { return whole(c, "yes", "Keep-Alive: timeout=0\r\n") }},
-		{"bytes after the answer", func(c net.Conn) bool {
+		{"Connection: close", func(c net.Conn) bool { return writeResponse(c, "yes", "Connection: close\r\n") }},
+		{"keep-alive time of zero", func(c net.Conn) bool { return writeResponse(c, "yes", "Keep-Alive: timeout=0\r\n") }},
+		{"bytes after the response", func(c net.Conn) bool {
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyesHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno")
 			return true
 		}},
@@ -106,7 +106,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			s := serve(t, func(c net.Conn, _ int64, _ *http.Request) bool { return tc.answer(c) })
+			s := serve(t, func(c net.Conn, _ int64, _ *http.Request) bool { return tc.respond(c) })
 			p := &Pool{}
 			for range 3 {
 				text, err := get(p, s.address)
@@ -118,13 +118,13 @@
 	}
 }
 
-func TestNothingIsEverSentTwice(t *testing.T) {
+func TestRequestIsNeverSentTwice(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := serve(t, func(c net.Conn, n int64, _ *http.Request) bool {
 		if n == 2 {
-			return false // a kept connection that is closed under a request
+			return false // a reused connection that is closed during a request
 		}
-		return whole(c, "yes", "")
+		return writeResponse(c, "yes", "")
 	})
 	p := &Pool{}
 	_, err := get(p, s.address)
@@ -132,10 +132,10 @@
 	_, err = get(p, s.address)
 	g.Expect(err).To(gomega.HaveOccurred())
 	g.Expect(WasSent(err)).To(gomega.BeTrue())
-	g.Expect(s.arrived.Load()).To(gomega.Equal(int64(2)))
+	g.Expect(s.requests.Load()).To(gomega.Equal(int64(2)))
 }
 
-func TestWhatWasNotSentIsKnown(t *testing.T) {
+func TestUnsentRequestIsReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -146,7 +146,7 @@
 	g.Expect(WasSent(err)).To(gomega.BeFalse())
 }
 
-func TestShortAnswersAreNotWhole(t *testing.T) {
+func TestTruncatedResponsesFail(t *testing.T) {
 	tests := []struct{ name, raw string }{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes"},
 		{"chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nyes"},
@@ -162,11 +162,11 @@
 	}
 }
 
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := serve(t, func(c net.Conn, _ int64, _ *http.Request) bool { return whole(c, "no", "") })
+	s := serve(t, func(c net.Conn, _ int64, _ *http.Request) bool { return writeResponse(c, "no", "") })
 	p := &Pool{}
-	body := []byte(strings.Repeat("x", 64<<20)) // more than sockets hold
+	body := []byte(strings.Repeat("x", 64<<20)) // more than the sockets' buffers hold
 	for range 2 {
 		in, err := p.Send(context.Background(), s.address, &Outgoing{Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: body})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -181,7 +181,7 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	release := make(chan struct{})
-	s := serve(t, func(c net.Conn, _ int64, _ *http.Request) bool { <-release; return whole(c, "yes", "") })
+	s := serve(t, func(c net.Conn, _ int64, _ *http.Request) bool { <-release; return writeResponse(c, "yes", "") })
 	p := &Pool{}
 	p.SetMost(s.address, 1)
 	done := make(chan error, 1)
@@ -197,25 +197,25 @@
 	g.Expect(p.Room(s.address)).To(gomega.Equal(1))
 }
 
-// A connection that the target closed while a request was on its way ends within a round trip;
-// one that it closes when it has the request takes longer. The kernel measures the trip, and
-// opening a connection stands in for it.
-func TestTheRoundTripOfAConnection(t *testing.T) {
+// A connection that the target closed while a request was on its way ends within a round trip; one
+// that it closes after it received the request takes longer. The round trip is the kernel's
+// measurement or, without one, the time to open a connection.
+func TestRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer l.Close()
 	var p Pool
 	address := l.Addr().String()
-	ln, err := p.open(context.Background(), address)
+	conn, err := p.open(context.Background(), address)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	opened := p.peer(address).trip
-	g.Expect(opened).To(gomega.BeNumerically(">", 0))
-	g.Expect(ln.leastTrip()).To(gomega.BeNumerically(">", 0))
-	g.Expect(p.trip(ln)).To(gomega.Equal(ln.leastTrip()))
-	ln.conn.Close()
-	g.Expect(p.trip(ln)).To(gomega.Equal(opened))
-	p.opened(address, opened/2, nil)
-	p.opened(address, 2*opened, nil)
-	g.Expect(p.trip(ln)).To(gomega.Equal(opened / 2))
+	openTime := p.state(address).roundTrip
+	g.Expect(openTime).To(gomega.BeNumerically(">", 0))
+	g.Expect(conn.minRoundTrip()).To(gomega.BeNumerically(">", 0))
+	g.Expect(p.roundTrip(conn)).To(gomega.Equal(conn.minRoundTrip()))
+	conn.tcp.Close()
+	g.Expect(p.roundTrip(conn)).To(gomega.Equal(openTime))
+	p.recordOpen(address, openTime/2, nil)
+	p.recordOpen(address, 2*openTime, nil)
+	g.Expect(p.roundTrip(conn)).To(gomega.Equal(openTime / 2))
 }
