--- a/core/roster/availability_test.go
+++ b/core/roster/availability_test.go
@@ -99,6 +99,6 @@
 	r.Put(entry("c"))
 	r.Leaves("c", ByAnswer)
 	g.Expect(r.selfReports).To(gomega.HaveLen(1))
-	leaving, _ := r.WordCounts()
-	g.Expect(leaving).To(gomega.Equal(1))
+	shuttingDown, _ := r.WordCounts()
+	g.Expect(shuttingDown).To(gomega.Equal(1))
 }
--- a/core/roster/domains_test.go
+++ b/core/roster/domains_test.go
@@ -19,7 +19,7 @@
 		// after is the time of the check, counted from the first step.
 		after     time.Duration
 		evacuated bool
-		lasts     time.Duration
+		duration  time.Duration
 		cold      bool
 	}{
 		{"none", nil, 0, false, 0, false},
@@ -41,9 +41,9 @@
 				r.Evacuate("d", on, at.Add(time.Duration(i)*time.Second))
 			}
 			now := at.Add(tc.after)
-			lasts, on := r.Evacuated("d", now)
+			duration, on := r.Evacuated("d", now)
 			g.Expect(on).To(gomega.Equal(tc.evacuated))
-			g.Expect(lasts).To(gomega.Equal(tc.lasts))
+			g.Expect(duration).To(gomega.Equal(tc.duration))
 			g.Expect(r.Cold(r.Target("a"), warmUp, now)).To(gomega.Equal(tc.cold))
 			_, on = r.Evacuated("other", now)
 			g.Expect(on).To(gomega.BeFalse())
--- a/core/roster/external.go
+++ b/core/roster/external.go
@@ -3,7 +3,8 @@
 import "time"
 
 // externalTargets are targets that this daemon's list does not contain. Another daemon, whose list
-// contains them, named each of them for one attempt. The zero value is empty.
+// contains them, chose each of them for an attempt and sent its entry along. The zero value is
+// empty.
 type externalTargets struct {
 	byID map[string]*externalTarget
 	// lastSweep is when unused ones were last removed.
@@ -25,37 +26,37 @@
 )
 
 // find returns an external target and marks it as used, or returns nil.
-func (g *externalTargets) find(id string) *Target {
-	if found := g.byID[id]; found != nil {
-		found.lastUsed = time.Now()
-		return found.target
+func (e *externalTargets) find(id string) *Target {
+	if known := e.byID[id]; known != nil {
+		known.lastUsed = time.Now()
+		return known.target
 	}
 	return nil
 }
 
 // take removes and returns an external target that is now listed, or returns nil.
-func (g *externalTargets) take(id string) *Target {
-	found := g.byID[id]
+func (e *externalTargets) take(id string) *Target {
+	found := e.byID[id]
 	if found == nil {
 		return nil
 	}
-	delete(g.byID, id)
+	delete(e.byID, id)
 	return found.target
 }
 
 // put adds an external target, and from time to time removes those unused for long.
-func (g *externalTargets) put(t *Target, now time.Time) {
-	if g.byID == nil {
-		g.byID = map[string]*externalTarget{}
+func (e *externalTargets) put(t *Target, now time.Time) {
+	if e.byID == nil {
+		e.byID = map[string]*externalTarget{}
 	}
-	g.byID[t.id] = &externalTarget{t, now}
-	if now.Sub(g.lastSweep) < externalSweepInterval {
+	e.byID[t.id] = &externalTarget{t, now}
+	if now.Sub(e.lastSweep) < externalSweepInterval {
 		return
 	}
-	g.lastSweep = now
-	for id, old := range g.byID {
+	e.lastSweep = now
+	for id, old := range e.byID {
 		if now.Sub(old.lastUsed) > externalTTL && old.target.Own() == (Load{}) {
-			delete(g.byID, id)
+			delete(e.byID, id)
 		}
 	}
 }
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -40,52 +40,52 @@
 // extend prolongs the pushback by a request for d, and reports whether a new pushback starts and a
 // log line is due. Of two requests the one that ends later applies: a target that asked for three
 // seconds does not want requests after one because it told another request so.
-func (r *pushback) extend(d time.Duration, now clock.Time) bool {
-	starts := !now.Before(r.until)
-	if until := now.Add(min(d, MaxPushback)); until.After(r.until) {
-		r.until = until
+func (p *pushback) extend(d time.Duration, now clock.Time) bool {
+	starts := !now.Before(p.until)
+	if until := now.Add(min(d, MaxPushback)); until.After(p.until) {
+		p.until = until
 	}
-	r.rampAttempts = 0
-	if !starts || (!r.lastLogged.IsZero() && now.Sub(r.lastLogged) < pushbackLogInterval) {
+	p.rampAttempts = 0
+	if !starts || (!p.lastLogged.IsZero() && now.Sub(p.lastLogged) < pushbackLogInterval) {
 		return false
 	}
-	r.lastLogged, r.logged = now, true
+	p.lastLogged, p.logged = now, true
 	return true
 }
 
 // remaining returns how much longer the target gets no requests; 0 if it may get one.
-func (r *pushback) remaining(now clock.Time) time.Duration {
-	if now.Before(r.until) {
-		return r.until.Sub(now)
+func (p *pushback) remaining(now clock.Time) time.Duration {
+	if now.Before(p.until) {
+		return p.until.Sub(now)
 	}
-	if r.rampDone(now) {
+	if p.rampDone(now) {
 		return 0
 	}
-	return max(0, r.until.Add(time.Duration(r.rampAttempts)*rampStep).Sub(now))
+	return max(0, p.until.Add(time.Duration(p.rampAttempts)*rampStep).Sub(now))
 }
 
 // rampDone reports whether the target counts as any other.
-func (r *pushback) rampDone(now clock.Time) bool {
-	return r.until.IsZero() || now.Sub(r.until) >= rampSteps*rampStep
+func (p *pushback) rampDone(now clock.Time) bool {
+	return p.until.IsZero() || now.Sub(p.until) >= rampSteps*rampStep
 }
 
 // take counts an attempt, and reports whether it may be sent.
-func (r *pushback) take(now clock.Time) bool {
-	if r.remaining(now) > 0 {
+func (p *pushback) take(now clock.Time) bool {
+	if p.remaining(now) > 0 {
 		return false
 	}
-	r.rampAttempts++
+	p.rampAttempts++
 	return true
 }
 
 // endRamp ends the ramp because a request was accepted, and reports whether a log line is due: it
 // is if one was due when the pushback started.
-func (r *pushback) endRamp(now clock.Time) bool {
-	if r.until.IsZero() || now.Before(r.until) {
+func (p *pushback) endRamp(now clock.Time) bool {
+	if p.until.IsZero() || now.Before(p.until) {
 		return false
 	}
-	logged := r.logged
-	*r = pushback{lastLogged: r.lastLogged}
+	logged := p.logged
+	*p = pushback{lastLogged: p.lastLogged}
 	return logged
 }
 
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -11,6 +11,7 @@
 
 // Limit is the rate limit that a response of a target states. The zero value states none.
 type Limit struct {
+	// Named means that the response states a rate.
 	Named bool
 	// PerSecond is the number of requests a second from all daemons together.
 	PerSecond float64
@@ -47,13 +48,15 @@
 	// seq orders the changes of all daemons: each change gets a number one above the highest that
 	// its daemon has seen.
 	seq uint64
-	// changed is when this daemon received the last change, and lastStated when it last received a
-	// response that states the rate. A response to a request sent before then is not newer.
+	// changed is when this daemon received the last change, or a peer last sent it a limit that has
+	// ended. lastStated is when it last received a response that states the rate. A response to a
+	// request sent before them is not newer.
 	changed, lastStated clock.Time
-	// lastLogged is when the last line was logged.
+	// lastLogged is when the last log line about the limit was written.
 	lastLogged clock.Time
 
-	// rank of this daemon among this many daemons, as of rankedAt.
+	// rank is this daemon's rank among the daemons that may use the target, and daemons is their
+	// number, both computed at rankedAt.
 	rank, daemons int
 	rankedAt      clock.Time
 	// sends means that this daemon sends to the target. nextPermit is when its bucket is full.
@@ -120,8 +123,8 @@
 // Token is a permit to send one request to a target. The zero value belongs to a request whose
 // target had no rate limit when it was chosen.
 type Token struct {
-	// Held means that a permit was taken. Far means that another daemon chose the target and so
-	// took the permit, if there was a rate limit.
+	// Held means that a permit was taken. Far means that another daemon chose the target, and so
+	// decided about the permit.
 	Held, Far bool
 	// seq is the limit's seq when the permit was taken here; 0 if it was taken elsewhere.
 	seq uint64
@@ -199,32 +202,32 @@
 	if stated.Odd != "" {
 		r.logInvalid(id, report, "invalid rate limit "+stated.Odd)
 	}
-	l := &report.limit
+	state := &report.limit
 	switch {
-	case stated.Named && l.active && stated.PerSecond > l.perSecond && sent.Before(l.changed):
+	case stated.Named && state.active && stated.PerSecond > state.perSecond && sent.Before(state.changed):
 		// The response may be older than the one that stated the lower rate.
 	case stated.Named:
-		l.lastStated = now
-		return r.setLimit(id, l, LimitNews{On: true, PerSecond: stated.PerSecond, Seq: l.seq + 1}, ByAnswer)
-	case executed && stated.Odd == "" && l.active && sent.After(l.lastStated) && sent.After(l.changed):
-		return r.setLimit(id, l, LimitNews{Seq: l.seq + 1}, ByAnswer)
+		state.lastStated = now
+		return r.setLimit(id, state, LimitNews{On: true, PerSecond: stated.PerSecond, Seq: state.seq + 1}, ByAnswer)
+	case executed && stated.Odd == "" && state.active && sent.After(state.lastStated) && sent.After(state.changed):
+		return r.setLimit(id, state, LimitNews{Seq: state.seq + 1}, ByAnswer)
 	}
 	return false
 }
 
 // setLimit applies an update and reports whether it is a change. It is called with rosterMu held.
-func (r *Roster) setLimit(id string, l *limitState, update LimitNews, source Source) bool {
-	now, oldText := clock.Now(), l.text()
-	if !l.set(update.On, update.PerSecond, now) {
+func (r *Roster) setLimit(id string, state *limitState, update LimitNews, source Source) bool {
+	now, oldText := clock.Now(), state.text()
+	if !state.set(update.On, update.PerSecond, now) {
 		return false
 	}
-	l.seq, l.rankedAt = update.Seq, clock.Time{}
-	if !l.lastLogged.IsZero() && now.Sub(l.lastLogged) < limitLogInterval {
+	state.seq, state.rankedAt = update.Seq, clock.Time{}
+	if !state.lastLogged.IsZero() && now.Sub(state.lastLogged) < limitLogInterval {
 		return true
 	}
-	l.lastLogged = now
+	state.lastLogged = now
 	if update.On {
-		r.log.Emit(event.TargetLimits, event.Ref{Target: id}, l.text()+", reported by "+string(source))
+		r.log.Emit(event.TargetLimits, event.Ref{Target: id}, state.text()+", reported by "+string(source))
 	} else {
 		r.log.Emit(event.TargetUnlimited, event.Ref{Target: id}, "no longer "+oldText+", reported by "+string(source))
 	}
@@ -237,7 +240,8 @@
 // LimitNews is the update about an incarnation's rate limit that daemons send each other.
 type LimitNews struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
-	_msgpack  struct{} `msgpack:",as_array"`
+	_msgpack struct{} `msgpack:",as_array"`
+	// On means that there is a rate limit, and PerSecond is its rate.
 	On        bool
 	PerSecond float64
 	// Seq orders the changes; see limitState.
@@ -253,14 +257,14 @@
 	var out map[string]LimitNews
 	now := clock.Now()
 	for id, report := range r.selfReports {
-		l := &report.limit
-		if l.seq == 0 || (!l.active && now.Sub(l.changed) > limitEndNotifyTime) {
+		state := &report.limit
+		if state.seq == 0 || (!state.active && now.Sub(state.changed) > limitEndNotifyTime) {
 			continue
 		}
 		if out == nil {
 			out = map[string]LimitNews{}
 		}
-		out[id] = LimitNews{On: l.active, PerSecond: l.perSecond, Seq: l.seq}
+		out[id] = LimitNews{On: state.active, PerSecond: state.perSecond, Seq: state.seq}
 	}
 	return out
 }
@@ -275,17 +279,17 @@
 		if update.Seq == 0 || math.IsNaN(update.PerSecond) || update.PerSecond < 0 {
 			continue
 		}
-		l := &r.selfReportOf(id).limit
-		newer := update.Seq > l.seq
-		if update.Seq == l.seq {
+		state := &r.selfReportOf(id).limit
+		newer := update.Seq > state.seq
+		if update.Seq == state.seq {
 			// Two daemons received two changes at the same time: the lower rate is the safer one.
-			newer = update.On && (!l.active || update.PerSecond < l.perSecond)
+			newer = update.On && (!state.active || update.PerSecond < state.perSecond)
 		}
 		if newer {
-			r.setLimit(id, l, update, ByPeer)
-			l.seq = update.Seq
-		} else if update.Seq < l.seq && !l.active {
-			l.changed = clock.Now()
+			r.setLimit(id, state, update, ByPeer)
+			state.seq = update.Seq
+		} else if update.Seq < state.seq && !state.active {
+			state.changed = clock.Now()
 		}
 	}
 }
--- a/core/roster/ratelimit_test.go
+++ b/core/roster/ratelimit_test.go
@@ -23,9 +23,9 @@
 	buckets []limitState
 	// ranks holds each daemon's rank; two daemons may have the same one. total is the number of
 	// daemons that they assume.
-	ranks []int
-	total int
-	sent  []time.Duration
+	ranks    []int
+	total    int
+	arrivals []time.Duration
 }
 
 // simulate has each daemon receive requests at a mean rate of demand for a while. Each request
@@ -38,7 +38,7 @@
 			at += time.Duration(s.random.ExpFloat64() / demand * float64(time.Second))
 			if now := start.Add(at); s.buckets[i].wait(now) == 0 {
 				s.buckets[i].take(now)
-				s.sent = append(s.sent, at+time.Duration(s.random.Float64()*float64(transit)))
+				s.arrivals = append(s.arrivals, at+time.Duration(s.random.Float64()*float64(transit)))
 			}
 		}
 	}
@@ -46,17 +46,17 @@
 
 // maxArrivals returns the largest number of arrivals within limitSpan.
 func (s *limitSim) maxArrivals() int {
-	most := 0
-	for _, from := range s.sent {
+	highest := 0
+	for _, from := range s.arrivals {
 		n := 0
-		for _, at := range s.sent {
+		for _, at := range s.arrivals {
 			if at >= from && at-from <= limitSpan {
 				n++
 			}
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
 // The bound does not depend on the fleet's size: h daemons with full buckets let through h + 4 s of
@@ -73,8 +73,8 @@
 				g := gomega.NewWithT(t)
 				g.Expect(sim.maxArrivals()).To(gomega.BeNumerically("<=", limitBound(perSecond)), name)
 				if used := min(perSecond, float64(min(daemons, minSenders))); perSecond >= minRate {
-					least := used * (duration - time.Duration(float64(minSenders)/perSecond*float64(time.Second))).Seconds() / 2
-					g.Expect(float64(len(sim.sent))).To(gomega.BeNumerically(">=", least), name+": at least half of the limit is used")
+					minSent := used * (duration - time.Duration(float64(minSenders)/perSecond*float64(time.Second))).Seconds() / 2
+					g.Expect(float64(len(sim.arrivals))).To(gomega.BeNumerically(">=", minSent), name+": at least half of the limit is used")
 				}
 			}
 		}
@@ -111,36 +111,36 @@
 func statedRate(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
 
 func TestRateLimitFollowsResponses(t *testing.T) {
-	type answer struct {
+	type response struct {
 		limit Limit
 		// early means that the request was sent before the first response arrived, and refused that
 		// the target rejected it.
 		early, refused bool
 	}
 	tests := []struct {
-		name    string
-		answers []answer
-		want    float64 // -1 for none
+		name      string
+		responses []response
+		want      float64 // -1 for none
 	}{
-		{"never stated", []answer{{}}, -1},
-		{"stated", []answer{{limit: statedRate(5)}}, 5},
-		{"no longer stated", []answer{{limit: statedRate(5)}, {}}, -1},
-		{"no longer stated in a rejection", []answer{{limit: statedRate(5)}, {refused: true}}, 5},
-		{"stated in a rejection", []answer{{limit: statedRate(5), refused: true}}, 5},
-		{"not stated in the response to an older request", []answer{{limit: statedRate(5)}, {early: true}}, 5},
-		{"another rate", []answer{{limit: statedRate(5)}, {limit: statedRate(7)}}, 7},
-		{"a higher rate in the response to an older request", []answer{{limit: statedRate(5)}, {limit: statedRate(7), early: true}}, 5},
-		{"a lower rate in the response to an older request", []answer{{limit: statedRate(5)}, {limit: statedRate(3), early: true}}, 3},
-		{"an unreadable rate", []answer{{limit: statedRate(5)}, {limit: Limit{Odd: "x"}}}, 5},
-		{"an unreadable rate first", []answer{{limit: Limit{Odd: "x"}}}, -1},
-		{"zero", []answer{{limit: statedRate(0)}}, 0},
+		{"never stated", []response{{}}, -1},
+		{"stated", []response{{limit: statedRate(5)}}, 5},
+		{"no longer stated", []response{{limit: statedRate(5)}, {}}, -1},
+		{"no longer stated in a rejection", []response{{limit: statedRate(5)}, {refused: true}}, 5},
+		{"stated in a rejection", []response{{limit: statedRate(5), refused: true}}, 5},
+		{"not stated in the response to an older request", []response{{limit: statedRate(5)}, {early: true}}, 5},
+		{"another rate", []response{{limit: statedRate(5)}, {limit: statedRate(7)}}, 7},
+		{"a higher rate in the response to an older request", []response{{limit: statedRate(5)}, {limit: statedRate(7), early: true}}, 5},
+		{"a lower rate in the response to an older request", []response{{limit: statedRate(5)}, {limit: statedRate(3), early: true}}, 3},
+		{"an unreadable rate", []response{{limit: statedRate(5)}, {limit: Limit{Odd: "x"}}}, 5},
+		{"an unreadable rate first", []response{{limit: Limit{Odd: "x"}}}, -1},
+		{"zero", []response{{limit: statedRate(0)}}, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			r, _ := newLimited(&event.Log{})
 			before := clock.Now()
-			for _, a := range tc.answers {
+			for _, a := range tc.responses {
 				sent := before
 				if !a.early {
 					clock.Suspend(time.Millisecond)
--- a/core/roster/restored_test.go
+++ b/core/roster/restored_test.go
@@ -12,9 +12,9 @@
 )
 
 // entryAt is an entry written at a revision of a store incarnation.
-func entryAt(id string, leaving bool, storeIncarnation, revision int64) Entry {
+func entryAt(id string, shuttingDown bool, storeIncarnation, revision int64) Entry {
 	e := entry(id)
-	e.Name, e.Leaving, e.Revision = id, leaving, plat.Revision(storeIncarnation, revision)
+	e.Name, e.Leaving, e.Revision = id, shuttingDown, plat.Revision(storeIncarnation, revision)
 	return e
 }
 
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -25,13 +25,14 @@
 	Name string
 	// Born is when the incarnation started, by the target's clock; zero if not reported.
 	Born    time.Time
-	Service string
+	Service string // name of the service that it belongs to
 	// Address is IP and port. It may later be reused by a target of another service.
 	Address string
-	Domain  string
+	Domain  string // failure domain
 	// Version is the version of the target's software; "" if the list does not give it.
 	Version string
-	Slots   int
+	// Slots is how many requests the target runs at once.
+	Slots int
 	// Leaving means that the target is shutting down and takes no new work.
 	Leaving bool
 	// Cold is how much longer the target is warming up after its start.
@@ -81,10 +82,10 @@
 	// Place, if set, returns this daemon's rank for a target (the number of daemons before it) and
 	// the number of daemons that may choose the target. It is set before use, and called with
 	// rosterMu held.
-	Place func(t *Target) (place, of int)
+	Place func(t *Target) (rank, daemons int)
 	// Removed, if set, is called for each incarnation that is removed, and is passed whether it was
 	// shutting down. It is set before use, and called with rosterMu held.
-	Removed func(id string, leaving bool)
+	Removed func(id string, shuttingDown bool)
 
 	rosterMu sync.Mutex
 	targets  map[string]*Target // by ID; guarded by rosterMu
--- a/core/roster/selfreport.go
+++ b/core/roster/selfreport.go
@@ -140,12 +140,12 @@
 
 // logInvalid logs an unreadable value that an incarnation reported, once for each incarnation. It
 // is called with rosterMu held.
-func (r *Roster) logInvalid(id string, report *selfReport, what string) {
+func (r *Roster) logInvalid(id string, report *selfReport, text string) {
 	if report.invalidLogged {
 		return
 	}
 	report.invalidLogged = true
-	r.log.Emit(event.TargetUnreadable, event.Ref{Target: id}, what)
+	r.log.Emit(event.TargetUnreadable, event.Ref{Target: id}, text)
 }
 
 // Took records that an incarnation accepted a request. This ends the ramp after a pushback, but not
--- a/core/roster/target.go
+++ b/core/roster/target.go
@@ -22,7 +22,8 @@
 	busy *busyTargets
 
 	targetMu sync.Mutex
-	local    Load // guarded by targetMu
+	// local is the work in flight from this daemon. Guarded by targetMu.
+	local Load
 	// remote is the work in flight from other daemons. Guarded by targetMu.
 	remote Load
 	// failures counts consecutive requests without any response. Guarded by targetMu.
@@ -62,7 +63,7 @@
 	defer t.targetMu.Unlock()
 	t.lapsedUntil = time.Time{}
 	if old != nil && plat.Era(e.Revision) > plat.Era(old.Revision) && plat.Number(e.Revision) <= plat.Number(old.Revision) {
-		// The same entry again, from a list that was restored from an older copy.
+		// The entry is not newer: the list was restored from an older copy.
 		return
 	}
 	t.warmUpUntil = time.Time{}
@@ -140,7 +141,8 @@
 	Suspect bool
 	// Lapsed means that its entry disappeared in an outage of the list.
 	Lapsed bool
-	Gone   bool
+	// Gone means that the target was removed.
+	Gone bool
 }
 
 const (
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -30,8 +30,8 @@
 type StatusError struct {
 	Status int
 	Text   string
-	// Rest is the pushback in the response; 0 if there is none.
-	Rest time.Duration
+	// Pushback is the pushback in the response; 0 if there is none.
+	Pushback time.Duration
 }
 
 // Error returns the status and the start of the response's body.
@@ -52,7 +52,7 @@
 func Rest(err error) time.Duration {
 	var s *StatusError
 	if errors.As(err, &s) {
-		return s.Rest
+		return s.Pushback
 	}
 	return 0
 }
@@ -286,7 +286,7 @@
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
 	// An unreadable pushback counts as none; the error's text is logged.
 	pushback, _ := AskedRest(resp.StatusCode, resp.Header)
-	return nil, errors.WithStack(&StatusError{Status: resp.StatusCode, Text: string(text), Rest: pushback})
+	return nil, errors.WithStack(&StatusError{Status: resp.StatusCode, Text: string(text), Pushback: pushback})
 }
 
 const (
--- a/core/target/conn.go
+++ b/core/target/conn.go
@@ -33,10 +33,12 @@
 
 // poolConn is one connection to a target.
 type poolConn struct {
-	pool     *Pool
-	address  string
-	tcp      *net.TCPConn
-	r        *bufio.Reader
+	pool    *Pool
+	address string
+	tcp     *net.TCPConn
+	r       *bufio.Reader
+	// lastUsed is when the last request on it ended, or when it was first kept without one; zero if
+	// it was never kept.
 	lastUsed time.Time
 }
 
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -29,17 +29,17 @@
 
 // SendError is a failure to get a response.
 type SendError struct {
-	// Sent means that bytes of the request may have reached the target.
-	Sent bool
-	// Early means that a reused connection was closed sooner than a response could have arrived on
-	// it: the target closed it before it received the request.
-	Early bool
-	cause error
+	// MayHaveArrived means that bytes of the request may have reached the target.
+	MayHaveArrived bool
+	// ClosedEarly means that a reused connection was closed sooner than a response could have
+	// arrived on it: the target closed it before it received the request.
+	ClosedEarly bool
+	cause       error
 }
 
 // Error returns the cause and whether the request may have been sent.
 func (e *SendError) Error() string {
-	if e.Sent {
+	if e.MayHaveArrived {
 		return "after sending: " + e.cause.Error()
 	}
 	return "before sending: " + e.cause.Error()
@@ -51,13 +51,13 @@
 // WasSent reports whether a failed request may have reached its target.
 func WasSent(err error) bool {
 	var s *SendError
-	return errors.As(err, &s) && s.Sent
+	return errors.As(err, &s) && s.MayHaveArrived
 }
 
 // WasEarly reports whether a request failed on a connection that its target had closed before.
 func WasEarly(err error) bool {
 	var s *SendError
-	return errors.As(err, &s) && s.Early
+	return errors.As(err, &s) && s.ClosedEarly
 }
 
 // Incoming is the response of a target, whose body is still to be read.
@@ -65,13 +65,17 @@
 	Status int
 	Header http.Header
 	// Length is the length of the body; -1 if the response does not state it.
-	Length     int64
-	body       io.Reader
-	conn       *poolConn
+	Length int64
+	body   io.Reader
+	// conn is nil once the exchange has been closed.
+	conn *poolConn
+	// stopCancel detaches the connection from the context, and reports false if the context had
+	// ended before.
 	stopCancel func() bool
-	written    chan error
-	complete   bool
-	failed     bool
+	// written receives the result of writing the request.
+	written  chan error
+	complete bool // the body was read to its end
+	failed   bool // the connection must not be reused
 }
 
 // Read reads the body. It returns io.EOF only when the response is complete.
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -28,8 +28,10 @@
 
 // addressState is the state of the connections to one address.
 type addressState struct {
-	idle    []*poolConn
-	open    int
+	idle []*poolConn
+	// open is the number of connections, including idle ones and those being opened.
+	open int
+	// maxOpen bounds open; 0 means no bound.
 	maxOpen int
 	// keepAlive is how long the target keeps an idle connection.
 	keepAlive time.Duration
@@ -148,7 +150,7 @@
 		if c := context.Cause(ctx); c != nil {
 			err = c
 		}
-		return nil, &SendError{Sent: true, Early: early, cause: err}
+		return nil, &SendError{MayHaveArrived: true, ClosedEarly: early, cause: err}
 	}
 	return in, nil
 }
--- a/core/target/store.go
+++ b/core/target/store.go
@@ -66,7 +66,8 @@
 	Blocks int        `json:"blocks"`
 	// IdleSeconds is the time since the context was last read or written.
 	IdleSeconds float64 `json:"idleSeconds"`
-	Reads       int     `json:"reads"`
+	// Reads is how often the context was read.
+	Reads int `json:"reads"`
 }
 
 // Usage describes how full a store is.
