--- /dev/null
+++ b/core/roster/availability.go
@@ -0,0 +1,184 @@
+package roster
+
+import (
+	"time"
+
+	"embertally.dev/core/clock"
+)
+
+// Stop is the reason why a target may not get a request now.
+type Stop uint8
+
+// Reasons, in the order in which they are checked.
+const (
+	// Open: the target is available.
+	Open Stop = iota
+	// Gone: it is no longer listed.
+	Gone
+	// Leaves: the list, the target itself or a peer reports that it is shutting down.
+	Leaves
+	// Swaps: it has a weight update pending.
+	Swaps
+	// Rests: it is under pushback for this daemon, or in the ramp that follows.
+	Rests
+	// Limited: it is rate-limited, and this daemon has no permit now.
+	Limited
+	// Suspect: recent requests got no response.
+	Suspect
+	// Evacuated: operators requested the evacuation of its failure domain.
+	Evacuated
+)
+
+var reasonNames = [...]string{"open", "gone", "leaves", "changes its weights", "rests", "is over the limit that it named", "does not answer", "evacuated"}
+
+// String returns the reason as it appears in log lines.
+func (s Stop) String() string { return reasonNames[s] }
+
+// Gate is an immutable snapshot of the availability of all targets. Every way of sending consults
+// it when it chooses a target, and then Enter once a connection is open, so that a reason found by
+// one of them applies to all.
+type Gate struct {
+	at           time.Time
+	updating     map[string]bool
+	selfStatuses map[string]selfStatus
+	evacuations  map[string]evacuation
+}
+
+// selfStatus is what a target reported about itself, evaluated at one moment.
+type selfStatus struct {
+	shuttingDown bool
+	// pushback is how much longer it gets no requests.
+	pushback time.Duration
+	// limited means that it has a rate limit, and limitWait is how long until this daemon has a
+	// permit.
+	limited   bool
+	limitWait time.Duration
+}
+
+// Gate returns a snapshot of the availability of all targets.
+func (r *Roster) Gate(now time.Time) *Gate {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	g := &Gate{at: now, updating: r.updatingNow(now), evacuations: *r.evacuations.Load()}
+	if len(r.selfReports) == 0 {
+		return g
+	}
+	g.selfStatuses = make(map[string]selfStatus, len(r.selfReports))
+	clockNow := clock.Now()
+	for id, report := range r.selfReports {
+		if status := r.selfStatusOf(id, report, clockNow); status != (selfStatus{}) {
+			g.selfStatuses[id] = status
+		}
+	}
+	return g
+}
+
+// Stop returns why a target is unavailable, and for how much longer if that is known: what is left
+// of its pushback, the time until this daemon has a permit, or, as an estimate for an evacuation,
+// as long again as it has lasted.
+func (g *Gate) Stop(t *Target) (Stop, time.Duration) {
+	return g.reason(t, g.updating[t.id], g.selfStatuses[t.id])
+}
+
+// reason is Stop, given the status of the target.
+func (g *Gate) reason(t *Target, updating bool, self selfStatus) (Stop, time.Duration) {
+	health, entry := t.Health(g.at), t.Entry()
+	switch {
+	case health.Gone:
+		return Gone, 0
+	case self.shuttingDown || entry.Leaving:
+		return Leaves, 0
+	case updating:
+		return Swaps, 0
+	case self.pushback > 0:
+		return Rests, max(self.pushback, self.limitWait)
+	case self.limitWait > 0:
+		return Limited, self.limitWait
+	case health.Suspect:
+		return Suspect, 0
+	}
+	if duration, on := evacuated(g.evacuations, entry.Domain, g.at); on {
+		return Evacuated, duration
+	}
+	return Open, 0
+}
+
+// Limits reports whether a target has a rate limit.
+func (g *Gate) Limits(t *Target) bool { return g.selfStatuses[t.id].limited }
+
+// Enter returns Open if a request may be sent to a target now, and counts it. It is called last,
+// once a connection is open: since the target was chosen, it may have told another request that it
+// is shutting down, under pushback or rate-limited. A request with a permit has already been
+// counted against the rate limit.
+//
+// It looks at one target only, because a Gate allocates two maps, which is too much for each
+// request.
+func (r *Roster) Enter(t *Target, permit Token) Stop {
+	now := time.Now()
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	report, status, clockNow := r.selfReports[t.id], selfStatus{}, clock.Time{}
+	if report != nil {
+		clockNow = clock.Now()
+		status = r.selfStatusOf(t.id, report, clockNow)
+	}
+	switch {
+	case permit.Held:
+		status.limitWait = 0
+	case permit.Far && status.limited:
+		status.limitWait = max(status.limitWait, time.Nanosecond)
+	}
+	g := Gate{at: now, evacuations: *r.evacuations.Load()}
+	reason, _ := g.reason(t, r.isUpdating(t.id, now), status)
+	if reason == Open && report != nil {
+		report.pushback.take(clockNow)
+		if report.limit.active && !permit.Held {
+			report.limit.take(clockNow)
+		}
+	}
+	return reason
+}
+
+// selfStatusOf evaluates what an incarnation reported. It is called with rosterMu held.
+func (r *Roster) selfStatusOf(id string, report *selfReport, now clock.Time) selfStatus {
+	status := selfStatus{shuttingDown: report.shuttingDown, pushback: report.pushback.remaining(now)}
+	t := r.find(id)
+	if t == nil {
+		return status
+	}
+	if l := r.limitFor(t, now); l != nil {
+		status.limited, status.limitWait = true, l.wait(now)
+	}
+	return status
+}
+
+// Leaving reports whether an incarnation is shutting down, and how that is known.
+func (r *Roster) Leaving(t *Target) (Source, bool) {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	return r.shuttingDown(t)
+}
+
+// shuttingDown is Leaving with rosterMu held.
+func (r *Roster) shuttingDown(t *Target) (Source, bool) {
+	if report := r.selfReports[t.id]; report != nil && report.shuttingDown {
+		return report.source, true
+	}
+	return ByList, t.Entry().Leaving
+}
+
+// Stopped returns the targets of a service that are unavailable because they reported shutting down
+// or pushback.
+func (r *Roster) Stopped(service string) []string {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	var out []string
+	now := clock.Now()
+	for id, report := range r.selfReports {
+		t := r.find(id)
+		if t != nil && t.Entry().Service == service && (report.shuttingDown || report.pushback.remaining(now) > 0) {
+			out = append(out, id)
+		}
+	}
+	return out
+}
--- a/core/roster/domains_test.go
+++ b/core/roster/domains_test.go
@@ -9,26 +9,26 @@
 	"embertally.dev/core/event"
 )
 
-func TestEvacuationsOfDomains(t *testing.T) {
-	const start = 3 * time.Second
+func TestDomainEvacuations(t *testing.T) {
+	const warmUp = 3 * time.Second
 	at := time.Unix(1000, 0)
 	tests := []struct {
 		name string
-		// steps ask for an evacuation or take it back, a second apart.
+		// steps request an evacuation (true) or cancel it (false), a second apart.
 		steps []bool
-		// look is when it is looked at, after the first step.
-		look      time.Duration
+		// after is the time of the check, counted from the first step.
+		after     time.Duration
 		evacuated bool
-		lasts     time.Duration
+		duration  time.Duration
 		cold      bool
 	}{
 		{"none", nil, 0, false, 0, false},
-		{"in force", []bool{true}, 5 * time.Second, true, 5 * time.Second, false},
-		{"told twice", []bool{true, true}, 5 * time.Second, true, 5 * time.Second, false},
-		{"just taken back", []bool{true, false}, time.Second, false, 0, true},
-		{"taken back for as long as a start takes", []bool{true, false}, time.Second + start, false, 0, false},
-		{"again", []bool{true, false, true}, 4 * time.Second, true, 2 * time.Second, false},
-		{"taken back without one", []bool{false}, time.Second, false, 0, false},
+		{"active", []bool{true}, 5 * time.Second, true, 5 * time.Second, false},
+		{"requested twice", []bool{true, true}, 5 * time.Second, true, 5 * time.Second, false},
+		{"just cancelled", []bool{true, false}, time.Second, false, 0, true},
+		{"cancelled for as long as the warm-up lasts", []bool{true, false}, time.Second + warmUp, false, 0, false},
+		{"requested again", []bool{true, false, true}, 4 * time.Second, true, 2 * time.Second, false},
+		{"cancelled without one", []bool{false}, time.Second, false, 0, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -40,18 +40,18 @@
 			for i, on := range tc.steps {
 				r.Evacuate("d", on, at.Add(time.Duration(i)*time.Second))
 			}
-			now := at.Add(tc.look)
-			lasts, on := r.Evacuated("d", now)
+			now := at.Add(tc.after)
+			duration, on := r.Evacuated("d", now)
 			g.Expect(on).To(gomega.Equal(tc.evacuated))
-			g.Expect(lasts).To(gomega.Equal(tc.lasts))
-			g.Expect(r.Cold(r.Target("a"), start, now)).To(gomega.Equal(tc.cold))
+			g.Expect(duration).To(gomega.Equal(tc.duration))
+			g.Expect(r.Cold(r.Target("a"), warmUp, now)).To(gomega.Equal(tc.cold))
 			_, on = r.Evacuated("other", now)
 			g.Expect(on).To(gomega.BeFalse())
 		})
 	}
 }
 
-func TestTargetsAreColdForAsLongAsTheirEntriesSay(t *testing.T) {
+func TestWarmUpFollowsListEntry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	e := entry("a")
@@ -62,8 +62,8 @@
 	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(4*time.Second))).To(gomega.BeFalse())
 	e.Cold = 0
 	r.Put(e)
-	g.Expect(r.Cold(r.Target("a"), time.Second, now)).To(gomega.BeFalse(), "it says that it is warm")
+	g.Expect(r.Cold(r.Target("a"), time.Second, now)).To(gomega.BeFalse(), "its entry shows the warm-up as over")
 	e.Cold = time.Minute
 	r.Put(e)
-	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(50*time.Second))).To(gomega.BeTrue(), "it turned cold while it served")
+	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(50*time.Second))).To(gomega.BeTrue(), "its entry shows a new warm-up while it serves")
 }
--- /dev/null
+++ b/core/roster/external_test.go
@@ -0,0 +1,75 @@
+package roster
+
+import (
+	"testing"
+	"time"
+
+	"github.com/onsi/gomega"
+
+	"embertally.dev/core/event"
+)
+
+// A target that this daemon's list does not contain is available, is not listed, and keeps its
+// state when the list starts or stops containing it.
+func TestExternalTargets(t *testing.T) {
+	tests := []struct {
+		name  string
+		steps func(r *Roster) *Target
+		// listed is whether it is among the targets of its service.
+		listed bool
+		stop   Stop
+	}{
+		{"sent by another daemon", func(r *Roster) *Target { return r.Guest(incarnationEntry("a@1000", 1000)) }, false, Open},
+		{"sent twice", func(r *Roster) *Target {
+			r.Guest(incarnationEntry("a@1000", 1000))
+			return r.Guest(incarnationEntry("a@1000", 1000))
+		}, false, Open},
+		{"reported shutting down", func(r *Roster) *Target {
+			external := r.Guest(incarnationEntry("a@1000", 1000))
+			r.Leaves("a@1000", ByAnswer)
+			return external
+		}, false, Leaves},
+		{"listed from now on", func(r *Roster) *Target {
+			external := r.Guest(incarnationEntry("a@1000", 1000))
+			r.Put(incarnationEntry("a@1000", 1000))
+			return external
+		}, true, Open},
+		{"no longer listed", func(r *Roster) *Target {
+			r.Put(incarnationEntry("a@1000", 1000))
+			listed := r.Target("a@1000")
+			r.Drop("a")
+			return listed
+		}, false, Open},
+		{"dropped and listed again", func(r *Roster) *Target {
+			r.Put(incarnationEntry("a@1000", 1000))
+			listed := r.Target("a@1000")
+			r.Drop("a")
+			r.Put(incarnationEntry("a@1000", 1000))
+			return listed
+		}, true, Open},
+	}
+	for _, tc := range tests {
+		t.Run(tc.name, func(t *testing.T) {
+			g := gomega.NewWithT(t)
+			r := New(&event.Log{}, nil)
+			removed := 0
+			r.Removed = func(string, bool) { removed++ }
+			target := tc.steps(r)
+			g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(target), "its state is kept")
+			g.Expect(len(r.Of("s")) == 1).To(gomega.Equal(tc.listed))
+			g.Expect(r.Enter(target, Token{})).To(gomega.Equal(tc.stop))
+			g.Expect(removed).To(gomega.BeZero(), "no incarnation was removed")
+		})
+	}
+}
+
+func TestUnusedExternalTargetsExpire(t *testing.T) {
+	g := gomega.NewWithT(t)
+	r, now := New(&event.Log{}, nil), time.Now()
+	r.Guest(incarnationEntry("a@1000", 1000))
+	busy := r.Guest(incarnationEntry("b@1000", 1000))
+	busy.Begin(Load{Running: 1})
+	r.external.put(&Target{id: "c", busy: &r.busy}, now.Add(externalTTL+externalSweepInterval))
+	g.Expect(r.Target("a@1000")).To(gomega.BeNil())
+	g.Expect(r.Target("b@1000")).To(gomega.BeIdenticalTo(busy), "its request is unfinished")
+}
--- /dev/null
+++ b/core/roster/ratelimit.go
@@ -0,0 +1,341 @@
+package roster
+
+import (
+	"math"
+	"strconv"
+	"time"
+
+	"embertally.dev/core/clock"
+	"embertally.dev/core/event"
+)
+
+// Limit is the rate limit that a response of a target states. The zero value states none.
+type Limit struct {
+	// Named means that the response states a rate.
+	Named bool
+	// PerSecond is the number of requests a second from all daemons together.
+	PerSecond float64
+	// Odd is an unreadable value, or "".
+	Odd string
+}
+
+// Each daemon that sends to a rate-limited target has a token bucket of one permit, which starts
+// empty and fills at an equal share of the rate. The buckets of h daemons let through at most h +
+// rate*window requests. h is bounded by the rate, independently of the fleet's size, so that the
+// full buckets of a large fleet add up to no more than those of a small one.
+const (
+	// minSenders is the minimum number of daemons that send to a rate-limited target, if there are
+	// as many. Each request a second adds one.
+	minSenders = 4
+	// minRate is the lowest rate that is applied. Without any request, this daemon would not learn
+	// that the target accepts more again.
+	minRate = 0.1
+	// rankTTL is how long this daemon's rank among those that may use a target is cached, because
+	// computing it takes a hash for each daemon.
+	rankTTL = 200 * time.Millisecond
+)
+
+// senderCount returns how many of the daemons send to a target with the given rate.
+func senderCount(perSecond float64, daemons int) int {
+	return int(min(float64(daemons), minSenders+math.Floor(perSecond)))
+}
+
+// limitState is the rate limit of one incarnation of a target and this daemon's bucket. The zero
+// value limits nothing.
+type limitState struct {
+	active    bool
+	perSecond float64
+	// seq orders the changes of all daemons: each change gets a number one above the highest that
+	// its daemon has seen.
+	seq uint64
+	// changed is when this daemon received the last change, or a peer last sent it a limit that has
+	// ended. lastStated is when it last received a response that states the rate. A response to a
+	// request sent before them is not newer.
+	changed, lastStated clock.Time
+	// lastLogged is when the last log line about the limit was written.
+	lastLogged clock.Time
+
+	// rank is this daemon's rank among the daemons that may use the target, and daemons is their
+	// number, both computed at rankedAt.
+	rank, daemons int
+	rankedAt      clock.Time
+	// sends means that this daemon sends to the target. nextPermit is when its bucket is full.
+	sends      bool
+	nextPermit clock.Time
+}
+
+// rate returns the applied rate in requests a second.
+func (l *limitState) rate() float64 { return max(l.perSecond, minRate) }
+
+// period returns how long this daemon's bucket takes to fill.
+func (l *limitState) period() time.Duration {
+	return time.Duration(float64(senderCount(l.rate(), l.daemons)) / l.rate() * float64(time.Second))
+}
+
+// set applies a rate, or with active false ends the limit, and reports whether that is a change.
+func (l *limitState) set(active bool, perSecond float64, now clock.Time) bool {
+	if active == l.active && (!active || perSecond == l.perSecond) {
+		return false
+	}
+	if oldRate := l.rate(); l.active && active && now.Before(l.nextPermit) {
+		// The bucket keeps its fill level.
+		remaining := float64(l.nextPermit.Sub(now)) * oldRate / max(perSecond, minRate)
+		l.nextPermit = now.Add(time.Duration(remaining))
+	}
+	if !active {
+		l.sends = false
+	}
+	l.active, l.perSecond, l.changed = active, perSecond, now
+	return true
+}
+
+// setRank applies this daemon's rank among those that may use the target.
+func (l *limitState) setRank(rank, daemons int, now clock.Time) {
+	l.rank, l.daemons, l.rankedAt = rank, daemons, now
+	sends := rank < senderCount(l.rate(), daemons)
+	if sends && !l.sends {
+		// The first permits of the daemons are spread over one period.
+		l.nextPermit = now.Add(time.Duration(float64(rank+1) / l.rate() * float64(time.Second)))
+	}
+	l.sends = sends
+}
+
+// wait returns how long this daemon must not send; 0 if it may. For a daemon that does not send to
+// the target it is the mean interval between requests of the others.
+func (l *limitState) wait(now clock.Time) time.Duration {
+	switch {
+	case !l.active:
+		return 0
+	case !l.sends:
+		return time.Duration(float64(time.Second) / l.rate())
+	}
+	return max(0, l.nextPermit.Sub(now))
+}
+
+// take empties the bucket.
+func (l *limitState) take(now clock.Time) { l.nextPermit = now.Add(l.period()) }
+
+// text formats the rate for log lines.
+func (l *limitState) text() string {
+	return strconv.FormatFloat(l.perSecond, 'g', -1, 64) + " requests a second"
+}
+
+// Token is a permit to send one request to a target. The zero value belongs to a request whose
+// target had no rate limit when it was chosen.
+type Token struct {
+	// Held means that a permit was taken. Far means that another daemon chose the target, and so
+	// decided about the permit.
+	Held, Far bool
+	// seq is the limit's seq when the permit was taken here; 0 if it was taken elsewhere.
+	seq uint64
+}
+
+// limitFor returns an incarnation's rate limit with this daemon's rank up to date, or nil if it has
+// none. It is called with rosterMu held.
+func (r *Roster) limitFor(t *Target, now clock.Time) *limitState {
+	report := r.selfReports[t.id]
+	if report == nil || !report.limit.active {
+		return nil
+	}
+	l := &report.limit
+	if l.rankedAt.IsZero() || now.Sub(l.rankedAt) >= rankTTL {
+		rank, daemons := 0, 1
+		if r.Place != nil {
+			rank, daemons = r.Place(t)
+		}
+		l.setRank(rank, daemons, now)
+	}
+	return l
+}
+
+// Holders returns how many daemons send to a rate-limited target; 0 if it has no rate limit.
+func (r *Roster) Holders(t *Target) int {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	l := r.limitFor(t, clock.Now())
+	if l == nil {
+		return 0
+	}
+	return senderCount(l.rate(), l.daemons)
+}
+
+// Take takes a permit for a request to a target that was chosen here, and reports whether the
+// request may be sent.
+func (r *Roster) Take(t *Target) (Token, bool) {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	now := clock.Now()
+	l := r.limitFor(t, now)
+	if l == nil {
+		return Token{}, true
+	}
+	if l.wait(now) > 0 {
+		return Token{}, false
+	}
+	l.take(now)
+	return Token{Held: true, seq: l.seq}, true
+}
+
+// Return gives back the permit of a request that was not sent.
+func (r *Roster) Return(t *Target, permit Token) {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	report := r.selfReports[t.id]
+	if !permit.Held || permit.seq == 0 || report == nil || !report.limit.active || report.limit.seq != permit.seq {
+		return
+	}
+	report.limit.nextPermit = clock.Now()
+}
+
+// HearLimit records the rate limit that a response of an incarnation states, or that it states
+// none. sent is when the request was sent. executed means that the incarnation accepted the request
+// and signed the response: any other response without a rate does not end a limit. It reports
+// whether other daemons need to be notified.
+func (r *Roster) HearLimit(id string, stated Limit, sent clock.Time, executed bool) bool {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	report := r.selfReports[id]
+	if stated == (Limit{}) && (report == nil || !report.limit.active) {
+		return false
+	}
+	report, now := r.selfReportOf(id), clock.Now()
+	if stated.Odd != "" {
+		r.logInvalid(id, report, "invalid rate limit "+stated.Odd)
+	}
+	state := &report.limit
+	switch {
+	case stated.Named && state.active && stated.PerSecond > state.perSecond && sent.Before(state.changed):
+		// The response may be older than the one that stated the lower rate.
+	case stated.Named:
+		state.lastStated = now
+		return r.setLimit(id, state, LimitNews{On: true, PerSecond: stated.PerSecond, Seq: state.seq + 1}, ByAnswer)
+	case executed && stated.Odd == "" && state.active && sent.After(state.lastStated) && sent.After(state.changed):
+		return r.setLimit(id, state, LimitNews{Seq: state.seq + 1}, ByAnswer)
+	}
+	return false
+}
+
+// setLimit applies an update and reports whether it is a change. It is called with rosterMu held.
+func (r *Roster) setLimit(id string, state *limitState, update LimitNews, source Source) bool {
+	now, oldText := clock.Now(), state.text()
+	if !state.set(update.On, update.PerSecond, now) {
+		return false
+	}
+	state.seq, state.rankedAt = update.Seq, clock.Time{}
+	if !state.lastLogged.IsZero() && now.Sub(state.lastLogged) < limitLogInterval {
+		return true
+	}
+	state.lastLogged = now
+	if update.On {
+		r.log.Emit(event.TargetLimits, event.Ref{Target: id}, state.text()+", reported by "+string(source))
+	} else {
+		r.log.Emit(event.TargetUnlimited, event.Ref{Target: id}, "no longer "+oldText+", reported by "+string(source))
+	}
+	return true
+}
+
+// limitLogInterval is the minimum time between log lines about the rate limit of one target.
+const limitLogInterval = time.Second
+
+// LimitNews is the update about an incarnation's rate limit that daemons send each other.
+type LimitNews struct {
+	//lint:ignore U1000 read by the codec: frames are arrays
+	_msgpack struct{} `msgpack:",as_array"`
+	// On means that there is a rate limit, and PerSecond is its rate.
+	On        bool
+	PerSecond float64
+	// Seq orders the changes; see limitState.
+	Seq uint64
+}
+
+// limitEndNotifyTime is how long other daemons are notified that a limit has ended. A daemon that
+// missed this keeps sending the old limit and is then notified again.
+const limitEndNotifyTime = 2 * time.Second
+
+// limitUpdates returns the rate limit updates for other daemons. It is called with rosterMu held.
+func (r *Roster) limitUpdates() map[string]LimitNews {
+	var out map[string]LimitNews
+	now := clock.Now()
+	for id, report := range r.selfReports {
+		state := &report.limit
+		if state.seq == 0 || (!state.active && now.Sub(state.changed) > limitEndNotifyTime) {
+			continue
+		}
+		if out == nil {
+			out = map[string]LimitNews{}
+		}
+		out[id] = LimitNews{On: state.active, PerSecond: state.perSecond, Seq: state.seq}
+	}
+	return out
+}
+
+// mergeLimits applies the updates of another daemon. It is called with rosterMu held.
+func (r *Roster) mergeLimits(updates map[string]LimitNews) {
+	for id, update := range updates {
+		if r.find(id) == nil {
+			// An unknown target's first response will state its limit.
+			continue
+		}
+		if update.Seq == 0 || math.IsNaN(update.PerSecond) || update.PerSecond < 0 {
+			continue
+		}
+		state := &r.selfReportOf(id).limit
+		newer := update.Seq > state.seq
+		if update.Seq == state.seq {
+			// Two daemons received two changes at the same time: the lower rate is the safer one.
+			newer = update.On && (!state.active || update.PerSecond < state.perSecond)
+		}
+		if newer {
+			r.setLimit(id, state, update, ByPeer)
+			state.seq = update.Seq
+		} else if update.Seq < state.seq && !state.active {
+			state.changed = clock.Now()
+		}
+	}
+}
+
+// Limits returns the rate limits applied here to a service's targets, for another daemon that
+// chooses among them.
+func (r *Roster) Limits(service string) map[string]LimitNews {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	out := r.limitUpdates()
+	for id, update := range out {
+		t := r.find(id)
+		if !update.On || t == nil || t.Entry().Service != service {
+			delete(out, id)
+		}
+	}
+	return out
+}
+
+// MergeLimits applies rate limit updates of another daemon.
+func (r *Roster) MergeLimits(updates map[string]LimitNews) {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	r.mergeLimits(updates)
+}
+
+// LimitedTarget is a rate-limited target.
+type LimitedTarget struct {
+	ID        string
+	PerSecond float64
+	// Age is how long ago this daemon received the last change of the limit.
+	Age time.Duration
+	// Holds means that this daemon sends to the target.
+	Holds bool
+}
+
+// Limited returns the listed targets that have a rate limit, in no order.
+func (r *Roster) Limited() []LimitedTarget {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	var out []LimitedTarget
+	now := clock.Now()
+	for id, report := range r.selfReports {
+		if report.limit.active && r.targets[id] != nil {
+			out = append(out, LimitedTarget{id, report.limit.perSecond, now.Sub(report.limit.changed), report.limit.sends})
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/core/roster/updates.go
@@ -0,0 +1,147 @@
+package roster
+
+import (
+	"time"
+
+	"embertally.dev/core/event"
+)
+
+// Order records that a target has a weight update pending until a deadline, so that it gets no new
+// work. Other daemons are notified of it until Done.
+func (r *Roster) Order(id string, until time.Time) {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	if until.After(r.updating[id]) {
+		r.updating[id] = until
+	}
+}
+
+// setPeerUpdating replaces the targets for which a peer reports a pending weight update, each with
+// the milliseconds left. It is called with rosterMu held.
+func (r *Roster) setPeerUpdating(peer string, millis map[string]int64, now time.Time) {
+	delete(r.peerUpdating, peer)
+	if len(millis) == 0 {
+		return
+	}
+	deadlines := make(map[string]time.Time, len(millis))
+	for id, ms := range millis {
+		deadlines[id] = now.Add(time.Duration(ms) * time.Millisecond)
+	}
+	r.peerUpdating[peer] = deadlines
+}
+
+// Done records that a target has finished its weight update, or will not do it.
+func (r *Roster) Done(id string) {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	delete(r.updating, id)
+	for _, updating := range r.peerUpdating {
+		delete(updating, id)
+	}
+}
+
+// Ordered returns the targets with a pending weight update, as recorded by this daemon or reported
+// by a peer.
+func (r *Roster) Ordered(now time.Time) map[string]bool {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	return r.updatingNow(now)
+}
+
+// updatingNow is Ordered with rosterMu held.
+func (r *Roster) updatingNow(now time.Time) map[string]bool {
+	out := map[string]bool{}
+	addPending(out, r.updating, now)
+	for _, updating := range r.peerUpdating {
+		addPending(out, updating, now)
+	}
+	return out
+}
+
+// isUpdating reports whether one target has a pending weight update. It is called with rosterMu
+// held.
+func (r *Roster) isUpdating(id string, now time.Time) bool {
+	if now.Before(r.updating[id]) {
+		return true
+	}
+	for _, updating := range r.peerUpdating {
+		if now.Before(updating[id]) {
+			return true
+		}
+	}
+	return false
+}
+
+// addPending adds to out the targets whose deadline is in the future, and deletes the others from
+// deadlines.
+func addPending(out map[string]bool, deadlines map[string]time.Time, now time.Time) {
+	for id, until := range deadlines {
+		if now.Before(until) {
+			out[id] = true
+		} else {
+			delete(deadlines, id)
+		}
+	}
+}
+
+// Reloads records that a target rejects work while it changes its weights. Other daemons are
+// notified. Unlike Order, it does not count as a weight update that this daemon recorded.
+func (r *Roster) Reloads(id string, until time.Time) {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	if until.After(r.reloading[id]) {
+		r.reloading[id] = until
+	}
+}
+
+// Reloading returns the targets that recently rejected work while their weights were older than
+// desired, as recorded by this daemon or reported by a peer.
+func (r *Roster) Reloading(now time.Time) map[string]bool {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	out := map[string]bool{}
+	addPending(out, r.reloading, now)
+	addPending(out, r.peerReloading, now)
+	return out
+}
+
+// Learn records the weights version of a model that a target was seen to have. Within one
+// incarnation the version only rises.
+func (r *Roster) Learn(id, model string, version int64) {
+	r.rosterMu.Lock()
+	defer r.rosterMu.Unlock()
+	r.recordVersion(id, model, version)
+}
+
+// recordVersion is Learn with rosterMu held.
+func (r *Roster) recordVersion(id, model string, version int64) {
+	t := r.targets[id]
+	if t == nil || t.Entry().Weights[model] >= version {
+		return
+	}
+	t.raiseVersion(model, version)
+	r.versionsSeen[id] = time.Now()
+	r.log.Emit(event.OrderDone, event.Ref{Target: id}, model+" version "+itoa(version))
+}
+
+// versionNotifyTime is how long other daemons are notified of a newly seen version, because a few
+// heartbeats may be lost.
+const versionNotifyTime = 2 * time.Second
+
+// recentVersions returns the weights of the targets whose versions other daemons are to be notified
+// of, or nil if there are none, and forgets the others. It is called with rosterMu held.
+func (r *Roster) recentVersions(now time.Time) map[string]map[string]int64 {
+	var out map[string]map[string]int64
+	for id, at := range r.versionsSeen {
+		t := r.targets[id]
+		if t == nil || now.Sub(at) > versionNotifyTime {
+			delete(r.versionsSeen, id)
+			continue
+		}
+		if out == nil {
+			out = map[string]map[string]int64{}
+		}
+		out[id] = t.Entry().Weights
+	}
+	return out
+}
--- /dev/null
+++ b/core/target/conn.go
@@ -0,0 +1,116 @@
+package target
+
+import (
+	"bufio"
+	"context"
+	"net"
+	"syscall"
+	"time"
+
+	"github.com/pkg/errors"
+	"golang.org/x/sys/unix"
+)
+
+// Timeouts for opening connections and for detecting dead ones.
+const (
+	// openTimeout bounds the opening of a connection. Targets respond within a few milliseconds,
+	// and a lost packet is sent again after a second.
+	openTimeout = 1200 * time.Millisecond
+	// unackedTimeout breaks a connection with unacknowledged bytes, so that a target that lost
+	// power is detected.
+	unackedTimeout = 2500 * time.Millisecond
+	// probeInterval and probeCount do the same while the connection only waits for a response.
+	probeInterval = time.Second
+	probeCount    = 2
+)
+
+// readBufferSize is the size of a connection's read buffer: a header and some events fit.
+const readBufferSize = 4 << 10
+
+// tcpUserTimeout is the number of the kernel's socket option TCP_USER_TIMEOUT, whose value is in
+// milliseconds.
+const tcpUserTimeout = 18
+
+// poolConn is one connection to a target.
+type poolConn struct {
+	pool    *Pool
+	address string
+	tcp     *net.TCPConn
+	r       *bufio.Reader
+	// lastUsed is when the last request on it ended, or when it was first kept without one; zero if
+	// it was never kept.
+	lastUsed time.Time
+}
+
+// open opens a connection, which reserve has counted.
+func (p *Pool) open(ctx context.Context, address string) (*poolConn, error) {
+	d := net.Dialer{
+		Timeout: openTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{
+			Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount,
+		},
+		Control: func(_, _ string, c syscall.RawConn) error { return c.Control(setUserTimeout) },
+	}
+	start := time.Now()
+	conn, err := d.DialContext(ctx, "tcp", address)
+	p.recordOpen(address, time.Since(start), err)
+	if err != nil {
+		return nil, errors.WithStack(err)
+	}
+	if p.Opened != nil {
+		p.Opened.Inc()
+	}
+	return &poolConn{pool: p, address: address, tcp: conn.(*net.TCPConn), r: bufio.NewReaderSize(conn, readBufferSize)}, nil
+}
+
+// recordOpen records the result of opening a connection.
+func (p *Pool) recordOpen(address string, elapsed time.Duration, err error) {
+	p.poolMu.Lock()
+	defer p.poolMu.Unlock()
+	state := p.state(address)
+	switch {
+	case err != nil:
+		state.open--
+	case state.roundTrip == 0 || elapsed < state.roundTrip:
+		state.roundTrip = elapsed
+	}
+}
+
+// setUserTimeout sets unackedTimeout on a connection.
+func setUserTimeout(fd uintptr) {
+	// Without the option a dead target is detected later, by the probes.
+	_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
+}
+
+// minRoundTrip returns the shortest round trip that the kernel measured on the connection, or 0.
+func (c *poolConn) minRoundTrip() time.Duration {
+	raw, err := c.tcp.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	var info *unix.TCPInfo
+	controlErr := raw.Control(func(fd uintptr) {
+		info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+	})
+	if controlErr != nil || err != nil || info.Min_rtt == ^uint32(0) {
+		// There is no measurement.
+		return 0
+	}
+	return time.Duration(info.Min_rtt) * time.Microsecond
+}
+
+// isDead reports whether the target closed the connection or sent bytes that belong to no request.
+func (c *poolConn) isDead() bool {
+	raw, err := c.tcp.SyscallConn()
+	if err != nil {
+		return true
+	}
+	dead := false
+	err = raw.Read(func(fd uintptr) bool {
+		var b [1]byte
+		n, err := syscall.Read(int(fd), b[:])
+		dead = n > 0 || (n == 0 && err == nil) || (err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR))
+		return true
+	})
+	return dead || err != nil
+}
