--- a/core/spread/calls_test.go
+++ b/core/spread/calls_test.go
@@ -13,30 +13,30 @@
 	"embertally.dev/core/plat"
 )
 
-// pricedStore is a store whose calls are counted. A watch is a series of calls, each
-// answered after watchTime at the latest.
+// pricedStore is a store that counts its calls. A watch is a series of calls, each answered after
+// watchTime at the latest.
 type pricedStore struct {
 	*memkv.KV
 
 	countMu  sync.Mutex
 	calls    int // guarded by countMu
 	watching int // guarded by countMu
-	// answering counts the questions whose answers daemons have not taken yet, and
-	// taken is when one last did. Guarded by countMu.
+	// answering counts the requests whose answers daemons have not taken yet; taken is when one
+	// last did. Guarded by countMu.
 	answering int
 	taken     clock.Time
 	down      bool // guarded by countMu
 	ranges    int  // calls of Range; guarded by countMu
 }
 
-// ranged returns how many times keys were read beside watches.
+// ranged returns how many times keys were read other than by watches.
 func (s *pricedStore) ranged() int {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.ranges
 }
 
-// watchTime is how long the store holds a question for changes.
+// watchTime is how long the store holds a request for changes.
 const watchTime = 1500 * time.Millisecond
 
 // call counts one call, and reports whether it is answered.
@@ -75,7 +75,7 @@
 	return ctx.Err()
 }
 
-// answer counts a question until its answer is taken.
+// answer counts a request until its answer is taken.
 func (s *pricedStore) answer(take func() error) error {
 	s.countMu.Lock()
 	s.answering++
@@ -88,7 +88,7 @@
 	return err
 }
 
-// quiet returns when the last answer was taken, and whether none is on its way.
+// quiet returns when the last answer was taken, and whether none is pending.
 func (s *pricedStore) quiet() (clock.Time, bool) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
@@ -101,7 +101,7 @@
 	defer cancel()
 	s.count(1)
 	defer s.count(-1)
-	// The watch ends with its first change.
+	// The error ends the watch at its first change.
 	_ = s.KV.Watch(ctx, span, from, func(c []plat.Change, r int64) error {
 		changes, revision = c, r
 		if len(c) == 0 {
@@ -131,7 +131,7 @@
 	return s.calls, s.watching
 }
 
-// together runs daemons that start at once before a store.
+// together runs daemons that start at once with one store.
 func together(t *testing.T, store plat.Reader, daemons int) []*member {
 	seeds, listeners := addresses(t, daemons)
 	var out []*member
@@ -141,8 +141,8 @@
 	return out
 }
 
-// Each call of the platform's store is priced: daemons that start together must not all
-// watch it until they have heard each other.
+// Each call of the platform's store is priced: daemons that start together must not all watch it
+// until they have received each other's heartbeats.
 func TestDaemonsThatStartTogetherDoNotAllWatchTheStore(t *testing.T) {
 	const daemons, cells = 40, 4
 	g := gomega.NewWithT(t)
@@ -161,9 +161,9 @@
 	}
 }
 
-// Calls that the store refuses are priced too, and what none of a few daemons gets no
-// other one does.
-func TestAFleetDoesNotStormAStoreThatIsDown(t *testing.T) {
+// Calls that the store refuses are priced too, and where a few daemons get no answer the others get
+// none either.
+func TestAFleetSendsFewRequestsToAStoreThatIsDown(t *testing.T) {
 	const daemons, outage = 40, 5 * time.Second
 	g := gomega.NewWithT(t)
 	store := &pricedStore{KV: &memkv.KV{}}
@@ -175,15 +175,15 @@
 	}
 	before, _ := store.figures()
 	store.setDown(true)
-	began := time.Now()
+	start := time.Now()
 	time.Sleep(outage)
 	after, _ := store.figures()
-	lasted := time.Since(began)
+	elapsed := time.Since(start)
 	store.setDown(false)
-	// Eight followers ask up to four times a second; the others, in the second half of
-	// the outage, once each second and a half.
-	most := int(lasted.Seconds()*8*4 + lasted.Seconds()/2*float64(daemons)/1.5)
-	g.Expect(after - before).To(gomega.BeNumerically("<=", most))
+	// Eight daemons send up to four requests a second each; the others, in the second half of the
+	// outage, one each 1.5 s.
+	maxCalls := int(elapsed.Seconds()*8*4 + elapsed.Seconds()/2*float64(daemons)/1.5)
+	g.Expect(after - before).To(gomega.BeNumerically("<=", maxCalls))
 	put(t, store.KV, "op/config", []byte("second"))
 	for _, m := range members {
 		g.Eventually(m.holds("op/config", []byte("second")), soon, look).Should(gomega.BeTrue())
--- a/core/spread/divide.go
+++ b/core/spread/divide.go
@@ -11,64 +11,64 @@
 	"embertally.dev/core/plat"
 )
 
-// Entry is what the list of targets says of one target as far as dividing it goes.
+// Entry holds the fields of a target's entry that determine its shard.
 type Entry struct{ Name, Service, Domain string }
 
 const (
-	// leastDivided is how many targets of a service there are for each cell at least where the
-	// cells divide them. Names fall to cells by hash, so that of this mean a cell gets a fifth more
+	// minTargetsPerCell is the least number of targets for each cell with which a service is
+	// sharded. Names are assigned to cells by hash, so that at this mean a cell gets a fifth more
 	// or less.
-	leastDivided = 24
-	// leastEntries is how many there are at least: below that a whole list is one page of the
-	// store.
-	leastEntries = 500
+	minTargetsPerCell = 24
+	// minTargets is the least number of targets of a sharded service: below that the whole list is
+	// one page of the store.
+	minTargets = 500
 )
 
-// entries knows which keys of the mirror are entries of targets, and how many each service has.
-// The zero value knows none.
-type entries struct {
+// entryIndex holds which keys of the watch cache are entries of targets, and how many each service
+// has. The zero value is empty.
+type entryIndex struct {
 	entriesMu sync.Mutex
 	byKey     map[string]Entry // guarded by entriesMu
 	counts    map[string]int   // by service; guarded by entriesMu
 }
 
-// set records what a key says now; nothing where there is no entry.
-func (e *entries) set(key string, entry Entry, there bool) {
+// set records the entry of a key, or its removal where exists is false.
+func (e *entryIndex) set(key string, entry Entry, exists bool) {
 	e.entriesMu.Lock()
 	defer e.entriesMu.Unlock()
 	if e.byKey == nil {
 		e.byKey, e.counts = map[string]Entry{}, map[string]int{}
 	}
-	if was, known := e.byKey[key]; known {
-		if e.counts[was.Service]--; e.counts[was.Service] == 0 {
-			delete(e.counts, was.Service)
+	if former, known := e.byKey[key]; known {
+		if e.counts[former.Service]--; e.counts[former.Service] == 0 {
+			delete(e.counts, former.Service)
 		}
 		delete(e.byKey, key)
 	}
-	if there {
+	if exists {
 		e.byKey[key] = entry
 		e.counts[entry.Service]++
 	}
 }
 
-// entry returns what a key says.
-func (e *entries) entry(key string) (Entry, bool) {
+// entry returns the entry of a key.
+func (e *entryIndex) entry(key string) (Entry, bool) {
 	e.entriesMu.Lock()
 	defer e.entriesMu.Unlock()
 	entry, known := e.byKey[key]
 	return entry, known
 }
 
-// divided returns the services whose targets some cells divide between them, in order.
-func (e *entries) divided(cells int) []string {
+// sharded returns the services that are sharded between the given number of cells, in order.
+func (e *entryIndex) sharded(cells int) []string {
 	e.entriesMu.Lock()
 	defer e.entriesMu.Unlock()
-	if cells < rootedCells {
+	if cells < minCellsForRelays {
 		return nil
 	}
 	var out []string
 	for service, n := range e.counts {
-		if n >= max(leastEntries, leastDivided*cells) {
+		if n >= max(minTargets, minTargetsPerCell*cells) {
 			out = append(out, service)
 		}
 	}
@@ -76,52 +76,52 @@
 	return out
 }
 
-// observe keeps the entries current.
+// observe updates the index with changes.
 func (s *Mirrors) observe(changes []plat.Change) {
 	for _, c := range changes {
-		entry, there := Entry{}, false
+		entry, exists := Entry{}, false
 		if !c.Deleted {
-			entry, there = s.entryOf(c.Pair)
+			entry, exists = s.parseEntry(c.Pair)
 		}
-		s.entries.set(c.Key, entry, there)
+		s.entries.set(c.Key, entry, exists)
 	}
 }
 
-// entryOf reads a pair.
-func (s *Mirrors) entryOf(p plat.Pair) (Entry, bool) {
+// parseEntry parses a pair as an entry.
+func (s *Mirrors) parseEntry(p plat.Pair) (Entry, bool) {
 	if s.Entry == nil {
 		return Entry{}, false
 	}
 	return s.Entry(p)
 }
 
-// shardView is what one asker is told of the mirror.
+// shardView selects the pairs that one requester is to receive.
 type shardView struct {
-	mirrors *Mirrors
-	// holds names the shard; "" where the asker is told everything that is held here.
-	holds string
-	// shard is that of the asker where entries of other cells are left out; else nil.
+	caches *Mirrors
+	// name names the shard; "" where the requester receives everything that is cached here.
+	name string
+	// shard is that of the requester where entries of other cells are left out; else nil.
 	shard   *fleet.Shard
-	divided []string
+	sharded []string // the sharded services, in order
 }
 
-// shardName names the shard of a cell where some services are divided.
+// shardName identifies the shard of a cell and the services that are sharded.
 type shardName struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Shard    string
-	Divided  []string
+	Sharded  []string
 }
 
-// name writes it.
-func (n *shardName) name() string {
+// encode returns the name as a string.
+func (n *shardName) encode() string {
 	// Strings can always be encoded.
 	raw, _ := msgpack.Marshal(n)
 	return string(raw)
 }
 
-// readShardName reads what name wrote; the name of all keys names no shard.
-func readShardName(name string) shardName {
+// parseShardName decodes a result of encode; the name of all keys, "", yields no shard.
+func parseShardName(name string) shardName {
 	var n shardName
 	if name == "" {
 		return n
@@ -132,101 +132,103 @@
 	return n
 }
 
-var errOtherShard = errors.New("the peer holds another shard")
+var errOtherShard = errors.New("the peer's watch cache holds another shard")
 
-// viewFor returns what an asker is told, or nil where another shard is held here.
-func (s *Mirrors) viewFor(ask *mirrorAsk) *shardView {
-	held := s.mirror.Shard()
-	if held != "" {
-		if ask.Shard == nil || ask.Shard.ID() != readShardName(held).Shard {
+// viewFor returns the selection for a requester, or nil where this cache holds another shard.
+func (s *Mirrors) viewFor(req *changesRequest) *shardView {
+	cached := s.watchCache.Shard()
+	if cached != "" {
+		if req.Shard == nil || req.Shard.ID() != parseShardName(cached).Shard {
 			return nil
 		}
-		return &shardView{mirrors: s, holds: held}
+		return &shardView{caches: s, name: cached}
 	}
-	if ask.Shard == nil {
-		return &shardView{mirrors: s}
+	if req.Shard == nil {
+		return &shardView{caches: s}
 	}
-	divided := s.entries.divided(ask.Shard.FleetCells)
-	if len(divided) == 0 {
-		return &shardView{mirrors: s}
+	sharded := s.entries.sharded(req.Shard.FleetCells)
+	if len(sharded) == 0 {
+		return &shardView{caches: s}
 	}
-	name := shardName{Shard: ask.Shard.ID(), Divided: divided}
-	return &shardView{mirrors: s, holds: name.name(), shard: ask.Shard, divided: divided}
+	name := shardName{Shard: req.Shard.ID(), Sharded: sharded}
+	return &shardView{caches: s, name: name.encode(), shard: req.Shard, sharded: sharded}
 }
 
-// former returns what an asker was told that holds all keys, or another shard of the same services;
-// false where it holds something else.
-func (v *shardView) former(held string) (*shardView, bool) {
-	if held == "" {
-		// It lacks nothing: what is left to it is to let go.
-		return &shardView{mirrors: v.mirrors}, true
+// formerView returns the selection that a requester's cache holds, if it holds all keys or another
+// shard of the same services; else false.
+func (v *shardView) formerView(cached string) (*shardView, bool) {
+	if cached == "" {
+		// It lacks nothing; it only has to drop pairs.
+		return &shardView{caches: v.caches}, true
 	}
-	n := readShardName(held)
-	if v.shard == nil || n.Shard == "" || !slices.Equal(n.Divided, v.divided) {
+	n := parseShardName(cached)
+	if v.shard == nil || n.Shard == "" || !slices.Equal(n.Sharded, v.sharded) {
 		return nil, false
 	}
 	var shard fleet.Shard
 	if err := msgpack.Unmarshal([]byte(n.Shard), &shard); err != nil {
 		return nil, false
 	}
-	return &shardView{mirrors: v.mirrors, holds: held, shard: &shard, divided: n.Divided}, true
+	return &shardView{caches: v.caches, name: cached, shard: &shard, sharded: n.Sharded}, true
 }
 
-// keeps reports whether the asker is told of a pair.
-func (v *shardView) keeps(p plat.Pair) bool {
+// includes reports whether the requester is to receive a pair.
+func (v *shardView) includes(p plat.Pair) bool {
 	if v.shard == nil {
 		return true
 	}
-	entry, known := v.mirrors.entries.entry(p.Key)
+	entry, known := v.caches.entries.entry(p.Key)
 	if !known {
-		// The mirror may hold it already without having told of it.
-		entry, known = v.mirrors.entryOf(p)
+		// The watch cache may hold the pair before its observers are notified.
+		entry, known = v.caches.parseEntry(p)
 	}
-	if !known || !slices.Contains(v.divided, entry.Service) {
+	if !known || !slices.Contains(v.sharded, entry.Service) {
 		return true
 	}
 	return v.shard.Holds(entry.Name, entry.Domain)
 }
 
-// filter returns the changes that the asker is told of.
+// filter returns the changes that the requester is to receive.
 func (v *shardView) filter(changes []plat.Change) []plat.Change {
 	if v.shard == nil {
 		return changes
 	}
-	return slices.DeleteFunc(changes, func(c plat.Change) bool { return !v.keeps(c.Pair) })
+	return slices.DeleteFunc(changes, func(c plat.Change) bool { return !v.includes(c.Pair) })
 }
 
-// tells reports whether the asker is told of any of some changes.
-func (v *shardView) tells(changes []plat.Change) bool {
-	return slices.ContainsFunc(changes, func(c plat.Change) bool { return v.keeps(c.Pair) })
+// includesAny reports whether the requester is to receive any of the changes.
+func (v *shardView) includesAny(changes []plat.Change) bool {
+	return slices.ContainsFunc(changes, func(c plat.Change) bool { return v.includes(c.Pair) })
 }
 
-// drops reports whether this daemon holds a pair no longer that falls to another cell's shard.
-func (s *Mirrors) drops(shard *fleet.Shard, holds string) func(plat.Pair) bool {
-	v := &shardView{mirrors: s, holds: holds, shard: shard, divided: readShardName(holds).Divided}
-	return func(p plat.Pair) bool { return !v.keeps(p) }
+// outsideShard returns a function that reports whether a pair belongs to another cell's shard, so
+// that this daemon drops it.
+func (s *Mirrors) outsideShard(shard *fleet.Shard, name string) func(plat.Pair) bool {
+	v := &shardView{caches: s, name: name, shard: shard, sharded: parseShardName(name).Sharded}
+	return func(p plat.Pair) bool { return !v.includes(p) }
 }
 
-// Divided reports whether the cells divide the targets of a service between them.
+// Divided reports whether the targets of a service are sharded between the cells.
 func (s *Mirrors) Divided(service string) bool {
-	if held := s.mirror.Shard(); held != "" {
-		return slices.Contains(readShardName(held).Divided, service)
+	if cached := s.watchCache.Shard(); cached != "" {
+		return slices.Contains(parseShardName(cached).Sharded, service)
 	}
 	view := s.fleet.View()
-	return slices.Contains(s.entries.divided(view.Cells()), service)
+	return slices.Contains(s.entries.sharded(view.Cells()), service)
 }
 
-// Basis names what Uses goes by: as long as it is the same, so are the answers.
+// Basis returns a comparable value that the results of Uses depend on: while it is equal, so are
+// they.
 func (s *Mirrors) Basis() any {
-	type basis struct {
+	type shardBasis struct {
 		view  *fleet.View
 		shard string
 	}
-	return basis{s.fleet.View(), s.mirror.Shard()}
+	return shardBasis{s.fleet.View(), s.watchCache.Shard()}
 }
 
-// Uses reports whether a target of a divided service falls to this daemon's cell. Of a copy that
-// is itself that of a cell all do, so that the change to another one leaves no gap.
+// Uses reports whether a target of a sharded service belongs to this daemon's cell. While the cache
+// itself holds a shard, all its targets do, so that a change of shards leaves no gap.
 func (s *Mirrors) Uses(name, domain string) bool {
-	return s.mirror.Shard() != "" || s.fleet.View().Shard().Holds(name, domain)
+	return s.watchCache.Shard() != "" || s.fleet.View().Shard().Holds(name, domain)
 }
--- a/core/spread/divide_test.go
+++ b/core/spread/divide_test.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/spread"
 )
 
-// pagedStore gives keys in pages, each of them a priced call.
+// pagedStore returns keys in pages, each of them a priced call.
 type pagedStore struct {
 	*pricedStore
 	page int
@@ -38,7 +38,7 @@
 	}
 }
 
-// Keys of the tests' entries are op/t/SERVICE/DOMAIN/NAME.
+// entryOf parses the tests' entries, whose keys are op/t/SERVICE/DOMAIN/NAME.
 func entryOf(p plat.Pair) (spread.Entry, bool) {
 	f := strings.Split(p.Key, "/")
 	if len(f) != 5 {
@@ -47,16 +47,16 @@
 	return spread.Entry{Service: f[2], Domain: f[3], Name: f[4]}, true
 }
 
-// held returns the keys of the entries of a service that a daemon's mirror holds.
-func (m *rooted) held(service string) []string {
+// held returns the keys of a service's entries that a daemon's watch cache holds.
+func (m *domainMember) held(service string) []string {
 	var out []string
-	for _, p := range m.mirror.Under("op/t/" + service + "/") {
+	for _, p := range m.watchCache.Under("op/t/" + service + "/") {
 		out = append(out, p.Key)
 	}
 	return out
 }
 
-// entryKeys puts entries of a service in the store.
+// entryKeys puts entries of a service into the store, and returns their keys.
 func entryKeys(t *testing.T, store *pagedStore, service string, from, to, domains int) []string {
 	var keys []string
 	for i := from; i < to; i++ {
@@ -67,8 +67,8 @@
 	return keys
 }
 
-// A daemon holds the targets of its own cell, and all of a service that has too few to be divided;
-// a change of one reaches who holds it.
+// A daemon holds the targets of its own cell, and all targets of a service that has too few to be
+// sharded; a change of a target reaches the daemons that hold it.
 func TestDaemonsHoldTheTargetsOfTheirCell(t *testing.T) {
 	const daemons, domains, large, small = 48, 3, 600, 12
 	g := gomega.NewWithT(t)
@@ -76,7 +76,7 @@
 	put(t, store.KV, "op/config", []byte("first"))
 	keys := entryKeys(t, store, "large", 0, large, domains)
 	entryKeys(t, store, "small", 0, small, domains)
-	members := rootedFleet(t, store, daemons, domains)
+	members := domainFleet(t, store, daemons, domains)
 	converged := func() bool {
 		holders, whole := map[string]int{}, 0
 		for _, m := range members {
@@ -92,7 +92,8 @@
 				holders[key]++
 			}
 		}
-		// The daemons that ask the store hold all, the others of a cell the same.
+		// The daemons that watch the store hold all entries, the others of a cell those of its
+		// shard.
 		return whole <= domains && len(holders) == len(keys)
 	}
 	g.Eventually(converged, soon, look).Should(gomega.BeTrue())
@@ -119,25 +120,26 @@
 	}
 }
 
-// Each page is a priced call: a daemon that finds that others follow the store reads no more than
-// says who these are.
-func TestDaemonsThatStartReadTheOutlineOnly(t *testing.T) {
+// Each page is a priced call: a daemon that finds that others watch the store must not read more
+// pages than it takes to find out.
+func TestStartingDaemonsReadTheOutlineOnly(t *testing.T) {
 	const daemons, domains, large, page = 48, 3, 3000, 100
 	g := gomega.NewWithT(t)
 	store := &pagedStore{pricedStore: &pricedStore{KV: &memkv.KV{}}, page: page}
 	put(t, store.KV, "op/a/outline", []byte("here"))
 	put(t, store.KV, "op/config", []byte("first"))
 	entryKeys(t, store, "large", 0, large, domains)
-	members := rootedFleet(t, store, daemons, domains)
+	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
 	calls, _ := store.figures()
-	// Each reads one page, those who follow all of them, some for the time until they hear others.
+	// Each daemon reads one page and those that watch the store read all of them; some do until
+	// they receive the others' heartbeats.
 	g.Expect(calls).To(gomega.BeNumerically("<", 2*daemons+3*domains*large/page))
 }
 
-// A box more or less changes which targets fall to a cell; a daemon takes those that it lacks and lets
-// the others go, without reading everything anew.
-func TestACellThatChangesTakesWhatItLacks(t *testing.T) {
+// A box more or less changes which targets belong to a cell: a daemon requests those that it lacks
+// and drops the others, without reading everything again.
+func TestAChangedCellRequestsOnlyTheTargetsItLacks(t *testing.T) {
 	const daemons, domains, large = 49, 3, 700
 	g := gomega.NewWithT(t)
 	store := &pagedStore{pricedStore: &pricedStore{KV: &memkv.KV{}}, page: 100}
@@ -146,7 +148,7 @@
 	list := &boxList{}
 	members := listedFleet(t, store, daemons, domains, list)
 	allHold(g, members, "first")
-	inShard := func(m *rooted) func() bool {
+	inShard := func(m *domainMember) func() bool {
 		return func() bool {
 			held, shard := m.held("large"), m.fleet.View().Shard()
 			if len(held) == len(keys) {
@@ -165,13 +167,13 @@
 		g.Eventually(inShard(m), soon, look).Should(gomega.BeTrue())
 	}
 	cells := members[0].fleet.View().Cells()
-	told := func() (sum int64) {
+	bytesSent := func() (sum int64) {
 		for _, m := range members {
 			sum += m.mirrors.Told()
 		}
 		return sum
 	}
-	before := told()
+	before := bytesSent()
 	// One box less is one cell less.
 	var boxes []plat.Box
 	for _, p := range members[daemons-1].fleet.View().Peers() {
@@ -185,12 +187,12 @@
 	}
 	put(t, store.KV, "op/config", []byte("second"))
 	allHold(g, members[:daemons-1], "second")
-	g.Expect(told() - before).To(gomega.BeNumerically("<", 10*daemons*len("second")+daemons*large*len("here")/4))
+	g.Expect(bytesSent() - before).To(gomega.BeNumerically("<", 10*daemons*len("second")+daemons*large*len("here")/4))
 }
 
-// As many targets for each daemon as the users' whole fleet has: what a daemon holds stays the same as
-// the fleet grows, and so do its peers.
-func TestWhatADaemonHoldsDoesNotGrowWithTheFleet(t *testing.T) {
+// With as many targets for each daemon as in the users' whole fleet, neither the targets that a
+// daemon holds nor its peers increase as the fleet grows.
+func TestTargetsOfADaemonDoNotGrowWithTheFleet(t *testing.T) {
 	const domains, each = 6, 10
 	for _, daemons := range []int{300, 986, 1972} {
 		t.Run(fmt.Sprint(daemons, " daemons"), func(t *testing.T) {
@@ -220,13 +222,14 @@
 	}
 }
 
-// Where all read a large value from the store, each of them pays for a call at each change.
-func TestALargeValueIsReadFromTheStoreByFew(t *testing.T) {
+// If all daemons read a large value from the store, each change costs a priced call of each of
+// them.
+func TestFewDaemonsReadALargeValueFromTheStore(t *testing.T) {
 	const daemons, domains = 48, 3
 	g := gomega.NewWithT(t)
 	store := &pricedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", configuration(1, 200))
-	members := rootedFleet(t, store, daemons, domains)
+	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, string(configuration(1, 200)))
 	ranges := store.ranged()
 	second := configuration(2, 200)
@@ -236,15 +239,15 @@
 	g.Expect(store.ranged() - ranges).To(gomega.BeNumerically("<", daemons/4))
 }
 
-// The list of a fleet that starts fills while its daemons run: when a service is divided they let go of
-// what falls to other cells, and read nothing anew.
-func TestAServiceThatIsDividedIsNotReadAnew(t *testing.T) {
+// In a starting fleet the list of targets grows while the daemons run: once a service is sharded
+// they drop the targets of other cells, and read nothing again.
+func TestAServiceThatBecomesShardedIsNotReadAgain(t *testing.T) {
 	const daemons, domains, few, large = 48, 3, 400, 600
 	g := gomega.NewWithT(t)
 	store := &pagedStore{pricedStore: &pricedStore{KV: &memkv.KV{}}, page: 100}
 	put(t, store.KV, "op/config", []byte("first"))
 	keys := entryKeys(t, store, "large", 0, few, domains)
-	members := rootedFleet(t, store, daemons, domains)
+	members := domainFleet(t, store, daemons, domains)
 	for _, m := range members {
 		g.Eventually(func() int { return len(m.held("large")) }, soon, look).Should(gomega.Equal(few))
 	}
@@ -261,6 +264,6 @@
 	for _, m := range members {
 		after += m.mirrors.Told()
 	}
-	// At most each new entry once to each daemon, and nothing of what they had.
+	// At most each new entry is sent once to each daemon, and no entry that it had.
 	g.Expect(after - before).To(gomega.BeNumerically("<=", daemons*(large-few)*len("here")))
 }
--- a/core/spread/inforce.go
+++ b/core/spread/inforce.go
@@ -19,117 +19,123 @@
 	"embertally.dev/core/wire"
 )
 
-const kindInForce wire.Kind = "spread.inforce"
+const kindApplied wire.Kind = "spread.inforce"
 
 const (
-	// inForcePeers is how many peers are asked.
-	inForcePeers = 5
-	// inForceLimit bounds the wait for the first piece of their answers.
-	inForceLimit = 500 * time.Millisecond
-	// inForceRest bounds the time for the other pieces of one answer.
-	inForceRest = 5 * time.Second
-	// leavingMost bounds the runs that one answer names.
-	leavingMost = 1024
+	// appliedPeers is how many peers receive a request.
+	appliedPeers = 5
+	// appliedTimeout bounds the wait for the first chunk of a response.
+	appliedTimeout = 500 * time.Millisecond
+	// appliedRestTimeout bounds the time for the other chunks of one response.
+	appliedRestTimeout = 5 * time.Second
+	// maxLeaving bounds the incarnations that one response names.
+	maxLeaving = 1024
 )
 
-// InForce holds what operators have written, by keys of the key-value service. After the service came
-// back from an older copy, daemons that know only the copy get from peers what it lacks, and which targets
-// leave.
+// InForce holds the applied values that operators have written, by key of the coordination store.
+// After the store was restored from an older copy, daemons that have only read the copy get the
+// values that it lacks from peers, and which targets are shutting down.
 type InForce struct {
-	mirror  *plat.Mirror
-	fleet   *fleet.Fleet
-	parcels *parcels
-	log     *event.Log
-	// Leaving, if set, returns the runs of targets that lately said that they leave, and Leaves hears of
-	// those that a peer names. Both are set before the fleet runs.
+	watchCache *plat.Mirror
+	fleet      *fleet.Fleet
+	transfers  *transfers
+	log        *event.Log
+	// Leaving, if set, returns the incarnations of targets that recently reported that they are
+	// shutting down; Leaves is called with those that a peer names. Both are set before the fleet
+	// runs.
 	Leaving func() []string
-	Leaves  func(run string)
+	Leaves  func(incarnation string)
 
-	inForceMu sync.Mutex
-	values    map[string]inForceValue // guarded by inForceMu
-	// settled tells that this daemon has asked peers itself, or had no need to. Guarded by inForceMu.
+	appliedMu sync.Mutex
+	values    map[string]appliedValue // by key; guarded by appliedMu
+	// settled is set once this daemon has requested the values from peers, or had no need to.
+	// Guarded by appliedMu.
 	settled bool
 }
 
-// inForceValue is one value.
-type inForceValue struct {
+// appliedValue is one value.
+type appliedValue struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      string
 	Value    []byte
 	Revision int64
-	Version  int64
+	// Version is the version that the value itself states; 0 where it has none.
+	Version int64
 }
 
-// newerThan reports whether a value is newer than what some versions, by key, tell of, or not among them.
-func (v inForceValue) newerThan(versions map[string]int64) bool {
-	known, ok := versions[v.Key]
-	return !ok || known < v.Version
+// newerThan reports whether the value's version is above the one in versions, which is by key, or
+// its key is not among them.
+func (v appliedValue) newerThan(versions map[string]int64) bool {
+	version, ok := versions[v.Key]
+	return !ok || version < v.Version
 }
 
-// inForceAsk asks for the values that the service does not hold in an era, and that are newer than the
-// asker's or that it lacks.
-type inForceAsk struct {
+// appliedRequest requests the values that the coordination store does not hold in a store
+// incarnation and that are newer than the requester's, or that the requester lacks.
+type appliedRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
+	// Versions holds the versions of the requester's values by key.
 	Versions map[string]int64
-	// Era is that of the asker's copy of the service.
-	Era int64
+	// StoreIncarnation is that of the requester's watch cache.
+	StoreIncarnation int64
 }
 
-// inForceAnswer holds them in packed form; Packed is empty where there are none.
-type inForceAnswer struct {
+// appliedResponse holds the values in compressed form; Values is empty where there are none.
+type appliedResponse struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	Packed   parcel
-	// Leaving are the runs of targets that lately said that they leave.
+	Values   transfer
+	// Leaving are the incarnations of targets that recently reported that they are shutting down.
 	Leaving []string
 }
 
-// errUnsettled says that a peer knows no more than its own copy.
-var errUnsettled = errors.New("this daemon has not asked its peers yet")
+// errUnsettled is returned while a peer has only its own copy of the store.
+var errNotReady = errors.New("this daemon has not requested the applied values from its peers yet")
 
-// NewInForce attaches values in force to the fleet of m.
+// NewInForce returns an InForce and registers it with the fleet of m.
 func NewInForce(m *Mirrors) *InForce {
-	n := &InForce{mirror: m.mirror, fleet: m.fleet, parcels: m.values.parcels, log: m.log, values: map[string]inForceValue{}}
-	n.fleet.Mux().Register(kindInForce, wire.Handle(n.answer))
+	n := &InForce{watchCache: m.watchCache, fleet: m.fleet, transfers: m.values.transfers, log: m.log, values: map[string]appliedValue{}}
+	n.fleet.Mux().Register(kindApplied, wire.Handle(n.handleApplied))
 	return n
 }
 
-// Set holds a value, unless a newer version of it is held. The version is 0 for values that have none.
+// Set stores a value, unless a newer version of it is stored. The version is 0 for values that have
+// none.
 func (n *InForce) Set(p plat.Pair, version int64) {
-	n.inForceMu.Lock()
-	defer n.inForceMu.Unlock()
-	if held, ok := n.values[p.Key]; !ok || held.Version <= version {
-		n.values[p.Key] = inForceValue{Key: p.Key, Value: p.Value, Revision: p.ModRevision, Version: version}
+	n.appliedMu.Lock()
+	defer n.appliedMu.Unlock()
+	if stored, ok := n.values[p.Key]; !ok || stored.Version <= version {
+		n.values[p.Key] = appliedValue{Key: p.Key, Value: p.Value, Revision: p.ModRevision, Version: version}
 	}
 }
 
-// Drop holds a value no longer.
+// Drop removes a value.
 func (n *InForce) Drop(key string) {
-	n.inForceMu.Lock()
-	defer n.inForceMu.Unlock()
+	n.appliedMu.Lock()
+	defer n.appliedMu.Unlock()
 	delete(n.values, key)
 }
 
-// Settle makes this daemon answer peers.
+// Settle makes this daemon answer peers' requests.
 func (n *InForce) Settle() {
-	n.inForceMu.Lock()
-	defer n.inForceMu.Unlock()
+	n.appliedMu.Lock()
+	defer n.appliedMu.Unlock()
 	n.settled = true
 }
 
-// Settled reports whether this daemon answers peers.
+// Settled reports whether this daemon answers peers' requests.
 func (n *InForce) Settled() bool {
-	n.inForceMu.Lock()
-	defer n.inForceMu.Unlock()
+	n.appliedMu.Lock()
+	defer n.appliedMu.Unlock()
 	return n.settled
 }
 
-// versions returns the versions of the values that are held.
+// versions returns the versions of the stored values by key.
 func (n *InForce) versions() map[string]int64 {
-	n.inForceMu.Lock()
-	defer n.inForceMu.Unlock()
+	n.appliedMu.Lock()
+	defer n.appliedMu.Unlock()
 	out := make(map[string]int64, len(n.values))
 	for key, v := range n.values {
 		out[key] = v.Version
@@ -137,34 +143,35 @@
 	return out
 }
 
-// answer tells a peer what is newer here.
-func (n *InForce) answer(_ context.Context, _ string, ask *inForceAsk) (*inForceAnswer, error) {
-	newer, id, err := n.newerThan(ask)
+// handleApplied sends a peer the values that are newer here.
+func (n *InForce) handleApplied(_ context.Context, _ string, req *appliedRequest) (*appliedResponse, error) {
+	newer, id, err := n.newerThan(req)
 	if err != nil {
 		return nil, err
 	}
-	out := &inForceAnswer{}
+	out := &appliedResponse{}
 	if n.Leaving != nil {
-		out.Leaving = firstOf(n.Leaving(), leavingMost)
+		out.Leaving = firstN(n.Leaving(), maxLeaving)
 	}
 	if len(newer) == 0 {
 		return out, nil
 	}
-	out.Packed, err = n.parcels.prepare(id, func() ([]byte, error) { return packMessage(newer) })
+	out.Values, err = n.transfers.begin(id, func() ([]byte, error) { return compressMessage(newer) })
 	return out, err
 }
 
-// newerThan returns the values that a peer asks for, ordered by key, and a name for them together.
-func (n *InForce) newerThan(ask *inForceAsk) (newer []inForceValue, id string, err error) {
-	n.inForceMu.Lock()
-	defer n.inForceMu.Unlock()
+// newerThan returns the values that a peer requests, ordered by key, and an identifier of this set
+// of versions.
+func (n *InForce) newerThan(req *appliedRequest) (newer []appliedValue, id string, err error) {
+	n.appliedMu.Lock()
+	defer n.appliedMu.Unlock()
 	if !n.settled {
-		return nil, "", errors.WithStack(errUnsettled)
+		return nil, "", errors.WithStack(errNotReady)
 	}
 	id = "inforce"
 	for _, key := range slices.Sorted(maps.Keys(n.values)) {
 		v := n.values[key]
-		if v.newerThan(ask.Versions) && !n.holds(v, ask.Era) {
+		if v.newerThan(req.Versions) && !n.inStore(v, req.StoreIncarnation) {
 			newer = append(newer, v)
 			id += "/" + key + "=" + strconv.FormatInt(v.Version, 10) + "." + strconv.FormatInt(v.Revision, 10)
 		}
@@ -172,99 +179,100 @@
 	return newer, id, nil
 }
 
-// holds reports whether the service holds a value in an era or a later one, as far as is known.
-func (n *InForce) holds(v inForceValue, era int64) bool {
-	p, there := n.mirror.Pair(v.Key)
-	return there && n.mirror.Era() >= era && bytes.Equal(p.Value, v.Value)
+// inStore reports whether the coordination store holds a value in a store incarnation or a later
+// one, according to the watch cache.
+func (n *InForce) inStore(v appliedValue, incarnation int64) bool {
+	p, exists := n.watchCache.Pair(v.Key)
+	return exists && n.watchCache.Era() >= incarnation && bytes.Equal(p.Value, v.Value)
 }
 
-// Ask asks some peers for newer values, and calls take, once at a time, with those that are newer than
-// what is held then. Peers that live come first. It returns how many answered.
+// Ask requests newer values from some peers, live ones first, and calls take, one call at a time,
+// with each that is newer than the stored one at that time. It returns how many peers responded.
 func (n *InForce) Ask(ctx context.Context, take func(plat.Pair)) int {
 	peers := n.peers()
-	answers := make(chan bool, len(peers))
-	var taking sync.Mutex
+	responded := make(chan bool, len(peers))
+	var takeMu sync.Mutex
 	for _, peer := range peers {
-		go inForceAsker{n, peer, &taking, take, answers}.run(ctx)
+		go appliedPuller{n, peer, &takeMu, take, responded}.run(ctx)
 	}
-	answered := 0
+	count := 0
 	for range peers {
-		if <-answers {
-			answered++
+		if <-responded {
+			count++
 		}
 	}
-	return answered
+	return count
 }
 
-// peers returns the peers to ask.
+// peers returns the peers to request values from.
 func (n *InForce) peers() []string {
-	var living, others []string
+	var live, others []string
 	all := n.fleet.View().Peers()
 	for _, i := range rand.Perm(len(all)) {
 		if all[i].Alive {
-			living = append(living, all[i].Name)
+			live = append(live, all[i].Name)
 		} else {
 			others = append(others, all[i].Name)
 		}
 	}
-	return firstOf(append(living, others...), inForcePeers)
+	return firstN(append(live, others...), appliedPeers)
 }
 
-// inForceAsker asks one peer.
-type inForceAsker struct {
+// appliedPuller requests values from one peer.
+type appliedPuller struct {
 	*InForce
 	peer string
-	// taking is held while take is called.
-	taking *sync.Mutex
+	// takeMu is held while take is called.
+	takeMu *sync.Mutex
 	take   func(plat.Pair)
-	// done receives whether the peer answered.
+	// done receives whether the peer responded.
 	done chan<- bool
 }
 
-func (a inForceAsker) run(ctx context.Context) {
-	values, err := a.ask(ctx)
+func (p appliedPuller) run(ctx context.Context) {
+	values, err := p.pull(ctx)
 	if err != nil {
-		a.log.Emit(event.PeerNotTold, event.Ref{}, a.peer+", values in force: "+err.Error())
+		p.log.Emit(event.PeerNotTold, event.Ref{}, p.peer+", applied values: "+err.Error())
 	}
-	a.taking.Lock()
-	held := a.versions()
+	p.takeMu.Lock()
+	stored := p.versions()
 	for _, v := range values {
-		if v.newerThan(held) {
-			a.log.Emit(event.ValueInForce, event.Ref{Resource: v.Key}, "version "+strconv.FormatInt(v.Version, 10)+" from "+a.peer)
-			a.take(plat.Pair{Key: v.Key, Value: v.Value, ModRevision: v.Revision})
+		if v.newerThan(stored) {
+			p.log.Emit(event.ValueInForce, event.Ref{Resource: v.Key}, "version "+strconv.FormatInt(v.Version, 10)+" from "+p.peer)
+			p.take(plat.Pair{Key: v.Key, Value: v.Value, ModRevision: v.Revision})
 		}
 	}
-	a.taking.Unlock()
-	a.done <- err == nil
+	p.takeMu.Unlock()
+	p.done <- err == nil
 }
 
-// ask gets the peer's newer values, and takes the runs that leave.
-func (a inForceAsker) ask(ctx context.Context) ([]inForceValue, error) {
-	first, cancel := context.WithTimeout(ctx, inForceLimit)
+// pull gets the peer's newer values, and passes on which incarnations are shutting down.
+func (p appliedPuller) pull(ctx context.Context) ([]appliedValue, error) {
+	firstCtx, cancel := context.WithTimeout(ctx, appliedTimeout)
 	defer cancel()
-	question := &inForceAsk{Versions: a.versions(), Era: a.mirror.Era()}
-	var got inForceAnswer
-	if err := a.fleet.Call(first, a.peer, kindInForce, question, &got); err != nil {
+	req := &appliedRequest{Versions: p.versions(), StoreIncarnation: p.watchCache.Era()}
+	var got appliedResponse
+	if err := p.fleet.Call(firstCtx, p.peer, kindApplied, req, &got); err != nil {
 		return nil, err
 	}
-	if a.Leaves != nil {
-		for _, run := range firstOf(got.Leaving, leavingMost) {
-			a.Leaves(run)
+	if p.Leaves != nil {
+		for _, incarnation := range firstN(got.Leaving, maxLeaving) {
+			p.Leaves(incarnation)
 		}
 	}
-	if got.Packed.Size == 0 {
+	if got.Values.Size == 0 {
 		return nil, nil
 	}
-	ctx, stop := context.WithTimeout(ctx, inForceRest)
-	defer stop()
-	packed, err := a.parcels.rest(ctx, a.peer, &got.Packed, mostValue)
+	ctx, cancelRest := context.WithTimeout(ctx, appliedRestTimeout)
+	defer cancelRest()
+	compressed, err := p.transfers.receive(ctx, p.peer, &got.Values, maxValueBytes)
 	if err != nil {
 		return nil, err
 	}
-	raw, err := unpack(packed, nil)
+	raw, err := decompress(compressed, nil)
 	if err != nil {
 		return nil, err
 	}
-	var values []inForceValue
+	var values []appliedValue
 	return values, errors.WithStack(msgpack.Unmarshal(raw, &values))
 }
--- a/core/spread/mirror.go
+++ b/core/spread/mirror.go
@@ -19,274 +19,278 @@
 	"embertally.dev/core/wire"
 )
 
-const kindMirror wire.Kind = "spread.mirror"
+const kindChanges wire.Kind = "spread.mirror"
 
-// Mirrors keeps the mirrors of daemons current that the key-value service does
-// not answer: they take the changes from a peer that it does answer.
+// Mirrors keeps this daemon's watch cache current while the coordination store does not answer it
+// or other daemons watch the store for it: it requests the changes from a peer.
 type Mirrors struct {
-	// began is when this daemon started.
-	began  clock.Time
-	mirror *plat.Mirror
-	fleet  *fleet.Fleet
-	log    *event.Log
-	values *values
-	// others counts the questions in a row to peers of the cell that hold another shard than this
-	// daemon asks for.
-	others atomic.Int64
-	// told counts the bytes of values that peers were given, and failed the
-	// questions of this daemon that a peer did not answer.
-	told, failed atomic.Int64
-
-	// Entry, if set, reads what a key says of a target; false where it is no entry of one. It is
-	// set before Run.
+	// started is when this daemon started.
+	started    clock.Time
+	watchCache *plat.Mirror
+	fleet      *fleet.Fleet
+	log        *event.Log
+	values     *largeValues
+	// shardMismatches counts the consecutive requests to peers of the cell that failed because the
+	// peer's cache holds another shard than the one requested.
+	shardMismatches atomic.Int64
+	// bytesSent counts the bytes of values that were sent to peers; requestsFailed counts this
+	// daemon's requests that a peer did not answer.
+	bytesSent, requestsFailed atomic.Int64
+
+	// Entry, if set, parses a pair as a target's entry; it returns false where the pair is none. It
+	// is set before Run.
 	Entry   func(plat.Pair) (Entry, bool)
-	entries entries
+	entries entryIndex
 
-	roots atomic.Pointer[mirrorRoots]
-	// silent are the roots that did not answer, or knew nothing fresh.
-	silent wait.Backoff[string]
+	relays atomic.Pointer[relaySet]
+	// relayBackoff holds the watch relays that did not answer, or whose cache was stale.
+	relayBackoff wait.Backoff[string]
 
 	peersMu sync.Mutex
-	// peers holds how fresh each peer's copy is. Guarded by peersMu.
-	peers map[string]clock.Time
+	// peerFresh holds the time up to which each peer's cache is current. Guarded by peersMu.
+	peerFresh map[string]clock.Time
 }
 
-// NewMirrors attaches the mirror to the fleet's heartbeats.
+// NewMirrors returns Mirrors for m and attaches it to the fleet's heartbeats.
 func NewMirrors(m *plat.Mirror, f *fleet.Fleet, log *event.Log) *Mirrors {
-	s := &Mirrors{began: clock.Now(), mirror: m, fleet: f, log: log, peers: map[string]clock.Time{}}
-	s.silent.First, s.silent.Most = silentTime, silentMost
-	s.values = newValues(m, f, newParcels(f, func(bytes int) { s.told.Add(int64(bytes)) }), log)
+	s := &Mirrors{started: clock.Now(), watchCache: m, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
+	s.relayBackoff.First, s.relayBackoff.Most = backoffFirst, backoffMax
+	s.values = newLargeValues(m, f, newTransfers(f, func(bytes int) { s.bytesSent.Add(int64(bytes)) }), log)
 	m.Observe(s.observe)
 	f.Attach("mirror", s)
-	f.Mux().Register(kindMirror, wire.Handle(s.answer))
+	f.Mux().Register(kindChanges, wire.Handle(s.handleChanges))
 	m.Follows, m.Reserve, m.Gather = s.Follows, s.Reserve, s.Gather
 	return s
 }
 
-// Told returns how many bytes of values peers were given.
-func (s *Mirrors) Told() int64 { return s.told.Load() }
+// Told returns how many bytes of values were sent to peers.
+func (s *Mirrors) Told() int64 { return s.bytesSent.Load() }
 
-// Failed returns how many questions to peers were not answered.
-func (s *Mirrors) Failed() int64 { return s.failed.Load() }
+// Failed returns how many requests to peers failed.
+func (s *Mirrors) Failed() int64 { return s.requestsFailed.Load() }
 
-// mirrorBeat is a part of a heartbeat.
-type mirrorBeat struct {
+// cacheHeartbeat is the part of a heartbeat that reports how old a watch cache is.
+type cacheHeartbeat struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// AgeMillis is how old the sender's copy is.
+	// AgeMillis is the age of the sender's cache in milliseconds.
 	AgeMillis int64
 }
 
-// Collect returns this daemon's part of a heartbeat: those who ask the service or a root
-// for their cell tell how fresh they are, so that the others ask them.
+// Collect returns this daemon's part of a heartbeat. Only daemons that watch the store, or that
+// request changes from a watch relay for their cell, report an age, so that the others of the cell
+// request changes from them.
 func (s *Mirrors) Collect(bool) any {
-	fresh := s.mirror.Fresh()
-	if s.mirror.Contact().IsZero() && !s.leads() || fresh.IsZero() {
+	fresh := s.watchCache.Fresh()
+	if s.watchCache.Contact().IsZero() && !s.pullsFromRelay() || fresh.IsZero() {
 		return nil
 	}
-	return &mirrorBeat{AgeMillis: ageMillis(clock.Since(fresh))}
+	return &cacheHeartbeat{AgeMillis: ageMillis(clock.Since(fresh))}
 }
 
-// Receive takes a peer's part of a heartbeat.
+// Receive stores the cache age that a peer reported.
 func (s *Mirrors) Receive(peer string, raw []byte) {
-	var b mirrorBeat
+	var b cacheHeartbeat
 	if err := msgpack.Unmarshal(raw, &b); err != nil {
-		// A peer of another version is not asked.
+		// A peer of another version gets no requests.
 		return
 	}
 	s.peersMu.Lock()
 	defer s.peersMu.Unlock()
-	s.peers[peer] = clock.Now().Add(-toldAge(b.AgeMillis))
+	s.peerFresh[peer] = clock.Now().Add(-reportedAge(b.AgeMillis))
 }
 
-// ageMillis returns an age as it is told, rounded up: nobody may believe that what it
-// knows is younger than it is.
+// ageMillis returns an age in milliseconds for a message, rounded up: a receiver must never take a
+// copy for younger than it is.
 func ageMillis(age time.Duration) int64 { return age.Milliseconds() + 1 }
 
-// toldAge returns an age that a peer told, which is bounded so that it cannot
-// wrap to a time in the future.
-func toldAge(millis int64) time.Duration {
-	return time.Duration(min(max(0, millis), mostAgeMillis)) * time.Millisecond
+// reportedAge returns an age from a peer's message, bounded so that it cannot overflow to a time in
+// the future.
+func reportedAge(millis int64) time.Duration {
+	return time.Duration(min(max(0, millis), maxAgeMillis)) * time.Millisecond
 }
 
-// Times of taking changes from peers.
+// Times and bounds of requesting changes from peers.
 const (
-	// silentAfter is the silence of the service after which a peer is asked:
-	// watches answer every 1.5 s.
-	silentAfter = 1800 * time.Millisecond
-	// askPause spaces the questions.
-	askPause = 100 * time.Millisecond
-	// askWait is how long a peer may wait for a change before it answers, and
-	// askLimit bounds one question.
-	askWait  = 500 * time.Millisecond
-	askLimit = askWait + 600*time.Millisecond
-	// othersMost is how many questions in a row may meet another shard at peers of the cell, which
-	// are about to change it as well, before a root is asked.
-	othersMost = 20
-	// aloneAfter is the age of what is known from which a daemon that finds no fresher peer in its
-	// cell asks a root. Those who ask roots for their cells do at once: where all did, each root
-	// would have twelve times as many askers just when it is slow.
-	aloneAfter = 3 * staleAfter
-	// answerRoom bounds the keys and values of one answer, so that its time limit
-	// fits its size: 38 ms on a link of 10 Mbit/s, 0.5 s where 11 peers ask at once.
-	answerRoom = 48 << 10
-	// mostAgeMillis bounds the ages that peers tell: older is as good as never.
-	mostAgeMillis = 3600 * 1000
-	// sameAnswer is by how much the times of one answer of the service may differ as
-	// heartbeats and answers between daemons tell them: by the ways of these.
-	sameAnswer = 100 * time.Millisecond
-	// gatherSmall and gatherLarge gather changes that follow each other: each
-	// answer of a watch is a priced call, and targets change their entries all
-	// the time. The users' bounds on a configuration are 2 s on small fleets and
-	// 3 s on large ones.
+	// storeSilentAfter is how long the store may be silent before changes are requested from a
+	// peer: watches answer every 1.5 s.
+	storeSilentAfter = 1800 * time.Millisecond
+	// requestInterval is the time between two requests.
+	requestInterval = 100 * time.Millisecond
+	// requestWait is how long a peer may wait for a change before it responds; requestTimeout
+	// bounds one request.
+	requestWait    = 500 * time.Millisecond
+	requestTimeout = requestWait + 600*time.Millisecond
+	// maxShardMismatches is how many consecutive requests to peers of the cell may meet another
+	// shard before a request goes to a watch relay: the peers will soon change their shard as well.
+	maxShardMismatches = 20
+	// isolatedAfter is the cache age from which a daemon without a fresher peer in its cell
+	// requests changes from a watch relay. Those that do so for their cell don't wait: if all
+	// daemons did it at once, each relay would have twelve times as many clients just when it is
+	// slow.
+	isolatedAfter = 3 * staleAfter
+	// maxResponseBytes bounds the keys and values of one response, so that its time limit fits its
+	// size: 38 ms on a link of 10 Mbit/s, 0.5 s where 11 peers request at once.
+	maxResponseBytes = 48 << 10
+	// maxAgeMillis bounds the ages that peers report; an older copy counts as this old.
+	maxAgeMillis = 3600 * 1000
+	// freshnessSlack is by how much the times of one answer of the store may differ between
+	// daemons, due to the latency of the heartbeats and responses that report them.
+	freshnessSlack = 100 * time.Millisecond
+	// gatherSmall and gatherLarge are how long successive changes are batched in small and large
+	// fleets: each response of a watch is a priced call, and targets change their entries all the
+	// time. The users' bounds on a configuration change are 2 s on small fleets and 3 s on large
+	// ones.
 	gatherSmall = 150 * time.Millisecond
 	gatherLarge = 500 * time.Millisecond
-	// startTime is how long after its start a daemon gathers changes for startGather:
-	// boxes that start together make themselves known within 0.3 s.
-	startTime   = 2 * time.Second
-	startGather = 300 * time.Millisecond
+	// For startupPeriod after its start a daemon batches changes for gatherStartup: boxes that
+	// start together register within 0.3 s.
+	startupPeriod = 2 * time.Second
+	gatherStartup = 300 * time.Millisecond
 )
 
-// Gather returns how long changes of the service are gathered.
+// Gather returns how long changes of the store are batched.
 func (s *Mirrors) Gather() time.Duration {
 	switch {
 	case len(s.fleet.View().Peers()) >= smallFleet:
 		return gatherLarge
-	case clock.Since(s.began) < startTime:
-		return startGather
+	case clock.Since(s.started) < startupPeriod:
+		return gatherStartup
 	}
 	return gatherSmall
 }
 
-// Run asks a peer for changes while the service is silent, until ctx ends.
+// Run requests changes from a peer while the store is silent or other daemons watch it for this
+// one. It returns when ctx ends.
 func (s *Mirrors) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { s.values.run(ctx) })
-	wait.Every(ctx, askPause, func() {
-		if clock.Since(s.mirror.Contact()) > silentAfter || !s.Follows() {
-			s.ask(ctx)
+	wait.Every(ctx, requestInterval, func() {
+		if clock.Since(s.watchCache.Contact()) > storeSilentAfter || !s.Follows() {
+			s.pull(ctx)
 		}
 	})
 }
 
-// ask takes what a peer knows more.
-func (s *Mirrors) ask(ctx context.Context) {
-	peer, root := s.best(), ""
-	if s.leads() || s.isAlone(peer) {
-		if root = s.root(); root != "" {
-			peer = root
+// pull requests the changes that this daemon's cache lacks, from the freshest peer of the cell or
+// from a watch relay.
+func (s *Mirrors) pull(ctx context.Context) {
+	peer, relay := s.freshestPeer(), ""
+	if s.pullsFromRelay() || s.isIsolated(peer) {
+		if relay = s.nextRelay(); relay != "" {
+			peer = relay
 		}
 	}
 	if peer == "" {
 		return
 	}
-	began := clock.Now()
-	err := s.askPeer(ctx, peer)
+	start := clock.Now()
+	err := s.pullFrom(ctx, peer)
 	if err != nil {
-		s.failed.Add(1)
-		s.log.Emit(event.PeerNotTold, event.Ref{}, peer+" after "+elapsed(began)+": "+err.Error())
+		s.requestsFailed.Add(1)
+		s.log.Emit(event.PeerNotTold, event.Ref{}, peer+" after "+elapsedSince(start)+": "+err.Error())
 	}
 	if err != nil && !errors.Is(err, errOtherShard) {
-		s.forget(peer)
+		s.forgetPeer(peer)
 	}
 	switch {
-	case root == "":
+	case relay == "":
 		if errors.Is(err, errOtherShard) {
-			s.others.Add(1)
+			s.shardMismatches.Add(1)
 		} else {
-			s.others.Store(0)
+			s.shardMismatches.Store(0)
 		}
-	case err != nil, clock.Since(s.mirror.Fresh()) > staleAfter:
-		s.silent.Failed(root, time.Now())
+	case err != nil, clock.Since(s.watchCache.Fresh()) > staleAfter:
+		s.relayBackoff.Failed(relay, time.Now())
 	default:
-		s.silent.Worked(root)
-		s.others.Store(0)
+		s.relayBackoff.Worked(relay)
+		s.shardMismatches.Store(0)
 	}
 }
 
-// isAlone reports whether nobody in the cell can tell this daemon what the service says: the
-// freshest peer holds another shard, or there is none and what is known is old.
-func (s *Mirrors) isAlone(peer string) bool {
-	if s.fleet.View().Cells() < rootedCells {
+// isIsolated reports whether no daemon of the cell can provide the store's changes: the freshest
+// peer holds another shard, or no peer is as fresh and this cache is old.
+func (s *Mirrors) isIsolated(peer string) bool {
+	if s.fleet.View().Cells() < minCellsForRelays {
 		return false
 	}
-	return s.others.Load() > othersMost || (peer == "" && s.silence() > aloneAfter)
+	return s.shardMismatches.Load() > maxShardMismatches || (peer == "" && s.cacheAge() > isolatedAfter)
 }
 
-// silence returns how old this daemon's copy is, or how long it has known nothing.
-func (s *Mirrors) silence() time.Duration {
-	if fresh := s.mirror.Fresh(); !fresh.IsZero() {
+// cacheAge returns the age of this daemon's cache or, while it is empty, the time since the start.
+func (s *Mirrors) cacheAge() time.Duration {
+	if fresh := s.watchCache.Fresh(); !fresh.IsZero() {
 		return clock.Since(fresh)
 	}
-	return clock.Since(s.began)
+	return clock.Since(s.started)
 }
 
-// askPeer takes what one peer knows more, answer by answer.
-func (s *Mirrors) askPeer(ctx context.Context, peer string) error {
+// pullFrom requests all changes that one peer has and this cache lacks, response by response.
+func (s *Mirrors) pullFrom(ctx context.Context, peer string) error {
 	view := s.fleet.View()
 	shard := view.Shard()
-	if view.Cells() >= rootedCells && slices.Contains(s.rootsOf(view), view.Self()) {
-		// Others ask it for all shards.
+	if view.Cells() >= minCellsForRelays && slices.Contains(s.relaysOf(view), view.Self()) {
+		// Other daemons request all shards from it.
 		shard = nil
 	}
-	ask := &mirrorAsk{
-		After: s.mirror.Revision(), WaitMillis: askWait.Milliseconds(), AgeMillis: ageMillis(clock.Since(s.mirror.Fresh())),
-		Shard: shard, Held: s.mirror.Shard(),
+	req := &changesRequest{
+		AfterRevision: s.watchCache.Revision(), WaitMillis: requestWait.Milliseconds(), AgeMillis: ageMillis(clock.Since(s.watchCache.Fresh())),
+		Shard: shard, CacheShard: s.watchCache.Shard(),
 	}
 	for {
-		began := clock.Now()
-		got, err := s.question(ctx, peer, ask)
+		start := clock.Now()
+		got, err := s.request(ctx, peer, req)
 		if err != nil {
 			return err
 		}
-		if got.All {
-			return s.takeAll(ctx, peer, ask, got, got.heard(began))
+		if got.FullCopy {
+			return s.pullFullCopy(ctx, peer, req, got, got.freshAt(start))
 		}
-		if got.Moved && shard != nil {
-			s.noteShard(ask.Held, got.Holds, peer, len(got.Changes))
-			s.mirror.TakeMoved(got.changes(), got.Revision, ask.Held, got.Holds, s.drops(shard, got.Holds), got.heard(began))
-			s.expectLate(peer)
+		if got.ShardChanged && shard != nil {
+			s.logShardChange(req.CacheShard, got.ShardName, peer, len(got.Changes))
+			s.watchCache.TakeMoved(got.changes(), got.Revision, req.CacheShard, got.ShardName, s.outsideShard(shard, got.ShardName), got.freshAt(start))
+			s.fetchUnfetched(peer)
 			return nil
 		}
-		if got.Holds != ask.Held {
-			return errors.WithStack(errNonsense)
+		if got.ShardName != req.CacheShard {
+			return errors.WithStack(errInvalidMessage)
 		}
 		if got.More {
-			s.mirror.Take(got.changes(), got.Revision, clock.Time{})
-			ask = &mirrorAsk{After: got.Revision, Shard: shard, Held: ask.Held}
+			s.watchCache.Take(got.changes(), got.Revision, clock.Time{})
+			req = &changesRequest{AfterRevision: got.Revision, Shard: shard, CacheShard: req.CacheShard}
 			continue
 		}
-		s.mirror.Take(got.changes(), got.Revision, got.heard(began))
-		s.expectLate(peer)
+		s.watchCache.Take(got.changes(), got.Revision, got.freshAt(start))
+		s.fetchUnfetched(peer)
 		return nil
 	}
 }
 
-// takeAll takes a peer's whole copy, of which the first page is here. The pages are
-// not of one moment: what changes meanwhile follows the revision of the first.
-func (s *Mirrors) takeAll(ctx context.Context, peer string, asked *mirrorAsk, first *mirrorAnswer, heard clock.Time) error {
+// pullFullCopy takes a peer's whole cache, of which the first page is given. The pages are not one
+// snapshot: changes made meanwhile come after the revision of the first page.
+func (s *Mirrors) pullFullCopy(ctx context.Context, peer string, sent *changesRequest, first *changesResponse, freshAt clock.Time) error {
 	all := first.changes()
 	for page := first; page.More; {
 		var err error
-		ask := &mirrorAsk{Page: all[len(all)-1].Key, Shard: asked.Shard}
-		if page, err = s.question(ctx, peer, ask); err != nil {
+		req := &changesRequest{PageAfter: all[len(all)-1].Key, Shard: sent.Shard}
+		if page, err = s.request(ctx, peer, req); err != nil {
 			return err
 		}
-		if !page.All || page.Holds != first.Holds {
-			return errors.WithStack(errNonsense)
+		if !page.FullCopy || page.ShardName != first.ShardName {
+			return errors.WithStack(errInvalidMessage)
 		}
 		all = append(all, page.changes()...)
 	}
-	s.noteShard(asked.Held, first.Holds, peer, len(all))
-	s.mirror.TakeAll(all, first.Revision, asked.Held, first.Holds, heard)
-	s.expectLate(peer)
+	s.logShardChange(sent.CacheShard, first.ShardName, peer, len(all))
+	s.watchCache.TakeAll(all, first.Revision, sent.CacheShard, first.ShardName, freshAt)
+	s.fetchUnfetched(peer)
 	return nil
 }
 
-// noteShard logs that another shard is taken.
-func (s *Mirrors) noteShard(held, holds, peer string, entries int) {
-	if held == holds {
+// logShardChange logs that this daemon changes to another shard.
+func (s *Mirrors) logShardChange(former, taken, peer string, entries int) {
+	if former == taken {
 		return
 	}
 	view := s.fleet.View()
@@ -294,62 +298,62 @@
 	s.log.Emit(event.ListShardTaken, event.Ref{}, text)
 }
 
-// expectLate makes the values that a peer named without giving them be fetched.
-func (s *Mirrors) expectLate(peer string) {
-	if s.mirror.Behind() {
-		s.values.expect(peer)
+// fetchUnfetched starts to fetch the values that a peer announced without sending them.
+func (s *Mirrors) fetchUnfetched(peer string) {
+	if s.watchCache.Behind() {
+		s.values.requestFetch(peer)
 	}
 }
 
-// heard returns when the service had answered the peer, at the latest that is sure: the
-// answer to a question that began at some time may have been on its way for long.
-func (a *mirrorAnswer) heard(began clock.Time) clock.Time {
-	return began.Add(toldAge(a.WaitedMillis) - toldAge(a.AgeMillis))
+// freshAt returns the latest time up to which the response is certainly current. It counts from the
+// start of the request, since the response may have been in transit for long.
+func (r *changesResponse) freshAt(start clock.Time) clock.Time {
+	return start.Add(reportedAge(r.WaitedMillis) - reportedAge(r.AgeMillis))
 }
 
-// question asks a peer once.
-func (s *Mirrors) question(ctx context.Context, peer string, ask *mirrorAsk) (*mirrorAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+// request sends one request to a peer and checks its response.
+func (s *Mirrors) request(ctx context.Context, peer string, req *changesRequest) (*changesResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	var got mirrorAnswer
-	if err := s.fleet.Call(ctx, peer, kindMirror, ask, &got); err != nil {
+	var got changesResponse
+	if err := s.fleet.Call(ctx, peer, kindChanges, req, &got); err != nil {
 		return nil, err
 	}
-	if got.Other {
+	if got.ShardMismatch {
 		return nil, errors.WithStack(errOtherShard)
 	}
-	if got.More && !got.follows(ask) {
-		return nil, errors.WithStack(errNonsense)
+	if got.More && !got.makesProgress(req) {
+		return nil, errors.WithStack(errInvalidMessage)
 	}
 	return &got, nil
 }
 
-// follows reports whether an answer leads on from where its question stood, so that the
-// answers to come end.
-func (a *mirrorAnswer) follows(ask *mirrorAsk) bool {
-	if !a.All {
-		return a.Revision > ask.After
+// makesProgress reports whether a response goes beyond the position of its request, so that the
+// sequence of requests ends.
+func (r *changesResponse) makesProgress(req *changesRequest) bool {
+	if !r.FullCopy {
+		return r.Revision > req.AfterRevision
 	}
-	return len(a.Changes) > 0 && a.Changes[len(a.Changes)-1].Key > ask.Page
+	return len(r.Changes) > 0 && r.Changes[len(r.Changes)-1].Key > req.PageAfter
 }
 
-// changes returns what a peer told.
-func (a *mirrorAnswer) changes() []plat.Change {
-	out := make([]plat.Change, len(a.Changes))
-	for i, c := range a.Changes {
+// changes returns the response's changes in the form that the watch cache takes.
+func (r *changesResponse) changes() []plat.Change {
+	out := make([]plat.Change, len(r.Changes))
+	for i, c := range r.Changes {
 		pair := plat.Pair{Key: c.Key, Value: c.Value, ModRevision: c.Revision}
-		out[i] = plat.Change{Pair: pair, Deleted: c.Deleted, Late: c.Late}
+		out[i] = plat.Change{Pair: pair, Deleted: c.Deleted, Late: c.Unfetched}
 	}
 	return out
 }
 
-// best returns the peer of the cell whose copy is the freshest, if it is no older than
-// this daemon's: who is as fresh will hear of the next change.
-func (s *Mirrors) best() string {
+// freshestPeer returns the peer of the cell with the freshest cache, or "" if all are older than
+// this daemon's. A peer that is as fresh counts: it will receive the next change.
+func (s *Mirrors) freshestPeer() string {
 	s.peersMu.Lock()
 	defer s.peersMu.Unlock()
-	name, latest := "", s.mirror.Fresh().Add(-sameAnswer)
-	for peer, at := range s.peers {
+	name, latest := "", s.watchCache.Fresh().Add(-freshnessSlack)
+	for peer, at := range s.peerFresh {
 		if at.After(latest) {
 			name, latest = peer, at
 		}
@@ -357,9 +361,9 @@
 	return name
 }
 
-// forget makes a peer that did not answer not be asked before its next heartbeat.
-func (s *Mirrors) forget(peer string) {
+// forgetPeer excludes a peer that did not respond until its next heartbeat.
+func (s *Mirrors) forgetPeer(peer string) {
 	s.peersMu.Lock()
 	defer s.peersMu.Unlock()
-	delete(s.peers, peer)
+	delete(s.peerFresh, peer)
 }
--- a/core/spread/mirror_test.go
+++ b/core/spread/mirror_test.go
@@ -24,30 +24,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Bounds of waits. soon is for what takes milliseconds, long for what a slow link
-// carries; the race detector on a busy machine takes a hundred times as long.
+// Bounds of waits: soon for what takes milliseconds, long for transfers over a slow link. The race
+// detector on a busy machine takes a hundred times as long.
 const (
 	soon = "60s"
 	long = "120s"
 	look = "10ms"
 )
 
-// Heartbeats of the tests' daemons. Twelve that told each other every 50 ms kept the
-// race detector busy with nothing else.
+// Heartbeats of the tests' daemons. At 50 ms, twelve daemons took all the time of the race
+// detector.
 const (
-	beat    = 250 * time.Millisecond
-	suspect = 10 * time.Second
+	heartbeat = 250 * time.Millisecond
+	suspect   = 10 * time.Second
 )
 
-// member is one daemon of a test: its fleet, and its mirror of a store.
+// member is one daemon of a test, with its fleet and its watch cache of a store.
 type member struct {
-	fleet   *fleet.Fleet
-	mirror  *plat.Mirror
-	mirrors *spread.Mirrors
-	inForce *spread.InForce
-	// leaving are the runs that the member tells peers of.
+	fleet      *fleet.Fleet
+	watchCache *plat.Mirror
+	mirrors    *spread.Mirrors
+	inForce    *spread.InForce
+	// leaving holds the incarnations that the member reports as shutting down.
 	leaving atomic.Pointer[[]string]
-	// seen holds the keys of the changes that the mirror told, in their order.
+	// seen holds the keys of the changes that the watch cache reported, in their order.
 	seenMu sync.Mutex
 	seen   []string // guarded by seenMu
 }
@@ -60,23 +60,23 @@
 	}
 }
 
-// order returns the keys whose changes were told, in their order.
+// order returns the keys of the reported changes, in their order.
 func (m *member) order() []string {
 	m.seenMu.Lock()
 	defer m.seenMu.Unlock()
 	return append([]string(nil), m.seen...)
 }
 
-// holds reports whether the mirror holds a value.
+// holds returns a function that reports whether the watch cache holds a value.
 func (m *member) holds(key string, value []byte) func() bool {
 	return func() bool {
-		p, ok := m.mirror.Pair(key)
+		p, ok := m.watchCache.Pair(key)
 		return ok && bytes.Equal(p.Value, value)
 	}
 }
 
-// cell runs a teller, whom the store answers, and others that it does not answer.
-// They reach the teller at the address that reach gives for its own.
+// cell runs a sender, which the store answers, and others that it does not answer. They reach the
+// sender at the address that reach returns for its own.
 func cell(t *testing.T, store *memkv.KV, others int, reach func(address string) string) (*member, []*member) {
 	t.Helper()
 	seeds, listeners := addresses(t, others+1)
@@ -84,14 +84,14 @@
 	seeds[0].Address = reach(seeds[0].Address)
 	all := []*member{run(t, seeds[0].Name, listeners[0], store, direct)}
 	for i, l := range listeners[1:] {
-		away := &memkv.KV{}
-		away.SetDown(true)
-		all = append(all, run(t, seeds[i+1].Name, l, away, seeds))
+		unreachable := &memkv.KV{}
+		unreachable.SetDown(true)
+		all = append(all, run(t, seeds[i+1].Name, l, unreachable, seeds))
 	}
 	return all[0], all[1:]
 }
 
-// addresses returns listeners for some daemons, and where they are.
+// addresses returns seeds and listeners for some daemons.
 func addresses(t *testing.T, daemons int) ([]fleet.Peer, []net.Listener) {
 	t.Helper()
 	var seeds []fleet.Peer
@@ -110,18 +110,18 @@
 // run runs one member until the test ends.
 func run(t *testing.T, name string, l net.Listener, store plat.Reader, seeds []fleet.Peer) *member {
 	m := &member{fleet: fleet.New(fleet.Options{
-		Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: beat, Suspect: suspect, Log: &event.Log{},
+		Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 	})}
-	m.mirror = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
-	m.mirror.Observe(m.observe)
-	m.mirrors = spread.NewMirrors(m.mirror, m.fleet, &event.Log{})
+	m.watchCache = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
+	m.watchCache.Observe(m.observe)
+	m.mirrors = spread.NewMirrors(m.watchCache, m.fleet, &event.Log{})
 	m.inForce = spread.NewInForce(m.mirrors)
 	m.leaving.Store(&[]string{})
 	m.inForce.Leaving = func() []string { return *m.leaving.Load() }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { m.fleet.Run(ctx, l) })
-	wg.Go(func() { m.mirror.Run(ctx) })
+	wg.Go(func() { m.watchCache.Run(ctx) })
 	wg.Go(func() { m.mirrors.Run(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	return m
@@ -147,7 +147,7 @@
 	return out.Bytes()
 }
 
-// noise returns bytes that cannot be packed.
+// noise returns bytes that cannot be compressed.
 func noise(size int) []byte {
 	draw := rand.New(rand.NewPCG(3, 4))
 	out := make([]byte, size)
@@ -157,56 +157,56 @@
 	return out
 }
 
-// same reaches a daemon directly.
+// same is a reach for cell that changes no address.
 func same(address string) string { return address }
 
-// slowSecond is what the slowest link of the users' boxes, one of 10 Mbit/s, carries in
-// a second, in bytes.
+// slowSecond is how many bytes the slowest link of the users' boxes, one of 10 Mbit/s, carries in a
+// second.
 const slowSecond = 10_000_000 / 8
 
-// A configuration is passed on by few daemons to many; whoever passes it on needs
-// its link for callers and for what else has changed.
-func TestTellingACellOfALargeConfigurationTakesUnderASecondOfASlowLink(t *testing.T) {
+// A few daemons send each configuration to many others; they need their links for callers and for
+// other changes as well.
+func TestSendingALargeConfigurationToACellTakesUnderASecondOfASlowLink(t *testing.T) {
 	const others = 11
 	g := gomega.NewWithT(t)
 	store := &memkv.KV{}
 	versions := [][]byte{configuration(13, 2840), configuration(15, 4240), configuration(17, 4240)}
 	put(t, store, "op/config", versions[0])
-	teller, rest := cell(t, store, others, same)
+	sender, rest := cell(t, store, others, same)
 	for _, m := range rest {
 		g.Eventually(m.holds("op/config", versions[0]), soon, look).Should(gomega.BeTrue())
 	}
-	before := teller.fleet.Bytes()
+	before := sender.fleet.Bytes()
 	for _, v := range versions[1:] {
 		put(t, store, "op/config", v)
 		for _, m := range rest {
 			g.Eventually(m.holds("op/config", v), soon, look).Should(gomega.BeTrue())
 		}
 	}
-	g.Expect(teller.fleet.Bytes()-before).To(gomega.BeNumerically("<", slowSecond), "bytes for two versions of %d bytes", len(versions[1]))
+	g.Expect(sender.fleet.Bytes()-before).To(gomega.BeNumerically("<", slowSecond), "bytes for two versions of %d bytes", len(versions[1]))
 }
 
-// What is small comes soon, whatever else is on its way, and what is large comes in
-// the end, however long a link takes for it.
-func TestALargeValueOnASlowLinkHoldsNothingUp(t *testing.T) {
+// Small changes arrive soon, whatever else is being sent, and large ones arrive in the end, however
+// long a link takes for them.
+func TestALargeValueOnASlowLinkDelaysNoSmallOne(t *testing.T) {
 	const rate = 256 << 10
 	g := gomega.NewWithT(t)
 	store := &memkv.KV{}
 	put(t, store, "op/small", []byte("is there"))
-	teller, rest := cell(t, store, 1, slowLink(t, rate))
-	asker := rest[0]
-	g.Eventually(asker.holds("op/small", []byte("is there")), soon, look).Should(gomega.BeTrue())
+	sender, rest := cell(t, store, 1, slowLink(t, rate))
+	requester := rest[0]
+	g.Eventually(requester.holds("op/small", []byte("is there")), soon, look).Should(gomega.BeTrue())
 	large := noise(1 << 20)
 	put(t, store, "op/large", large)
-	g.Eventually(teller.holds("op/large", large), soon, look).Should(gomega.BeTrue())
+	g.Eventually(sender.holds("op/large", large), soon, look).Should(gomega.BeTrue())
 	put(t, store, "op/small", []byte("is leaving"))
-	g.Eventually(asker.holds("op/small", []byte("is leaving")), soon, look).Should(gomega.BeTrue())
-	g.Eventually(asker.holds("op/large", large), long, look).Should(gomega.BeTrue())
-	g.Expect(asker.order()).To(gomega.Equal([]string{"op/small", "op/small", "op/large"}))
+	g.Eventually(requester.holds("op/small", []byte("is leaving")), soon, look).Should(gomega.BeTrue())
+	g.Eventually(requester.holds("op/large", large), long, look).Should(gomega.BeTrue())
+	g.Expect(requester.order()).To(gomega.Equal([]string{"op/small", "op/small", "op/large"}))
 }
 
-// slowLink returns the way to a daemon over a link that carries a rate of bytes a
-// second from it, over all connections.
+// slowLink returns a reach for cell over a link that carries rate bytes a second from the daemon,
+// over all connections.
 func slowLink(t *testing.T, rate int) func(address string) string {
 	return func(address string) string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -220,7 +220,7 @@
 	}
 }
 
-// pipe passes connections on to an address, and what comes back slowly.
+// pipe forwards connections to an address, and returns the responses at a limited rate.
 type pipe struct {
 	to       string
 	rate     int
@@ -236,43 +236,43 @@
 
 func (p *pipe) run() {
 	for {
-		near, err := p.listener.Accept()
+		local, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", p.to)
+		remote, err := net.Dial("tcp", p.to)
 		if err != nil {
-			near.Close()
+			local.Close()
 			continue
 		}
-		if !p.keep(near) || !p.keep(far) {
-			near.Close()
-			far.Close()
+		if !p.keep(local) || !p.keep(remote) {
+			local.Close()
+			remote.Close()
 			return
 		}
-		p.wg.Go(func() { _, _ = io.Copy(far, near); far.Close() })
-		p.wg.Go(func() { p.back(near, far); near.Close() })
+		p.wg.Go(func() { _, _ = io.Copy(remote, local); remote.Close() })
+		p.wg.Go(func() { p.back(local, remote); local.Close() })
 	}
 }
 
-// back passes on what far sends, as fast as the link carries it.
-func (p *pipe) back(near, far net.Conn) {
-	piece := make([]byte, 4<<10)
+// back forwards what remote sends, at the rate of the link.
+func (p *pipe) back(local, remote net.Conn) {
+	chunk := make([]byte, 4<<10)
 	for {
-		n, err := far.Read(piece)
+		n, err := remote.Read(chunk)
 		if err != nil {
 			return
 		}
 		p.sendMu.Lock()
 		time.Sleep(time.Duration(n) * time.Second / time.Duration(p.rate))
 		p.sendMu.Unlock()
-		if _, err := near.Write(piece[:n]); err != nil {
+		if _, err := local.Write(chunk[:n]); err != nil {
 			return
 		}
 	}
 }
 
-// keep remembers a connection for the end of the test.
+// keep registers a connection to be closed at the end of the test.
 func (p *pipe) keep(c net.Conn) bool {
 	p.openMu.Lock()
 	defer p.openMu.Unlock()
--- a/core/spread/pack.go
+++ b/core/spread/pack.go
@@ -6,40 +6,40 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A new version of a large value mostly repeats the one before. Packed with that as
-// its dictionary, a configuration of 1,009,160 bytes takes 522 bytes where no route
-// has changed and 24,709 where a third of its 4,240 routes is new; 72,979 without one.
-// Packing takes 3 to 4 ms and 2.9 MB, unpacking 1 ms and 1.2 MB (one run each).
+// A new version of a large value mostly repeats the one before. Compressed with that as its
+// dictionary, a configuration of 1,009,160 bytes takes 522 bytes where no route has changed and
+// 24,709 where a third of its 4,240 routes is new; 72,979 without a dictionary. Compression takes 3
+// to 4 ms and 2.9 MB, decompression 1 ms and 1.2 MB.
 
-// packDictionary is the number of the dictionary in the packed form.
-const packDictionary = 1
+// dictionaryID identifies the dictionary in the compressed form.
+const dictionaryID = 1
 
-// leastWindow and mostWindow bound how far back a packed form may refer, which is what
-// packing takes memory for. The largest holds a value of 1 MB, the largest that the
-// users' store takes, and the one before.
+// minWindow and maxWindow bound the compression window in bytes, which determines the memory that
+// compression takes. The largest window holds a value of 1 MB, the largest that the users'
+// coordination store takes, and the version before it.
 const (
-	leastWindow = 64 << 10
-	mostWindow  = 2 << 20
+	minWindow = 64 << 10
+	maxWindow = 2 << 20
 )
 
-// window returns how far back the packed form of a value needs to refer.
-func window(value, base []byte) int {
-	size := leastWindow
-	for size < len(value)+len(base) && size < mostWindow {
+// windowSize returns the compression window that a value needs.
+func windowSize(value, base []byte) int {
+	size := minWindow
+	for size < len(value)+len(base) && size < maxWindow {
 		size *= 2
 	}
 	return size
 }
 
-// pack returns a value in packed form. base is the version that the receiver holds;
-// nil where it holds none.
-func pack(value, base []byte) ([]byte, error) {
+// compress returns a value in compressed form. base is the version that the receiver holds; nil
+// where it holds none.
+func compress(value, base []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(window(value, base)), zstd.WithEncoderCRC(true),
+		zstd.WithWindowSize(windowSize(value, base)), zstd.WithEncoderCRC(true),
 	}
 	if base != nil {
-		options = append(options, zstd.WithEncoderDictRaw(packDictionary, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	e, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -49,34 +49,34 @@
 	return e.EncodeAll(value, nil), nil
 }
 
-// packMessage returns a message in packed form.
-func packMessage(m any) ([]byte, error) {
+// compressMessage returns a message in compressed form.
+func compressMessage(m any) ([]byte, error) {
 	raw, err := msgpack.Marshal(m)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return pack(raw, nil)
+	return compress(raw, nil)
 }
 
-// mostValue bounds a packed form and what it may unpack to, so that a peer's nonsense
-// costs no more. The largest is the whole configuration at the size to design for: 7 MB
-// at 23,000 organisations.
-const mostValue = 32 << 20
+// maxValueBytes bounds a compressed form and what it may expand to, so that a peer's invalid
+// message costs no more memory. The largest value is the whole configuration at the size to design
+// for: 7 MB at 23,000 organisations.
+const maxValueBytes = 32 << 20
 
-// unpack returns the value of a packed form, which names the version that it needs as
-// base. It fails where the form is damaged: it carries a checksum of the value.
-func unpack(packed, base []byte) ([]byte, error) {
+// decompress returns the value of a compressed form; base must be the version that it was
+// compressed with. It fails where the form is damaged: it carries a checksum of the value.
+func decompress(compressed, base []byte) ([]byte, error) {
 	options := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(mostValue),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxValueBytes),
 	}
 	if base != nil {
-		options = append(options, zstd.WithDecoderDictRaw(packDictionary, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	d, err := zstd.NewReader(nil, options...)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
 	defer d.Close()
-	value, err := d.DecodeAll(packed, nil)
-	return value, errors.Wrap(err, "packed value")
+	value, err := d.DecodeAll(compressed, nil)
+	return value, errors.Wrap(err, "decompressing a value")
 }
--- a/core/spread/pack_test.go
+++ b/core/spread/pack_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// noisy returns bytes that cannot be packed.
+// noisy returns bytes that cannot be compressed.
 func noisy(size int) []byte {
 	draw := rand.New(rand.NewPCG(3, 4))
 	out := make([]byte, size)
@@ -29,13 +29,13 @@
 	return out.Bytes()
 }
 
-func TestWhatIsPackedComesBack(t *testing.T) {
+func TestCompressedValuesAreRestored(t *testing.T) {
 	noise, value := noisy(1<<20), routes(10_000)
 	changed := append(append(bytes.Clone(value[:300_000]), "something else"...), value[300_100:]...)
 	tests := []struct {
 		name        string
 		value, base []byte
-		most        int
+		maxSize     int
 	}{
 		{"nothing", nil, nil, 100},
 		{"text", bytes.Repeat([]byte("route "), 100_000), nil, 1000},
@@ -43,8 +43,8 @@
 		{"noise with a base", noise, value, len(noise) + 1000},
 		{"routes", value, nil, len(value) / 4},
 		{"the same again", value, value, 1000},
-		{"its end", value[1:], value, 10_000},
-		{"a piece of it is other", changed, value, 10_000},
+		{"its end only", value[1:], value, 10_000},
+		{"with another section", changed, value, 10_000},
 		{"more of it", value, value[:len(value)/2], len(value) / 8},
 		{"a small base", value, []byte("x"), len(value) / 4},
 		{"an empty base", value, []byte{}, len(value) / 4},
@@ -52,37 +52,37 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			packed, err := pack(tc.value, tc.base)
+			compressed, err := compress(tc.value, tc.base)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			g.Expect(len(packed)).To(gomega.BeNumerically("<=", tc.most))
-			got, err := unpack(packed, tc.base)
+			g.Expect(len(compressed)).To(gomega.BeNumerically("<=", tc.maxSize))
+			got, err := decompress(compressed, tc.base)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(bytes.Equal(got, tc.value)).To(gomega.BeTrue())
 		})
 	}
 }
 
-func TestDamagedFormsAreNotUnpacked(t *testing.T) {
+func TestDamagedFormsAreNotDecompressed(t *testing.T) {
 	value := bytes.Repeat([]byte("route "), 10_000)
-	packed, err := pack(value, nil)
+	compressed, err := compress(value, nil)
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
-	other := bytes.Clone(packed)
-	other[len(other)/2] ^= 0x55
-	based, err := pack(value[1:], value)
+	damaged := bytes.Clone(compressed)
+	damaged[len(damaged)/2] ^= 0x55
+	based, err := compress(value[1:], value)
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	tests := []struct {
-		name         string
-		packed, base []byte
+		name             string
+		compressed, base []byte
 	}{
-		{"cut off", packed[:len(packed)-5], nil},
-		{"a byte is other", other, nil},
-		{"no packed form", []byte("junk"), nil},
+		{"truncated", compressed[:len(compressed)-5], nil},
+		{"a byte differs", damaged, nil},
+		{"not a compressed form", []byte("junk"), nil},
 		{"without its base", based, nil},
 		{"another base", based, noisy(60_000)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			got, err := unpack(tc.packed, tc.base)
+			got, err := decompress(tc.compressed, tc.base)
 			g := gomega.NewWithT(t)
 			g.Expect(err).To(gomega.HaveOccurred(), "got %d bytes", len(got))
 		})
--- a/core/spread/parcels.go
+++ b/core/spread/parcels.go
@@ -11,160 +11,159 @@
 	"embertally.dev/core/wire"
 )
 
-const kindPiece wire.Kind = "spread.piece"
+const kindChunk wire.Kind = "spread.piece"
 
-// parcels give answers that may be large to peers in pieces of a bounded size: each
-// piece has a time limit that its size fits, and nothing small waits behind more than
-// one. The first piece goes with the answer itself, the others are asked for.
+// transfers sends payloads that may be large to peers in chunks of a bounded size: each chunk has a
+// time limit that fits its size, and no small message waits behind more than one. The first chunk
+// is part of the response itself, the receiver requests the others.
 //
-// Lock order: packMu before parcelsMu.
-type parcels struct {
+// Lock order: compressMu before transfersMu.
+type transfers struct {
 	fleet *fleet.Fleet
-	// sent, if not nil, hears of the bytes of each piece that is given to a peer.
-	sent func(bytes int)
+	// onSent, if not nil, is called with the size of each chunk that is sent to a peer.
+	onSent func(bytes int)
 
-	packMu sync.Mutex // held while an answer is packed; the first packing serves all who ask
+	compressMu sync.Mutex // held while a payload is compressed; concurrent requests share one compression
 
-	parcelsMu sync.Mutex
-	// kept holds the latest parcels of several pieces, the oldest first. Guarded by
-	// parcelsMu.
-	kept []keptParcel
+	transfersMu sync.Mutex
+	// stored holds the latest payloads of several chunks, the oldest first. Guarded by transfersMu.
+	stored []storedTransfer
 }
 
-// keptParcel is one that peers may still ask for pieces of.
-type keptParcel struct {
-	id    string
-	bytes []byte
+// storedTransfer is a payload whose chunks peers may still request.
+type storedTransfer struct {
+	id      string
+	payload []byte
 }
 
-// Bounds of parcels.
+// Bounds of transfers.
 const (
-	// pieceSize bounds a piece: 26 ms on a link of 10 Mbit/s, the slowest of the
-	// users' boxes, and 0.5 s where each of 19 other daemons asks for one at once.
-	pieceSize = 32 << 10
-	// pieceLimit bounds the time for a piece.
-	pieceLimit = time.Second
-	// parcelsKept is how many parcels are kept.
-	parcelsKept = 4
+	// chunkSize bounds a chunk in bytes: 26 ms on a link of 10 Mbit/s, the slowest of the users'
+	// boxes, and 0.5 s where each of 19 other daemons requests one at once.
+	chunkSize = 32 << 10
+	// chunkTimeout bounds the request of one chunk.
+	chunkTimeout = time.Second
+	// maxStored is how many payloads are kept for further chunks.
+	maxStored = 4
 )
 
-// parcel is an answer's first piece.
-type parcel struct {
+// transfer is the start of a chunked transfer: its first chunk.
+type transfer struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// ID names the parcel in questions for the other pieces.
+	// ID names the payload in requests for further chunks.
 	ID string
-	// Size is the size of all pieces together.
+	// Size is the size of the whole payload in bytes.
 	Size  int
-	Piece []byte
+	Chunk []byte
 }
 
-// pieceAsk asks for a piece of a parcel.
-type pieceAsk struct {
+// chunkRequest requests the chunk of a payload at an offset in bytes.
+type chunkRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
-	From     int
+	Offset   int
 }
 
-// newParcels attaches parcels to the fleet.
-func newParcels(f *fleet.Fleet, sent func(bytes int)) *parcels {
-	p := &parcels{fleet: f, sent: sent}
-	f.Mux().Register(kindPiece, wire.Handle(p.answer))
-	return p
+// newTransfers returns transfers and registers its message with the fleet.
+func newTransfers(f *fleet.Fleet, onSent func(bytes int)) *transfers {
+	t := &transfers{fleet: f, onSent: onSent}
+	f.Mux().Register(kindChunk, wire.Handle(t.handleChunk))
+	return t
 }
 
 var (
-	errNoParcel = errors.New("the parcel is not kept any more")
-	errTooLarge = errors.New("the answer is too large")
-	errNonsense = errors.New("the peer's pieces do not fit together")
+	errUnknownTransfer = errors.New("the payload of this transfer is no longer stored")
+	errTooLarge        = errors.New("the payload exceeds the size limit")
+	errInvalidMessage  = errors.New("invalid message from a peer")
 )
 
-// find returns a parcel that was made before.
-func (p *parcels) find(id string) ([]byte, bool) {
-	p.parcelsMu.Lock()
-	defer p.parcelsMu.Unlock()
-	for _, k := range p.kept {
+// find returns a stored payload.
+func (t *transfers) find(id string) ([]byte, bool) {
+	t.transfersMu.Lock()
+	defer t.transfersMu.Unlock()
+	for _, k := range t.stored {
 		if k.id == id {
-			return k.bytes, true
+			return k.payload, true
 		}
 	}
 	return nil, false
 }
 
-// prepare returns the first piece of an answer, which is packed unless it is kept.
-func (p *parcels) prepare(id string, packed func() ([]byte, error)) (parcel, error) {
-	p.packMu.Lock()
-	defer p.packMu.Unlock()
-	bytes, kept := p.find(id)
-	if !kept {
+// begin returns the first chunk of a payload. It calls compressed for the payload unless one is
+// stored under id.
+func (t *transfers) begin(id string, compressed func() ([]byte, error)) (transfer, error) {
+	t.compressMu.Lock()
+	defer t.compressMu.Unlock()
+	payload, found := t.find(id)
+	if !found {
 		var err error
-		if bytes, err = packed(); err != nil {
-			return parcel{}, err
+		if payload, err = compressed(); err != nil {
+			return transfer{}, err
 		}
 	}
-	return p.first(id, bytes), nil
+	return t.firstChunk(id, payload), nil
 }
 
-// first returns the first piece of an answer, and keeps the answer where there are
-// more.
-func (p *parcels) first(id string, bytes []byte) parcel {
-	if _, kept := p.find(id); !kept && len(bytes) > pieceSize {
-		p.parcelsMu.Lock()
-		p.kept = append(p.kept, keptParcel{id, bytes})
-		p.kept = p.kept[max(0, len(p.kept)-parcelsKept):]
-		p.parcelsMu.Unlock()
+// firstChunk returns the first chunk of a payload, and stores the payload if there are more.
+func (t *transfers) firstChunk(id string, payload []byte) transfer {
+	if _, found := t.find(id); !found && len(payload) > chunkSize {
+		t.transfersMu.Lock()
+		t.stored = append(t.stored, storedTransfer{id, payload})
+		t.stored = t.stored[max(0, len(t.stored)-maxStored):]
+		t.transfersMu.Unlock()
 	}
-	return parcel{ID: id, Size: len(bytes), Piece: p.cut(bytes, 0)}
+	return transfer{ID: id, Size: len(payload), Chunk: t.chunkAt(payload, 0)}
 }
 
-// cut returns the piece of an answer that begins somewhere in it.
-func (p *parcels) cut(bytes []byte, from int) []byte {
-	piece := bytes[from:min(len(bytes), from+pieceSize)]
-	if p.sent != nil {
-		p.sent(len(piece))
+// chunkAt returns the chunk of a payload at an offset.
+func (t *transfers) chunkAt(payload []byte, offset int) []byte {
+	chunk := payload[offset:min(len(payload), offset+chunkSize)]
+	if t.onSent != nil {
+		t.onSent(len(chunk))
 	}
-	return piece
+	return chunk
 }
 
-// answer gives a peer a piece.
-func (p *parcels) answer(_ context.Context, _ string, ask *pieceAsk) ([]byte, error) {
-	bytes, ok := p.find(ask.ID)
+// handleChunk sends a chunk to a peer.
+func (t *transfers) handleChunk(_ context.Context, _ string, req *chunkRequest) ([]byte, error) {
+	payload, ok := t.find(req.ID)
 	switch {
 	case !ok:
-		return nil, errors.WithStack(errNoParcel)
-	case ask.From < 0 || ask.From > len(bytes):
-		return nil, errors.WithStack(errNonsense)
+		return nil, errors.WithStack(errUnknownTransfer)
+	case req.Offset < 0 || req.Offset > len(payload):
+		return nil, errors.WithStack(errInvalidMessage)
 	}
-	return p.cut(bytes, ask.From), nil
+	return t.chunkAt(payload, req.Offset), nil
 }
 
-// rest asks a peer for the pieces that follow the first one, and returns the whole
-// answer, which may have at most most bytes.
-func (p *parcels) rest(ctx context.Context, peer string, first *parcel, most int) ([]byte, error) {
-	if first.Size > most {
+// receive requests the chunks after the first from a peer, and returns the whole payload. It fails
+// if that has more than maxBytes bytes.
+func (t *transfers) receive(ctx context.Context, peer string, first *transfer, maxBytes int) ([]byte, error) {
+	if first.Size > maxBytes {
 		return nil, errors.WithStack(errTooLarge)
 	}
-	bytes := first.Piece
-	for len(bytes) < first.Size {
-		var piece []byte
-		if err := p.ask(ctx, peer, kindPiece, &pieceAsk{ID: first.ID, From: len(bytes)}, &piece); err != nil {
+	payload := first.Chunk
+	for len(payload) < first.Size {
+		var chunk []byte
+		if err := t.call(ctx, peer, kindChunk, &chunkRequest{ID: first.ID, Offset: len(payload)}, &chunk); err != nil {
 			return nil, err
 		}
-		if len(piece) == 0 {
-			return nil, errors.WithStack(errNonsense)
+		if len(chunk) == 0 {
+			return nil, errors.WithStack(errInvalidMessage)
 		}
-		bytes = append(bytes, piece...)
+		payload = append(payload, chunk...)
 	}
-	if len(bytes) != first.Size {
-		return nil, errors.WithStack(errNonsense)
+	if len(payload) != first.Size {
+		return nil, errors.WithStack(errInvalidMessage)
 	}
-	return bytes, nil
+	return payload, nil
 }
 
-// ask asks a peer something whose answer holds one piece at most.
-func (p *parcels) ask(ctx context.Context, peer string, kind wire.Kind, req, resp any) error {
-	ctx, cancel := context.WithTimeout(ctx, pieceLimit)
+// call sends a request to a peer whose response holds at most one chunk.
+func (t *transfers) call(ctx context.Context, peer string, kind wire.Kind, req, resp any) error {
+	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
-	return p.fleet.Call(ctx, peer, kind, req, resp)
+	return t.fleet.Call(ctx, peer, kind, req, resp)
 }
--- a/core/spread/restore_test.go
+++ b/core/spread/restore_test.go
@@ -10,9 +10,10 @@
 	"embertally.dev/core/plat"
 )
 
-// Those whom the store does not answer hear of the new era from one that it does: of what was written since, of what
-// the copy lacks, and of a large value that has other content at the same number.
-func TestDaemonsThatTheStoreDoesNotAnswerHearOfARestore(t *testing.T) {
+// Daemons that the store does not answer learn of a restored store from one that it answers: which
+// values were written since, which the copy lacks, and that a large value has other content at the
+// same revision number.
+func TestDaemonsThatTheStoreDoesNotAnswerLearnOfARestore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store := &memkv.KV{}
 	put(t, store, "op/small", []byte("old"))
@@ -32,16 +33,16 @@
 	for _, m := range rest {
 		g.Eventually(m.holds("op/small", []byte("old")), soon, look).Should(gomega.BeTrue())
 		g.Eventually(m.holds("op/config", configuration(15, 2100)), soon, look).Should(gomega.BeTrue())
-		_, there := m.mirror.Pair("op/lost")
+		_, there := m.watchCache.Pair("op/lost")
 		g.Expect(there).To(gomega.BeFalse())
-		g.Expect(m.mirror.Era()).To(gomega.Equal(int64(1)))
+		g.Expect(m.watchCache.Era()).To(gomega.Equal(int64(1)))
 	}
-	// Twice in a row, to a state of before the first.
+	// Two restores in a row, to a state before the first one.
 	store.Restore(before)
 	store.Restore(before)
 	put(t, store, "op/small", []byte("new"))
 	for _, m := range rest {
 		g.Eventually(m.holds("op/small", []byte("new")), soon, look).Should(gomega.BeTrue())
-		g.Expect(plat.Era(m.mirror.Revision())).To(gomega.Equal(int64(3)))
+		g.Expect(plat.Era(m.watchCache.Revision())).To(gomega.Equal(int64(3)))
 	}
 }
--- a/core/spread/roots.go
+++ b/core/spread/roots.go
@@ -8,156 +8,157 @@
 	"embertally.dev/core/fleet"
 )
 
-// Who asks the service.
+// Which daemons watch the coordination store.
 const (
-	// smallFleet is the size up to which all daemons ask the service.
+	// smallFleet is the number of peers below which all daemons watch the store.
 	smallFleet = 16
-	// staleAfter is the age of what peers told from which the next daemons in rank
-	// ask the service themselves: reserves of a cell, or where there are roots one of
-	// each failure domain, and as many again with each staleAfter more. What is kept
-	// may not be copied from 2.2 s on.
-	staleAfter = 1800 * time.Millisecond
-	reserves   = 2
-	// followers is how many daemons of a cell in a large fleet ask the service, or where
-	// there are roots one of these; each call of the service is priced. Where both are
-	// lost the others ask it as well.
-	followers = 2
-	// rootedCells is the number of cells from which on only roots ask the service, one
-	// for each failure domain.
-	rootedCells = 3
-	// leastRoots is how many there are where the fleet has fewer domains.
-	leastRoots = 2
-	// silentTime and silentMost are how long a peer that did not answer is not asked: a
-	// silent one costs the whole time that a question may take.
-	silentTime = time.Second
-	silentMost = 8 * time.Second
-	// holdSmall and holdLarge are how long the service holds a question for changes. An
-	// answer without changes tells that there were none, at the price of a call. What
-	// roots tell is older by the ways through their fleet, some 0.3 s, and what is
-	// older than 2.2 s allows no copies.
-	holdSmall = 1500 * time.Millisecond
-	holdLarge = time.Second
+	// staleAfter is the cache age from which the next daemons in rank watch the store themselves:
+	// standbysPerRound of a cell or, where there are watch relays, one of each failure domain. Each
+	// further staleAfter adds as many again. KV-cache contexts may not be copied on the basis of
+	// data older than 2.2 s.
+	staleAfter       = 1800 * time.Millisecond
+	standbysPerRound = 2
+	// watchersPerCell is how many daemons of a cell in a large fleet watch the store or, where
+	// there are watch relays, request changes from one of these; each call of the store is priced.
+	// Where both are lost, the other daemons do so as well.
+	watchersPerCell = 2
+	// minCellsForRelays is the number of cells from which only watch relays watch the store, one of
+	// each failure domain.
+	minCellsForRelays = 3
+	// minRelays is the number of relays where the fleet has fewer failure domains.
+	minRelays = 2
+	// backoffFirst and backoffMax bound how long a peer that did not respond gets no requests: a
+	// silent one costs the whole time limit of a request.
+	backoffFirst = time.Second
+	backoffMax   = 8 * time.Second
+	// watchWaitSmall and watchWaitLarge are how long the store holds a watch request for changes.
+	// An empty response confirms that there were none, at the price of a call. Data from relays is
+	// older by its way through the fleet, some 0.3 s, and data older than 2.2 s allows no copies.
+	watchWaitSmall = 1500 * time.Millisecond
+	watchWaitLarge = time.Second
 )
 
-// Follows reports whether this daemon asks the service itself.
+// Follows reports whether this daemon watches the store itself.
 //
-// Peers that are listed and were not heard yet count in the rank: without them all
-// daemons that start together would watch until they have heard each other.
+// Listed peers that have not sent a heartbeat yet count in the rank: without them all daemons that
+// start together would watch until they have received each other's heartbeats.
 func (s *Mirrors) Follows() bool {
 	view := s.fleet.View()
 	switch {
-	case len(view.Peers()) < smallFleet, !s.mirror.Known():
+	case len(view.Peers()) < smallFleet, !s.watchCache.Known():
 		return true
-	case view.Cells() < rootedCells:
-		return s.place(view) < followers || s.Reserve()
+	case view.Cells() < minCellsForRelays:
+		return s.cellRank(view) < watchersPerCell || s.Reserve()
 	}
-	return slices.Contains(s.rootsOf(view), view.Self()) || s.Reserve()
+	return slices.Contains(s.relaysOf(view), view.Self()) || s.Reserve()
 }
 
-// Hold returns how long the service is to hold a question for changes.
+// Hold returns how long the store is to hold a watch request for changes.
 func (s *Mirrors) Hold() time.Duration {
-	if s.fleet.View().Cells() < rootedCells {
-		return holdSmall
+	if s.fleet.View().Cells() < minCellsForRelays {
+		return watchWaitSmall
 	}
-	return holdLarge
+	return watchWaitLarge
 }
 
-// leads reports whether this daemon asks a root for its cell.
-func (s *Mirrors) leads() bool {
+// pullsFromRelay reports whether this daemon requests changes from a watch relay for its cell.
+func (s *Mirrors) pullsFromRelay() bool {
 	view := s.fleet.View()
-	return view.Cells() >= rootedCells && s.place(view) < followers
+	return view.Cells() >= minCellsForRelays && s.cellRank(view) < watchersPerCell
 }
 
-// Reserve reports whether this daemon asks the service since those who come before it
-// do not tell what it says. All daemons asking at once would add nothing where the
-// service is down, at the price of each call.
+// Reserve reports whether this daemon watches the store because those ranked before it do not
+// provide its changes. If all daemons did so at once, they would achieve nothing while the store is
+// down, at the price of each call.
 func (s *Mirrors) Reserve() bool {
 	view := s.fleet.View()
-	if len(view.Peers()) < smallFleet || !s.mirror.Known() {
+	if len(view.Peers()) < smallFleet || !s.watchCache.Known() {
 		return false
 	}
-	rounds := int(s.silence() / staleAfter)
-	if view.Cells() >= rootedCells {
-		place := fleet.Place(rootKey, view.Domains()[view.Domain()], view.Self())
+	rounds := int(s.cacheAge() / staleAfter)
+	if view.Cells() >= minCellsForRelays {
+		place := fleet.Place(relayKey, view.Domains()[view.Domain()], view.Self())
 		return place > 0 && place <= rounds
 	}
-	place := s.place(view)
-	return place >= followers && place < followers+reserves*rounds
+	place := s.cellRank(view)
+	return place >= watchersPerCell && place < watchersPerCell+standbysPerRound*rounds
 }
 
-// place returns how many of the cell come before this daemon in asking the service.
-func (s *Mirrors) place(view *fleet.View) int {
+// cellRank returns how many daemons of the cell rank before this one for watching the store.
+func (s *Mirrors) cellRank(view *fleet.View) int {
 	return fleet.Place(fleet.Key("mirror"), view.Expected(), view.Self())
 }
 
-// rootKey ranks the daemons of a failure domain for asking the service.
-var rootKey = fleet.Key("root")
+// relayKey ranks the daemons of a failure domain for watching the store.
+var relayKey = fleet.Key("root")
 
-// rootsTried is how many daemons of each failure domain are asked for what the service says: the
-// root, and those who take its place where it is lost.
-const rootsTried = 3
+// candidatesPerDomain is how many daemons of each failure domain may receive requests for changes:
+// the watch relay, and those that replace it where it is lost.
+const candidatesPerDomain = 3
 
-// mirrorRoots are the daemons of one view that ask the service for the whole fleet.
-type mirrorRoots struct {
-	view  *fleet.View
+// relaySet holds the watch relays of one view.
+type relaySet struct {
+	view *fleet.View
+	// names are the relays.
 	names []string
-	// ranked are those to ask for what it says, in the order of this daemon.
-	ranked []string
+	// candidates are the daemons to request changes from, in the order in which this daemon tries
+	// them.
+	candidates []string
 }
 
-// rootsOf returns the daemons that ask the service: one of each failure domain.
-func (s *Mirrors) rootsOf(view *fleet.View) []string { return s.ranksOf(view).names }
+// relaysOf returns the daemons that watch the store for the fleet: one of each failure domain.
+func (s *Mirrors) relaysOf(view *fleet.View) []string { return s.relaySetOf(view).names }
 
-// ranksOf returns who asks the service in a view.
-func (s *Mirrors) ranksOf(view *fleet.View) *mirrorRoots {
-	if r := s.roots.Load(); r != nil && r.view == view {
+// relaySetOf returns the watch relays of a view.
+func (s *Mirrors) relaySetOf(view *fleet.View) *relaySet {
+	if r := s.relays.Load(); r != nil && r.view == view {
 		return r
 	}
-	r := &mirrorRoots{view: view}
+	r := &relaySet{view: view}
 	domains := view.Domains()
-	if len(domains) < leastRoots {
-		r.names = fleet.RankFirst(rootKey, view.Listed(), leastRoots)
-		r.ranked = fleet.RankFirst(rootKey, view.Listed(), leastRoots*rootsTried)
-		s.roots.Store(r)
+	if len(domains) < minRelays {
+		r.names = fleet.RankFirst(relayKey, view.Listed(), minRelays)
+		r.candidates = fleet.RankFirst(relayKey, view.Listed(), minRelays*candidatesPerDomain)
+		s.relays.Store(r)
 		return r
 	}
-	// Its own domain comes first: what is told there crosses no other. The order of the others
-	// is each daemon's own, so that their work is even.
-	order := slices.Collect(maps.Keys(domains))
-	order = fleet.Rank(fleet.Key(view.Self()), order)
-	if at := slices.Index(order, view.Domain()); at > 0 {
-		order = slices.Insert(slices.Delete(order, at, at+1), 0, view.Domain())
+	// This daemon's own failure domain comes first: traffic within it crosses no other. Each daemon
+	// has its own order of the others, which spreads the load evenly.
+	domainOrder := slices.Collect(maps.Keys(domains))
+	domainOrder = fleet.Rank(fleet.Key(view.Self()), domainOrder)
+	if at := slices.Index(domainOrder, view.Domain()); at > 0 {
+		domainOrder = slices.Insert(slices.Delete(domainOrder, at, at+1), 0, view.Domain())
 	}
-	for place := range rootsTried {
-		for _, domain := range order {
-			first := fleet.RankFirst(rootKey, domains[domain], rootsTried)
+	for place := range candidatesPerDomain {
+		for _, domain := range domainOrder {
+			first := fleet.RankFirst(relayKey, domains[domain], candidatesPerDomain)
 			if place < len(first) {
-				r.ranked = append(r.ranked, first[place])
+				r.candidates = append(r.candidates, first[place])
 			}
 			if place == 0 {
 				r.names = append(r.names, first[0])
 			}
 		}
 	}
-	s.roots.Store(r)
+	s.relays.Store(r)
 	return r
 }
 
-// Asks returns who asks the service by rank, for this daemon's cell or, where there are
-// roots, for the fleet.
+// Asks returns the daemons that watch the store by rank, for this daemon's cell or, where there are
+// watch relays, for the fleet.
 func (s *Mirrors) Asks() []string {
 	view := s.fleet.View()
-	if view.Cells() < rootedCells {
+	if view.Cells() < minCellsForRelays {
 		return view.OnDuty()
 	}
-	return s.rootsOf(view)
+	return s.relaysOf(view)
 }
 
-// root returns the first daemon that this one may ask for what the service says, or "".
-func (s *Mirrors) root() string {
+// nextRelay returns the first relay candidate that is not backed off, or "".
+func (s *Mirrors) nextRelay() string {
 	view, now := s.fleet.View(), time.Now()
-	for _, name := range s.ranksOf(view).ranked {
-		if name != view.Self() && s.silent.Open(name, now) {
+	for _, name := range s.relaySetOf(view).candidates {
+		if name != view.Self() && s.relayBackoff.Open(name, now) {
 			return name
 		}
 	}
--- a/core/spread/roots_test.go
+++ b/core/spread/roots_test.go
@@ -16,8 +16,8 @@
 	"embertally.dev/core/spread"
 )
 
-// rooted is one daemon of a fleet with failure domains.
-type rooted struct {
+// domainMember is one daemon of a fleet with failure domains.
+type domainMember struct {
 	*member
 	domain string
 	stop   context.CancelFunc
@@ -25,9 +25,9 @@
 
 // boxList is the platform's list of boxes; the zero value lists none.
 type boxList struct {
-	listMu sync.Mutex
-	boxes  []plat.Box // guarded by listMu
-	turn   int        // counts the changes; guarded by listMu
+	listMu   sync.Mutex
+	boxes    []plat.Box // guarded by listMu
+	revision int        // counts the changes; guarded by listMu
 }
 
 // set changes the list.
@@ -35,72 +35,73 @@
 	l.listMu.Lock()
 	defer l.listMu.Unlock()
 	l.boxes = boxes
-	l.turn++
+	l.revision++
 }
 
-// reader reads a list for one daemon.
+// reader reads the list for one daemon.
 type reader struct {
-	list *boxList
-	turn int
+	list     *boxList
+	revision int
 }
 
 func (r *reader) Read(context.Context) ([]plat.Box, bool, error) {
 	r.list.listMu.Lock()
 	defer r.list.listMu.Unlock()
-	changed := r.turn != r.list.turn
-	r.turn = r.list.turn
+	changed := r.revision != r.list.revision
+	r.revision = r.list.revision
 	return r.list.boxes, changed, nil
 }
 
-// rootedFleet runs daemons of several failure domains before one store.
-func rootedFleet(t *testing.T, store plat.Reader, daemons, domains int) []*rooted {
+// domainFleet runs daemons of several failure domains with one store.
+func domainFleet(t *testing.T, store plat.Reader, daemons, domains int) []*domainMember {
 	return listedFleet(t, store, daemons, domains, &boxList{})
 }
 
-// listedFleet is rootedFleet with a list of boxes that changes.
-func listedFleet(t *testing.T, store plat.Reader, daemons, domains int, list *boxList) []*rooted {
+// listedFleet is domainFleet with a list of boxes that changes.
+func listedFleet(t *testing.T, store plat.Reader, daemons, domains int, list *boxList) []*domainMember {
 	seeds, listeners := addresses(t, daemons)
 	for i := range seeds {
 		seeds[i].Domain = fmt.Sprintf("domain-%d", i%domains)
 	}
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
-	var out []*rooted
+	var out []*domainMember
 	for i, seed := range seeds {
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Domain: seed.Domain, Seeds: seeds, Heartbeat: beat, Suspect: suspect, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Domain: seed.Domain, Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 			Boxes: &reader{list: list}, BoxPause: 50 * time.Millisecond,
 		})
-		m := &rooted{member: &member{fleet: f}, domain: seed.Domain}
-		m.mirror = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
-		m.mirror.Outline = "op/a/"
-		m.mirrors = spread.NewMirrors(m.mirror, f, &event.Log{})
+		m := &domainMember{member: &member{fleet: f}, domain: seed.Domain}
+		m.watchCache = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
+		m.watchCache.Outline = "op/a/"
+		m.mirrors = spread.NewMirrors(m.watchCache, f, &event.Log{})
 		m.mirrors.Entry = entryOf
 		ctx, cancel := context.WithCancel(context.Background())
 		m.stop = cancel
 		t.Cleanup(cancel)
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
-		wg.Go(func() { m.mirror.Run(ctx) })
+		wg.Go(func() { m.watchCache.Run(ctx) })
 		wg.Go(func() { m.mirrors.Run(ctx) })
 		out = append(out, m)
 	}
 	return out
 }
 
-// allHold waits until all daemons hold a value.
-func allHold(g *gomega.WithT, members []*rooted, value string) {
+// allHold waits until all daemons hold a value of op/config.
+func allHold(g *gomega.WithT, members []*domainMember, value string) {
 	for _, m := range members {
 		g.Eventually(m.holds("op/config", []byte(value)), soon, look).Should(gomega.BeTrue())
 	}
 }
 
-// Two daemons of each of 25 cells made thousands of priced calls in a day.
+// When two daemons of each of 25 cells watched the store, they made thousands of priced calls in a
+// day.
 func TestOneDaemonOfEachDomainWatchesTheStore(t *testing.T) {
 	const daemons, domains = 48, 3
 	g := gomega.NewWithT(t)
 	store := &pricedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
-	members := rootedFleet(t, store, daemons, domains)
+	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
 	g.Eventually(func() int { _, n := store.figures(); return n }, soon, look).Should(gomega.BeNumerically("<=", domains))
 	for _, value := range []string{"second", "third"} {
@@ -109,16 +110,16 @@
 	}
 }
 
-// Who watched the store may be gone; the others hear of changes all the same.
-func TestAFleetWithoutItsRootsHearsOfChanges(t *testing.T) {
+// The daemons that watch the store may be lost; the others must still receive changes.
+func TestAFleetWithoutItsWatchRelaysReceivesChanges(t *testing.T) {
 	const daemons, domains = 48, 3
 	g := gomega.NewWithT(t)
 	store := &pricedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
-	members := rootedFleet(t, store, daemons, domains)
+	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
 	names := members[0].fleet.View().Domains()
-	var rest []*rooted
+	var rest []*domainMember
 	for _, m := range members {
 		if fleet.First(fleet.Key("root"), names[m.domain]) == m.fleet.View().Self() {
 			m.stop()
@@ -130,23 +131,23 @@
 	allHold(g, rest, "second")
 }
 
-// Nobody may believe that what it knows is younger than it is: requests are refused, and
-// parts copied, by that age.
-func TestNoDaemonBelievesItsCopyYoungerThanItIs(t *testing.T) {
+// Requests are refused, and KV-cache segments copied, by the age of a daemon's cache: it must never
+// take it for younger than it is.
+func TestNoCacheIsTakenForYoungerThanItIs(t *testing.T) {
 	const daemons, domains, outage = 48, 3, 3 * time.Second
 	g := gomega.NewWithT(t)
 	store := &pricedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
-	members := rootedFleet(t, store, daemons, domains)
+	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
 	g.Eventually(func() bool { taken, _ := store.quiet(); return !taken.IsZero() }, soon, look).Should(gomega.BeTrue())
 	store.setDown(true)
-	// Questions that the store holds are still answered.
+	// Requests that the store already holds are still answered.
 	g.Eventually(func() bool { _, quiet := store.quiet(); return quiet }, soon, look).Should(gomega.BeTrue())
 	last, _ := store.quiet()
-	for began := time.Now(); time.Since(began) < outage; {
+	for start := time.Now(); time.Since(start) < outage; {
 		for _, m := range members {
-			g.Expect(m.mirror.Fresh().After(last)).To(gomega.BeFalse())
+			g.Expect(m.watchCache.Fresh().After(last)).To(gomega.BeFalse())
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/core/spread/shelfrank.go
+++ b/core/spread/shelfrank.go
@@ -11,129 +11,130 @@
 )
 
 const (
-	// spareWatchers is how many of the followers that a store answers are left free: a
-	// daemon that starts anew may meet its own question from before.
+	// spareWatchers is how many of the watchers that a KV-cache store admits are left free: a
+	// daemon that restarts may compete with its own request from before.
 	spareWatchers = 2
-	// statedWatchers is what a store is taken to answer where its configuration does
-	// not say; the users' stores state 12.
-	statedWatchers = 12
-	// rankedShare is the part of them that a large fleet's daemons may use by rank.
-	// The rest is for daemons that know another list of boxes.
-	rankedShare = 0.5
-	// cellAskers is how many daemons of a cell ask for it: a second one where the
-	// first does not answer.
-	cellAskers = 2
+	// defaultWatchers is how many watchers a store admits where its configuration does not say; the
+	// users' stores state 12.
+	defaultWatchers = 12
+	// rankedFraction is the fraction of a store's watchers that the daemons of a large fleet may
+	// use by rank. The rest is for daemons with another list of boxes.
+	rankedFraction = 0.5
+	// requestersPerCell is how many daemons of a cell request a store's changes for it: the second
+	// where the first does not respond.
+	requestersPerCell = 2
 )
 
-// shelfSource is where this daemon learns of a store.
-type shelfSource struct {
-	// peer is asked; "" where this daemon asks the store itself.
+// indexSource is where this daemon gets the index of a store from.
+type indexSource struct {
+	// peer receives the requests; "" where this daemon sends them to the store itself.
 	peer string
-	// tells tells that the peer says what it knows in its heartbeats.
-	tells bool
+	// heartbeats is set if the peer publishes the index in its heartbeats.
+	heartbeats bool
 }
 
-// shelfRank is who asks a store, by rank.
-type shelfRank struct {
-	// fleet may ask the store itself, cell may ask for this daemon's cell.
+// storeRank holds which daemons request the contents of a store, by rank.
+type storeRank struct {
+	// Daemons in fleet may send requests to the store itself, those in cell send requests for this
+	// daemon's cell.
 	fleet, cell []string
 }
 
-// shelfRanks are the ranks of one view. It is used by any goroutine; its ranks are
-// worked out when they are first needed, since views change often while a fleet starts.
-type shelfRanks struct {
+// storeRanks holds the ranks of one view. It is safe for concurrent use; ranks are computed when
+// first needed, since views change often while a fleet starts.
+type storeRanks struct {
 	view *fleet.View
-	// stores holds *shelfRank by address.
+	// stores holds *storeRank by address.
 	stores sync.Map
 }
 
-// rank returns who asks a store.
-func (s *Shelves) rank(view *fleet.View, address string) *shelfRank {
+// rank returns which daemons request the contents of a store.
+func (s *Shelves) rank(view *fleet.View, address string) *storeRank {
 	ranks := s.ranks.Load()
 	if ranks == nil || ranks.view != view {
-		ranks = &shelfRanks{view: view}
+		ranks = &storeRanks{view: view}
 		s.ranks.Store(ranks)
 	}
 	if r, ok := ranks.stores.Load(address); ok {
-		return r.(*shelfRank)
+		return r.(*storeRank)
 	}
 	key := fleet.Key("shelf/" + address)
 	names := view.Listed()
-	r := &shelfRank{fleet: fleet.RankFirst(key, names, max(1, int(rankedShare*float64(s.watchers(address)))))}
-	// One of the cell that asks the store itself comes first.
+	r := &storeRank{fleet: fleet.RankFirst(key, names, max(1, int(rankedFraction*float64(s.watchers(address)))))}
+	// Daemons of the cell that send requests to the store itself come first.
 	for _, name := range r.fleet {
 		if slices.Contains(view.OnDuty(), name) {
 			r.cell = append(r.cell, name)
 		}
 	}
-	for _, name := range fleet.RankFirst(key, view.OnDuty(), cellAskers) {
+	for _, name := range fleet.RankFirst(key, view.OnDuty(), requestersPerCell) {
 		if !slices.Contains(r.cell, name) {
 			r.cell = append(r.cell, name)
 		}
 	}
-	r.cell = firstOf(r.cell, cellAskers)
+	r.cell = firstN(r.cell, requestersPerCell)
 	ranks.stores.Store(address, r)
 	return r
 }
 
-// Rank says how many daemons come before this one for duties at a store: in a large fleet
-// those that ask it come first.
+// Rank returns how many daemons come before this one for assignments at a store: in a large fleet
+// those that send requests to it come first.
 func (s *Shelves) Rank(address string) int {
 	view := s.fleet.View()
-	asking := 0
-	if !s.allAsk(view, address) {
+	watching := 0
+	if !s.allWatch(view, address) {
 		first := s.rank(view, address).fleet
 		if at := slices.Index(first, view.Self()); at >= 0 {
 			return at
 		}
-		asking = len(first)
+		watching = len(first)
 	}
-	return asking + fleet.Place(fleet.Key("store/"+address), view.OnDuty(), view.Self())
+	return watching + fleet.Place(fleet.Key("store/"+address), view.OnDuty(), view.Self())
 }
 
-// allAsk reports whether the fleet is small enough for all daemons to ask a store.
-func (s *Shelves) allAsk(view *fleet.View, address string) bool {
+// allWatch reports whether the fleet is small enough for all daemons to send requests to a store.
+func (s *Shelves) allWatch(view *fleet.View, address string) bool {
 	return len(view.Peers())+1 <= s.watchers(address)-spareWatchers
 }
 
-// firstOf returns the first n of a list, or all where it is shorter.
-func firstOf(list []string, n int) []string { return list[:min(n, len(list))] }
+// firstN returns the first n elements of a list, or all where it is shorter.
+func firstN(list []string, n int) []string { return list[:min(n, len(list))] }
 
-// watchers returns how many followers a store answers.
+// watchers returns how many watchers a store admits.
 func (s *Shelves) watchers(address string) int {
 	if n := s.kept.Watchers(address); n > 0 {
 		return n
 	}
-	return statedWatchers
+	return defaultWatchers
 }
 
-var errNoSource = errors.New("nobody is left to ask what the store holds")
+var errNoSource = errors.New("no daemon is available to request the store's contents from")
 
-// source returns where this daemon learns of a store.
-func (s *Shelves) source(address string) (shelfSource, error) {
+// source returns where this daemon gets the index of a store from.
+func (s *Shelves) source(address string) (indexSource, error) {
 	view := s.fleet.View()
-	if s.allAsk(view, address) {
-		return shelfSource{}, nil
+	if s.allWatch(view, address) {
+		return indexSource{}, nil
 	}
 	r := s.rank(view, address)
 	now := time.Now()
-	asks, tells := s.firstGood(r.cell, address, now), true
-	if asks == view.Self() || asks == "" {
-		asks, tells = s.firstGood(r.fleet, address, now), false
+	name, heartbeats := s.firstOpen(r.cell, address, now), true
+	if name == view.Self() || name == "" {
+		name, heartbeats = s.firstOpen(r.fleet, address, now), false
 	}
-	switch asks {
+	switch name {
 	case view.Self():
-		return shelfSource{}, nil
+		return indexSource{}, nil
 	case "":
-		return shelfSource{}, errors.WithStack(errNoSource)
+		return indexSource{}, errors.WithStack(errNoSource)
 	}
-	return shelfSource{asks, tells}, nil
+	return indexSource{name, heartbeats}, nil
 }
 
-// firstGood returns the first daemon that did not fail lately to tell of a store, or "".
-func (s *Shelves) firstGood(names []string, address string, now time.Time) string {
+// firstOpen returns the first daemon that is not backed off for a store, or "".
+func (s *Shelves) firstOpen(names []string, address string, now time.Time) string {
 	for _, name := range names {
-		if s.silent.Open(shelfLink{name, address}, now) {
+		if s.backoff.Open(indexLink{name, address}, now) {
 			return name
 		}
 	}
--- a/core/spread/shelftell.go
+++ b/core/spread/shelftell.go
@@ -12,64 +12,64 @@
 )
 
 const (
-	// tellSlack is by how much longer than a store's own answer takes a daemon waits
-	// for a peer's heartbeat before it asks: for a heartbeat that was lost.
-	tellSlack = 400 * time.Millisecond
-	// tellMost bounds the changes of one store in a heartbeat; with more the peers ask
-	// for them.
-	tellMost = 200
-	// inboxMost bounds what waits to be taken of one store.
-	inboxMost = 2000
+	// heartbeatSlack is how much longer a daemon waits for a peer's heartbeat than for a store's
+	// own response before it sends the peer a request, in case a heartbeat was lost.
+	heartbeatSlack = 400 * time.Millisecond
+	// maxHeartbeatChanges bounds the changes of one store in a heartbeat; with more the peers
+	// request them.
+	maxHeartbeatChanges = 200
+	// maxInboxChanges bounds the received changes of one store that are not taken yet.
+	maxInboxChanges = 2000
 )
 
-// shelfPoint is how far peers were told of a store.
-type shelfPoint struct {
+// publishedPoint is the position up to which a store's changes were published to peers.
+type publishedPoint struct {
 	epoch, next int64
-	heard       clock.Time
+	freshAt     clock.Time
 }
 
-// shelfNews is what a heartbeat tells of one store.
-type shelfNews struct {
+// indexUpdate is the part of a heartbeat that publishes changes of one store.
+type indexUpdate struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Address  string
-	// From is the point after which Parts tell all changes.
+	// From is the position after which Segments holds all changes; Next is the position after them.
 	From        int64
 	Epoch       int64
 	Next        int64
-	Parts       []shelfPart
-	ClockMillis int64
-	AgeMillis   int64
+	Segments    []indexedSegment
+	ClockMillis int64 // the time of the targets' clock
+	AgeMillis   int64 // how long ago the store reported this
 }
 
-// Collect returns what this daemon's heartbeat tells of the stores that it asks for its
-// cell, of those that told something since.
+// Collect returns this daemon's part of a heartbeat: the changes of the stores that it watches for
+// its cell and that have responded since the last heartbeat.
 func (s *Shelves) Collect(bool) any {
 	now := clock.Now()
-	s.toldMu.Lock()
-	defer s.toldMu.Unlock()
-	clear(s.telling)
-	var out []shelfNews
+	s.publishedMu.Lock()
+	defer s.publishedMu.Unlock()
+	clear(s.publishing)
+	var out []indexUpdate
 	for _, address := range s.kept.Stores() {
-		if from, err := s.source(address); err != nil || from.tells {
+		if from, err := s.source(address); err != nil || from.heartbeats {
 			continue
 		}
-		was, known := s.told[address]
-		got, ok := s.kept.Told(address, was.next, false, now)
-		point := shelfPoint{got.Epoch, got.Next, now.Add(-got.Age)}
-		if !ok || !point.heard.After(was.heard) {
+		last, known := s.published[address]
+		got, ok := s.kept.Told(address, last.next, false, now)
+		point := publishedPoint{got.Epoch, got.Next, now.Add(-got.Age)}
+		if !ok || !point.freshAt.After(last.freshAt) {
 			continue
 		}
-		s.telling[address] = point
-		news := shelfNews{
-			Address: address, From: was.next, Epoch: got.Epoch, Next: got.Next, Parts: partsOf(got.Changes),
+		s.publishing[address] = point
+		update := indexUpdate{
+			Address: address, From: last.next, Epoch: got.Epoch, Next: got.Next, Segments: segmentsOf(got.Changes),
 			ClockMillis: got.Clock.Milliseconds(), AgeMillis: ageMillis(got.Age),
 		}
-		if !known || was.epoch != got.Epoch || got.Gap || len(got.Changes) > tellMost {
-			// Peers ask for what lies before.
-			news.From, news.Parts = got.Next, nil
+		if !known || last.epoch != got.Epoch || got.Gap || len(got.Changes) > maxHeartbeatChanges {
+			// Peers request the earlier changes.
+			update.From, update.Segments = got.Next, nil
 		}
-		out = append(out, news)
+		out = append(out, update)
 	}
 	if out == nil {
 		return nil
@@ -79,83 +79,83 @@
 
 // Told records that a round of heartbeats was sent.
 func (s *Shelves) Told() {
-	s.toldMu.Lock()
-	defer s.toldMu.Unlock()
-	for address, point := range s.telling {
-		s.told[address] = point
+	s.publishedMu.Lock()
+	defer s.publishedMu.Unlock()
+	for address, point := range s.publishing {
+		s.published[address] = point
 	}
-	clear(s.telling)
+	clear(s.publishing)
 }
 
-// Receive takes what a peer tells of the stores that it asks for this daemon.
+// Receive stores the changes that a peer publishes for stores that it watches for this daemon.
 func (s *Shelves) Receive(peer string, raw []byte) {
-	var told []shelfNews
-	if err := msgpack.Unmarshal(raw, &told); err != nil {
-		// A peer of another version is asked instead.
+	var updates []indexUpdate
+	if err := msgpack.Unmarshal(raw, &updates); err != nil {
+		// A peer of another version gets a request instead.
 		return
 	}
 	now := clock.Now()
-	for i := range told {
-		if from, err := s.source(told[i].Address); err == nil && from.tells && from.peer == peer {
-			s.inbox.put(&told[i], now)
+	for i := range updates {
+		if from, err := s.source(updates[i].Address); err == nil && from.heartbeats && from.peer == peer {
+			s.inbox.put(&updates[i], now)
 		}
 	}
 }
 
-// shelfInbox holds what heartbeats told of stores until it is taken. The zero value is
-// ready.
-type shelfInbox struct {
+// indexInbox holds the published changes of stores until they are taken. The zero value is ready to
+// use.
+type indexInbox struct {
 	inboxMu sync.Mutex
-	// news holds what was told of each store. Guarded by inboxMu.
-	news map[string]*shelfArrival
-	// wake is closed and replaced where something is told of a store that is waited
-	// for. Guarded by inboxMu.
+	// updates holds the changes received for each store, by address. Guarded by inboxMu.
+	updates map[string]*receivedUpdate
+	// wake holds, by address, a channel that is closed when changes arrive for a store that is
+	// waited for. Guarded by inboxMu.
 	wake map[string]chan struct{}
 }
 
-// shelfArrival is what was told of one store.
-type shelfArrival struct {
-	// from is the point after which events tell all changes.
+// receivedUpdate holds the changes received for one store.
+type receivedUpdate struct {
+	// from is the position after which events holds all changes.
 	from   int64
 	events cache.PartEvents
-	// at is when the latest of it arrived.
+	// at is when the latest of them arrived.
 	at clock.Time
 }
 
-// put adds what a heartbeat told.
-func (b *shelfInbox) put(n *shelfNews, now clock.Time) {
+// put adds the changes of a heartbeat.
+func (b *indexInbox) put(n *indexUpdate, now clock.Time) {
 	b.inboxMu.Lock()
 	defer b.inboxMu.Unlock()
-	if b.news == nil {
-		b.news = map[string]*shelfArrival{}
+	if b.updates == nil {
+		b.updates = map[string]*receivedUpdate{}
 	}
-	next := &shelfArrival{from: n.From, at: now, events: cache.PartEvents{
-		Epoch: n.Epoch, Next: n.Next, Changes: changesOf(n.Parts),
-		Clock: time.Duration(n.ClockMillis) * time.Millisecond, Age: toldAge(n.AgeMillis),
+	next := &receivedUpdate{from: n.From, at: now, events: cache.PartEvents{
+		Epoch: n.Epoch, Next: n.Next, Changes: changesOf(n.Segments),
+		Clock: time.Duration(n.ClockMillis) * time.Millisecond, Age: reportedAge(n.AgeMillis),
 	}}
-	if old := b.news[n.Address]; old != nil && old.leadsTo(next) {
+	if old := b.updates[n.Address]; old != nil && old.joins(next) {
 		next.from, next.events.Changes = old.from, append(old.events.Changes, next.events.Changes...)
 	}
-	b.news[n.Address] = next
+	b.updates[n.Address] = next
 	if wake := b.wake[n.Address]; wake != nil {
 		close(wake)
 		delete(b.wake, n.Address)
 	}
 }
 
-// leadsTo reports whether next tells all changes since.
-func (a *shelfArrival) leadsTo(next *shelfArrival) bool {
+// joins reports whether next continues a without missing changes and the two may be merged.
+func (a *receivedUpdate) joins(next *receivedUpdate) bool {
 	return a.events.Epoch == next.events.Epoch && a.from <= next.from && next.from <= a.events.Next &&
-		a.events.Next <= next.events.Next && len(a.events.Changes) < inboxMost
+		a.events.Next <= next.events.Next && len(a.events.Changes) < maxInboxChanges
 }
 
-// take returns what was told of a store and is not taken yet, or nil and what ends the
-// wait for it.
-func (b *shelfInbox) take(address string) (*shelfArrival, <-chan struct{}) {
+// take returns and removes the received changes of a store or, if there are none, returns nil and a
+// channel that is closed when some arrive.
+func (b *indexInbox) take(address string) (*receivedUpdate, <-chan struct{}) {
 	b.inboxMu.Lock()
 	defer b.inboxMu.Unlock()
-	if a := b.news[address]; a != nil {
-		delete(b.news, address)
+	if a := b.updates[address]; a != nil {
+		delete(b.updates, address)
 		return a, nil
 	}
 	if b.wake == nil {
@@ -167,27 +167,27 @@
 	return nil, b.wake[address]
 }
 
-// await returns what heartbeats told of a store after a point; false where they told
-// nothing in time, or not all since.
-func (b *shelfInbox) await(ctx context.Context, address string, since int64, wait time.Duration) (cache.PartEvents, bool) {
-	end := time.NewTimer(wait)
-	defer end.Stop()
+// await returns the changes of a store after a position as received in heartbeats; false where none
+// arrived in time, or changes after the position are missing.
+func (b *indexInbox) await(ctx context.Context, address string, since int64, wait time.Duration) (cache.PartEvents, bool) {
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
 		a, wake := b.take(address)
 		switch {
 		case a != nil && (a.from > since || a.events.Next < since):
 			return cache.PartEvents{}, false
 		case a != nil:
-			stayed := clock.Since(a.at)
-			a.events.Age += stayed
-			a.events.Clock += stayed
+			delay := clock.Since(a.at)
+			a.events.Age += delay
+			a.events.Clock += delay
 			return a.events, true
 		}
 		select {
 		case <-ctx.Done():
 			return cache.PartEvents{}, false
 		case <-wake:
-		case <-end.C:
+		case <-timeout.C:
 			return cache.PartEvents{}, false
 		}
 	}
--- a/core/spread/shelves.go
+++ b/core/spread/shelves.go
@@ -18,111 +18,114 @@
 	"embertally.dev/core/wire"
 )
 
-const kindShelf wire.Kind = "spread.shelf"
+const kindStoreIndex wire.Kind = "spread.shelf"
 
-// Shelves asks stores what they hold. A store answers a few followers at a time, and each
-// question is priced. In a fleet of more daemons than that a few daemons of the whole
-// fleet may ask a store, one of each cell asks the first of these, and in its cell tells
-// the others in heartbeats.
+// Shelves keeps the index of what KV-cache stores hold. A store admits a few watchers at a time,
+// and each request is priced. In a larger fleet only a few daemons of the whole fleet may send
+// requests to a store; one of each cell sends its requests to the first of these, and publishes the
+// changes to the others of its cell in heartbeats.
 type Shelves struct {
 	direct cache.Watcher
 	fleet  *fleet.Fleet
-	// kept is what this daemon tells peers from. Set before Run.
+	// kept holds the contents that peers are served from. It is set before Run.
 	kept *cache.Kept
-	// ranks are who may ask each store in the latest view.
-	ranks atomic.Pointer[shelfRanks]
-	inbox shelfInbox
+	// ranks holds which daemons may send requests to each store, for the latest view.
+	ranks atomic.Pointer[storeRanks]
+	inbox indexInbox
 
-	// silent are the peers that did not answer what they were asked of a store.
-	silent wait.Backoff[shelfLink]
+	// backoff holds the peers that did not respond to a request about a store.
+	backoff wait.Backoff[indexLink]
 
-	toldMu sync.Mutex
-	// told is what peers of the cell were told last of each store, and telling what
-	// the heartbeats that are being made tell. Guarded by toldMu.
-	told, telling map[string]shelfPoint
+	publishedMu sync.Mutex
+	// published is the position up to which each store's changes were published to peers of the
+	// cell; publishing holds those of the heartbeats that are being built. Guarded by publishedMu.
+	published, publishing map[string]publishedPoint
 }
 
-// NewShelves returns a watcher of stores. Serve must be called before it is
-// used.
+// NewShelves returns a Shelves that watches stores by way of direct. Serve must be called before it
+// is used.
 func NewShelves(direct cache.Watcher, f *fleet.Fleet) *Shelves {
 	return &Shelves{
-		direct: direct, fleet: f, told: map[string]shelfPoint{}, telling: map[string]shelfPoint{},
-		silent: wait.Backoff[shelfLink]{First: silentTime, Most: silentMost},
+		direct: direct, fleet: f, published: map[string]publishedPoint{}, publishing: map[string]publishedPoint{},
+		backoff: wait.Backoff[indexLink]{First: backoffFirst, Most: backoffMax},
 	}
 }
 
-// Serve makes peers learn from kept. It must be called before the fleet runs.
+// Serve makes this daemon respond to peers' requests from kept. It must be called before the fleet runs.
 func (s *Shelves) Serve(kept *cache.Kept) {
 	s.kept = kept
-	s.fleet.Mux().Register(kindShelf, wire.Handle(s.answer))
+	s.fleet.Mux().Register(kindStoreIndex, wire.Handle(s.handleIndex))
 	s.fleet.Attach("shelves", s)
 }
 
 const (
-	// sourcesTried is how many of those that may tell of a store are tried at once.
-	sourcesTried = 3
-	// peerLimit is left for a peer's answer beside its wait.
-	peerLimit = 600 * time.Millisecond
-	// partsRoom is how many parts one page of a store's contents holds: some 60 bytes
-	// each make 48 KB, which take 38 ms on a link of 10 Mbit/s and 0.5 s where 11
-	// peers ask at once.
-	partsRoom = 800
+	// maxSourcesTried is how many sources of a store's index are tried for one call.
+	maxSourcesTried = 3
+	// peerTimeout is the time for a peer's response in addition to its wait.
+	peerTimeout = 600 * time.Millisecond
+	// maxPageSegments is how many segments one page of a store's contents holds: some 60 bytes each
+	// make 48 KB, which take 38 ms on a link of 10 Mbit/s and 0.5 s where 11 peers request at once.
+	maxPageSegments = 800
 )
 
-// shelfAsk asks a peer for what a store told after Since, or for everything.
-type shelfAsk struct {
+// indexRequest requests a store's changes after Since, or all of its contents, from a peer.
+type indexRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack   struct{} `msgpack:",as_array"`
 	Address    string
 	Since      int64
 	All        bool
-	WaitMillis int64
-	// Page is the last part of the page before, where everything is asked for.
-	Page shelfPart
-	// AgeMillis is how old the asker's knowledge is: the answer comes as soon as the
-	// peer knows something newer, changed or not.
+	WaitMillis int64 // how long the response may wait for a change
+	// PageAfter is the last segment of the preceding page, where all contents are requested.
+	PageAfter indexedSegment
+	// AgeMillis is the age of the requester's copy: the response comes as soon as the peer has a
+	// newer one, changed or not.
 	AgeMillis int64
 }
 
-// shelfAnswer is what the store told.
-type shelfAnswer struct {
+// indexResponse holds the changes or contents of a store.
+type indexResponse struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
+	// Epoch changes when the store restarts, which invalidates positions. Next is the position after
+	// Segments. Gap is set if changes before Segments are lost.
 	Epoch    int64
 	Next     int64
 	Gap      bool
-	Parts    []shelfPart
-	// ClockMillis is the targets' clock at the answer.
+	Segments []indexedSegment
+	// ClockMillis is the time of the targets' clock at the response.
 	ClockMillis int64
-	// More tells that further pages of everything follow.
+	// More is set if further pages of the contents follow.
 	More bool
-	// AgeMillis is how long before the answer the store told it.
+	// AgeMillis is how long before the response the store reported this.
 	AgeMillis int64
 }
 
-// shelfPart is one change of it.
-type shelfPart struct {
+// indexedSegment is one segment that a store holds, or a change of one.
+type indexedSegment struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Salt     string
 	ID       string
-	Tokens   int
+	// Tokens is the segment's length; 0 where the store no longer holds it.
+	Tokens int
 }
 
-// Events returns the changes of a store since a point.
+// Events returns the changes of a store since a position; the response may wait for one as long as
+// hold.
 func (s *Shelves) Events(ctx context.Context, address string, since int64, hold time.Duration) (cache.PartEvents, error) {
-	return s.try(ctx, address, func(from shelfSource) (cache.PartEvents, error) {
+	return s.try(ctx, address, func(from indexSource) (cache.PartEvents, error) {
 		switch {
 		case from.peer == "":
 			return s.direct.Events(ctx, address, since, hold)
-		case from.tells:
-			if ev, ok := s.inbox.await(ctx, address, since, hold+tellSlack); ok {
+		case from.heartbeats:
+			if ev, ok := s.inbox.await(ctx, address, since, hold+heartbeatSlack); ok {
 				return ev, nil
 			}
 			hold = 0
 		}
-		ask := &shelfAsk{Address: address, Since: since, WaitMillis: hold.Milliseconds(), AgeMillis: ageMillis(s.kept.Age(address, clock.Now()))}
-		got, err := s.ask(ctx, from.peer, ask)
+		req := &indexRequest{Address: address, Since: since, WaitMillis: hold.Milliseconds(), AgeMillis: ageMillis(s.kept.Age(address, clock.Now()))}
+		got, err := s.request(ctx, from.peer, req)
 		if err != nil {
 			return cache.PartEvents{}, err
 		}
@@ -132,31 +135,31 @@
 
 // Contents returns everything that a store holds.
 func (s *Shelves) Contents(ctx context.Context, address string) (cache.PartEvents, error) {
-	return s.try(ctx, address, func(from shelfSource) (cache.PartEvents, error) {
+	return s.try(ctx, address, func(from indexSource) (cache.PartEvents, error) {
 		if from.peer == "" {
 			return s.direct.Contents(ctx, address)
 		}
-		return s.pages(ctx, from.peer, address)
+		return s.fetchContents(ctx, from.peer, address)
 	})
 }
 
-// try asks those that may tell of a store one after the other until one answers.
-func (s *Shelves) try(ctx context.Context, address string, ask func(shelfSource) (cache.PartEvents, error)) (ev cache.PartEvents, err error) {
-	for range sourcesTried {
-		from, none := s.source(address)
-		if none != nil {
-			return ev, cmp.Or(err, none)
+// try calls request with the sources of a store's index one after the other until one responds.
+func (s *Shelves) try(ctx context.Context, address string, request func(indexSource) (cache.PartEvents, error)) (ev cache.PartEvents, err error) {
+	for range maxSourcesTried {
+		from, sourceErr := s.source(address)
+		if sourceErr != nil {
+			return ev, cmp.Or(err, sourceErr)
 		}
-		ev, err = ask(from)
+		ev, err = request(from)
 		if from.peer == "" {
 			return ev, err
 		}
-		link := shelfLink{from.peer, address}
+		link := indexLink{from.peer, address}
 		if err == nil {
-			s.silent.Worked(link)
+			s.backoff.Worked(link)
 			return ev, nil
 		}
-		s.silent.Failed(link, time.Now())
+		s.backoff.Failed(link, time.Now())
 		if ctx.Err() != nil {
 			return ev, err
 		}
@@ -164,23 +167,23 @@
 	return ev, err
 }
 
-// shelfLink is a peer as the one that tells of a store.
-type shelfLink struct{ peer, address string }
+// indexLink identifies a peer as the source of a store's index.
+type indexLink struct{ peer, address string }
 
-var errOtherEpoch = errors.New("the store began anew between two pages")
+var errOtherEpoch = errors.New("the store's epoch changed between two pages")
 
-// pages reads everything that a peer knows a store to hold. The pages are not of one
-// moment: what changes meanwhile follows the point of the first.
-func (s *Shelves) pages(ctx context.Context, peer, address string) (cache.PartEvents, error) {
-	ask := &shelfAsk{Address: address, All: true}
-	first, err := s.ask(ctx, peer, ask)
+// fetchContents reads all contents of a store that a peer has recorded. The pages are not one
+// snapshot: changes made meanwhile come after the position of the first page.
+func (s *Shelves) fetchContents(ctx context.Context, peer, address string) (cache.PartEvents, error) {
+	req := &indexRequest{Address: address, All: true}
+	first, err := s.request(ctx, peer, req)
 	if err != nil {
 		return cache.PartEvents{}, err
 	}
 	out := first.events()
-	for page := first; page.More && len(page.Parts) > 0; {
-		ask.Page = page.Parts[len(page.Parts)-1]
-		if page, err = s.ask(ctx, peer, ask); err != nil {
+	for page := first; page.More && len(page.Segments) > 0; {
+		req.PageAfter = page.Segments[len(page.Segments)-1]
+		if page, err = s.request(ctx, peer, req); err != nil {
 			return cache.PartEvents{}, err
 		}
 		if page.Epoch != first.Epoch {
@@ -192,103 +195,103 @@
 	return out, nil
 }
 
-// Free frees parts of a store.
-func (s *Shelves) Free(ctx context.Context, address string, epoch int64, parts []cache.PartName) error {
-	return s.direct.Free(ctx, address, epoch, parts)
+// Free frees segments of a store.
+func (s *Shelves) Free(ctx context.Context, address string, epoch int64, segments []cache.PartName) error {
+	return s.direct.Free(ctx, address, epoch, segments)
 }
 
-// ask asks a peer once.
-func (s *Shelves) ask(ctx context.Context, peer string, ask *shelfAsk) (*shelfAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(ask.WaitMillis)*time.Millisecond+peerLimit)
+// request sends one request to a peer.
+func (s *Shelves) request(ctx context.Context, peer string, req *indexRequest) (*indexResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(req.WaitMillis)*time.Millisecond+peerTimeout)
 	defer cancel()
-	var got shelfAnswer
-	if err := s.fleet.Call(ctx, peer, kindShelf, ask, &got); err != nil {
+	var got indexResponse
+	if err := s.fleet.Call(ctx, peer, kindStoreIndex, req, &got); err != nil {
 		return nil, err
 	}
 	return &got, nil
 }
 
-// events returns what a peer told.
-func (a *shelfAnswer) events() cache.PartEvents {
+// events converts a response.
+func (r *indexResponse) events() cache.PartEvents {
 	out := cache.PartEvents{
-		Epoch: a.Epoch, Next: a.Next, Gap: a.Gap,
-		Clock: time.Duration(a.ClockMillis) * time.Millisecond, Age: toldAge(a.AgeMillis),
+		Epoch: r.Epoch, Next: r.Next, Gap: r.Gap,
+		Clock: time.Duration(r.ClockMillis) * time.Millisecond, Age: reportedAge(r.AgeMillis),
 	}
-	out.Changes = changesOf(a.Parts)
+	out.Changes = changesOf(r.Segments)
 	return out
 }
 
-var errUnknownShelf = errors.New("the store's state is not known here")
+var errUnknownIndex = errors.New("this daemon has no index of the store")
 
-// answer tells a peer what this daemon knows of a store, waiting for news.
-func (s *Shelves) answer(ctx context.Context, _ string, ask *shelfAsk) (*shelfAnswer, error) {
+// handleIndex responds with this daemon's index of a store; it waits for changes.
+func (s *Shelves) handleIndex(ctx context.Context, _ string, req *indexRequest) (*indexResponse, error) {
 	arrived := clock.Now()
-	newer := arrived.Add(sameAnswer - toldAge(ask.AgeMillis))
-	end := time.NewTimer(time.Duration(ask.WaitMillis) * time.Millisecond)
-	defer end.Stop()
-	for last := ask.WaitMillis <= 0; ; {
-		news := s.kept.News(ask.Address)
+	newer := arrived.Add(freshnessSlack - reportedAge(req.AgeMillis))
+	timeout := time.NewTimer(time.Duration(req.WaitMillis) * time.Millisecond)
+	defer timeout.Stop()
+	for last := req.WaitMillis <= 0; ; {
+		updated := s.kept.News(req.Address)
 		now := clock.Now()
-		got, ok := s.kept.Told(ask.Address, ask.Since, ask.All, now)
+		got, ok := s.kept.Told(req.Address, req.Since, req.All, now)
 		switch {
 		case !ok:
-			return nil, errors.WithStack(errUnknownShelf)
-		case ask.All:
-			return pageOf(got, ask.Page), nil
+			return nil, errors.WithStack(errUnknownIndex)
+		case req.All:
+			return pageOf(got, req.PageAfter), nil
 		case last, got.Gap, len(got.Changes) > 0, now.Add(-got.Age).After(newer):
-			return shelfOf(got), nil
+			return responseOf(got), nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, errors.WithStack(ctx.Err())
-		case <-news:
-		case <-end.C:
+		case <-updated:
+		case <-timeout.C:
 			last = true
 		}
 	}
 }
 
-// shelfOf writes what a store told as peers send it.
-func shelfOf(ev cache.PartEvents) *shelfAnswer {
-	return &shelfAnswer{
-		Epoch: ev.Epoch, Next: ev.Next, Gap: ev.Gap, Parts: partsOf(ev.Changes),
+// responseOf converts events to a response.
+func responseOf(ev cache.PartEvents) *indexResponse {
+	return &indexResponse{
+		Epoch: ev.Epoch, Next: ev.Next, Gap: ev.Gap, Segments: segmentsOf(ev.Changes),
 		ClockMillis: ev.Clock.Milliseconds(), AgeMillis: ageMillis(ev.Age),
 	}
 }
 
-// partsOf writes changes as peers send them.
-func partsOf(changes []cache.PartChange) []shelfPart {
-	var out []shelfPart
+// segmentsOf converts changes to their form in messages.
+func segmentsOf(changes []cache.PartChange) []indexedSegment {
+	var out []indexedSegment
 	for _, c := range changes {
-		out = append(out, shelfPart{Salt: c.Salt, ID: c.ID, Tokens: c.Tokens})
+		out = append(out, indexedSegment{Salt: c.Salt, ID: c.ID, Tokens: c.Tokens})
 	}
 	return out
 }
 
-// changesOf reads them.
-func changesOf(parts []shelfPart) []cache.PartChange {
+// changesOf is the reverse of segmentsOf.
+func changesOf(segments []indexedSegment) []cache.PartChange {
 	var out []cache.PartChange
-	for _, p := range parts {
+	for _, p := range segments {
 		out = append(out, cache.PartChange{PartName: cache.PartName{Salt: p.Salt, ID: p.ID}, Tokens: p.Tokens})
 	}
 	return out
 }
 
-// pageOf writes the page of everything that follows a part.
-func pageOf(ev cache.PartEvents, after shelfPart) *shelfAnswer {
-	out := shelfOf(ev)
-	slices.SortFunc(out.Parts, shelfPart.compare)
-	from, found := slices.BinarySearchFunc(out.Parts, after, shelfPart.compare)
+// pageOf returns the page of contents that follows a segment.
+func pageOf(ev cache.PartEvents, after indexedSegment) *indexResponse {
+	out := responseOf(ev)
+	slices.SortFunc(out.Segments, indexedSegment.compare)
+	from, found := slices.BinarySearchFunc(out.Segments, after, indexedSegment.compare)
 	if found {
 		from++
 	}
-	rest := out.Parts[from:]
-	n := min(len(rest), partsRoom)
-	out.Parts, out.More = rest[:n], n < len(rest)
+	rest := out.Segments[from:]
+	n := min(len(rest), maxPageSegments)
+	out.Segments, out.More = rest[:n], n < len(rest)
 	return out
 }
 
-// compare orders parts by their names.
-func (p shelfPart) compare(q shelfPart) int {
+// compare orders segments by salt, then by ID.
+func (p indexedSegment) compare(q indexedSegment) int {
 	return cmp.Or(strings.Compare(p.Salt, q.Salt), strings.Compare(p.ID, q.ID))
 }
--- a/core/spread/shelves_test.go
+++ b/core/spread/shelves_test.go
@@ -15,10 +15,10 @@
 	"embertally.dev/core/spread"
 )
 
-// shelf is a store that holds some parts and never changes.
-type shelf struct{ parts []cache.PartChange }
+// staticStore is a KV-cache store that holds some segments and never changes.
+type staticStore struct{ segments []cache.PartChange }
 
-func (s shelf) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.PartEvents, error) {
+func (s staticStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.PartEvents, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
@@ -26,20 +26,20 @@
 	return cache.PartEvents{Epoch: 1, Next: since, Clock: time.Hour}, ctx.Err()
 }
 
-func (s shelf) Contents(context.Context, string) (cache.PartEvents, error) {
-	return cache.PartEvents{Epoch: 1, Next: 7, Clock: time.Hour, Changes: s.parts}, nil
+func (s staticStore) Contents(context.Context, string) (cache.PartEvents, error) {
+	return cache.PartEvents{Epoch: 1, Next: 7, Clock: time.Hour, Changes: s.segments}, nil
 }
 
-func (s shelf) Free(context.Context, string, int64, []cache.PartName) error { return errRefused }
+func (s staticStore) Free(context.Context, string, int64, []cache.PartName) error { return errRefused }
 
-// What a store holds has no bound, and goes from one daemon of a cell to the others.
-func TestTheContentsOfAStoreComeOverASlowLink(t *testing.T) {
-	const rate, parts, daemons, address = 256 << 10, 8000, 12, "10.0.0.1:1"
+// A store's contents have no size limit, and must pass from one daemon of a cell to the others.
+func TestAStoresContentsAreSentOverASlowLink(t *testing.T) {
+	const rate, segments, daemons, address = 256 << 10, 8000, 12, "10.0.0.1:1"
 	g := gomega.NewWithT(t)
-	store := shelf{}
-	for i := range parts {
+	store := staticStore{}
+	for i := range segments {
 		name := cache.PartName{Salt: "v12/model-with-a-long-name/", ID: fmt.Sprintf("%032x", i)}
-		store.parts = append(store.parts, cache.PartChange{PartName: name, Tokens: 1})
+		store.segments = append(store.segments, cache.PartChange{PartName: name, Tokens: 1})
 	}
 	direct, listeners := addresses(t, daemons)
 	slow := append([]fleet.Peer(nil), direct...)
@@ -52,25 +52,25 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
-	kepts := map[string]*cache.Kept{}
-	fleets := map[string]*fleet.Fleet{}
+	keptByName := map[string]*cache.Kept{}
+	fleetByName := map[string]*fleet.Fleet{}
 	for i, name := range names {
 		known := direct
 		if name == ranked[daemons-1] {
 			known = slow
 		}
 		f := fleet.New(fleet.Options{
-			Name: name, Incarnation: name + "-1", Seeds: known, Heartbeat: beat, Suspect: suspect, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: known, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
 		shelves := spread.NewShelves(store, f)
-		kepts[name] = cache.NewKept(shelves, &event.Log{})
-		shelves.Serve(kepts[name])
-		fleets[name] = f
+		keptByName[name] = cache.NewKept(shelves, &event.Log{})
+		shelves.Serve(keptByName[name])
+		fleetByName[name] = f
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
 	}
 	for _, name := range []string{ranked[0], ranked[1], ranked[daemons-1]} {
-		g.Eventually(func() int { return len(fleets[name].View().OnDuty()) }, soon, look).Should(gomega.Equal(daemons))
-		kepts[name].Set(ctx, []cache.StoreInfo{{Address: address, Room: parts}})
-		g.Eventually(kepts[name].Tokens, long, look).Should(gomega.Equal(parts), name)
+		g.Eventually(func() int { return len(fleetByName[name].View().OnDuty()) }, soon, look).Should(gomega.Equal(daemons))
+		keptByName[name].Set(ctx, []cache.StoreInfo{{Address: address, Room: segments}})
+		g.Eventually(keptByName[name].Tokens, long, look).Should(gomega.Equal(segments), name)
 	}
 }
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -1,7 +1,7 @@
-// Package spread owns how configuration reaches every daemon: what each peer
-// has in force, who watches the service for a cell, and which daemons a change
-// has not reached yet. It also owns what one cell tells another: what stores
-// hold, and which workers change their weights.
+// Package spread owns how configuration and the targets' entries reach every daemon: which
+// configuration sequence each peer has applied and so which daemons lack a change, which daemons watch
+// the coordination store, and how the others copy its changes from peers. It also owns what cells
+// share about targets: the contents of KV-cache stores and running weight updates.
 //
 // It must not know what the configuration says.
 package spread
@@ -26,118 +26,123 @@
 
 const kindSince wire.Kind = "conf.since"
 
-// since asks for what follows a sequence. The answer is a conf.Delta in packed form.
-type since struct {
+// sinceRequest requests the changes after a configuration sequence. The response is a compressed
+// conf.Delta.
+type sinceRequest struct {
+	// Seq is the sequence that the requester has applied.
 	Seq uint64 `msgpack:"s"`
 }
 
-// state is the part of a heartbeat that tells what a daemon has in force.
-type state struct {
+// confState is the part of a heartbeat that reports which configuration a daemon has applied.
+type confState struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	Seq      uint64
-	Loaded   bool
-	// AgeMillis is how long ago the sequence was known to be the latest;
-	// negative if it never was.
+	// Seq is the applied configuration sequence; it is valid if Loaded is set.
+	Seq    uint64
+	Loaded bool
+	// AgeMillis is how many milliseconds ago the sequence was confirmed to be the latest; negative
+	// if it never was.
 	AgeMillis int
 }
 
-// DutyWatch names the duty of watching the service for a cell.
+// DutyWatch names the assignment to watch the coordination store's configuration for a cell.
 const DutyWatch = "watch"
 
-// KeyRoot is the prefix under which cells tell what they have in force.
-const KeyRoot = "embertally/force/"
+// AppliedPrefix is the key prefix under which each cell publishes the sequence that it has applied.
+const AppliedPrefix = "embertally/force/"
 
-type kv interface {
+// coordinationStore is the part of the coordination store's client that Spread uses.
+type coordinationStore interface {
 	Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error)
 	Commit(ctx context.Context, t plat.Txn) (plat.Outcome, error)
 }
 
-// Spread joins a configuration store to the fleet.
+// Spread replicates a configuration store between the daemons of the fleet.
 type Spread struct {
-	store   *conf.Store
-	fleet   *fleet.Fleet
-	kv      kv
-	parcels *parcels
-	wake    chan struct{}
+	store     *conf.Store
+	fleet     *fleet.Fleet
+	kv        coordinationStore
+	transfers *transfers
+	// wake receives when a peer may have a later sequence.
+	wake chan struct{}
 
 	statesMu sync.Mutex
-	// states is what each peer has in force. Guarded by statesMu.
-	states map[string]state
-	// current is when this daemon was last seen to be behind no peer. Guarded
-	// by statesMu.
-	current clock.Time
-	// moved is closed and replaced when a state changes. Guarded by statesMu.
-	moved chan struct{}
+	// states holds the latest state that each peer reported, by name. Guarded by statesMu.
+	states map[string]confState
+	// lastCurrent is when no peer was last seen ahead of this daemon. Guarded by statesMu.
+	lastCurrent clock.Time
+	// stateChanged is closed and replaced when a peer's sequence changes. Guarded by statesMu.
+	stateChanged chan struct{}
 }
 
-// New returns a spread for store and attaches it to the fleet's heartbeats.
-func New(store *conf.Store, f *fleet.Fleet, kv kv) *Spread {
+// New returns a Spread for store and attaches it to the fleet's heartbeats.
+func New(store *conf.Store, f *fleet.Fleet, kv coordinationStore) *Spread {
 	s := &Spread{
-		store: store, fleet: f, kv: kv, parcels: newParcels(f, nil), wake: make(chan struct{}, 1),
-		states: map[string]state{}, moved: make(chan struct{}),
+		store: store, fleet: f, kv: kv, transfers: newTransfers(f, nil), wake: make(chan struct{}, 1),
+		states: map[string]confState{}, stateChanged: make(chan struct{}),
 	}
 	f.Attach("conf", s)
-	f.Mux().Register(kindSince, wire.Handle(s.answer))
+	f.Mux().Register(kindSince, wire.Handle(s.handleSince))
 	return s
 }
 
-// answer tells a peer what follows a sequence.
-func (s *Spread) answer(_ context.Context, _ string, ask *since) (*parcel, error) {
-	id := fmt.Sprintf("conf/%d/%d", ask.Seq, s.store.Snapshot().Seq())
-	out, err := s.parcels.prepare(id, func() ([]byte, error) { return s.packed(ask.Seq) })
+// handleSince sends a peer the changes after a sequence.
+func (s *Spread) handleSince(_ context.Context, _ string, req *sinceRequest) (*transfer, error) {
+	id := fmt.Sprintf("conf/%d/%d", req.Seq, s.store.Snapshot().Seq())
+	out, err := s.transfers.begin(id, func() ([]byte, error) { return s.compressedDelta(req.Seq) })
 	return &out, err
 }
 
-// packed returns what follows a sequence in packed form.
-func (s *Spread) packed(seq uint64) ([]byte, error) {
+// compressedDelta returns the changes after a sequence, compressed.
+func (s *Spread) compressedDelta(seq uint64) ([]byte, error) {
 	delta, err := s.store.Delta(seq)
 	if err != nil {
 		return nil, err
 	}
-	return packMessage(delta)
+	return compressMessage(delta)
 }
 
-// Run sends a heartbeat at each change, and tells the service what this cell
-// has in force where there are several cells, until ctx ends.
+// Run sends a heartbeat at each change of the configuration and, where there are several cells,
+// publishes the sequence that this cell has applied. It returns when ctx ends.
 func (s *Spread) Run(ctx context.Context) {
-	var told uint64
+	var published uint64
 	for {
-		changed, moved := s.store.Changed(), s.movedChan()
+		changed, stateChanged := s.store.Changed(), s.stateChangedChan()
 		if s.fleet.View().Cells() > 1 && s.WatchHolder() {
-			told = s.tell(ctx, told)
+			published = s.publishApplied(ctx, published)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 			s.fleet.Kick()
-		case <-moved:
+		case <-stateChanged:
 		}
 	}
 }
 
-// tell writes what the whole cell has in force, if that has risen.
-func (s *Spread) tell(ctx context.Context, told uint64) uint64 {
-	seq := s.cellSeq()
-	if seq <= told {
-		return told
+// publishApplied writes the sequence that the whole cell has applied, if it is above published. It
+// returns the sequence that is published then.
+func (s *Spread) publishApplied(ctx context.Context, published uint64) uint64 {
+	seq := s.cellAppliedSeq()
+	if seq <= published {
+		return published
 	}
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
-	key := KeyRoot + strconv.Itoa(s.fleet.View().Cell())
+	key := AppliedPrefix + strconv.Itoa(s.fleet.View().Cell())
 	raw, err := json.Marshal(seq)
 	if err != nil {
-		return told
+		return published
 	}
 	if _, err := s.kv.Commit(ctx, plat.Txn{Puts: []plat.Put{{Key: key, Value: raw}}}); err != nil {
-		return told
+		return published
 	}
 	return seq
 }
 
-// cellSeq returns what every daemon of the cell has in force.
-func (s *Spread) cellSeq() uint64 {
+// cellAppliedSeq returns the highest sequence that every daemon of the cell has applied.
+func (s *Spread) cellAppliedSeq() uint64 {
 	seq := s.store.Snapshot().Seq()
 	view := s.fleet.View()
 	s.statesMu.Lock()
@@ -150,24 +155,24 @@
 	return seq
 }
 
-func (s *Spread) movedChan() <-chan struct{} {
+func (s *Spread) stateChangedChan() <-chan struct{} {
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
-	return s.moved
+	return s.stateChanged
 }
 
-// Collect returns what this daemon has in force.
+// Collect returns the configuration state of this daemon for its heartbeat.
 func (s *Spread) Collect(bool) any {
-	st := state{Seq: s.store.Snapshot().Seq(), Loaded: s.store.Loaded(), AgeMillis: -1}
+	st := confState{Seq: s.store.Snapshot().Seq(), Loaded: s.store.Loaded(), AgeMillis: -1}
 	if at := s.store.Confirmed(); !at.IsZero() {
 		st.AgeMillis = int(clock.Since(at).Milliseconds())
 	}
 	return st
 }
 
-// Receive takes what a peer has in force.
+// Receive stores the configuration state that a peer reported.
 func (s *Spread) Receive(peer string, body []byte) {
-	var st state
+	var st confState
 	if msgpack.Unmarshal(body, &st) != nil {
 		return
 	}
@@ -175,30 +180,30 @@
 	old := s.states[peer]
 	s.states[peer] = st
 	if old.Seq != st.Seq {
-		close(s.moved)
-		s.moved = make(chan struct{})
+		close(s.stateChanged)
+		s.stateChanged = make(chan struct{})
 	}
 	s.statesMu.Unlock()
 	if st.Loaded && st.AgeMillis >= 0 {
 		s.store.Confirm(st.Seq, clock.Now().Add(-time.Duration(st.AgeMillis)*time.Millisecond))
 	}
 	if st.Loaded && (st.Seq > s.store.Snapshot().Seq() || !s.store.Loaded()) {
-		s.wakeUp()
+		s.signalWake()
 	}
 }
 
-func (s *Spread) wakeUp() {
+func (s *Spread) signalWake() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Wake returns a channel that receives when a peer may be ahead.
+// Wake returns a channel that receives when a peer may have a later sequence.
 func (s *Spread) Wake() <-chan struct{} { return s.wake }
 
-// Ahead returns a loaded peer with the highest sequence, if it is above seq or
-// nothing is loaded here.
+// Ahead returns the live peer with the highest sequence above seq, or with any sequence while
+// nothing is loaded here. It returns "" if there is none.
 func (s *Spread) Ahead(seq uint64) string {
 	loaded := s.store.Loaded()
 	s.statesMu.Lock()
@@ -216,46 +221,46 @@
 	return best
 }
 
-// ConfSince asks a peer for what follows seq.
+// ConfSince requests the changes after seq from a peer.
 func (s *Spread) ConfSince(ctx context.Context, peer string, seq uint64) (conf.Delta, error) {
 	if peer == "" {
-		return conf.Delta{}, errors.New("no peer is ahead")
+		return conf.Delta{}, errors.New("no peer has a later configuration")
 	}
-	var first parcel
-	if err := s.parcels.ask(ctx, peer, kindSince, &since{seq}, &first); err != nil {
+	var first transfer
+	if err := s.transfers.call(ctx, peer, kindSince, &sinceRequest{seq}, &first); err != nil {
 		return conf.Delta{}, err
 	}
-	packed, err := s.parcels.rest(ctx, peer, &first, mostValue)
+	compressed, err := s.transfers.receive(ctx, peer, &first, maxValueBytes)
 	if err != nil {
 		return conf.Delta{}, err
 	}
-	raw, err := unpack(packed, nil)
+	raw, err := decompress(compressed, nil)
 	if err != nil {
 		return conf.Delta{}, err
 	}
 	var d conf.Delta
-	return d, errors.Wrap(msgpack.Unmarshal(raw, &d), "what follows a sequence")
+	return d, errors.Wrap(msgpack.Unmarshal(raw, &d), "decoding a peer's configuration changes")
 }
 
-// WatchHolder reports whether this daemon watches the service for its cell.
+// WatchHolder reports whether this daemon is assigned to watch the coordination store for its cell.
 func (s *Spread) WatchHolder() bool {
 	v := s.fleet.View()
 	return v.Duty(fleet.Key(DutyWatch)) == v.Self()
 }
 
-// Seq returns what a peer has in force, as far as it was heard.
+// Seq returns the sequence that a peer last reported as applied; 0 if it reported none.
 func (s *Spread) Seq(peer string) uint64 {
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
 	return s.states[peer].Seq
 }
 
-// behindLimit is how long a daemon that was current may be behind a peer and
-// still serve: a change takes a moment to pass from one to the other.
-const behindLimit = 2 * time.Second
+// maxLag is how long a daemon may stay behind a peer and still serve: a change takes a moment to
+// pass from one daemon to the next.
+const maxLag = 2 * time.Second
 
-// Current reports whether this daemon knows a configuration that it may serve
-// under: one is loaded, and no peer has had a later one for long.
+// Current reports whether this daemon may serve under its configuration: one is loaded, and no peer
+// has been ahead for maxLag or longer.
 func (s *Spread) Current() bool {
 	if !s.store.Loaded() {
 		return false
@@ -265,13 +270,13 @@
 	defer s.statesMu.Unlock()
 	now := clock.Now()
 	if !behind {
-		s.current = now
+		s.lastCurrent = now
 		return true
 	}
-	return now.Sub(s.current) < behindLimit
+	return now.Sub(s.lastCurrent) < maxLag
 }
 
-// Heard reports whether any peer was heard that has a configuration.
+// Heard reports whether any live peer reported a loaded configuration.
 func (s *Spread) Heard() bool {
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
@@ -283,7 +288,8 @@
 	return false
 }
 
-// NotYet returns the live daemons, or cells, that do not have seq in force.
+// NotYet returns the live or listed daemons of this cell, and the other cells, that have not
+// applied seq.
 func (s *Spread) NotYet(ctx context.Context, seq uint64) []string {
 	view := s.fleet.View()
 	var out []string
@@ -298,31 +304,34 @@
 	}
 	s.statesMu.Unlock()
 	if view.Cells() > 1 {
-		out = append(out, s.cellsNotYet(ctx, view, seq)...)
+		out = append(out, s.laggingCells(ctx, view, seq)...)
 	}
 	return out
 }
 
-func (s *Spread) cellsNotYet(ctx context.Context, view *fleet.View, seq uint64) []string {
+// laggingCells returns the names of the other cells that have not published seq or a later sequence.
+// Where the store does not answer, it returns all of them.
+func (s *Spread) laggingCells(ctx context.Context, view *fleet.View, seq uint64) []string {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
-	pairs, _, err := s.kv.Range(ctx, plat.Prefix(KeyRoot))
+	pairs, _, err := s.kv.Range(ctx, plat.Prefix(AppliedPrefix))
 	var out []string
 	for c := range view.Cells() {
 		if c == view.Cell() {
 			continue
 		}
 		name := "cell " + strconv.Itoa(c)
-		if err != nil || forceOf(pairs, c) < seq {
+		if err != nil || appliedSeqOf(pairs, c) < seq {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-func forceOf(pairs []plat.Pair, cell int) uint64 {
+// appliedSeqOf returns the sequence that a cell has published; 0 if there is none.
+func appliedSeqOf(pairs []plat.Pair, cell int) uint64 {
 	for _, p := range pairs {
-		if p.Key == KeyRoot+strconv.Itoa(cell) {
+		if p.Key == AppliedPrefix+strconv.Itoa(cell) {
 			var seq uint64
 			if json.Unmarshal(p.Value, &seq) == nil {
 				return seq
@@ -332,22 +341,22 @@
 	return 0
 }
 
-// pollPause spaces looks at other cells while a change is awaited.
-const pollPause = 200 * time.Millisecond
+// pollInterval is the time between two reads of the other cells' sequences while Await waits.
+const pollInterval = 200 * time.Millisecond
 
-// Await waits until every live daemon has seq in force, or ctx ends, and
-// returns where it is not.
+// Await waits until every daemon and cell has applied seq, or ctx ends. It returns those that have
+// not.
 func (s *Spread) Await(ctx context.Context, seq uint64) []string {
 	for {
-		moved := s.movedChan()
+		stateChanged := s.stateChangedChan()
 		missing := s.NotYet(ctx, seq)
 		if len(missing) == 0 || ctx.Err() != nil {
 			return missing
 		}
-		t := time.NewTimer(pollPause)
+		t := time.NewTimer(pollInterval)
 		select {
 		case <-ctx.Done():
-		case <-moved:
+		case <-stateChanged:
 		case <-t.C:
 		}
 		t.Stop()
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/spread"
 )
 
-// organisations returns a configuration with some organisations of one key each.
+// organisations returns a configuration with n organisations of one key each.
 func organisations(n int) conf.Full {
 	keys := noise(32 * n)
 	full := conf.Full{Seq: uint64(n), HeadRevision: 1}
@@ -29,16 +29,15 @@
 	return full
 }
 
-// A daemon that starts takes the whole configuration from a peer, some 7 MB at 23,000
-// organisations.
-func TestAWholeConfigurationComesOverASlowLink(t *testing.T) {
+// A starting daemon reads the whole configuration from a peer, some 7 MB at 23,000 organisations.
+func TestAWholeConfigurationIsSentOverASlowLink(t *testing.T) {
 	const rate, count = 128 << 10, 10_000
 	g := gomega.NewWithT(t)
 	seeds, listeners := addresses(t, 2)
 	slow := append([]fleet.Peer(nil), seeds...)
 	slow[0].Address = slowLink(t, rate)(seeds[0].Address)
-	away := &memkv.KV{}
-	away.SetDown(true)
+	unreachable := &memkv.KV{}
+	unreachable.SetDown(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
@@ -46,11 +45,11 @@
 	for i, known := range [][]fleet.Peer{seeds, slow} {
 		name := seeds[i].Name
 		f := fleet.New(fleet.Options{
-			Name: name, Incarnation: name + "-1", Seeds: known, Heartbeat: beat, Suspect: suspect, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: known, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
 		store := conf.NewStore(&event.Log{})
 		stores = append(stores, store)
-		syncer := conf.NewSyncer(store, away, spread.New(store, f, away), &event.Log{})
+		syncer := conf.NewSyncer(store, unreachable, spread.New(store, f, unreachable), &event.Log{})
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
 		wg.Go(func() { syncer.Run(ctx) })
 	}
--- a/core/spread/swaps.go
+++ b/core/spread/swaps.go
@@ -9,73 +9,76 @@
 	"embertally.dev/core/wire"
 )
 
-const kindSwap wire.Kind = "spread.swap"
+const kindWeightUpdate wire.Kind = "spread.swap"
 
 const (
-	// swapAudience is how many daemons of a cell are told of a swap; each tells its cell.
-	swapAudience = 2
-	// swapLimit bounds the sending of one message.
-	swapLimit = 500 * time.Millisecond
-	// swapMost bounds the time for which a worker is passed over on another daemon's word.
-	swapMost = 2 * time.Second
+	// noticePeers is how many daemons of a cell are notified of a weight update; each notifies its
+	// cell.
+	noticePeers = 2
+	// noticeTimeout bounds the sending of one notice.
+	noticeTimeout = 500 * time.Millisecond
+	// maxRemoteHold bounds how long a worker gets no requests because of another daemon's notice.
+	maxRemoteHold = 2 * time.Second
 )
 
-// Swaps tells the cell that uses a worker when the worker is about to change its weights
-// and when it has.
+// Swaps notifies the cell that uses a worker when a weight update of the worker is about to start
+// and when it has completed.
 //
-// Heartbeats tell only the cell of the daemon that gives the order. The daemons of the
-// worker's own cell would find out by being refused, each for itself.
+// Heartbeats reach only the cell of the daemon that gives the order. Without a notice each daemon
+// of the worker's own cell would learn of the update only when the worker refuses a request.
 type Swaps struct {
 	fleet  *fleet.Fleet
 	roster *roster.Roster
-	// Divided, if set, reports whether the cells divide the targets of a service. It is set
-	// before use.
+	// Divided, if set, reports whether the targets of a service are sharded between the cells. It
+	// is set before use.
 	Divided func(service string) bool
 }
 
-// NewSwaps returns what tells of swaps. It must be called before the fleet runs.
+// NewSwaps returns a Swaps. It must be called before the fleet runs.
 func NewSwaps(f *fleet.Fleet, r *roster.Roster) *Swaps {
 	s := &Swaps{fleet: f, roster: r}
-	f.Mux().Register(kindSwap, wire.Handle(s.hear))
+	f.Mux().Register(kindWeightUpdate, wire.Handle(s.handleNotice))
 	return s
 }
 
-// swapNews is what another cell is told of a swap.
-type swapNews struct {
+// updateNotice notifies another cell of a weight update.
+type updateNotice struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Target   string
 	Model    string
-	// Version is what the worker holds now; 0 where the swap has only begun.
+	// Version is the version that the worker has now; 0 where the update is about to start.
 	Version int64
-	// Lasts is for how much longer the worker is to be passed over where it has.
-	Lasts time.Duration
+	// Remaining is for how much longer the worker is to get no requests where the update is about
+	// to start.
+	Remaining time.Duration
 }
 
-// Began tells that a worker is about to change its weights, for about some more time.
-func (s *Swaps) Began(t *roster.Target, model string, lasts time.Duration) {
-	s.tell(t, &swapNews{Target: t.ID(), Model: model, Lasts: lasts})
+// Began notifies the worker's cell that a weight update is about to start and takes about the time
+// remaining.
+func (s *Swaps) Began(t *roster.Target, model string, remaining time.Duration) {
+	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Remaining: remaining})
 }
 
-// Ended tells that a worker holds a version of the weights.
+// Ended notifies the worker's cell that the worker has a version of the weights.
 func (s *Swaps) Ended(t *roster.Target, model string, version int64) {
-	s.tell(t, &swapNews{Target: t.ID(), Model: model, Version: version})
+	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Version: version})
 }
 
-// tell sends news to the worker's cell, where that is another one.
-func (s *Swaps) tell(t *roster.Target, n *swapNews) {
+// notify sends a notice to the worker's cell, if that is not this daemon's.
+func (s *Swaps) notify(t *roster.Target, n *updateNotice) {
 	view := s.fleet.View()
-	cell := s.user(view, t)
+	cell := s.cellOf(view, t)
 	if cell == view.Cell() {
 		return
 	}
-	for _, peer := range view.Homes(cell, fleet.Key(t.ID()), swapAudience) {
-		go swapTeller{s.fleet, peer, n}.run()
+	for _, peer := range view.Homes(cell, fleet.Key(t.ID()), noticePeers) {
+		go noticeSender{s.fleet, peer, n}.run()
 	}
 }
 
-// user returns the cell that uses a worker.
-func (s *Swaps) user(view *fleet.View, t *roster.Target) int {
+// cellOf returns the cell that uses a worker.
+func (s *Swaps) cellOf(view *fleet.View, t *roster.Target) int {
 	e := t.Entry()
 	if s.Divided != nil && s.Divided(e.Service) {
 		return view.TargetCell(e.Name, e.Domain)
@@ -87,27 +90,27 @@
 	return view.SharedBy(names, t.ID())
 }
 
-// swapTeller sends news of one swap to one peer.
-type swapTeller struct {
-	fleet *fleet.Fleet
-	peer  string
-	news  *swapNews
+// noticeSender sends one notice to one peer.
+type noticeSender struct {
+	fleet  *fleet.Fleet
+	peer   string
+	notice *updateNotice
 }
 
-func (t swapTeller) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), swapLimit)
+func (t noticeSender) run() {
+	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
-	// Who does not hear of it is refused by the worker, as before.
-	_ = t.fleet.Notify(ctx, t.peer, kindSwap, t.news)
+	// A daemon that misses the notice is refused by the worker, as it would be without one.
+	_ = t.fleet.Notify(ctx, t.peer, kindWeightUpdate, t.notice)
 }
 
-// hear takes news, which this daemon's heartbeats tell its cell.
-func (s *Swaps) hear(_ context.Context, _ string, n *swapNews) (struct{}, error) {
+// handleNotice records a notice, which this daemon's heartbeats pass on to its cell.
+func (s *Swaps) handleNotice(_ context.Context, _ string, n *updateNotice) (struct{}, error) {
 	if n.Version > 0 {
 		s.roster.Learn(n.Target, n.Model, n.Version)
 		s.roster.Done(n.Target)
 	} else {
-		s.roster.Order(n.Target, time.Now().Add(min(max(0, n.Lasts), swapMost)))
+		s.roster.Order(n.Target, time.Now().Add(min(max(0, n.Remaining), maxRemoteHold)))
 	}
 	s.fleet.Kick()
 	return struct{}{}, nil
--- a/core/spread/swaps_test.go
+++ b/core/spread/swaps_test.go
@@ -15,30 +15,30 @@
 	"embertally.dev/core/spread"
 )
 
-// swapMember is one daemon of a fleet of several cells before the same workers.
-type swapMember struct {
-	fleet  *fleet.Fleet
-	roster *roster.Roster
-	swaps  *spread.Swaps
+// updateMember is one daemon of a fleet of several cells with the same workers.
+type updateMember struct {
+	fleet   *fleet.Fleet
+	roster  *roster.Roster
+	updates *spread.Swaps
 }
 
-// swapFleet runs daemons that know some workers.
-func swapFleet(t *testing.T, daemons, workers int) ([]*swapMember, []string) {
+// updateFleet runs daemons with some workers in their rosters.
+func updateFleet(t *testing.T, daemons, workers int) ([]*updateMember, []string) {
 	seeds, listeners := addresses(t, daemons)
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
-	var out []*swapMember
+	var out []*updateMember
 	var names []string
 	for i := range workers {
 		names = append(names, fmt.Sprintf("w-%02d", i))
 	}
 	for i, seed := range seeds {
-		m := &swapMember{roster: roster.New(&event.Log{}, nil)}
+		m := &updateMember{roster: roster.New(&event.Log{}, nil)}
 		m.fleet = fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: beat, Suspect: suspect, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
 		m.fleet.Attach("roster", roster.Share{Roster: m.roster})
-		m.swaps = spread.NewSwaps(m.fleet, m.roster)
+		m.updates = spread.NewSwaps(m.fleet, m.roster)
 		for _, w := range names {
 			m.roster.Put(roster.Entry{ID: w, Service: "llm", Address: "127.0.0.1:1", Slots: 1, Weights: map[string]int64{"m": 1}})
 		}
@@ -50,21 +50,21 @@
 	return out, names
 }
 
-// Daemons of the cell that uses a worker hear of its swap though another cell's daemon
-// gives the order.
-func TestTheCellThatUsesAWorkerHearsOfItsSwap(t *testing.T) {
+// Daemons of the cell that uses a worker are notified of its weight update although a daemon of
+// another cell gives the order.
+func TestTheCellThatUsesAWorkerIsNotifiedOfItsUpdate(t *testing.T) {
 	g := gomega.NewWithT(t)
-	members, names := swapFleet(t, 24, 12)
-	giver := members[0]
-	g.Expect(giver.fleet.View().Cells()).To(gomega.Equal(2))
+	members, names := updateFleet(t, 24, 12)
+	initiator := members[0]
+	g.Expect(initiator.fleet.View().Cells()).To(gomega.Equal(2))
 	other := ""
 	for _, w := range names {
-		if giver.fleet.View().SharedBy(names, w) != giver.fleet.View().Cell() {
+		if initiator.fleet.View().SharedBy(names, w) != initiator.fleet.View().Cell() {
 			other = w
 		}
 	}
 	g.Expect(other).NotTo(gomega.BeEmpty())
-	var users []*swapMember
+	var users []*updateMember
 	for _, m := range members {
 		for _, w := range m.fleet.View().Share(names) {
 			if w == other {
@@ -73,7 +73,7 @@
 		}
 	}
 	g.Expect(len(users)).To(gomega.BeNumerically(">", 2), "the cell that uses it")
-	all := func(holds func(*swapMember) bool) func() bool {
+	all := func(holds func(*updateMember) bool) func() bool {
 		return func() bool {
 			for _, m := range users {
 				if !holds(m) {
@@ -83,16 +83,16 @@
 			return true
 		}
 	}
-	ordered := func(m *swapMember) bool { return m.roster.Ordered(time.Now())[other] }
-	free := func(m *swapMember) bool { return !ordered(m) }
-	renewed := func(m *swapMember) bool { return m.roster.Target(other).Entry().Weights["m"] == 2 }
+	ordered := func(m *updateMember) bool { return m.roster.Ordered(time.Now())[other] }
+	released := func(m *updateMember) bool { return !ordered(m) }
+	updated := func(m *updateMember) bool { return m.roster.Target(other).Entry().Weights["m"] == 2 }
 	g.Eventually(func() bool {
-		// Told again and again, as long as the swap goes on.
-		giver.swaps.Began(giver.roster.Target(other), "m", time.Minute)
+		// Notified again and again, as long as the update goes on.
+		initiator.updates.Began(initiator.roster.Target(other), "m", time.Minute)
 		return all(ordered)()
 	}, "30s", "50ms").Should(gomega.BeTrue())
-	g.Expect(users[0].roster.Ordered(time.Now().Add(3*time.Second))).NotTo(gomega.HaveKey(other), "another daemon's word is bounded")
-	giver.swaps.Ended(giver.roster.Target(other), "m", 2)
-	g.Eventually(all(renewed), "30s", "10ms").Should(gomega.BeTrue())
-	g.Eventually(all(free), "30s", "10ms").Should(gomega.BeTrue())
+	g.Expect(users[0].roster.Ordered(time.Now().Add(3*time.Second))).NotTo(gomega.HaveKey(other), "the hold of a remote notice is bounded")
+	initiator.updates.Ended(initiator.roster.Target(other), "m", 2)
+	g.Eventually(all(updated), "30s", "10ms").Should(gomega.BeTrue())
+	g.Eventually(all(released), "30s", "10ms").Should(gomega.BeTrue())
 }
--- a/core/spread/tell.go
+++ b/core/spread/tell.go
@@ -11,186 +11,193 @@
 	"embertally.dev/core/plat"
 )
 
-// mirrorAsk asks a peer for the changes after a revision.
-type mirrorAsk struct {
+// changesRequest requests the changes after a revision from a peer.
+type changesRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	After    int64
-	// WaitMillis is how long the answer may wait for a change.
+	// AfterRevision is the revision up to which the requester's cache is complete.
+	AfterRevision int64
+	// WaitMillis is how many milliseconds the response may wait for a change.
 	WaitMillis int64
-	// Page is the last key of the page before, where a whole copy is read.
-	Page string
-	// AgeMillis is how old the asker's copy is: the answer comes as soon as the peer's
+	// PageAfter is the last key of the preceding page, where a full copy is read.
+	PageAfter string
+	// AgeMillis is the age of the requester's cache: the response comes as soon as the peer's cache
 	// is fresher, also without a change.
 	AgeMillis int64
-	// Shard is that of the asker's cell, and Held names what its copy holds.
-	Shard *fleet.Shard
-	Held  string
+	// Shard is the shard of the requester's cell; nil requests all keys. CacheShard names the shard
+	// that the requester's cache holds.
+	Shard      *fleet.Shard
+	CacheShard string
 }
 
-// mirrorAnswer holds them.
-type mirrorAnswer struct {
+// changesResponse is the response to a changesRequest.
+type changesResponse struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// All tells that Changes are a page of everything, not what came after a
-	// revision.
-	All      bool
-	Changes  []mirrorChange
+	// FullCopy is set if Changes are a page of the whole cache, not the changes after a revision.
+	FullCopy bool
+	Changes  []wireChange
+	// Revision is the revision up to which the requester is complete with Changes and all earlier
+	// pages.
 	Revision int64
-	// AgeMillis is how old the sender's copy is.
+	// AgeMillis is the age of the sender's cache in milliseconds.
 	AgeMillis int64
-	// More tells that there is more than this answer holds.
+	// More is set if further responses follow this one.
 	More bool
-	// WaitedMillis is how long the answer waited for a change.
+	// WaitedMillis is how many milliseconds the response waited for a change.
 	WaitedMillis int64
-	// Holds names the shard that the answer is of; "" stands for all keys.
-	Holds string
-	// Other tells that the sender holds another shard than was asked for, and says nothing else.
-	Other bool
-	// Moved tells that Changes hold beside what is new what the asker's former shard lacked, and
-	// that it may drop what its new one lacks.
-	Moved bool
+	// ShardName names the shard that Changes belong to; "" stands for all keys.
+	ShardName string
+	// ShardMismatch is set, with no other field, if the sender's cache holds another shard than the
+	// one requested.
+	ShardMismatch bool
+	// ShardChanged is set if Changes also hold the pairs of the new shard that the requester's
+	// former one lacked; the requester may drop the pairs outside its new shard.
+	ShardChanged bool
 }
 
-// mirrorChange is one change as peers send it.
-type mirrorChange struct {
+// wireChange is one change in a message.
+type wireChange struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      string
 	Value    []byte
+	// Revision is the one at which the key was changed.
 	Revision int64
 	Deleted  bool
-	// Late tells that the value is to be asked for by itself.
-	Late bool
+	// Unfetched is set if the value is omitted and must be fetched separately.
+	Unfetched bool
 }
 
-// answer tells a peer what has changed.
-func (s *Mirrors) answer(ctx context.Context, _ string, ask *mirrorAsk) (*mirrorAnswer, error) {
-	began := clock.Now()
-	if s.viewFor(ask) == nil {
-		return &mirrorAnswer{Other: true}, nil
+// handleChanges responds to a peer's changesRequest.
+func (s *Mirrors) handleChanges(ctx context.Context, _ string, req *changesRequest) (*changesResponse, error) {
+	start := clock.Now()
+	if s.viewFor(req) == nil {
+		return &changesResponse{ShardMismatch: true}, nil
 	}
-	s.await(ctx, ask)
-	waited := clock.Since(began)
-	fresh := s.mirror.Fresh()
+	s.awaitChange(ctx, req)
+	elapsed := clock.Since(start)
+	fresh := s.watchCache.Fresh()
 	if fresh.IsZero() {
-		return nil, errors.New("this daemon knows nothing yet")
+		return nil, errors.New("the watch cache of this daemon is still empty")
 	}
-	// What is held may have changed meanwhile.
-	v := s.viewFor(ask)
+	// The shard may have changed during the wait.
+	v := s.viewFor(req)
 	if v == nil {
-		return &mirrorAnswer{Other: true}, nil
+		return &changesResponse{ShardMismatch: true}, nil
 	}
-	out := s.some(ask, v)
-	out.AgeMillis, out.WaitedMillis = ageMillis(clock.Since(fresh)), waited.Milliseconds()
+	out := s.changesPage(req, v)
+	out.AgeMillis, out.WaitedMillis = ageMillis(clock.Since(fresh)), elapsed.Milliseconds()
 	for _, c := range out.Changes {
-		s.told.Add(int64(len(c.Value)))
+		s.bytesSent.Add(int64(len(c.Value)))
 	}
 	return out, nil
 }
 
-// some returns as many of the changes that a peer asks for as one answer holds.
-func (s *Mirrors) some(ask *mirrorAsk, v *shardView) *mirrorAnswer {
-	changes, revision, whole := s.mirror.Since(ask.After)
-	if !whole || ask.Page != "" {
-		return s.page(ask.Page, v)
+// changesPage returns as many of the requested changes as fit one response.
+func (s *Mirrors) changesPage(req *changesRequest, v *shardView) *changesResponse {
+	changes, revision, whole := s.watchCache.Since(req.AfterRevision)
+	if !whole || req.PageAfter != "" {
+		return s.fullCopyPage(req.PageAfter, v)
 	}
-	if ask.Held != v.holds {
-		return s.moved(ask, v, changes, revision)
+	if req.CacheShard != v.name {
+		return s.shardChange(req, v, changes, revision)
 	}
 	changes = v.filter(changes)
-	n := fitting(changes)
+	n := countFitting(changes)
 	for n < len(changes) && n > 0 && changes[n].ModRevision == changes[n-1].ModRevision {
-		// What was written together is told together.
+		// Changes of one revision are sent in one response.
 		n++
 	}
 	more := n < len(changes)
 	if more {
 		revision = changes[n-1].ModRevision
 	}
-	return &mirrorAnswer{Changes: told(changes[:n]), Revision: revision, More: more, Holds: v.holds}
+	return &changesResponse{Changes: wireChanges(changes[:n]), Revision: revision, More: more, ShardName: v.name}
 }
 
-// moved returns what a peer lacks whose cell has another shard now: cells change with each few boxes
-// that come or go. Where that does not fit one answer, everything is told page by page.
+// shardChange returns what a peer lacks after its cell's shard has changed, which happens with
+// every few boxes that come or go. Where that does not fit one response, it returns the first page
+// of a full copy.
 //
-// changes are those up to a revision, which the answer names: what it lacked is read a moment later,
-// and of changes in between the peer hears next.
-func (s *Mirrors) moved(ask *mirrorAsk, v *shardView, changes []plat.Change, revision int64) *mirrorAnswer {
-	former, ok := v.former(ask.Held)
+// changes are those up to revision, which the response names. The lacking pairs are read a moment
+// later; the changes in between come with the next response.
+func (s *Mirrors) shardChange(req *changesRequest, v *shardView, changes []plat.Change, revision int64) *changesResponse {
+	former, ok := v.formerView(req.CacheShard)
 	if !ok {
-		return s.page("", v)
+		return s.fullCopyPage("", v)
 	}
-	lacked, _ := s.mirror.All("", func(p plat.Pair) bool { return v.keeps(p) && !former.keeps(p) })
-	changes = append(v.filter(changes), lacked...)
-	if fitting(changes) < len(changes) {
-		return s.page("", v)
+	lacking, _ := s.watchCache.All("", func(p plat.Pair) bool { return v.includes(p) && !former.includes(p) })
+	changes = append(v.filter(changes), lacking...)
+	if countFitting(changes) < len(changes) {
+		return s.fullCopyPage("", v)
 	}
-	return &mirrorAnswer{Changes: told(changes), Revision: revision, Holds: v.holds, Moved: true}
+	return &changesResponse{Changes: wireChanges(changes), Revision: revision, ShardName: v.name, ShardChanged: true}
 }
 
-// page returns the page of everything that follows a key.
-func (s *Mirrors) page(after string, v *shardView) *mirrorAnswer {
-	rest, revision := s.mirror.All(after, v.keeps)
-	n := fitting(rest)
-	return &mirrorAnswer{All: true, Changes: told(rest[:n]), Revision: revision, More: n < len(rest), Holds: v.holds}
+// fullCopyPage returns the page of the cache that follows a key.
+func (s *Mirrors) fullCopyPage(after string, v *shardView) *changesResponse {
+	rest, revision := s.watchCache.All(after, v.includes)
+	n := countFitting(rest)
+	return &changesResponse{FullCopy: true, Changes: wireChanges(rest[:n]), Revision: revision, More: n < len(rest), ShardName: v.name}
 }
 
-// fitting returns how many of some changes one answer holds; at least one.
-func fitting(changes []plat.Change) int {
+// countFitting returns how many of the changes fit one response; at least one.
+func countFitting(changes []plat.Change) int {
 	size := 0
 	for i, c := range changes {
 		size += len(c.Key) + len(c.Value)
-		if size > answerRoom && i > 0 {
+		if size > maxResponseBytes && i > 0 {
 			return i
 		}
 	}
 	return len(changes)
 }
 
-// told returns changes as peers get them.
-func told(changes []plat.Change) []mirrorChange {
-	out := make([]mirrorChange, len(changes))
+// wireChanges converts changes to their form in messages.
+func wireChanges(changes []plat.Change) []wireChange {
+	out := make([]wireChange, len(changes))
 	for i, c := range changes {
-		out[i] = mirrorChange{Key: c.Key, Value: c.Value, Revision: c.ModRevision, Deleted: c.Deleted, Late: c.Late}
+		out[i] = wireChange{Key: c.Key, Value: c.Value, Revision: c.ModRevision, Deleted: c.Deleted, Unfetched: c.Late}
 	}
 	return out
 }
 
-// await returns when there is something to tell or the wait is over.
-func (s *Mirrors) await(ctx context.Context, ask *mirrorAsk) {
+// awaitChange waits until there are changes to send, the cache is fresher than the requester's, or
+// the requested wait is over.
+func (s *Mirrors) awaitChange(ctx context.Context, req *changesRequest) {
 	arrived := clock.Now()
-	end := arrived.Add(time.Duration(ask.WaitMillis) * time.Millisecond)
-	fresher := arrived.Add(sameAnswer - toldAge(ask.AgeMillis))
-	over := time.NewTimer(clock.Until(end))
-	defer over.Stop()
-	for seen := ask.After; ; {
-		news := s.mirror.News()
-		var told bool
-		if told, seen = s.tells(ask, seen); told || !s.mirror.Fresh().Before(fresher) {
+	deadline := arrived.Add(time.Duration(req.WaitMillis) * time.Millisecond)
+	fresher := arrived.Add(freshnessSlack - reportedAge(req.AgeMillis))
+	timeout := time.NewTimer(clock.Until(deadline))
+	defer timeout.Stop()
+	for checked := req.AfterRevision; ; {
+		updated := s.watchCache.News()
+		var changed bool
+		if changed, checked = s.hasChangesFor(req, checked); changed || !s.watchCache.Fresh().Before(fresher) {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-over.C:
+		case <-timeout.C:
 			return
-		case <-news:
+		case <-updated:
 		}
 	}
 }
 
-// tells reports whether there are changes after a revision that a peer is to hear of, and the
-// revision up to which it looked.
-func (s *Mirrors) tells(ask *mirrorAsk, after int64) (bool, int64) {
-	revision := s.mirror.Revision()
+// hasChangesFor reports whether there are changes after a revision that the requester is to
+// receive, and the revision up to which it checked.
+func (s *Mirrors) hasChangesFor(req *changesRequest, after int64) (bool, int64) {
+	revision := s.watchCache.Revision()
 	if revision <= after {
 		return false, after
 	}
-	v := s.viewFor(ask)
-	if v == nil || ask.Held != v.holds {
+	v := s.viewFor(req)
+	if v == nil || req.CacheShard != v.name {
 		return true, after
 	}
-	changes, revision, whole := s.mirror.Since(after)
-	return !whole || v.tells(changes), revision
+	changes, revision, whole := s.watchCache.Since(after)
+	return !whole || v.includesAny(changes), revision
 }
