--- a/core/spread/values.go
+++ b/core/spread/values.go
@@ -20,77 +20,78 @@
 
 const kindValue wire.Kind = "spread.value"
 
-// values carries the large values of the mirror. A daemon that hears from a peer that
-// there is one fetches it by itself, packed and in pieces.
-type values struct {
-	mirror  *plat.Mirror
-	fleet   *fleet.Fleet
-	parcels *parcels
-	log     *event.Log
-	// wake receives when a value may be late.
+// largeValues transfers the large values of the watch cache. A daemon that receives a change
+// without its value from a peer fetches the value separately, compressed and in chunks.
+type largeValues struct {
+	watchCache *plat.Mirror
+	fleet      *fleet.Fleet
+	transfers  *transfers
+	log        *event.Log
+	// wake receives when there may be unfetched values.
 	wake chan struct{}
 
 	valuesMu sync.Mutex
-	// versions holds the latest versions of each large value, the newest last.
-	// Guarded by valuesMu.
+	// versions holds the latest versions of each large value by key, the newest last. Guarded by
+	// valuesMu.
 	versions map[string][]plat.Pair
-	// teller is the peer that told of a late value last. Guarded by valuesMu.
-	teller string
+	// announcer is the peer that last announced an unfetched value. Guarded by valuesMu.
+	announcer string
 }
 
 // Bounds of large values.
 const (
-	// versionsKept is how many versions of a value are kept to pack others with: a
-	// peer may be behind by two where changes follow each other within the time in
-	// which they are gathered.
-	versionsKept = 3
-	// mostFromPeer is the packed size up to which a value is taken from a peer if the
-	// platform's store can be asked: 11 peers take 0.6 s for it from two daemons
-	// with links of 10 Mbit/s, and the store sends each of them up to 1 MB in 0.9 s.
-	mostFromPeer = 128 << 10
-	// peersTried is how many peers are asked before the store.
-	peersTried = 3
-	// storePatience is how long a daemon of a large fleet tries peers for a value before it asks
-	// the store: a fifth of the users' least bound on a configuration there, 4 s.
-	storePatience = 800 * time.Millisecond
-	// valuePause spaces the rounds of tries for a value.
-	valuePause = 100 * time.Millisecond
-	// storeLimit bounds the reading of a value from the store as a whole; how long
-	// the store may be silent is the business of its client.
-	storeLimit = 15 * time.Second
+	// maxVersions is how many versions of a value are kept as compression dictionaries: a peer may
+	// be two versions behind where changes follow each other within the time for which they are
+	// batched.
+	maxVersions = 3
+	// maxPeerBytes is the compressed size up to which a value is fetched from a peer while the
+	// coordination store can be read: 11 peers take 0.6 s for it from two daemons with links of 10
+	// Mbit/s, and the store sends each of them up to 1 MB in 0.9 s.
+	maxPeerBytes = 128 << 10
+	// maxPeersTried is how many peers are tried before the store.
+	maxPeersTried = 3
+	// peerWaitBudget is how long a daemon of a large fleet tries peers for a value before it reads
+	// the store: a fifth of the users' shortest bound on a configuration change there, 4 s.
+	peerWaitBudget = 800 * time.Millisecond
+	// retryPause is the time between two attempts to fetch the values.
+	retryPause = 100 * time.Millisecond
+	// storeTimeout bounds the read of one value from the store as a whole; the store's client
+	// bounds how long the store may be silent.
+	storeTimeout = 15 * time.Second
 )
 
-// valueAsk asks for a value.
-type valueAsk struct {
+// valueRequest requests a value.
+type valueRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      string
-	// Revision is the least that the value must have.
+	// Revision is the minimum revision of the value.
 	Revision int64
-	// Base is the version that the asker holds, or 0.
+	// Base is the revision that the requester holds and that may serve as the dictionary, or 0.
 	Base int64
 }
 
-// valueAnswer is a value in packed form.
-type valueAnswer struct {
+// valueResponse is a value in compressed form.
+type valueResponse struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
+	// Revision is that of the value.
 	Revision int64
-	// Base is the version that the packed form needs, or 0.
-	Base   int64
-	Packed parcel
+	// Base is the revision that is the dictionary of the compressed form, or 0.
+	Base       int64
+	Compressed transfer
 }
 
-// newValues attaches large values to the mirror and the fleet.
-func newValues(m *plat.Mirror, f *fleet.Fleet, p *parcels, log *event.Log) *values {
-	v := &values{mirror: m, fleet: f, parcels: p, log: log, wake: make(chan struct{}, 1), versions: map[string][]plat.Pair{}}
+// newLargeValues returns largeValues, attached to the watch cache and the fleet.
+func newLargeValues(m *plat.Mirror, f *fleet.Fleet, t *transfers, log *event.Log) *largeValues {
+	v := &largeValues{watchCache: m, fleet: f, transfers: t, log: log, wake: make(chan struct{}, 1), versions: map[string][]plat.Pair{}}
 	m.Observe(v.observe)
-	f.Mux().Register(kindValue, wire.Handle(v.answer))
+	f.Mux().Register(kindValue, wire.Handle(v.handleValue))
 	return v
 }
 
-// observe keeps the versions of large values.
-func (v *values) observe(changes []plat.Change) {
+// observe keeps the latest versions of large values.
+func (v *largeValues) observe(changes []plat.Change) {
 	v.valuesMu.Lock()
 	defer v.valuesMu.Unlock()
 	for _, c := range changes {
@@ -99,13 +100,13 @@
 			delete(v.versions, c.Key)
 		case plat.Large(c.Value):
 			list := append(v.versions[c.Key], c.Pair)
-			v.versions[c.Key] = list[max(0, len(list)-versionsKept):]
+			v.versions[c.Key] = list[max(0, len(list)-maxVersions):]
 		}
 	}
 }
 
-// version returns a version of a value that is kept.
-func (v *values) version(key string, revision int64) (plat.Pair, bool) {
+// version returns a version of a value, if it is kept.
+func (v *largeValues) version(key string, revision int64) (plat.Pair, bool) {
 	v.valuesMu.Lock()
 	defer v.valuesMu.Unlock()
 	for _, p := range v.versions[key] {
@@ -117,7 +118,7 @@
 }
 
 // newest returns the newest version of a value; its revision is 0 where none is kept.
-func (v *values) newest(key string) plat.Pair {
+func (v *largeValues) newest(key string) plat.Pair {
 	v.valuesMu.Lock()
 	defer v.valuesMu.Unlock()
 	list := v.versions[key]
@@ -127,33 +128,33 @@
 	return list[len(list)-1]
 }
 
-var errNoValue = errors.New("the value is not here")
+var errNoValue = errors.New("this daemon does not hold the requested value")
 
-// answer gives a peer the newest version of a value, packed with the one that the peer
-// holds if that is kept here.
-func (v *values) answer(_ context.Context, _ string, ask *valueAsk) (*valueAnswer, error) {
-	newest := v.newest(ask.Key)
-	if newest.ModRevision == 0 || newest.ModRevision < ask.Revision {
+// handleValue sends a peer the newest version of a value, compressed with the peer's version as the
+// dictionary if that is kept here.
+func (v *largeValues) handleValue(_ context.Context, _ string, req *valueRequest) (*valueResponse, error) {
+	newest := v.newest(req.Key)
+	if newest.ModRevision == 0 || newest.ModRevision < req.Revision {
 		return nil, errors.WithStack(errNoValue)
 	}
-	base, known := v.version(ask.Key, ask.Base)
-	if !known || base.ModRevision == newest.ModRevision {
+	base, kept := v.version(req.Key, req.Base)
+	if !kept || base.ModRevision == newest.ModRevision {
 		base = plat.Pair{}
 	}
-	packed, err := v.packed(newest, base)
-	return &valueAnswer{Revision: newest.ModRevision, Base: base.ModRevision, Packed: packed}, err
+	compressed, err := v.beginTransfer(newest, base)
+	return &valueResponse{Revision: newest.ModRevision, Base: base.ModRevision, Compressed: compressed}, err
 }
 
-// packed returns a value packed with a base.
-func (v *values) packed(value, base plat.Pair) (parcel, error) {
+// beginTransfer starts the transfer of a value that is compressed with base as the dictionary.
+func (v *largeValues) beginTransfer(value, base plat.Pair) (transfer, error) {
 	id := fmt.Sprintf("%s/%d/%d", value.Key, value.ModRevision, base.ModRevision)
-	return v.parcels.prepare(id, func() ([]byte, error) { return pack(value.Value, base.Value) })
+	return v.transfers.begin(id, func() ([]byte, error) { return compress(value.Value, base.Value) })
 }
 
-// expect makes the late values be fetched, first from the peer that told of them.
-func (v *values) expect(teller string) {
+// requestFetch starts to fetch the unfetched values, first from the peer that announced them.
+func (v *largeValues) requestFetch(announcer string) {
 	v.valuesMu.Lock()
-	v.teller = teller
+	v.announcer = announcer
 	v.valuesMu.Unlock()
 	select {
 	case v.wake <- struct{}{}:
@@ -161,63 +162,64 @@
 	}
 }
 
-// run fetches late values until ctx ends.
-func (v *values) run(ctx context.Context) {
+// run fetches unfetched values until ctx ends.
+func (v *largeValues) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-v.wake:
 		}
-		for ctx.Err() == nil && v.mirror.Behind() {
-			if !v.round(ctx) {
-				wait.For(ctx, valuePause)
+		for ctx.Err() == nil && v.watchCache.Behind() {
+			if !v.fetchAll(ctx) {
+				wait.For(ctx, retryPause)
 			}
 		}
 	}
 }
 
-// round tries once to get all late values, and reports whether it got one.
-func (v *values) round(ctx context.Context) bool {
+// fetchAll tries once to fetch each unfetched value, and reports whether it got any.
+func (v *largeValues) fetchAll(ctx context.Context) bool {
 	got := false
-	for _, want := range v.mirror.Late() {
+	for _, want := range v.watchCache.Late() {
 		got = v.fetch(ctx, want) || got
 	}
 	return got
 }
 
-// fetch gets a value from a peer where it is small enough, else from the store, and
-// where that does not answer from a peer after all.
-func (v *values) fetch(ctx context.Context, want plat.Pair) bool {
-	peers := v.peersFor()
-	got, tooLarge := v.fromPeers(ctx, peers, want, mostFromPeer)
-	if got || (!tooLarge && v.patient()) {
+// fetch gets a value from a peer where it is small enough, else from the store, and where the store
+// does not answer from a peer after all.
+func (v *largeValues) fetch(ctx context.Context, want plat.Pair) bool {
+	peers := v.candidatePeers()
+	got, tooLarge := v.fetchFromPeers(ctx, peers, want, maxPeerBytes)
+	if got || (!tooLarge && v.waitsForPeers()) {
 		return got
 	}
-	if v.fromStore(ctx, want) {
+	if v.fetchFromStore(ctx, want) {
 		return true
 	}
-	got, _ = v.fromPeers(ctx, peers, want, mostValue)
+	got, _ = v.fetchFromPeers(ctx, peers, want, maxValueBytes)
 	return got
 }
 
-// patient reports whether peers are about to have a value: who tells of it fetches it at the same
-// time. Else each daemon of a large fleet would read each large value from the store.
-func (v *values) patient() bool {
-	return v.fleet.View().Cells() >= rootedCells && clock.Since(v.mirror.LateSince()) < storePatience
+// waitsForPeers reports whether peers are still expected to get a value: those that announce it
+// fetch it at the same time. Without this wait each daemon of a large fleet would read each large
+// value from the store.
+func (v *largeValues) waitsForPeers() bool {
+	return v.fleet.View().Cells() >= minCellsForRelays && clock.Since(v.watchCache.LateSince()) < peerWaitBudget
 }
 
-// peersFor returns the peers to ask for a value: the one that told of it and some
-// others of this cell, which may have it by now.
-func (v *values) peersFor() []string {
+// candidatePeers returns the peers to request a value from: the one that announced it and others of
+// this cell, which may have it by now.
+func (v *largeValues) candidatePeers() []string {
 	v.valuesMu.Lock()
-	out := []string{v.teller}
+	out := []string{v.announcer}
 	v.valuesMu.Unlock()
 	view := v.fleet.View()
 	others := view.Peers()
 	for _, i := range rand.Perm(len(others)) {
 		p := others[i]
-		if len(out) == peersTried {
+		if len(out) == maxPeersTried {
 			break
 		}
 		if p.Alive && p.Cell == view.Cell() && p.Name != out[0] {
@@ -227,82 +229,84 @@
 	return out
 }
 
-// fromPeers gets a value whose packed form is at most most bytes long from one of some
-// peers. It reports whether it got one, or else found it to be larger.
-func (v *values) fromPeers(ctx context.Context, peers []string, want plat.Pair, most int) (got, tooLarge bool) {
+// fetchFromPeers gets a value of at most maxBytes compressed bytes from one of the peers. tooLarge
+// is set if the value was found to be larger.
+func (v *largeValues) fetchFromPeers(ctx context.Context, peers []string, want plat.Pair, maxBytes int) (got, tooLarge bool) {
 	for _, peer := range peers {
-		began := clock.Now()
-		p, size, err := v.pull(ctx, peer, want, most)
+		start := clock.Now()
+		p, size, err := v.fetchFromPeer(ctx, peer, want, maxBytes)
 		if err != nil {
-			v.log.Emit(event.PeerNotTold, event.Ref{Resource: want.Key}, peer+" after "+elapsed(began)+": "+err.Error())
+			v.log.Emit(event.PeerNotTold, event.Ref{Resource: want.Key}, peer+" after "+elapsedSince(start)+": "+err.Error())
 			if errors.Is(err, errTooLarge) {
 				return false, true
 			}
 			continue
 		}
-		v.arrived(p, strconv.Itoa(size)+" bytes from "+peer, began)
+		v.deliver(p, strconv.Itoa(size)+" compressed bytes from "+peer, start)
 		return true, false
 	}
 	return false, false
 }
 
-// elapsed writes how long ago something began.
-func elapsed(began clock.Time) string { return clock.Since(began).Round(time.Millisecond).String() }
+// elapsedSince formats the time since start.
+func elapsedSince(start clock.Time) string {
+	return clock.Since(start).Round(time.Millisecond).String()
+}
 
-// arrived hands a value to the mirror.
-func (v *values) arrived(p plat.Pair, source string, began clock.Time) {
-	v.mirror.Arrive(p)
-	text := "revision " + strconv.FormatInt(p.ModRevision, 10) + ", " + strconv.Itoa(len(p.Value)) + " bytes, took " + elapsed(began) + " and " + source
+// deliver passes a fetched value to the watch cache.
+func (v *largeValues) deliver(p plat.Pair, source string, start clock.Time) {
+	v.watchCache.Arrive(p)
+	text := "revision " + strconv.FormatInt(p.ModRevision, 10) + ", " + strconv.Itoa(len(p.Value)) + " bytes in " + elapsedSince(start) + ", " + source
 	v.log.Emit(event.ValueFetched, event.Ref{Resource: p.Key}, text)
 }
 
-// pull gets a value from a peer, and says how large its packed form is.
-func (v *values) pull(ctx context.Context, peer string, want plat.Pair, most int) (plat.Pair, int, error) {
-	held := v.newest(want.Key)
-	var got valueAnswer
-	ask := &valueAsk{Key: want.Key, Revision: want.ModRevision, Base: held.ModRevision}
-	if err := v.parcels.ask(ctx, peer, kindValue, ask, &got); err != nil {
+// fetchFromPeer gets a value from one peer, and returns its compressed size as well.
+func (v *largeValues) fetchFromPeer(ctx context.Context, peer string, want plat.Pair, maxBytes int) (plat.Pair, int, error) {
+	cached := v.newest(want.Key)
+	var got valueResponse
+	req := &valueRequest{Key: want.Key, Revision: want.ModRevision, Base: cached.ModRevision}
+	if err := v.transfers.call(ctx, peer, kindValue, req, &got); err != nil {
 		return plat.Pair{}, 0, err
 	}
 	if got.Revision < want.ModRevision {
-		return plat.Pair{}, 0, errors.WithStack(errNonsense)
+		return plat.Pair{}, 0, errors.WithStack(errInvalidMessage)
 	}
-	packed, err := v.parcels.rest(ctx, peer, &got.Packed, most)
+	compressed, err := v.transfers.receive(ctx, peer, &got.Compressed, maxBytes)
 	if err != nil {
 		return plat.Pair{}, 0, err
 	}
-	value, err := v.unpacked(packed, want.Key, got.Base)
-	return plat.Pair{Key: want.Key, Value: value, ModRevision: got.Revision}, len(packed), err
+	value, err := v.decompressed(compressed, want.Key, got.Base)
+	return plat.Pair{Key: want.Key, Value: value, ModRevision: got.Revision}, len(compressed), err
 }
 
-// unpacked returns the value of a packed form.
-func (v *values) unpacked(packed []byte, key string, base int64) ([]byte, error) {
+// decompressed returns the value of a compressed form whose dictionary is the revision base.
+func (v *largeValues) decompressed(compressed []byte, key string, base int64) ([]byte, error) {
 	if base == 0 {
-		return unpack(packed, nil)
+		return decompress(compressed, nil)
 	}
-	held, ok := v.version(key, base)
+	cached, ok := v.version(key, base)
 	if !ok {
-		return nil, errors.WithStack(errNonsense)
+		return nil, errors.WithStack(errInvalidMessage)
 	}
-	return unpack(packed, held.Value)
+	return decompress(compressed, cached.Value)
 }
 
-// fromStore gets a value from the store itself.
-func (v *values) fromStore(ctx context.Context, want plat.Pair) bool {
-	ctx, cancel := context.WithTimeout(ctx, storeLimit)
+// fetchFromStore reads a value from the coordination store.
+func (v *largeValues) fetchFromStore(ctx context.Context, want plat.Pair) bool {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	began := clock.Now()
-	p, there, err := v.mirror.Fetch(ctx, want.Key)
-	if err != nil || !there || p.ModRevision < want.ModRevision {
-		text := "the service after " + elapsed(began) + ": "
+	start := clock.Now()
+	p, exists, err := v.watchCache.Fetch(ctx, want.Key)
+	if err != nil || !exists || p.ModRevision < want.ModRevision {
+		text := "the coordination store after " + elapsedSince(start) + ": "
 		if err != nil {
 			text += err.Error()
 		} else {
-			text += "it does not hold the value"
+			text += "it does not hold the requested revision of the value"
 		}
 		v.log.Emit(event.PeerNotTold, event.Ref{Resource: want.Key}, text)
 		return false
 	}
-	v.arrived(p, "came from the service", began)
+	v.deliver(p, "read from the coordination store", start)
 	return true
 }
--- a/core/spread/values_test.go
+++ b/core/spread/values_test.go
@@ -18,9 +18,9 @@
 	"embertally.dev/core/plat"
 )
 
-// oneByOne is a store that answers reads of one key only, so that its daemon takes
-// changes from peers.
-type oneByOne struct {
+// singleKeyStore is a store that answers reads of one key only, so that its daemon takes changes
+// from peers.
+type singleKeyStore struct {
 	*memkv.KV
 	readsMu sync.Mutex
 	reads   int // guarded by readsMu
@@ -28,7 +28,7 @@
 
 var errRefused = errors.New("the store refuses this")
 
-func (s *oneByOne) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
+func (s *singleKeyStore) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
 	if span == plat.Prefix("op/") {
 		return nil, 0, errRefused
 	}
@@ -38,104 +38,104 @@
 	return s.KV.Range(ctx, span)
 }
 
-func (s *oneByOne) Watch(context.Context, plat.Span, int64, func([]plat.Change, int64) error) error {
+func (s *singleKeyStore) Watch(context.Context, plat.Span, int64, func([]plat.Change, int64) error) error {
 	return errRefused
 }
 
-func (s *oneByOne) count() int {
+func (s *singleKeyStore) count() int {
 	s.readsMu.Lock()
 	defer s.readsMu.Unlock()
 	return s.reads
 }
 
-// A value that packs badly would keep the links of those who tell of it busy.
-func TestAValueThatPacksBadlyComesFromTheStore(t *testing.T) {
+// A value that does not compress well would keep the links of the daemons that send it busy.
+func TestAValueThatDoesNotCompressIsReadFromTheStore(t *testing.T) {
 	g := gomega.NewWithT(t)
-	store := &oneByOne{KV: &memkv.KV{}}
+	store := &singleKeyStore{KV: &memkv.KV{}}
 	seeds, listeners := addresses(t, 2)
-	teller := run(t, seeds[0].Name, listeners[0], store.KV, seeds)
-	asker := run(t, seeds[1].Name, listeners[1], store, seeds)
+	sender := run(t, seeds[0].Name, listeners[0], store.KV, seeds)
+	requester := run(t, seeds[1].Name, listeners[1], store, seeds)
 	large := noise(1 << 20)
 	put(t, store.KV, "op/large", large)
-	g.Eventually(asker.holds("op/large", large), soon, look).Should(gomega.BeTrue())
+	g.Eventually(requester.holds("op/large", large), soon, look).Should(gomega.BeTrue())
 	g.Expect(store.count()).To(gomega.Equal(1))
-	g.Expect(teller.fleet.Bytes()).To(gomega.BeNumerically("<", len(large)/2))
+	g.Expect(sender.fleet.Bytes()).To(gomega.BeNumerically("<", len(large)/2))
 }
 
-// The messages of a peer that has gone mad, as they are on the wire.
+// The messages of a faulty peer, as they are on the wire.
 type (
-	valueAnswer struct {
+	valueResponse struct {
 		//lint:ignore U1000 read by the codec: frames are arrays
-		_msgpack struct{} `msgpack:",as_array"`
-		Revision int64
-		Base     int64
-		Packed   parcel
+		_msgpack   struct{} `msgpack:",as_array"`
+		Revision   int64
+		Base       int64
+		Compressed transfer
 	}
-	parcel struct {
+	transfer struct {
 		//lint:ignore U1000 read by the codec: frames are arrays
 		_msgpack struct{} `msgpack:",as_array"`
 		ID       string
 		Size     int
-		Piece    []byte
+		Chunk    []byte
 	}
-	mirrorAnswer struct {
+	changesResponse struct {
 		//lint:ignore U1000 read by the codec: frames are arrays
-		_msgpack     struct{} `msgpack:",as_array"`
-		All          bool
-		Changes      [][]any
-		Revision     int64
-		AgeMillis    int64
-		More         bool
-		WaitedMillis int64
-		Holds        string
-		Other        bool
-		Moved        bool
+		_msgpack      struct{} `msgpack:",as_array"`
+		FullCopy      bool
+		Changes       [][]any
+		Revision      int64
+		AgeMillis     int64
+		More          bool
+		WaitedMillis  int64
+		ShardName     string
+		ShardMismatch bool
+		ShardChanged  bool
 	}
 )
 
-// A peer's nonsense costs a try, never the value.
-func TestAPeersNonsenseIsNoValue(t *testing.T) {
+// An invalid message from a peer costs an attempt, never the value.
+func TestInvalidMessagesYieldNoValue(t *testing.T) {
 	junk := bytes.Repeat([]byte("junk "), 20)
 	tests := []struct {
 		name   string
-		answer *valueAnswer // nil for an error
-		piece  []byte       // nil for an error
+		answer *valueResponse // nil for an error
+		chunk  []byte         // nil for an error
 	}{
 		{"an error", nil, nil},
-		{"bytes that are not packed", &valueAnswer{Revision: 9, Packed: parcel{Size: len(junk), Piece: junk}}, nil},
-		{"an empty piece", &valueAnswer{Revision: 9, Packed: parcel{Size: 100}}, []byte{}},
-		{"a size below zero", &valueAnswer{Revision: 9, Packed: parcel{Size: -1, Piece: junk}}, junk},
-		{"a size without bounds", &valueAnswer{Revision: 9, Packed: parcel{Size: 1 << 40, Piece: junk}}, junk},
-		{"more than its size", &valueAnswer{Revision: 9, Packed: parcel{Size: 10, Piece: junk}}, junk},
-		{"pieces of more than its size", &valueAnswer{Revision: 9, Packed: parcel{Size: 150, Piece: junk}}, junk},
-		{"no second piece", &valueAnswer{Revision: 9, Packed: parcel{Size: 150, Piece: junk}}, nil},
-		{"an old version", &valueAnswer{Revision: 1, Packed: parcel{Size: len(junk), Piece: junk}}, nil},
-		{"a base that nobody holds", &valueAnswer{Revision: 9, Base: 7, Packed: parcel{Size: len(junk), Piece: junk}}, nil},
+		{"bytes that are not compressed", &valueResponse{Revision: 9, Compressed: transfer{Size: len(junk), Chunk: junk}}, nil},
+		{"an empty chunk", &valueResponse{Revision: 9, Compressed: transfer{Size: 100}}, []byte{}},
+		{"a size below zero", &valueResponse{Revision: 9, Compressed: transfer{Size: -1, Chunk: junk}}, junk},
+		{"a size above the limit", &valueResponse{Revision: 9, Compressed: transfer{Size: 1 << 40, Chunk: junk}}, junk},
+		{"more than its size", &valueResponse{Revision: 9, Compressed: transfer{Size: 10, Chunk: junk}}, junk},
+		{"chunks of more than its size", &valueResponse{Revision: 9, Compressed: transfer{Size: 150, Chunk: junk}}, junk},
+		{"no second chunk", &valueResponse{Revision: 9, Compressed: transfer{Size: 150, Chunk: junk}}, nil},
+		{"an old version", &valueResponse{Revision: 1, Compressed: transfer{Size: len(junk), Chunk: junk}}, nil},
+		{"a base that nobody holds", &valueResponse{Revision: 9, Base: 7, Compressed: transfer{Size: len(junk), Chunk: junk}}, nil},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			store := &oneByOne{KV: &memkv.KV{}}
+			store := &singleKeyStore{KV: &memkv.KV{}}
 			value := configuration(2, 100)
 			put(t, store.KV, "op/large", value)
 			seeds, listeners := addresses(t, 2)
-			mad(t, seeds, listeners[0], tc.answer, tc.piece)
-			asker := run(t, seeds[1].Name, listeners[1], store, seeds)
-			g.Eventually(asker.holds("op/large", value), soon, look).Should(gomega.BeTrue())
+			faultyPeer(t, seeds, listeners[0], tc.answer, tc.chunk)
+			requester := run(t, seeds[1].Name, listeners[1], store, seeds)
+			g.Eventually(requester.holds("op/large", value), soon, look).Should(gomega.BeTrue())
 		})
 	}
 }
 
-// mad runs a peer that says that the store has just told it of a large value, and
-// answers questions for it with nonsense.
-func mad(t *testing.T, seeds []fleet.Peer, l net.Listener, answer *valueAnswer, piece []byte) {
+// faultyPeer runs a peer that announces a large value as just reported by the store, and responds
+// to requests for it with invalid messages.
+func faultyPeer(t *testing.T, seeds []fleet.Peer, l net.Listener, answer *valueResponse, chunk []byte) {
 	name := seeds[0].Name
 	f := fleet.New(fleet.Options{
-		Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: beat, Suspect: suspect, Log: &event.Log{},
+		Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 	})
 	f.Attach("mirror", fresh{})
 	f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
-		return &mirrorAnswer{All: true, Changes: [][]any{{"op/large", nil, 1, false, true}}, Revision: 1}, nil
+		return &changesResponse{FullCopy: true, Changes: [][]any{{"op/large", nil, 1, false, true}}, Revision: 1}, nil
 	})
 	f.Mux().Register("spread.value", func(context.Context, string, []byte) (any, error) {
 		if answer == nil {
@@ -144,10 +144,10 @@
 		return answer, nil
 	})
 	f.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) {
-		if piece == nil {
+		if chunk == nil {
 			return nil, errRefused
 		}
-		return piece, nil
+		return chunk, nil
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -155,46 +155,46 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// A peer that never ends telling must not be listened to for ever.
-func TestAPeerThatLeadsNowhereIsGivenUp(t *testing.T) {
+// A daemon must stop requesting from a peer whose responses make no progress.
+func TestAPeerWithoutProgressIsAbandoned(t *testing.T) {
 	entry := [][]any{{"op/a", []byte("x"), 1, false, false}}
 	tests := []struct {
 		name   string
-		answer mirrorAnswer
+		answer changesResponse
 	}{
-		{"the same page again", mirrorAnswer{All: true, Changes: entry, Revision: 1, More: true}},
-		{"an empty page", mirrorAnswer{All: true, Revision: 1, More: true}},
-		{"the same revision again", mirrorAnswer{Changes: entry, Revision: 1, More: true}},
-		{"no changes", mirrorAnswer{More: true}},
+		{"the same page again", changesResponse{FullCopy: true, Changes: entry, Revision: 1, More: true}},
+		{"an empty page", changesResponse{FullCopy: true, Revision: 1, More: true}},
+		{"the same revision again", changesResponse{Changes: entry, Revision: 1, More: true}},
+		{"no changes", changesResponse{More: true}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			seeds, listeners := addresses(t, 2)
-			var asked atomic.Int64
+			var requests atomic.Int64
 			name := seeds[0].Name
 			f := fleet.New(fleet.Options{
-				Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: beat, Suspect: suspect, Log: &event.Log{},
+				Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 			})
 			f.Attach("mirror", fresh{})
 			f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
-				asked.Add(1)
+				requests.Add(1)
 				return &tc.answer, nil
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
 			wg.Go(func() { f.Run(ctx, listeners[0]) })
 			t.Cleanup(func() { cancel(); wg.Wait() })
-			away := &memkv.KV{}
-			away.SetDown(true)
-			asker := run(t, seeds[1].Name, listeners[1], away, seeds)
-			g.Eventually(asker.mirrors.Failed, soon, look).Should(gomega.BeNumerically(">=", 3))
-			g.Expect(asked.Load()).To(gomega.BeNumerically("<", 100))
+			unreachable := &memkv.KV{}
+			unreachable.SetDown(true)
+			requester := run(t, seeds[1].Name, listeners[1], unreachable, seeds)
+			g.Eventually(requester.mirrors.Failed, soon, look).Should(gomega.BeNumerically(">=", 3))
+			g.Expect(requests.Load()).To(gomega.BeNumerically("<", 100))
 		})
 	}
 }
 
-// fresh is the part of a heartbeat that tells that the store has just answered.
+// fresh is the part of a heartbeat that reports a cache of age 0.
 type fresh struct{}
 
 func (fresh) Collect(bool) any {
@@ -207,9 +207,9 @@
 
 func (fresh) Receive(string, []byte) {}
 
-// A daemon that starts while the store does not answer it reads everything from a
-// peer; what that is has no bound either.
-func TestAWholeCopyComesOverASlowLink(t *testing.T) {
+// A daemon that starts while the store does not answer it reads everything from a peer; the size of
+// this has no limit either.
+func TestAFullCopyIsSentOverASlowLink(t *testing.T) {
 	const rate, targets = 256 << 10, 2000
 	g := gomega.NewWithT(t)
 	store := &memkv.KV{}
@@ -218,21 +218,21 @@
 		put(t, store, fmt.Sprintf("op/targets/%04d", i), entry)
 	}
 	_, rest := cell(t, store, 1, slowLink(t, rate))
-	g.Eventually(func() int { return len(rest[0].mirror.Under("op/targets/")) }, long, look).Should(gomega.Equal(targets))
+	g.Eventually(func() int { return len(rest[0].watchCache.Under("op/targets/")) }, long, look).Should(gomega.Equal(targets))
 }
 
-// Of what has changed a peer hears a part at a time, and everything in the end.
-func TestManySmallChangesComeOverASlowLink(t *testing.T) {
+// A peer receives many changes page by page, and all of them in the end.
+func TestManySmallChangesAreSentOverASlowLink(t *testing.T) {
 	const rate, targets = 256 << 10, 900
 	g := gomega.NewWithT(t)
 	store := &memkv.KV{}
 	entry := bytes.Repeat([]byte("entry of a target "), 40)
 	put(t, store, "op/targets/first", entry)
-	teller, rest := cell(t, store, 1, slowLink(t, rate))
+	sender, rest := cell(t, store, 1, slowLink(t, rate))
 	g.Eventually(rest[0].holds("op/targets/first", entry), soon, look).Should(gomega.BeTrue())
 	for i := range targets {
 		put(t, store, fmt.Sprintf("op/targets/%04d", i), entry)
 	}
-	g.Eventually(func() int { return len(rest[0].mirror.Under("op/targets/")) }, long, look).Should(gomega.Equal(targets + 1))
-	g.Expect(rest[0].mirror.Revision()).To(gomega.Equal(teller.mirror.Revision()))
+	g.Eventually(func() int { return len(rest[0].watchCache.Under("op/targets/")) }, long, look).Should(gomega.Equal(targets + 1))
+	g.Expect(rest[0].watchCache.Revision()).To(gomega.Equal(sender.watchCache.Revision()))
 }
