--- a/core/spread/calls_test.go
+++ b/core/spread/calls_test.go
@@ -29,8 +29,8 @@
 	ranges    int  // calls of Range; guarded by countMu
 }
 
-// ranged returns how many times keys were read other than by watches.
-func (s *pricedStore) ranged() int {
+// rangeCalls returns how many times keys were read other than by watches.
+func (s *pricedStore) rangeCalls() int {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.ranges
@@ -62,7 +62,7 @@
 		if !s.call() {
 			return errRefused
 		}
-		if err := s.answer(func() error {
+		if err := s.response(func() error {
 			changes, revision := s.wait(ctx, span, from)
 			if revision > 0 {
 				from = revision + 1
@@ -76,7 +76,7 @@
 }
 
 // answer counts a request until its answer is taken.
-func (s *pricedStore) answer(take func() error) error {
+func (s *pricedStore) response(take func() error) error {
 	s.countMu.Lock()
 	s.answering++
 	s.countMu.Unlock()
@@ -124,16 +124,16 @@
 	s.down = down
 }
 
-// figures returns how many calls there were and how many daemons watch.
-func (s *pricedStore) figures() (calls, watching int) {
+// stats returns how many calls there were and how many daemons watch.
+func (s *pricedStore) stats() (calls, watching int) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.calls, s.watching
 }
 
-// together runs daemons that start at once with one store.
-func together(t *testing.T, store plat.Reader, daemons int) []*member {
-	seeds, listeners := addresses(t, daemons)
+// startTogether runs daemons that start at once with one store.
+func startTogether(t *testing.T, store plat.Reader, daemons int) []*member {
+	seeds, listeners := seedsAndListeners(t, daemons)
 	var out []*member
 	for i, seed := range seeds {
 		out = append(out, run(t, seed.Name, listeners[i], store, seeds))
@@ -148,16 +148,16 @@
 	g := gomega.NewWithT(t)
 	store := &pricedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
-	members := together(t, store, daemons)
+	members := startTogether(t, store, daemons)
 	for _, m := range members {
-		g.Eventually(m.holds("op/config", []byte("first")), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", []byte("first")), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
-	calls, watching := store.figures()
+	calls, watching := store.stats()
 	g.Expect(watching).To(gomega.BeNumerically("<=", 2*cells))
 	g.Expect(calls).To(gomega.BeNumerically("<=", daemons+2*cells), "a copy each, and the watches of two daemons a cell")
 	put(t, store.KV, "op/config", []byte("second"))
 	for _, m := range members {
-		g.Eventually(m.holds("op/config", []byte("second")), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", []byte("second")), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 }
 
@@ -168,16 +168,16 @@
 	g := gomega.NewWithT(t)
 	store := &pricedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
-	members := together(t, store, daemons)
+	members := startTogether(t, store, daemons)
 	for _, m := range members {
-		g.Eventually(m.holds("op/config", []byte("first")), soon, look).Should(gomega.BeTrue())
-		g.Eventually(func() int { return len(m.fleet.View().OnDuty()) }, soon, look).Should(gomega.BeNumerically(">", 1))
+		g.Eventually(m.holds("op/config", []byte("first")), shortWait, pollInterval).Should(gomega.BeTrue())
+		g.Eventually(func() int { return len(m.fleet.View().OnDuty()) }, shortWait, pollInterval).Should(gomega.BeNumerically(">", 1))
 	}
-	before, _ := store.figures()
+	before, _ := store.stats()
 	store.setDown(true)
 	start := time.Now()
 	time.Sleep(outage)
-	after, _ := store.figures()
+	after, _ := store.stats()
 	elapsed := time.Since(start)
 	store.setDown(false)
 	// Eight daemons send up to four requests a second each; the others, in the second half of the
@@ -186,6 +186,6 @@
 	g.Expect(after - before).To(gomega.BeNumerically("<=", maxCalls))
 	put(t, store.KV, "op/config", []byte("second"))
 	for _, m := range members {
-		g.Eventually(m.holds("op/config", []byte("second")), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", []byte("second")), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 }
--- a/core/spread/divide.go
+++ b/core/spread/divide.go
@@ -97,7 +97,7 @@
 
 // shardView selects the pairs that one requester is to receive.
 type shardView struct {
-	caches *Mirrors
+	cacheSync *Mirrors
 	// name names the shard; "" where the requester receives everything that is cached here.
 	name string
 	// shard is that of the requester where entries of other cells are left out; else nil.
@@ -141,17 +141,17 @@
 		if req.Shard == nil || req.Shard.ID() != parseShardName(cached).Shard {
 			return nil
 		}
-		return &shardView{caches: s, name: cached}
+		return &shardView{cacheSync: s, name: cached}
 	}
 	if req.Shard == nil {
-		return &shardView{caches: s}
+		return &shardView{cacheSync: s}
 	}
 	sharded := s.entries.sharded(req.Shard.FleetCells)
 	if len(sharded) == 0 {
-		return &shardView{caches: s}
+		return &shardView{cacheSync: s}
 	}
 	name := shardName{Shard: req.Shard.ID(), Sharded: sharded}
-	return &shardView{caches: s, name: name.encode(), shard: req.Shard, sharded: sharded}
+	return &shardView{cacheSync: s, name: name.encode(), shard: req.Shard, sharded: sharded}
 }
 
 // formerView returns the selection that a requester's cache holds, if it holds all keys or another
@@ -159,7 +159,7 @@
 func (v *shardView) formerView(cached string) (*shardView, bool) {
 	if cached == "" {
 		// It lacks nothing; it only has to drop pairs.
-		return &shardView{caches: v.caches}, true
+		return &shardView{cacheSync: v.cacheSync}, true
 	}
 	n := parseShardName(cached)
 	if v.shard == nil || n.Shard == "" || !slices.Equal(n.Sharded, v.sharded) {
@@ -169,7 +169,7 @@
 	if err := msgpack.Unmarshal([]byte(n.Shard), &shard); err != nil {
 		return nil, false
 	}
-	return &shardView{caches: v.caches, name: cached, shard: &shard, sharded: n.Sharded}, true
+	return &shardView{cacheSync: v.cacheSync, name: cached, shard: &shard, sharded: n.Sharded}, true
 }
 
 // includes reports whether the requester is to receive a pair.
@@ -177,10 +177,10 @@
 	if v.shard == nil {
 		return true
 	}
-	entry, known := v.caches.entries.entry(p.Key)
+	entry, known := v.cacheSync.entries.entry(p.Key)
 	if !known {
 		// The watch cache may hold the pair before its observers are notified.
-		entry, known = v.caches.parseEntry(p)
+		entry, known = v.cacheSync.parseEntry(p)
 	}
 	if !known || !slices.Contains(v.sharded, entry.Service) {
 		return true
@@ -204,7 +204,7 @@
 // outsideShard returns a function that reports whether a pair belongs to another cell's shard, so
 // that this daemon drops it.
 func (s *Mirrors) outsideShard(shard *fleet.Shard, name string) func(plat.Pair) bool {
-	v := &shardView{caches: s, name: name, shard: shard, sharded: parseShardName(name).Sharded}
+	v := &shardView{cacheSync: s, name: name, shard: shard, sharded: parseShardName(name).Sharded}
 	return func(p plat.Pair) bool { return !v.includes(p) }
 }
 
--- a/core/spread/divide_test.go
+++ b/core/spread/divide_test.go
@@ -85,7 +85,7 @@
 				whole++
 				continue
 			}
-			if len(m.held("small")) != small || !m.mirrors.Divided("large") || m.mirrors.Divided("small") {
+			if len(m.held("small")) != small || !m.cacheSync.Divided("large") || m.cacheSync.Divided("small") {
 				return false
 			}
 			for _, key := range held {
@@ -96,9 +96,9 @@
 		// shard.
 		return whole <= domains && len(holders) == len(keys)
 	}
-	g.Eventually(converged, soon, look).Should(gomega.BeTrue())
+	g.Eventually(converged, shortWait, pollInterval).Should(gomega.BeTrue())
 	for _, m := range members {
-		g.Eventually(m.holds("op/config", []byte("first")), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", []byte("first")), shortWait, pollInterval).Should(gomega.BeTrue())
 		if held := m.held("large"); len(held) < len(keys) {
 			g.Expect(len(held)).To(gomega.BeNumerically("<", large/2), "four cells")
 		}
@@ -107,16 +107,16 @@
 	put(t, store.KV, key, []byte("changed"))
 	put(t, store.KV, "op/config", []byte("second"))
 	for _, m := range members {
-		g.Eventually(m.holds("op/config", []byte("second")), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", []byte("second")), shortWait, pollInterval).Should(gomega.BeTrue())
 		if slices.Contains(m.held("large"), key) {
-			g.Eventually(m.holds(key, []byte("changed")), soon, look).Should(gomega.BeTrue())
+			g.Eventually(m.holds(key, []byte("changed")), shortWait, pollInterval).Should(gomega.BeTrue())
 		}
 	}
 	if _, err := store.Commit(context.Background(), plat.Txn{Deletes: []string{key}}); err != nil {
 		t.Fatal(err)
 	}
 	for _, m := range members {
-		g.Eventually(func() bool { return slices.Contains(m.held("large"), key) }, soon, look).Should(gomega.BeFalse())
+		g.Eventually(func() bool { return slices.Contains(m.held("large"), key) }, shortWait, pollInterval).Should(gomega.BeFalse())
 	}
 }
 
@@ -131,7 +131,7 @@
 	entryKeys(t, store, "large", 0, large, domains)
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
-	calls, _ := store.figures()
+	calls, _ := store.stats()
 	// Each daemon reads one page and those that watch the store read all of them; some do until
 	// they receive the others' heartbeats.
 	g.Expect(calls).To(gomega.BeNumerically("<", 2*daemons+3*domains*large/page))
@@ -164,12 +164,12 @@
 		}
 	}
 	for _, m := range members {
-		g.Eventually(inShard(m), soon, look).Should(gomega.BeTrue())
+		g.Eventually(inShard(m), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 	cells := members[0].fleet.View().Cells()
 	bytesSent := func() (sum int64) {
 		for _, m := range members {
-			sum += m.mirrors.Told()
+			sum += m.cacheSync.Told()
 		}
 		return sum
 	}
@@ -182,8 +182,8 @@
 	members[daemons-1].stop()
 	list.set(boxes)
 	for _, m := range members[:daemons-1] {
-		g.Eventually(func() int { return m.fleet.View().Cells() }, soon, look).Should(gomega.Equal(cells - 1))
-		g.Eventually(inShard(m), soon, look).Should(gomega.BeTrue())
+		g.Eventually(func() int { return m.fleet.View().Cells() }, shortWait, pollInterval).Should(gomega.Equal(cells - 1))
+		g.Eventually(inShard(m), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 	put(t, store.KV, "op/config", []byte("second"))
 	allHold(g, members[:daemons-1], "second")
@@ -231,12 +231,12 @@
 	put(t, store.KV, "op/config", configuration(1, 200))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, string(configuration(1, 200)))
-	ranges := store.ranged()
+	ranges := store.rangeCalls()
 	second := configuration(2, 200)
 	g.Expect(plat.Large(second)).To(gomega.BeTrue())
 	put(t, store.KV, "op/config", second)
 	allHold(g, members, string(second))
-	g.Expect(store.ranged() - ranges).To(gomega.BeNumerically("<", daemons/4))
+	g.Expect(store.rangeCalls() - ranges).To(gomega.BeNumerically("<", daemons/4))
 }
 
 // In a starting fleet the list of targets grows while the daemons run: once a service is sharded
@@ -249,20 +249,20 @@
 	keys := entryKeys(t, store, "large", 0, few, domains)
 	members := domainFleet(t, store, daemons, domains)
 	for _, m := range members {
-		g.Eventually(func() int { return len(m.held("large")) }, soon, look).Should(gomega.Equal(few))
+		g.Eventually(func() int { return len(m.held("large")) }, shortWait, pollInterval).Should(gomega.Equal(few))
 	}
 	before := int64(0)
 	for _, m := range members {
-		before += m.mirrors.Told()
+		before += m.cacheSync.Told()
 	}
 	keys = append(keys, entryKeys(t, store, "large", few, large, domains)...)
 	for _, m := range members {
-		g.Eventually(func() bool { return m.mirrors.Divided("large") }, soon, look).Should(gomega.BeTrue())
-		g.Eventually(func() bool { n := len(m.held("large")); return n == len(keys) || n < large/2 }, soon, look).Should(gomega.BeTrue())
+		g.Eventually(func() bool { return m.cacheSync.Divided("large") }, shortWait, pollInterval).Should(gomega.BeTrue())
+		g.Eventually(func() bool { n := len(m.held("large")); return n == len(keys) || n < large/2 }, shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 	after := int64(0)
 	for _, m := range members {
-		after += m.mirrors.Told()
+		after += m.cacheSync.Told()
 	}
 	// At most each new entry is sent once to each daemon, and no entry that it had.
 	g.Expect(after - before).To(gomega.BeNumerically("<=", daemons*(large-few)*len("here")))
--- a/core/spread/inforce.go
+++ b/core/spread/inforce.go
@@ -48,9 +48,9 @@
 
 	appliedMu sync.Mutex
 	values    map[string]appliedValue // by key; guarded by appliedMu
-	// settled is set once this daemon has requested the values from peers, or had no need to.
+	// ready is set once this daemon has requested the values from peers, or had no need to.
 	// Guarded by appliedMu.
-	settled bool
+	ready bool
 }
 
 // appliedValue is one value.
@@ -91,7 +91,7 @@
 	Leaving []string
 }
 
-// errUnsettled is returned while a peer has only its own copy of the store.
+// errNotReady is returned while a peer has only its own copy of the store.
 var errNotReady = errors.New("this daemon has not requested the applied values from its peers yet")
 
 // NewInForce returns an InForce and registers it with the fleet of m.
@@ -122,14 +122,14 @@
 func (n *InForce) Settle() {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
-	n.settled = true
+	n.ready = true
 }
 
 // Settled reports whether this daemon answers peers' requests.
 func (n *InForce) Settled() bool {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
-	return n.settled
+	return n.ready
 }
 
 // versions returns the versions of the stored values by key.
@@ -165,7 +165,7 @@
 func (n *InForce) newerThan(req *appliedRequest) (newer []appliedValue, id string, err error) {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
-	if !n.settled {
+	if !n.ready {
 		return nil, "", errors.WithStack(errNotReady)
 	}
 	id = "inforce"
--- a/core/spread/inforce_test.go
+++ b/core/spread/inforce_test.go
@@ -13,10 +13,10 @@
 	"embertally.dev/core/plat"
 )
 
-// asked returns the values that a daemon gets from its peers, and how many peers responded.
+// pulled returns the values that a daemon gets from its peers, and how many peers responded.
 func (m *member) pulled() (map[string]string, int) {
 	got := map[string]string{}
-	n := m.inForce.Ask(context.Background(), func(p plat.Pair) { got[p.Key] = string(p.Value) })
+	n := m.applied.Ask(context.Background(), func(p plat.Pair) { got[p.Key] = string(p.Value) })
 	return got, n
 }
 
@@ -28,17 +28,17 @@
 	put(t, store, "op/config", []byte("one"))
 	before := store.Copy()
 	put(t, store, "op/config", []byte("two"))
-	seeds, listeners := addresses(t, 2)
+	seeds, listeners := seedsAndListeners(t, 2)
 	sender = run(t, seeds[0].Name, listeners[0], store, seeds)
-	g.Eventually(sender.holds("op/config", []byte("two")), soon, look).Should(gomega.BeTrue())
-	sender.inForce.Set(plat.Pair{Key: "op/config", Value: []byte("two")}, 2)
-	sender.inForce.Settle()
+	g.Eventually(sender.holds("op/config", []byte("two")), shortWait, pollInterval).Should(gomega.BeTrue())
+	sender.applied.Set(plat.Pair{Key: "op/config", Value: []byte("two")}, 2)
+	sender.applied.Settle()
 	store.Restore(before)
 	requester = run(t, seeds[1].Name, listeners[1], store, seeds)
 	for _, m := range []*member{sender, requester} {
-		g.Eventually(m.holds("op/config", []byte("one")), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", []byte("one")), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
-	requester.inForce.Set(plat.Pair{Key: "op/config", Value: []byte("one")}, 1)
+	requester.applied.Set(plat.Pair{Key: "op/config", Value: []byte("one")}, 1)
 	return g, store, sender, requester
 }
 
@@ -55,10 +55,10 @@
 
 func TestAnOlderValueReplacesNoNewerOne(t *testing.T) {
 	g, _, sender, requester := pair(t)
-	sender.inForce.Set(plat.Pair{Key: "op/config", Value: []byte("one")}, 1)
+	sender.applied.Set(plat.Pair{Key: "op/config", Value: []byte("one")}, 1)
 	got, _ := requester.pulled()
 	g.Expect(got).To(gomega.Equal(map[string]string{"op/config": "two"}))
-	requester.inForce.Set(plat.Pair{Key: "op/config", Value: []byte("three")}, 3)
+	requester.applied.Set(plat.Pair{Key: "op/config", Value: []byte("three")}, 3)
 	got, n := requester.pulled()
 	g.Expect(n).To(gomega.Equal(1))
 	g.Expect(got).To(gomega.BeEmpty())
@@ -68,17 +68,17 @@
 func TestAValueWithoutAVersionIsSentUntilItIsDropped(t *testing.T) {
 	g, _, sender, requester := pair(t)
 	p := plat.Pair{Key: "op/evacuate/z1", Value: []byte("{}"), ModRevision: 7}
-	sender.inForce.Set(p, 0)
+	sender.applied.Set(p, 0)
 	got, _ := requester.pulled()
 	g.Expect(got).To(gomega.HaveKeyWithValue(p.Key, "{}"))
 	// It may be written again with other content, also large.
 	for _, content := range []string{"1", "2"} {
-		p.Value, p.ModRevision = append(noise(200<<10), content...), p.ModRevision+1
-		sender.inForce.Set(p, 0)
+		p.Value, p.ModRevision = append(randomBytes(200<<10), content...), p.ModRevision+1
+		sender.applied.Set(p, 0)
 		got, _ = requester.pulled()
 		g.Expect(got).To(gomega.HaveKeyWithValue(p.Key, string(p.Value)))
 	}
-	sender.inForce.Drop(p.Key)
+	sender.applied.Drop(p.Key)
 	got, _ = requester.pulled()
 	g.Expect(got).NotTo(gomega.HaveKey(p.Key))
 }
@@ -87,7 +87,7 @@
 func TestAnAppliedValueThatTheStoreHoldsIsNotSent(t *testing.T) {
 	g, store, sender, requester := pair(t)
 	put(t, store, "op/config", []byte("two"))
-	g.Eventually(sender.holds("op/config", []byte("two")), soon, look).Should(gomega.BeTrue())
+	g.Eventually(sender.holds("op/config", []byte("two")), shortWait, pollInterval).Should(gomega.BeTrue())
 	got, n := requester.pulled()
 	g.Expect(n).To(gomega.Equal(1))
 	g.Expect(got).To(gomega.BeEmpty())
@@ -101,13 +101,13 @@
 	put(t, store, "op/config", []byte("two"))
 	put(t, before, "op/config", []byte("one"))
 	before.Restore(before.Copy())
-	seeds, listeners := addresses(t, 2)
+	seeds, listeners := seedsAndListeners(t, 2)
 	sender := run(t, seeds[0].Name, listeners[0], store, seeds)
-	g.Eventually(sender.holds("op/config", []byte("two")), soon, look).Should(gomega.BeTrue())
-	sender.inForce.Set(plat.Pair{Key: "op/config", Value: []byte("two")}, 2)
-	sender.inForce.Settle()
+	g.Eventually(sender.holds("op/config", []byte("two")), shortWait, pollInterval).Should(gomega.BeTrue())
+	sender.applied.Set(plat.Pair{Key: "op/config", Value: []byte("two")}, 2)
+	sender.applied.Settle()
 	requester := run(t, seeds[1].Name, listeners[1], before, seeds)
-	g.Eventually(requester.holds("op/config", []byte("one")), soon, look).Should(gomega.BeTrue())
+	g.Eventually(requester.holds("op/config", []byte("one")), shortWait, pollInterval).Should(gomega.BeTrue())
 	g.Expect(requester.watchCache.Era()).To(gomega.Equal(int64(1)))
 	got, _ := requester.pulled()
 	g.Expect(got).To(gomega.Equal(map[string]string{"op/config": "two"}))
@@ -116,8 +116,8 @@
 // A large value is sent in chunks.
 func TestALargeAppliedValueIsSent(t *testing.T) {
 	g, _, sender, requester := pair(t)
-	large := string(noise(200 << 10))
-	sender.inForce.Set(plat.Pair{Key: "op/large", Value: []byte(large)}, 1)
+	large := string(randomBytes(200 << 10))
+	sender.applied.Set(plat.Pair{Key: "op/large", Value: []byte(large)}, 1)
 	got, _ := requester.pulled()
 	g.Expect(got).To(gomega.Equal(map[string]string{"op/config": "two", "op/large": large}))
 }
@@ -126,12 +126,12 @@
 	g, _, sender, requester := pair(t)
 	var received []string
 	sender.leaving.Store(&[]string{"i-1@1", "i-2@1"})
-	requester.inForce.Leaves = func(run string) { received = append(received, run) }
+	requester.applied.Leaves = func(run string) { received = append(received, run) }
 	requester.pulled()
 	g.Expect(received).To(gomega.Equal([]string{"i-1@1", "i-2@1"}))
 	// They are sent as well where no value is newer.
 	received = nil
-	requester.inForce.Set(plat.Pair{Key: "op/config", Value: []byte("three")}, 3)
+	requester.applied.Set(plat.Pair{Key: "op/config", Value: []byte("three")}, 3)
 	requester.pulled()
 	g.Expect(received).To(gomega.HaveLen(2))
 }
@@ -145,8 +145,8 @@
 	}
 	junk := []byte("junk that is no packed value")
 	tests := []struct {
-		name   string
-		answer appliedResponse
+		name     string
+		response appliedResponse
 	}{
 		{"bytes that are not compressed", appliedResponse{Values: transfer{Size: len(junk), Chunk: junk}}},
 		{"a size below zero", appliedResponse{Values: transfer{Size: -1, Chunk: junk}}},
@@ -157,11 +157,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			store := &memkv.KV{}
-			seeds, listeners := addresses(t, 2)
+			seeds, listeners := seedsAndListeners(t, 2)
 			peer := fleet.New(fleet.Options{
 				Name: seeds[0].Name, Incarnation: seeds[0].Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 			})
-			peer.Mux().Register("spread.inforce", func(context.Context, string, []byte) (any, error) { return &tc.answer, nil })
+			peer.Mux().Register("spread.inforce", func(context.Context, string, []byte) (any, error) { return &tc.response, nil })
 			peer.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) { return nil, errRefused })
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
--- a/core/spread/mirror.go
+++ b/core/spread/mirror.go
@@ -59,7 +59,7 @@
 	m.Observe(s.observe)
 	f.Attach("mirror", s)
 	f.Mux().Register(kindChanges, wire.Handle(s.handleChanges))
-	m.Follows, m.Reserve, m.Gather = s.Follows, s.Reserve, s.Gather
+	m.Follows, m.Reserve, m.Gather = s.WatchesStore, s.IsStandby, s.BatchTime
 	return s
 }
 
@@ -125,9 +125,8 @@
 	// shard before a request goes to a watch relay: the peers will soon change their shard as well.
 	maxShardMismatches = 20
 	// isolatedAfter is the cache age from which a daemon without a fresher peer in its cell
-	// requests changes from a watch relay. Those that do so for their cell don't wait: if all
-	// daemons did it at once, each relay would have twelve times as many clients just when it is
-	// slow.
+	// requests changes from a watch relay. Only the daemons that do so for their cell start earlier:
+	// if all did, each relay would have twelve times as many clients just when it is slow.
 	isolatedAfter = 3 * staleAfter
 	// maxResponseBytes bounds the keys and values of one response, so that its time limit fits its
 	// size: 38 ms on a link of 10 Mbit/s, 0.5 s where 11 peers request at once.
@@ -137,27 +136,27 @@
 	// freshnessSlack is by how much the times of one answer of the store may differ between
 	// daemons, due to the latency of the heartbeats and responses that report them.
 	freshnessSlack = 100 * time.Millisecond
-	// gatherSmall and gatherLarge are how long successive changes are batched in small and large
+	// batchTimeSmall and batchTimeLarge are how long successive changes are batched in small and large
 	// fleets: each response of a watch is a priced call, and targets change their entries all the
 	// time. The users' bounds on a configuration change are 2 s on small fleets and 3 s on large
 	// ones.
-	gatherSmall = 150 * time.Millisecond
-	gatherLarge = 500 * time.Millisecond
-	// For startupPeriod after its start a daemon batches changes for gatherStartup: boxes that
+	batchTimeSmall = 150 * time.Millisecond
+	batchTimeLarge = 500 * time.Millisecond
+	// For startupPeriod after its start a daemon batches changes for batchTimeStartup: boxes that
 	// start together register within 0.3 s.
-	startupPeriod = 2 * time.Second
-	gatherStartup = 300 * time.Millisecond
+	startupPeriod    = 2 * time.Second
+	batchTimeStartup = 300 * time.Millisecond
 )
 
-// Gather returns how long changes of the store are batched.
-func (s *Mirrors) Gather() time.Duration {
+// BatchTime returns how long changes of the store are batched.
+func (s *Mirrors) BatchTime() time.Duration {
 	switch {
 	case len(s.fleet.View().Peers()) >= smallFleet:
-		return gatherLarge
+		return batchTimeLarge
 	case clock.Since(s.started) < startupPeriod:
-		return gatherStartup
+		return batchTimeStartup
 	}
-	return gatherSmall
+	return batchTimeSmall
 }
 
 // Run requests changes from a peer while the store is silent or other daemons watch it for this
@@ -167,7 +166,7 @@
 	defer wg.Wait()
 	wg.Go(func() { s.values.run(ctx) })
 	wait.Every(ctx, requestInterval, func() {
-		if clock.Since(s.watchCache.Contact()) > storeSilentAfter || !s.Follows() {
+		if clock.Since(s.watchCache.Contact()) > storeSilentAfter || !s.WatchesStore() {
 			s.pull(ctx)
 		}
 	})
--- a/core/spread/mirror_test.go
+++ b/core/spread/mirror_test.go
@@ -24,12 +24,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Bounds of waits: soon for what takes milliseconds, long for transfers over a slow link. The race
+// Bounds of waits: shortWait for what takes milliseconds, longWait for transfers over a slow link. The race
 // detector on a busy machine takes a hundred times as long.
 const (
-	soon = "60s"
-	long = "120s"
-	look = "10ms"
+	shortWait    = "60s"
+	longWait     = "120s"
+	pollInterval = "10ms"
 )
 
 // Heartbeats of the tests' daemons. At 50 ms, twelve daemons took all the time of the race
@@ -43,8 +43,8 @@
 type member struct {
 	fleet      *fleet.Fleet
 	watchCache *plat.Mirror
-	mirrors    *spread.Mirrors
-	inForce    *spread.InForce
+	cacheSync  *spread.Mirrors
+	applied    *spread.InForce
 	// leaving holds the incarnations that the member reports as shutting down.
 	leaving atomic.Pointer[[]string]
 	// seen holds the keys of the changes that the watch cache reported, in their order.
@@ -60,8 +60,8 @@
 	}
 }
 
-// order returns the keys of the reported changes, in their order.
-func (m *member) order() []string {
+// changedKeys returns the keys of the reported changes, in their order.
+func (m *member) changedKeys() []string {
 	m.seenMu.Lock()
 	defer m.seenMu.Unlock()
 	return append([]string(nil), m.seen...)
@@ -76,10 +76,10 @@
 }
 
 // cell runs a sender, which the store answers, and others that it does not answer. They reach the
-// sender at the address that reach returns for its own.
+// sender at the address that reach returns for the sender's own one.
 func cell(t *testing.T, store *memkv.KV, others int, reach func(address string) string) (*member, []*member) {
 	t.Helper()
-	seeds, listeners := addresses(t, others+1)
+	seeds, listeners := seedsAndListeners(t, others+1)
 	direct := append([]fleet.Peer(nil), seeds...)
 	seeds[0].Address = reach(seeds[0].Address)
 	all := []*member{run(t, seeds[0].Name, listeners[0], store, direct)}
@@ -91,8 +91,8 @@
 	return all[0], all[1:]
 }
 
-// addresses returns seeds and listeners for some daemons.
-func addresses(t *testing.T, daemons int) ([]fleet.Peer, []net.Listener) {
+// seedsAndListeners returns seeds and listeners for some daemons.
+func seedsAndListeners(t *testing.T, daemons int) ([]fleet.Peer, []net.Listener) {
 	t.Helper()
 	var seeds []fleet.Peer
 	var listeners []net.Listener
@@ -114,15 +114,15 @@
 	})}
 	m.watchCache = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
 	m.watchCache.Observe(m.observe)
-	m.mirrors = spread.NewMirrors(m.watchCache, m.fleet, &event.Log{})
-	m.inForce = spread.NewInForce(m.mirrors)
+	m.cacheSync = spread.NewMirrors(m.watchCache, m.fleet, &event.Log{})
+	m.applied = spread.NewInForce(m.cacheSync)
 	m.leaving.Store(&[]string{})
-	m.inForce.Leaving = func() []string { return *m.leaving.Load() }
+	m.applied.Leaving = func() []string { return *m.leaving.Load() }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { m.fleet.Run(ctx, l) })
 	wg.Go(func() { m.watchCache.Run(ctx) })
-	wg.Go(func() { m.mirrors.Run(ctx) })
+	wg.Go(func() { m.cacheSync.Run(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	return m
 }
@@ -137,32 +137,31 @@
 // configuration returns a configuration with some routes, as operators write it.
 func configuration(version, routes int) []byte {
 	var out bytes.Buffer
-	draw := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	fmt.Fprintf(&out, `{"Version":%d,"Routes":[`, version)
 	for range routes {
 		fmt.Fprintf(&out, `{"Name":"r-%x","Host":"h%x.example","PathPrefix":"/p%x/","Kind":"idempotent","TimeoutMs":800,"TargetLatencyMs":120,`+
-			`"Priority":2,"Service":"app","MaxAttempts":2,"Public":false,"Sticky":false,"Resumable":false,"GapAimMs":0},`, draw.Uint32(), draw.IntN(40), draw.Uint32())
+			`"Priority":2,"Service":"app","MaxAttempts":2,"Public":false,"Sticky":false,"Resumable":false,"GapAimMs":0},`, random.Uint32(), random.IntN(40), random.Uint32())
 	}
 	out.WriteString(`{}]}`)
 	return out.Bytes()
 }
 
-// noise returns bytes that cannot be compressed.
-func noise(size int) []byte {
-	draw := rand.New(rand.NewPCG(3, 4))
+// randomBytes returns bytes that cannot be compressed.
+func randomBytes(size int) []byte {
+	random := rand.New(rand.NewPCG(3, 4))
 	out := make([]byte, size)
 	for i := range out {
-		out[i] = byte(draw.Uint32())
+		out[i] = byte(random.Uint32())
 	}
 	return out
 }
 
-// same is a reach for cell that changes no address.
-func same(address string) string { return address }
+// sameAddress is the reach of cell for a direct connection.
+func sameAddress(address string) string { return address }
 
-// slowSecond is how many bytes the slowest link of the users' boxes, one of 10 Mbit/s, carries in a
-// second.
-const slowSecond = 10_000_000 / 8
+// slowLinkBytesPerSecond is the rate of the slowest link of the users' boxes, one of 10 Mbit/s.
+const slowLinkBytesPerSecond = 10_000_000 / 8
 
 // A few daemons send each configuration to many others; they need their links for callers and for
 // other changes as well.
@@ -172,18 +171,18 @@
 	store := &memkv.KV{}
 	versions := [][]byte{configuration(13, 2840), configuration(15, 4240), configuration(17, 4240)}
 	put(t, store, "op/config", versions[0])
-	sender, rest := cell(t, store, others, same)
+	sender, rest := cell(t, store, others, sameAddress)
 	for _, m := range rest {
-		g.Eventually(m.holds("op/config", versions[0]), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", versions[0]), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 	before := sender.fleet.Bytes()
 	for _, v := range versions[1:] {
 		put(t, store, "op/config", v)
 		for _, m := range rest {
-			g.Eventually(m.holds("op/config", v), soon, look).Should(gomega.BeTrue())
+			g.Eventually(m.holds("op/config", v), shortWait, pollInterval).Should(gomega.BeTrue())
 		}
 	}
-	g.Expect(sender.fleet.Bytes()-before).To(gomega.BeNumerically("<", slowSecond), "bytes for two versions of %d bytes", len(versions[1]))
+	g.Expect(sender.fleet.Bytes()-before).To(gomega.BeNumerically("<", slowLinkBytesPerSecond), "bytes for two versions of %d bytes", len(versions[1]))
 }
 
 // Small changes arrive soon, whatever else is being sent, and large ones arrive in the end, however
@@ -195,17 +194,17 @@
 	put(t, store, "op/small", []byte("is there"))
 	sender, rest := cell(t, store, 1, slowLink(t, rate))
 	requester := rest[0]
-	g.Eventually(requester.holds("op/small", []byte("is there")), soon, look).Should(gomega.BeTrue())
-	large := noise(1 << 20)
+	g.Eventually(requester.holds("op/small", []byte("is there")), shortWait, pollInterval).Should(gomega.BeTrue())
+	large := randomBytes(1 << 20)
 	put(t, store, "op/large", large)
-	g.Eventually(sender.holds("op/large", large), soon, look).Should(gomega.BeTrue())
+	g.Eventually(sender.holds("op/large", large), shortWait, pollInterval).Should(gomega.BeTrue())
 	put(t, store, "op/small", []byte("is leaving"))
-	g.Eventually(requester.holds("op/small", []byte("is leaving")), soon, look).Should(gomega.BeTrue())
-	g.Eventually(requester.holds("op/large", large), long, look).Should(gomega.BeTrue())
-	g.Expect(requester.order()).To(gomega.Equal([]string{"op/small", "op/small", "op/large"}))
+	g.Eventually(requester.holds("op/small", []byte("is leaving")), shortWait, pollInterval).Should(gomega.BeTrue())
+	g.Eventually(requester.holds("op/large", large), longWait, pollInterval).Should(gomega.BeTrue())
+	g.Expect(requester.changedKeys()).To(gomega.Equal([]string{"op/small", "op/small", "op/large"}))
 }
 
-// slowLink returns a reach for cell over a link that carries rate bytes a second from the daemon,
+// slowLink returns the reach of cell for a link that carries rate bytes a second from the daemon,
 // over all connections.
 func slowLink(t *testing.T, rate int) func(address string) string {
 	return func(address string) string {
--- a/core/spread/moved_test.go
+++ b/core/spread/moved_test.go
@@ -20,7 +20,7 @@
 	m := NewMirrors(plat.NewMirror(&memkv.KV{}, plat.Prefix(""), log), fleet.New(fleet.Options{Name: "me", Log: log}), log)
 	shard := m.fleet.View().Shard()
 	req := &changesRequest{AfterRevision: 3, Shard: shard}
-	v := &shardView{caches: m, name: "shard", shard: shard}
+	v := &shardView{cacheSync: m, name: "shard", shard: shard}
 	change := func(key string, revision int64) plat.Change {
 		return plat.Change{Pair: plat.Pair{Key: key, Value: []byte("x"), ModRevision: revision}}
 	}
--- a/core/spread/pack_test.go
+++ b/core/spread/pack_test.go
@@ -9,28 +9,28 @@
 	"github.com/onsi/gomega"
 )
 
-// noisy returns bytes that cannot be compressed.
-func noisy(size int) []byte {
-	draw := rand.New(rand.NewPCG(3, 4))
+// randomBytes returns bytes that cannot be compressed.
+func randomBytes(size int) []byte {
+	random := rand.New(rand.NewPCG(3, 4))
 	out := make([]byte, size)
 	for i := range out {
-		out[i] = byte(draw.Uint32())
+		out[i] = byte(random.Uint32())
 	}
 	return out
 }
 
 // routes returns text like that of a configuration.
 func routes(n int) []byte {
-	draw := rand.New(rand.NewPCG(5, 6))
+	random := rand.New(rand.NewPCG(5, 6))
 	var out bytes.Buffer
 	for range n {
-		fmt.Fprintf(&out, `{"Name":"r-%x","Host":"h%x.example","PathPrefix":"/p%x/","TimeoutMs":800,"Service":"app"},`, draw.Uint32(), draw.IntN(40), draw.Uint32())
+		fmt.Fprintf(&out, `{"Name":"r-%x","Host":"h%x.example","PathPrefix":"/p%x/","TimeoutMs":800,"Service":"app"},`, random.Uint32(), random.IntN(40), random.Uint32())
 	}
 	return out.Bytes()
 }
 
 func TestCompressedValuesAreRestored(t *testing.T) {
-	noise, value := noisy(1<<20), routes(10_000)
+	noise, value := randomBytes(1<<20), routes(10_000)
 	changed := append(append(bytes.Clone(value[:300_000]), "something else"...), value[300_100:]...)
 	tests := []struct {
 		name        string
@@ -78,7 +78,7 @@
 		{"a byte differs", damaged, nil},
 		{"not a compressed form", []byte("junk"), nil},
 		{"without its base", based, nil},
-		{"another base", based, noisy(60_000)},
+		{"another base", based, randomBytes(60_000)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/spread/restore_test.go
+++ b/core/spread/restore_test.go
@@ -18,23 +18,23 @@
 	store := &memkv.KV{}
 	put(t, store, "op/small", []byte("old"))
 	before := store.Copy()
-	_, rest := cell(t, store, 5, same)
+	_, rest := cell(t, store, 5, sameAddress)
 	put(t, store, "op/config", configuration(13, 2000))
 	put(t, store, "op/lost", []byte("x"))
 	for i := range 100 {
 		put(t, store, "op/small", fmt.Append(nil, i))
 	}
 	for _, m := range rest {
-		g.Eventually(m.holds("op/small", []byte("99")), soon, look).Should(gomega.BeTrue())
-		g.Eventually(m.holds("op/config", configuration(13, 2000)), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/small", []byte("99")), shortWait, pollInterval).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", configuration(13, 2000)), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 	store.Restore(before)
 	put(t, store, "op/config", configuration(15, 2100))
 	for _, m := range rest {
-		g.Eventually(m.holds("op/small", []byte("old")), soon, look).Should(gomega.BeTrue())
-		g.Eventually(m.holds("op/config", configuration(15, 2100)), soon, look).Should(gomega.BeTrue())
-		_, there := m.watchCache.Pair("op/lost")
-		g.Expect(there).To(gomega.BeFalse())
+		g.Eventually(m.holds("op/small", []byte("old")), shortWait, pollInterval).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", configuration(15, 2100)), shortWait, pollInterval).Should(gomega.BeTrue())
+		_, exists := m.watchCache.Pair("op/lost")
+		g.Expect(exists).To(gomega.BeFalse())
 		g.Expect(m.watchCache.Era()).To(gomega.Equal(int64(1)))
 	}
 	// Two restores in a row, to a state before the first one.
@@ -42,7 +42,7 @@
 	store.Restore(before)
 	put(t, store, "op/small", []byte("new"))
 	for _, m := range rest {
-		g.Eventually(m.holds("op/small", []byte("new")), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/small", []byte("new")), shortWait, pollInterval).Should(gomega.BeTrue())
 		g.Expect(plat.Era(m.watchCache.Revision())).To(gomega.Equal(int64(3)))
 	}
 }
--- a/core/spread/roots.go
+++ b/core/spread/roots.go
@@ -38,19 +38,19 @@
 	watchWaitLarge = time.Second
 )
 
-// Follows reports whether this daemon watches the store itself.
+// WatchesStore reports whether this daemon watches the store itself.
 //
 // Listed peers that have not sent a heartbeat yet count in the rank: without them all daemons that
 // start together would watch until they have received each other's heartbeats.
-func (s *Mirrors) Follows() bool {
+func (s *Mirrors) WatchesStore() bool {
 	view := s.fleet.View()
 	switch {
 	case len(view.Peers()) < smallFleet, !s.watchCache.Known():
 		return true
 	case view.Cells() < minCellsForRelays:
-		return s.cellRank(view) < watchersPerCell || s.Reserve()
+		return s.cellRank(view) < watchersPerCell || s.IsStandby()
 	}
-	return slices.Contains(s.relaysOf(view), view.Self()) || s.Reserve()
+	return slices.Contains(s.relaysOf(view), view.Self()) || s.IsStandby()
 }
 
 // Hold returns how long the store is to hold a watch request for changes.
@@ -67,10 +67,10 @@
 	return view.Cells() >= minCellsForRelays && s.cellRank(view) < watchersPerCell
 }
 
-// Reserve reports whether this daemon watches the store because those ranked before it do not
+// IsStandby reports whether this daemon watches the store because those ranked before it do not
 // provide its changes. If all daemons did so at once, they would achieve nothing while the store is
 // down, at the price of each call.
-func (s *Mirrors) Reserve() bool {
+func (s *Mirrors) IsStandby() bool {
 	view := s.fleet.View()
 	if len(view.Peers()) < smallFleet || !s.watchCache.Known() {
 		return false
--- a/core/spread/roots_test.go
+++ b/core/spread/roots_test.go
@@ -59,7 +59,7 @@
 
 // listedFleet is domainFleet with a list of boxes that changes.
 func listedFleet(t *testing.T, store plat.Reader, daemons, domains int, list *boxList) []*domainMember {
-	seeds, listeners := addresses(t, daemons)
+	seeds, listeners := seedsAndListeners(t, daemons)
 	for i := range seeds {
 		seeds[i].Domain = fmt.Sprintf("domain-%d", i%domains)
 	}
@@ -74,14 +74,14 @@
 		m := &domainMember{member: &member{fleet: f}, domain: seed.Domain}
 		m.watchCache = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
 		m.watchCache.Outline = "op/a/"
-		m.mirrors = spread.NewMirrors(m.watchCache, f, &event.Log{})
-		m.mirrors.Entry = entryOf
+		m.cacheSync = spread.NewMirrors(m.watchCache, f, &event.Log{})
+		m.cacheSync.Entry = entryOf
 		ctx, cancel := context.WithCancel(context.Background())
 		m.stop = cancel
 		t.Cleanup(cancel)
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
 		wg.Go(func() { m.watchCache.Run(ctx) })
-		wg.Go(func() { m.mirrors.Run(ctx) })
+		wg.Go(func() { m.cacheSync.Run(ctx) })
 		out = append(out, m)
 	}
 	return out
@@ -90,7 +90,7 @@
 // allHold waits until all daemons hold a value of op/config.
 func allHold(g *gomega.WithT, members []*domainMember, value string) {
 	for _, m := range members {
-		g.Eventually(m.holds("op/config", []byte(value)), soon, look).Should(gomega.BeTrue())
+		g.Eventually(m.holds("op/config", []byte(value)), shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 }
 
@@ -103,7 +103,7 @@
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
-	g.Eventually(func() int { _, n := store.figures(); return n }, soon, look).Should(gomega.BeNumerically("<=", domains))
+	g.Eventually(func() int { _, n := store.stats(); return n }, shortWait, pollInterval).Should(gomega.BeNumerically("<=", domains))
 	for _, value := range []string{"second", "third"} {
 		put(t, store.KV, "op/config", []byte(value))
 		allHold(g, members, value)
@@ -140,10 +140,10 @@
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
-	g.Eventually(func() bool { taken, _ := store.quiet(); return !taken.IsZero() }, soon, look).Should(gomega.BeTrue())
+	g.Eventually(func() bool { taken, _ := store.quiet(); return !taken.IsZero() }, shortWait, pollInterval).Should(gomega.BeTrue())
 	store.setDown(true)
 	// Requests that the store already holds are still answered.
-	g.Eventually(func() bool { _, quiet := store.quiet(); return quiet }, soon, look).Should(gomega.BeTrue())
+	g.Eventually(func() bool { _, quiet := store.quiet(); return quiet }, shortWait, pollInterval).Should(gomega.BeTrue())
 	last, _ := store.quiet()
 	for start := time.Now(); time.Since(start) < outage; {
 		for _, m := range members {
--- a/core/spread/shelfrank.go
+++ b/core/spread/shelfrank.go
@@ -29,8 +29,8 @@
 type indexSource struct {
 	// peer receives the requests; "" where this daemon sends them to the store itself.
 	peer string
-	// heartbeats is set if the peer publishes the index in its heartbeats.
-	heartbeats bool
+	// publishes is set if the peer publishes the index in its heartbeats.
+	publishes bool
 }
 
 // storeRank holds which daemons request the contents of a store, by rank.
@@ -118,9 +118,9 @@
 	}
 	r := s.rank(view, address)
 	now := time.Now()
-	name, heartbeats := s.firstOpen(r.cell, address, now), true
+	name, publishes := s.firstOpen(r.cell, address, now), true
 	if name == view.Self() || name == "" {
-		name, heartbeats = s.firstOpen(r.fleet, address, now), false
+		name, publishes = s.firstOpen(r.fleet, address, now), false
 	}
 	switch name {
 	case view.Self():
@@ -128,7 +128,7 @@
 	case "":
 		return indexSource{}, errors.WithStack(errNoSource)
 	}
-	return indexSource{name, heartbeats}, nil
+	return indexSource{name, publishes}, nil
 }
 
 // firstOpen returns the first daemon that is not backed off for a store, or "".
--- a/core/spread/shelftell.go
+++ b/core/spread/shelftell.go
@@ -51,7 +51,7 @@
 	clear(s.publishing)
 	var out []indexUpdate
 	for _, address := range s.kept.Stores() {
-		if from, err := s.source(address); err != nil || from.heartbeats {
+		if source, err := s.source(address); err != nil || source.publishes {
 			continue
 		}
 		last, known := s.published[address]
@@ -96,7 +96,7 @@
 	}
 	now := clock.Now()
 	for i := range updates {
-		if from, err := s.source(updates[i].Address); err == nil && from.heartbeats && from.peer == peer {
+		if source, err := s.source(updates[i].Address); err == nil && source.publishes && source.peer == peer {
 			s.inbox.put(&updates[i], now)
 		}
 	}
@@ -123,30 +123,30 @@
 }
 
 // put adds the changes of a heartbeat.
-func (b *indexInbox) put(n *indexUpdate, now clock.Time) {
+func (b *indexInbox) put(u *indexUpdate, now clock.Time) {
 	b.inboxMu.Lock()
 	defer b.inboxMu.Unlock()
 	if b.updates == nil {
 		b.updates = map[string]*receivedUpdate{}
 	}
-	next := &receivedUpdate{from: n.From, at: now, events: cache.PartEvents{
-		Epoch: n.Epoch, Next: n.Next, Changes: changesOf(n.Segments),
-		Clock: time.Duration(n.ClockMillis) * time.Millisecond, Age: reportedAge(n.AgeMillis),
+	next := &receivedUpdate{from: u.From, at: now, events: cache.PartEvents{
+		Epoch: u.Epoch, Next: u.Next, Changes: changesOf(u.Segments),
+		Clock: time.Duration(u.ClockMillis) * time.Millisecond, Age: reportedAge(u.AgeMillis),
 	}}
-	if old := b.updates[n.Address]; old != nil && old.joins(next) {
+	if old := b.updates[u.Address]; old != nil && old.joins(next) {
 		next.from, next.events.Changes = old.from, append(old.events.Changes, next.events.Changes...)
 	}
-	b.updates[n.Address] = next
-	if wake := b.wake[n.Address]; wake != nil {
+	b.updates[u.Address] = next
+	if wake := b.wake[u.Address]; wake != nil {
 		close(wake)
-		delete(b.wake, n.Address)
+		delete(b.wake, u.Address)
 	}
 }
 
 // joins reports whether next continues a without missing changes and the two may be merged.
-func (a *receivedUpdate) joins(next *receivedUpdate) bool {
-	return a.events.Epoch == next.events.Epoch && a.from <= next.from && next.from <= a.events.Next &&
-		a.events.Next <= next.events.Next && len(a.events.Changes) < maxInboxChanges
+func (u *receivedUpdate) joins(next *receivedUpdate) bool {
+	return u.events.Epoch == next.events.Epoch && u.from <= next.from && next.from <= u.events.Next &&
+		u.events.Next <= next.events.Next && len(u.events.Changes) < maxInboxChanges
 }
 
 // take returns and removes the received changes of a store or, if there are none, returns nil and a
@@ -154,9 +154,9 @@
 func (b *indexInbox) take(address string) (*receivedUpdate, <-chan struct{}) {
 	b.inboxMu.Lock()
 	defer b.inboxMu.Unlock()
-	if a := b.updates[address]; a != nil {
+	if u := b.updates[address]; u != nil {
 		delete(b.updates, address)
-		return a, nil
+		return u, nil
 	}
 	if b.wake == nil {
 		b.wake = map[string]chan struct{}{}
@@ -173,15 +173,15 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		a, wake := b.take(address)
+		u, wake := b.take(address)
 		switch {
-		case a != nil && (a.from > since || a.events.Next < since):
+		case u != nil && (u.from > since || u.events.Next < since):
 			return cache.PartEvents{}, false
-		case a != nil:
-			delay := clock.Since(a.at)
-			a.events.Age += delay
-			a.events.Clock += delay
-			return a.events, true
+		case u != nil:
+			delay := clock.Since(u.at)
+			u.events.Age += delay
+			u.events.Clock += delay
+			return u.events, true
 		}
 		select {
 		case <-ctx.Done():
--- a/core/spread/shelves.go
+++ b/core/spread/shelves.go
@@ -114,18 +114,18 @@
 // Events returns the changes of a store since a position; the response may wait for one as long as
 // hold.
 func (s *Shelves) Events(ctx context.Context, address string, since int64, hold time.Duration) (cache.PartEvents, error) {
-	return s.try(ctx, address, func(from indexSource) (cache.PartEvents, error) {
+	return s.try(ctx, address, func(source indexSource) (cache.PartEvents, error) {
 		switch {
-		case from.peer == "":
+		case source.peer == "":
 			return s.direct.Events(ctx, address, since, hold)
-		case from.heartbeats:
+		case source.publishes:
 			if ev, ok := s.inbox.await(ctx, address, since, hold+heartbeatSlack); ok {
 				return ev, nil
 			}
 			hold = 0
 		}
 		req := &indexRequest{Address: address, Since: since, WaitMillis: hold.Milliseconds(), AgeMillis: ageMillis(s.kept.Age(address, clock.Now()))}
-		got, err := s.request(ctx, from.peer, req)
+		got, err := s.request(ctx, source.peer, req)
 		if err != nil {
 			return cache.PartEvents{}, err
 		}
@@ -135,26 +135,26 @@
 
 // Contents returns everything that a store holds.
 func (s *Shelves) Contents(ctx context.Context, address string) (cache.PartEvents, error) {
-	return s.try(ctx, address, func(from indexSource) (cache.PartEvents, error) {
-		if from.peer == "" {
+	return s.try(ctx, address, func(source indexSource) (cache.PartEvents, error) {
+		if source.peer == "" {
 			return s.direct.Contents(ctx, address)
 		}
-		return s.fetchContents(ctx, from.peer, address)
+		return s.fetchContents(ctx, source.peer, address)
 	})
 }
 
 // try calls request with the sources of a store's index one after the other until one responds.
 func (s *Shelves) try(ctx context.Context, address string, request func(indexSource) (cache.PartEvents, error)) (ev cache.PartEvents, err error) {
 	for range maxSourcesTried {
-		from, sourceErr := s.source(address)
+		source, sourceErr := s.source(address)
 		if sourceErr != nil {
 			return ev, cmp.Or(err, sourceErr)
 		}
-		ev, err = request(from)
-		if from.peer == "" {
+		ev, err = request(source)
+		if source.peer == "" {
 			return ev, err
 		}
-		link := indexLink{from.peer, address}
+		link := indexLink{source.peer, address}
 		if err == nil {
 			s.backoff.Worked(link)
 			return ev, nil
--- a/core/spread/shelves_fleet_test.go
+++ b/core/spread/shelves_fleet_test.go
@@ -86,9 +86,9 @@
 	stop context.CancelFunc
 }
 
-// follow runs a fleet that keeps an index of a store.
-func follow(t *testing.T, store cache.Watcher, info cache.StoreInfo, daemons int) []*indexMember {
-	seeds, listeners := addresses(t, daemons)
+// indexFleet runs a fleet that keeps an index of a store.
+func indexFleet(t *testing.T, store cache.Watcher, info cache.StoreInfo, daemons int) []*indexMember {
+	seeds, listeners := seedsAndListeners(t, daemons)
 	var wg sync.WaitGroup
 	var out []*indexMember
 	t.Cleanup(wg.Wait)
@@ -96,9 +96,9 @@
 		f := fleet.New(fleet.Options{
 			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
-		shelves := spread.NewShelves(store, f)
-		m := &indexMember{name: seed.Name, kept: cache.NewKept(shelves, &event.Log{})}
-		shelves.Serve(m.kept)
+		indexes := spread.NewShelves(store, f)
+		m := &indexMember{name: seed.Name, kept: cache.NewKept(indexes, &event.Log{})}
+		indexes.Serve(m.kept)
 		ctx, cancel := context.WithCancel(context.Background())
 		m.stop = cancel
 		t.Cleanup(cancel)
@@ -109,9 +109,9 @@
 	return out
 }
 
-// knowing returns a function that returns how many daemons have the given number of segments in
+// upToDate returns a function that returns how many daemons have the given number of segments in
 // their index, reported by the store recently enough to act on.
-func knowing(members []*indexMember, address string, segments int) func() int {
+func upToDate(members []*indexMember, address string, segments int) func() int {
 	return func() int {
 		n := 0
 		for _, m := range members {
@@ -130,11 +130,11 @@
 	g := gomega.NewWithT(t)
 	store := &busyStore{watchers: 4, changed: make(chan struct{})}
 	store.save()
-	members := follow(t, store, cache.StoreInfo{Address: address, Room: 1000, Watchers: store.watchers}, daemons)
-	g.Eventually(knowing(members, address, 1), soon, look).Should(gomega.Equal(daemons))
+	members := indexFleet(t, store, cache.StoreInfo{Address: address, Room: 1000, Watchers: store.watchers}, daemons)
+	g.Eventually(upToDate(members, address, 1), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	for range 3 {
 		segments := store.save()
-		g.Eventually(knowing(members, address, segments), soon, look).Should(gomega.Equal(daemons))
+		g.Eventually(upToDate(members, address, segments), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	}
 	_, refused := store.counts()
 	g.Expect(refused).To(gomega.BeZero())
@@ -145,9 +145,9 @@
 	const daemons, address = 40, "10.0.0.1:1"
 	g := gomega.NewWithT(t)
 	store := &busyStore{watchers: 8, changed: make(chan struct{})}
-	members := follow(t, store, cache.StoreInfo{Address: address, Room: 1000, Watchers: store.watchers}, daemons)
+	members := indexFleet(t, store, cache.StoreInfo{Address: address, Room: 1000, Watchers: store.watchers}, daemons)
 	segments := store.save()
-	g.Eventually(knowing(members, address, segments), soon, look).Should(gomega.Equal(daemons))
+	g.Eventually(upToDate(members, address, segments), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	var names []string
 	for _, m := range members {
 		names = append(names, m.name)
@@ -162,7 +162,7 @@
 		}
 	}
 	segments = store.save()
-	g.Eventually(knowing(rest, address, segments), soon, look).Should(gomega.Equal(len(rest)))
+	g.Eventually(upToDate(rest, address, segments), shortWait, pollInterval).Should(gomega.Equal(len(rest)))
 	_, refused := store.counts()
 	g.Expect(refused).To(gomega.BeZero())
 }
--- a/core/spread/shelves_test.go
+++ b/core/spread/shelves_test.go
@@ -41,7 +41,7 @@
 		name := cache.PartName{Salt: "v12/model-with-a-long-name/", ID: fmt.Sprintf("%032x", i)}
 		store.segments = append(store.segments, cache.PartChange{PartName: name, Tokens: 1})
 	}
-	direct, listeners := addresses(t, daemons)
+	direct, listeners := seedsAndListeners(t, daemons)
 	slow := append([]fleet.Peer(nil), direct...)
 	var names []string
 	for i := range slow {
@@ -55,22 +55,22 @@
 	keptByName := map[string]*cache.Kept{}
 	fleetByName := map[string]*fleet.Fleet{}
 	for i, name := range names {
-		known := direct
+		ownSeeds := direct
 		if name == ranked[daemons-1] {
-			known = slow
+			ownSeeds = slow
 		}
 		f := fleet.New(fleet.Options{
-			Name: name, Incarnation: name + "-1", Seeds: known, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
-		shelves := spread.NewShelves(store, f)
-		keptByName[name] = cache.NewKept(shelves, &event.Log{})
-		shelves.Serve(keptByName[name])
+		indexes := spread.NewShelves(store, f)
+		keptByName[name] = cache.NewKept(indexes, &event.Log{})
+		indexes.Serve(keptByName[name])
 		fleetByName[name] = f
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
 	}
 	for _, name := range []string{ranked[0], ranked[1], ranked[daemons-1]} {
-		g.Eventually(func() int { return len(fleetByName[name].View().OnDuty()) }, soon, look).Should(gomega.Equal(daemons))
+		g.Eventually(func() int { return len(fleetByName[name].View().OnDuty()) }, shortWait, pollInterval).Should(gomega.Equal(daemons))
 		keptByName[name].Set(ctx, []cache.StoreInfo{{Address: address, Room: segments}})
-		g.Eventually(keptByName[name].Tokens, long, look).Should(gomega.Equal(segments), name)
+		g.Eventually(keptByName[name].Tokens, longWait, pollInterval).Should(gomega.Equal(segments), name)
 	}
 }
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -18,7 +18,7 @@
 
 // organisations returns a configuration with n organisations of one key each.
 func organisations(n int) conf.Full {
-	keys := noise(32 * n)
+	keys := randomBytes(32 * n)
 	full := conf.Full{Seq: uint64(n), HeadRevision: 1}
 	for i := range n {
 		spec := fmt.Sprintf(`{"keyHashes":["%s"]}`, hex.EncodeToString(keys[32*i:32*(i+1)]))
@@ -33,7 +33,7 @@
 func TestAWholeConfigurationIsSentOverASlowLink(t *testing.T) {
 	const rate, count = 128 << 10, 10_000
 	g := gomega.NewWithT(t)
-	seeds, listeners := addresses(t, 2)
+	seeds, listeners := seedsAndListeners(t, 2)
 	slow := append([]fleet.Peer(nil), seeds...)
 	slow[0].Address = slowLink(t, rate)(seeds[0].Address)
 	unreachable := &memkv.KV{}
@@ -42,10 +42,10 @@
 	var wg sync.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	var stores []*conf.Store
-	for i, known := range [][]fleet.Peer{seeds, slow} {
+	for i, ownSeeds := range [][]fleet.Peer{seeds, slow} {
 		name := seeds[i].Name
 		f := fleet.New(fleet.Options{
-			Name: name, Incarnation: name + "-1", Seeds: known, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
 		store := conf.NewStore(&event.Log{})
 		stores = append(stores, store)
@@ -54,5 +54,5 @@
 		wg.Go(func() { syncer.Run(ctx) })
 	}
 	g.Expect(stores[0].Replace(organisations(count))).To(gomega.BeTrue())
-	g.Eventually(func() int { return stores[1].Snapshot().Count(conf.KindOrganisation) }, long, look).Should(gomega.Equal(count))
+	g.Eventually(func() int { return stores[1].Snapshot().Count(conf.KindOrganisation) }, longWait, pollInterval).Should(gomega.Equal(count))
 }
--- a/core/spread/swaps.go
+++ b/core/spread/swaps.go
@@ -21,8 +21,8 @@
 	maxRemoteHold = 2 * time.Second
 )
 
-// Swaps notifies the cell that uses a worker when a weight update of the worker is about to start
-// and when it has completed.
+// Swaps notifies the cell that uses a worker when a weight update of the worker is about to start,
+// while it runs, and when it has completed.
 //
 // Heartbeats reach only the cell of the daemon that gives the order. Without a notice each daemon
 // of the worker's own cell would learn of the update only when the worker refuses a request.
@@ -47,15 +47,15 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Target   string
 	Model    string
-	// Version is the version that the worker has now; 0 where the update is about to start.
+	// Version is the version that the worker has now; 0 until the update has completed.
 	Version int64
-	// Remaining is for how much longer the worker is to get no requests where the update is about
-	// to start.
+	// Remaining is for how much longer the worker is to get no requests, until the update has
+	// completed.
 	Remaining time.Duration
 }
 
-// Began notifies the worker's cell that a weight update is about to start and takes about the time
-// remaining.
+// Began notifies the worker's cell that a weight update is about to start or still runs, and takes
+// about the time remaining.
 func (s *Swaps) Began(t *roster.Target, model string, remaining time.Duration) {
 	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Remaining: remaining})
 }
@@ -97,11 +97,11 @@
 	notice *updateNotice
 }
 
-func (t noticeSender) run() {
+func (s noticeSender) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
 	// A daemon that misses the notice is refused by the worker, as it would be without one.
-	_ = t.fleet.Notify(ctx, t.peer, kindWeightUpdate, t.notice)
+	_ = s.fleet.Notify(ctx, s.peer, kindWeightUpdate, s.notice)
 }
 
 // handleNotice records a notice, which this daemon's heartbeats pass on to its cell.
--- a/core/spread/swaps_test.go
+++ b/core/spread/swaps_test.go
@@ -24,7 +24,7 @@
 
 // updateFleet runs daemons with some workers in their rosters.
 func updateFleet(t *testing.T, daemons, workers int) ([]*updateMember, []string) {
-	seeds, listeners := addresses(t, daemons)
+	seeds, listeners := seedsAndListeners(t, daemons)
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
 	var out []*updateMember
--- a/core/spread/values_test.go
+++ b/core/spread/values_test.go
@@ -52,12 +52,12 @@
 func TestAValueThatDoesNotCompressIsReadFromTheStore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store := &singleKeyStore{KV: &memkv.KV{}}
-	seeds, listeners := addresses(t, 2)
+	seeds, listeners := seedsAndListeners(t, 2)
 	sender := run(t, seeds[0].Name, listeners[0], store.KV, seeds)
 	requester := run(t, seeds[1].Name, listeners[1], store, seeds)
-	large := noise(1 << 20)
+	large := randomBytes(1 << 20)
 	put(t, store.KV, "op/large", large)
-	g.Eventually(requester.holds("op/large", large), soon, look).Should(gomega.BeTrue())
+	g.Eventually(requester.holds("op/large", large), shortWait, pollInterval).Should(gomega.BeTrue())
 	g.Expect(store.count()).To(gomega.Equal(1))
 	g.Expect(sender.fleet.Bytes()).To(gomega.BeNumerically("<", len(large)/2))
 }
@@ -97,9 +97,9 @@
 func TestInvalidMessagesYieldNoValue(t *testing.T) {
 	junk := bytes.Repeat([]byte("junk "), 20)
 	tests := []struct {
-		name   string
-		answer *valueResponse // nil for an error
-		chunk  []byte         // nil for an error
+		name     string
+		response *valueResponse // nil for an error
+		chunk    []byte         // nil for an error
 	}{
 		{"an error", nil, nil},
 		{"bytes that are not compressed", &valueResponse{Revision: 9, Compressed: transfer{Size: len(junk), Chunk: junk}}, nil},
@@ -118,30 +118,30 @@
 			store := &singleKeyStore{KV: &memkv.KV{}}
 			value := configuration(2, 100)
 			put(t, store.KV, "op/large", value)
-			seeds, listeners := addresses(t, 2)
-			faultyPeer(t, seeds, listeners[0], tc.answer, tc.chunk)
+			seeds, listeners := seedsAndListeners(t, 2)
+			faultyPeer(t, seeds, listeners[0], tc.response, tc.chunk)
 			requester := run(t, seeds[1].Name, listeners[1], store, seeds)
-			g.Eventually(requester.holds("op/large", value), soon, look).Should(gomega.BeTrue())
+			g.Eventually(requester.holds("op/large", value), shortWait, pollInterval).Should(gomega.BeTrue())
 		})
 	}
 }
 
 // faultyPeer runs a peer that announces a large value as just reported by the store, and responds
 // to requests for it with invalid messages.
-func faultyPeer(t *testing.T, seeds []fleet.Peer, l net.Listener, answer *valueResponse, chunk []byte) {
+func faultyPeer(t *testing.T, seeds []fleet.Peer, l net.Listener, response *valueResponse, chunk []byte) {
 	name := seeds[0].Name
 	f := fleet.New(fleet.Options{
 		Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 	})
-	f.Attach("mirror", fresh{})
+	f.Attach("mirror", freshHeartbeat{})
 	f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
 		return &changesResponse{FullCopy: true, Changes: [][]any{{"op/large", nil, 1, false, true}}, Revision: 1}, nil
 	})
 	f.Mux().Register("spread.value", func(context.Context, string, []byte) (any, error) {
-		if answer == nil {
+		if response == nil {
 			return nil, errRefused
 		}
-		return answer, nil
+		return response, nil
 	})
 	f.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) {
 		if chunk == nil {
@@ -159,8 +159,8 @@
 func TestAPeerWithoutProgressIsAbandoned(t *testing.T) {
 	entry := [][]any{{"op/a", []byte("x"), 1, false, false}}
 	tests := []struct {
-		name   string
-		answer changesResponse
+		name     string
+		response changesResponse
 	}{
 		{"the same page again", changesResponse{FullCopy: true, Changes: entry, Revision: 1, More: true}},
 		{"an empty page", changesResponse{FullCopy: true, Revision: 1, More: true}},
@@ -170,16 +170,16 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			seeds, listeners := addresses(t, 2)
+			seeds, listeners := seedsAndListeners(t, 2)
 			var requests atomic.Int64
 			name := seeds[0].Name
 			f := fleet.New(fleet.Options{
 				Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 			})
-			f.Attach("mirror", fresh{})
+			f.Attach("mirror", freshHeartbeat{})
 			f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
 				requests.Add(1)
-				return &tc.answer, nil
+				return &tc.response, nil
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
@@ -188,16 +188,16 @@
 			unreachable := &memkv.KV{}
 			unreachable.SetDown(true)
 			requester := run(t, seeds[1].Name, listeners[1], unreachable, seeds)
-			g.Eventually(requester.mirrors.Failed, soon, look).Should(gomega.BeNumerically(">=", 3))
+			g.Eventually(requester.cacheSync.Failed, shortWait, pollInterval).Should(gomega.BeNumerically(">=", 3))
 			g.Expect(requests.Load()).To(gomega.BeNumerically("<", 100))
 		})
 	}
 }
 
-// fresh is the part of a heartbeat that reports a cache of age 0.
-type fresh struct{}
+// freshHeartbeat is the part of a heartbeat that reports a cache of age 0.
+type freshHeartbeat struct{}
 
-func (fresh) Collect(bool) any {
+func (freshHeartbeat) Collect(bool) any {
 	return &struct {
 		//lint:ignore U1000 read by the codec: frames are arrays
 		_msgpack  struct{} `msgpack:",as_array"`
@@ -205,7 +205,7 @@
 	}{}
 }
 
-func (fresh) Receive(string, []byte) {}
+func (freshHeartbeat) Receive(string, []byte) {}
 
 // A daemon that starts while the store does not answer it reads everything from a peer; the size of
 // this has no limit either.
@@ -218,7 +218,7 @@
 		put(t, store, fmt.Sprintf("op/targets/%04d", i), entry)
 	}
 	_, rest := cell(t, store, 1, slowLink(t, rate))
-	g.Eventually(func() int { return len(rest[0].watchCache.Under("op/targets/")) }, long, look).Should(gomega.Equal(targets))
+	g.Eventually(func() int { return len(rest[0].watchCache.Under("op/targets/")) }, longWait, pollInterval).Should(gomega.Equal(targets))
 }
 
 // A peer receives many changes page by page, and all of them in the end.
@@ -229,10 +229,10 @@
 	entry := bytes.Repeat([]byte("entry of a target "), 40)
 	put(t, store, "op/targets/first", entry)
 	sender, rest := cell(t, store, 1, slowLink(t, rate))
-	g.Eventually(rest[0].holds("op/targets/first", entry), soon, look).Should(gomega.BeTrue())
+	g.Eventually(rest[0].holds("op/targets/first", entry), shortWait, pollInterval).Should(gomega.BeTrue())
 	for i := range targets {
 		put(t, store, fmt.Sprintf("op/targets/%04d", i), entry)
 	}
-	g.Eventually(func() int { return len(rest[0].watchCache.Under("op/targets/")) }, long, look).Should(gomega.Equal(targets + 1))
+	g.Eventually(func() int { return len(rest[0].watchCache.Under("op/targets/")) }, longWait, pollInterval).Should(gomega.Equal(targets + 1))
 	g.Expect(rest[0].watchCache.Revision()).To(gomega.Equal(sender.watchCache.Revision()))
 }
