--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -71,8 +71,8 @@
 	return !ok || version < v.Version
 }
 
-// appliedRequest requests the values that the coordination store does not hold in a store
-// incarnation and that are newer than the requester's, or that the requester lacks.
+// appliedRequest requests the applied values that are newer than the requester's, or that it lacks,
+// unless the coordination store holds them in the requester's store incarnation or a later one.
 type appliedRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
--- a/core/spread/applied_test.go
+++ b/core/spread/applied_test.go
@@ -143,7 +143,7 @@
 		Values   transfer
 		Leaving  []string
 	}
-	junk := []byte("junk that is no packed value")
+	junk := []byte("junk that is no compressed value")
 	tests := []struct {
 		name     string
 		response appliedResponse
--- a/core/spread/changes.go
+++ b/core/spread/changes.go
@@ -37,8 +37,8 @@
 	// FullCopy is set if Changes are a page of the whole cache, not the changes after a revision.
 	FullCopy bool
 	Changes  []wireChange
-	// Revision is the revision up to which the requester is complete with Changes and all earlier
-	// pages.
+	// Revision is the revision of the cache that Changes lead to; of the pages of a full copy only
+	// the first one's counts.
 	Revision int64
 	// AgeMillis is the age of the sender's cache in milliseconds.
 	AgeMillis int64
--- a/core/spread/transfers.go
+++ b/core/spread/transfers.go
@@ -23,7 +23,7 @@
 	// onSent, if not nil, is called with the size of each chunk that is sent to a peer.
 	onSent func(bytes int)
 
-	compressMu sync.Mutex // held while a payload is compressed; concurrent requests share one compression
+	compressMu sync.Mutex // held while compressing, so that concurrent requests share the result
 
 	transfersMu sync.Mutex
 	// stored holds the latest payloads of several chunks, the oldest first. Guarded by transfersMu.
@@ -66,7 +66,7 @@
 	Offset   int
 }
 
-// newTransfers returns transfers and registers its message with the fleet.
+// newTransfers returns transfers and registers the message that requests a chunk with the fleet.
 func newTransfers(f *fleet.Fleet, onSent func(bytes int)) *transfers {
 	t := &transfers{fleet: f, onSent: onSent}
 	f.Mux().Register(kindChunk, wire.Handle(t.handleChunk))
