--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -27,7 +27,7 @@
 type Shelves struct {
 	direct cache.Watcher
 	fleet  *fleet.Fleet
-	// kept holds the contents that peers are served from. It is set before Run.
+	// kept holds the contents that peers are served from. It is set by Serve.
 	kept *cache.Kept
 	// ranks holds which daemons may send requests to each store, for the latest view.
 	ranks atomic.Pointer[storeRanks]
@@ -51,7 +51,8 @@
 	}
 }
 
-// Serve makes this daemon respond to peers' requests from kept. It must be called before the fleet runs.
+// Serve makes this daemon respond to requests of peers from kept. It must be called before the fleet
+// runs.
 func (s *Shelves) Serve(kept *cache.Kept) {
 	s.kept = kept
 	s.fleet.Mux().Register(kindStoreIndex, wire.Handle(s.handleIndex))
