--- /dev/null
+++ b/core/spread/relays.go
@@ -0,0 +1,166 @@
+package spread
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"embertally.dev/core/fleet"
+)
+
+// Which daemons watch the coordination store.
+const (
+	// smallFleet is the number of peers below which all daemons watch the store.
+	smallFleet = 16
+	// staleAfter is the cache age from which the next daemons in rank watch the store themselves:
+	// standbysPerRound of a cell or, where there are watch relays, one of each failure domain. Each
+	// further staleAfter adds as many again. KV-cache contexts may not be copied on the basis of
+	// data older than 2.2 s.
+	staleAfter       = 1800 * time.Millisecond
+	standbysPerRound = 2
+	// watchersPerCell is how many daemons of a cell in a large fleet watch the store or, where
+	// there are watch relays, request changes from one of these; each call of the store is priced.
+	// Where both are lost, the other daemons do so as well.
+	watchersPerCell = 2
+	// minCellsForRelays is the number of cells from which only watch relays watch the store, one of
+	// each failure domain.
+	minCellsForRelays = 3
+	// minRelays is the number of relays where the fleet has fewer failure domains.
+	minRelays = 2
+	// backoffFirst and backoffMax bound how long a peer that did not respond gets no requests: a
+	// silent one costs the whole time limit of a request.
+	backoffFirst = time.Second
+	backoffMax   = 8 * time.Second
+	// watchWaitSmall and watchWaitLarge are how long the store holds a watch request for changes.
+	// An empty response confirms that there were none, at the price of a call. Data from relays is
+	// older by its way through the fleet, some 0.3 s, and data older than 2.2 s allows no copies.
+	watchWaitSmall = 1500 * time.Millisecond
+	watchWaitLarge = time.Second
+)
+
+// WatchesStore reports whether this daemon watches the store itself.
+//
+// Listed peers that have not sent a heartbeat yet count in the rank: without them all daemons that
+// start together would watch until they have received each other's heartbeats.
+func (s *Mirrors) WatchesStore() bool {
+	view := s.fleet.View()
+	switch {
+	case len(view.Peers()) < smallFleet, !s.watchCache.Known():
+		return true
+	case view.Cells() < minCellsForRelays:
+		return s.cellRank(view) < watchersPerCell || s.IsStandby()
+	}
+	return slices.Contains(s.relaysOf(view), view.Self()) || s.IsStandby()
+}
+
+// Hold returns how long the store is to hold a watch request for changes.
+func (s *Mirrors) Hold() time.Duration {
+	if s.fleet.View().Cells() < minCellsForRelays {
+		return watchWaitSmall
+	}
+	return watchWaitLarge
+}
+
+// pullsFromRelay reports whether this daemon requests changes from a watch relay for its cell.
+func (s *Mirrors) pullsFromRelay() bool {
+	view := s.fleet.View()
+	return view.Cells() >= minCellsForRelays && s.cellRank(view) < watchersPerCell
+}
+
+// IsStandby reports whether this daemon watches the store because those ranked before it do not
+// provide its changes. If all daemons did so at once, they would achieve nothing while the store is
+// down, at the price of each call.
+func (s *Mirrors) IsStandby() bool {
+	view := s.fleet.View()
+	if len(view.Peers()) < smallFleet || !s.watchCache.Known() {
+		return false
+	}
+	rounds := int(s.cacheAge() / staleAfter)
+	if view.Cells() >= minCellsForRelays {
+		place := fleet.Place(relayKey, view.Domains()[view.Domain()], view.Self())
+		return place > 0 && place <= rounds
+	}
+	place := s.cellRank(view)
+	return place >= watchersPerCell && place < watchersPerCell+standbysPerRound*rounds
+}
+
+// cellRank returns how many daemons of the cell rank before this one for watching the store.
+func (s *Mirrors) cellRank(view *fleet.View) int {
+	return fleet.Place(fleet.Key("mirror"), view.Expected(), view.Self())
+}
+
+// relayKey ranks the daemons of a failure domain for watching the store.
+var relayKey = fleet.Key("root")
+
+// candidatesPerDomain is how many daemons of each failure domain may receive requests for changes:
+// the watch relay, and those that replace it where it is lost.
+const candidatesPerDomain = 3
+
+// relaySet holds the watch relays of one view.
+type relaySet struct {
+	view *fleet.View
+	// names are the relays.
+	names []string
+	// candidates are the daemons to request changes from, in the order in which this daemon tries
+	// them.
+	candidates []string
+}
+
+// relaysOf returns the daemons that watch the store for the fleet: one of each failure domain.
+func (s *Mirrors) relaysOf(view *fleet.View) []string { return s.relaySetOf(view).names }
+
+// relaySetOf returns the watch relays of a view.
+func (s *Mirrors) relaySetOf(view *fleet.View) *relaySet {
+	if r := s.relays.Load(); r != nil && r.view == view {
+		return r
+	}
+	r := &relaySet{view: view}
+	domains := view.Domains()
+	if len(domains) < minRelays {
+		r.names = fleet.RankFirst(relayKey, view.Listed(), minRelays)
+		r.candidates = fleet.RankFirst(relayKey, view.Listed(), minRelays*candidatesPerDomain)
+		s.relays.Store(r)
+		return r
+	}
+	// This daemon's own failure domain comes first: traffic within it crosses no other. Each daemon
+	// has its own order of the others, which spreads the load evenly.
+	domainOrder := slices.Collect(maps.Keys(domains))
+	domainOrder = fleet.Rank(fleet.Key(view.Self()), domainOrder)
+	if at := slices.Index(domainOrder, view.Domain()); at > 0 {
+		domainOrder = slices.Insert(slices.Delete(domainOrder, at, at+1), 0, view.Domain())
+	}
+	for place := range candidatesPerDomain {
+		for _, domain := range domainOrder {
+			first := fleet.RankFirst(relayKey, domains[domain], candidatesPerDomain)
+			if place < len(first) {
+				r.candidates = append(r.candidates, first[place])
+			}
+			if place == 0 {
+				r.names = append(r.names, first[0])
+			}
+		}
+	}
+	s.relays.Store(r)
+	return r
+}
+
+// Asks returns the daemons that watch the store by rank, for this daemon's cell or, where there are
+// watch relays, for the fleet.
+func (s *Mirrors) Asks() []string {
+	view := s.fleet.View()
+	if view.Cells() < minCellsForRelays {
+		return view.OnDuty()
+	}
+	return s.relaysOf(view)
+}
+
+// nextRelay returns the first relay candidate that is not backed off, or "".
+func (s *Mirrors) nextRelay() string {
+	view, now := s.fleet.View(), time.Now()
+	for _, name := range s.relaySetOf(view).candidates {
+		if name != view.Self() && s.relayBackoff.Open(name, now) {
+			return name
+		}
+	}
+	return ""
+}
--- /dev/null
+++ b/core/spread/storeindex.go
@@ -0,0 +1,298 @@
+package spread
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"embertally.dev/core/cache"
+	"embertally.dev/core/clock"
+	"embertally.dev/core/fleet"
+	"embertally.dev/core/wait"
+	"embertally.dev/core/wire"
+)
+
+const kindStoreIndex wire.Kind = "spread.shelf"
+
+// Shelves keeps the index of what KV-cache stores hold. A store admits a few watchers at a time,
+// and each request is priced. In a larger fleet only a few daemons of the whole fleet may send
+// requests to a store; one of each cell sends its requests to the first of these, and publishes the
+// changes to the others of its cell in heartbeats.
+type Shelves struct {
+	direct cache.Watcher
+	fleet  *fleet.Fleet
+	// kept holds the contents that peers are served from. It is set by Serve.
+	kept *cache.Kept
+	// ranks holds which daemons may send requests to each store, for the latest view.
+	ranks atomic.Pointer[storeRanks]
+	inbox indexInbox
+
+	// backoff holds the peers that did not respond to a request about a store.
+	backoff wait.Backoff[indexLink]
+
+	publishedMu sync.Mutex
+	// published is the position up to which each store's changes were published to peers of the
+	// cell; publishing holds those of the heartbeats that are being built. Guarded by publishedMu.
+	published, publishing map[string]publishedPoint
+}
+
+// NewShelves returns a Shelves that watches stores by way of direct. Serve must be called before it
+// is used.
+func NewShelves(direct cache.Watcher, f *fleet.Fleet) *Shelves {
+	return &Shelves{
+		direct: direct, fleet: f, published: map[string]publishedPoint{}, publishing: map[string]publishedPoint{},
+		backoff: wait.Backoff[indexLink]{First: backoffFirst, Most: backoffMax},
+	}
+}
+
+// Serve makes this daemon respond to requests of peers from kept. It must be called before the fleet
+// runs.
+func (s *Shelves) Serve(kept *cache.Kept) {
+	s.kept = kept
+	s.fleet.Mux().Register(kindStoreIndex, wire.Handle(s.handleIndex))
+	s.fleet.Attach("shelves", s)
+}
+
+const (
+	// maxSourcesTried is how many sources of a store's index are tried for one call.
+	maxSourcesTried = 3
+	// peerTimeout is the time for a peer's response in addition to its wait.
+	peerTimeout = 600 * time.Millisecond
+	// maxPageSegments is how many segments one page of a store's contents holds: some 60 bytes each
+	// make 48 KB, which take 38 ms on a link of 10 Mbit/s and 0.5 s where 11 peers request at once.
+	maxPageSegments = 800
+)
+
+// indexRequest requests a store's changes after Since, or all of its contents, from a peer.
+type indexRequest struct {
+	//lint:ignore U1000 read by the codec: frames are arrays
+	_msgpack   struct{} `msgpack:",as_array"`
+	Address    string
+	Since      int64
+	All        bool
+	WaitMillis int64 // how long the response may wait for a change
+	// PageAfter is the last segment of the preceding page, where all contents are requested.
+	PageAfter indexedSegment
+	// AgeMillis is the age of the requester's copy: the response comes as soon as the peer has a
+	// newer one, changed or not.
+	AgeMillis int64
+}
+
+// indexResponse holds the changes or contents of a store.
+type indexResponse struct {
+	//lint:ignore U1000 read by the codec: frames are arrays
+	_msgpack struct{} `msgpack:",as_array"`
+	// Epoch changes when the store restarts, which invalidates positions. Next is the position after
+	// Segments. Gap is set if changes before Segments are lost.
+	Epoch    int64
+	Next     int64
+	Gap      bool
+	Segments []indexedSegment
+	// ClockMillis is the time of the targets' clock at the response.
+	ClockMillis int64
+	// More is set if further pages of the contents follow.
+	More bool
+	// AgeMillis is how long before the response the store reported this.
+	AgeMillis int64
+}
+
+// indexedSegment is one segment that a store holds, or a change of one.
+type indexedSegment struct {
+	//lint:ignore U1000 read by the codec: frames are arrays
+	_msgpack struct{} `msgpack:",as_array"`
+	Salt     string
+	ID       string
+	// Tokens is the segment's length; 0 where the store no longer holds it.
+	Tokens int
+}
+
+// Events returns the changes of a store since a position; the response may wait for one as long as
+// hold.
+func (s *Shelves) Events(ctx context.Context, address string, since int64, hold time.Duration) (cache.PartEvents, error) {
+	return s.try(ctx, address, func(source indexSource) (cache.PartEvents, error) {
+		switch {
+		case source.peer == "":
+			return s.direct.Events(ctx, address, since, hold)
+		case source.publishes:
+			if ev, ok := s.inbox.await(ctx, address, since, hold+heartbeatSlack); ok {
+				return ev, nil
+			}
+			hold = 0
+		}
+		req := &indexRequest{Address: address, Since: since, WaitMillis: hold.Milliseconds(), AgeMillis: ageMillis(s.kept.Age(address, clock.Now()))}
+		got, err := s.request(ctx, source.peer, req)
+		if err != nil {
+			return cache.PartEvents{}, err
+		}
+		return got.events(), nil
+	})
+}
+
+// Contents returns everything that a store holds.
+func (s *Shelves) Contents(ctx context.Context, address string) (cache.PartEvents, error) {
+	return s.try(ctx, address, func(source indexSource) (cache.PartEvents, error) {
+		if source.peer == "" {
+			return s.direct.Contents(ctx, address)
+		}
+		return s.fetchContents(ctx, source.peer, address)
+	})
+}
+
+// try calls request with the sources of a store's index one after the other until one responds.
+func (s *Shelves) try(ctx context.Context, address string, request func(indexSource) (cache.PartEvents, error)) (ev cache.PartEvents, err error) {
+	for range maxSourcesTried {
+		source, sourceErr := s.source(address)
+		if sourceErr != nil {
+			return ev, cmp.Or(err, sourceErr)
+		}
+		ev, err = request(source)
+		if source.peer == "" {
+			return ev, err
+		}
+		link := indexLink{source.peer, address}
+		if err == nil {
+			s.backoff.Worked(link)
+			return ev, nil
+		}
+		s.backoff.Failed(link, time.Now())
+		if ctx.Err() != nil {
+			return ev, err
+		}
+	}
+	return ev, err
+}
+
+// indexLink identifies a peer as the source of a store's index.
+type indexLink struct{ peer, address string }
+
+var errOtherEpoch = errors.New("the store's epoch changed between two pages")
+
+// fetchContents reads all contents of a store that a peer has recorded. The pages are not one
+// snapshot: changes made meanwhile come after the position of the first page.
+func (s *Shelves) fetchContents(ctx context.Context, peer, address string) (cache.PartEvents, error) {
+	req := &indexRequest{Address: address, All: true}
+	first, err := s.request(ctx, peer, req)
+	if err != nil {
+		return cache.PartEvents{}, err
+	}
+	out := first.events()
+	for page := first; page.More && len(page.Segments) > 0; {
+		req.PageAfter = page.Segments[len(page.Segments)-1]
+		if page, err = s.request(ctx, peer, req); err != nil {
+			return cache.PartEvents{}, err
+		}
+		if page.Epoch != first.Epoch {
+			return cache.PartEvents{}, errors.WithStack(errOtherEpoch)
+		}
+		more := page.events()
+		out.Changes, out.Clock, out.Age = append(out.Changes, more.Changes...), more.Clock, more.Age
+	}
+	return out, nil
+}
+
+// Free frees segments of a store.
+func (s *Shelves) Free(ctx context.Context, address string, epoch int64, segments []cache.PartName) error {
+	return s.direct.Free(ctx, address, epoch, segments)
+}
+
+// request sends one request to a peer.
+func (s *Shelves) request(ctx context.Context, peer string, req *indexRequest) (*indexResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(req.WaitMillis)*time.Millisecond+peerTimeout)
+	defer cancel()
+	var got indexResponse
+	if err := s.fleet.Call(ctx, peer, kindStoreIndex, req, &got); err != nil {
+		return nil, err
+	}
+	return &got, nil
+}
+
+// events converts a response.
+func (r *indexResponse) events() cache.PartEvents {
+	out := cache.PartEvents{
+		Epoch: r.Epoch, Next: r.Next, Gap: r.Gap,
+		Clock: time.Duration(r.ClockMillis) * time.Millisecond, Age: reportedAge(r.AgeMillis),
+	}
+	out.Changes = changesOf(r.Segments)
+	return out
+}
+
+var errUnknownIndex = errors.New("this daemon has no index of the store")
+
+// handleIndex responds with this daemon's index of a store; it waits for changes.
+func (s *Shelves) handleIndex(ctx context.Context, _ string, req *indexRequest) (*indexResponse, error) {
+	arrived := clock.Now()
+	newer := arrived.Add(freshnessSlack - reportedAge(req.AgeMillis))
+	timeout := time.NewTimer(time.Duration(req.WaitMillis) * time.Millisecond)
+	defer timeout.Stop()
+	for last := req.WaitMillis <= 0; ; {
+		updated := s.kept.News(req.Address)
+		now := clock.Now()
+		got, ok := s.kept.Told(req.Address, req.Since, req.All, now)
+		switch {
+		case !ok:
+			return nil, errors.WithStack(errUnknownIndex)
+		case req.All:
+			return pageOf(got, req.PageAfter), nil
+		case last, got.Gap, len(got.Changes) > 0, now.Add(-got.Age).After(newer):
+			return responseOf(got), nil
+		}
+		select {
+		case <-ctx.Done():
+			return nil, errors.WithStack(ctx.Err())
+		case <-updated:
+		case <-timeout.C:
+			last = true
+		}
+	}
+}
+
+// responseOf converts events to a response.
+func responseOf(ev cache.PartEvents) *indexResponse {
+	return &indexResponse{
+		Epoch: ev.Epoch, Next: ev.Next, Gap: ev.Gap, Segments: segmentsOf(ev.Changes),
+		ClockMillis: ev.Clock.Milliseconds(), AgeMillis: ageMillis(ev.Age),
+	}
+}
+
+// segmentsOf converts changes to their form in messages.
+func segmentsOf(changes []cache.PartChange) []indexedSegment {
+	var out []indexedSegment
+	for _, c := range changes {
+		out = append(out, indexedSegment{Salt: c.Salt, ID: c.ID, Tokens: c.Tokens})
+	}
+	return out
+}
+
+// changesOf is the reverse of segmentsOf.
+func changesOf(segments []indexedSegment) []cache.PartChange {
+	var out []cache.PartChange
+	for _, p := range segments {
+		out = append(out, cache.PartChange{PartName: cache.PartName{Salt: p.Salt, ID: p.ID}, Tokens: p.Tokens})
+	}
+	return out
+}
+
+// pageOf returns the page of contents that follows a segment.
+func pageOf(ev cache.PartEvents, after indexedSegment) *indexResponse {
+	out := responseOf(ev)
+	slices.SortFunc(out.Segments, indexedSegment.compare)
+	from, found := slices.BinarySearchFunc(out.Segments, after, indexedSegment.compare)
+	if found {
+		from++
+	}
+	rest := out.Segments[from:]
+	n := min(len(rest), maxPageSegments)
+	out.Segments, out.More = rest[:n], n < len(rest)
+	return out
+}
+
+// compare orders segments by salt, then by ID.
+func (p indexedSegment) compare(q indexedSegment) int {
+	return cmp.Or(strings.Compare(p.Salt, q.Salt), strings.Compare(p.ID, q.ID))
+}
--- /dev/null
+++ b/core/spread/storeindex_fleet_test.go
@@ -0,0 +1,168 @@
+package spread_test
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/onsi/gomega"
+
+	"embertally.dev/core/cache"
+	"embertally.dev/core/clock"
+	"embertally.dev/core/event"
+	"embertally.dev/core/fleet"
+	"embertally.dev/core/spread"
+)
+
+// busyStore is a KV-cache store that admits a number of watchers at a time and refuses any more.
+type busyStore struct {
+	watchers int
+
+	storeMu  sync.Mutex
+	segments []cache.PartChange // guarded by storeMu
+	// changed is closed and replaced with each change. Guarded by storeMu.
+	changed   chan struct{}
+	watching  int // guarded by storeMu
+	requested int // guarded by storeMu
+	refused   int // guarded by storeMu
+}
+
+func (s *busyStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.PartEvents, error) {
+	s.storeMu.Lock()
+	s.requested++
+	if s.watching == s.watchers {
+		s.refused++
+		s.storeMu.Unlock()
+		return cache.PartEvents{}, errRefused
+	}
+	s.watching++
+	held, changed := int64(len(s.segments)), s.changed
+	s.storeMu.Unlock()
+	if held <= since {
+		select {
+		case <-ctx.Done():
+		case <-changed:
+		case <-time.After(wait):
+		}
+	}
+	s.storeMu.Lock()
+	defer s.storeMu.Unlock()
+	s.watching--
+	return cache.PartEvents{Epoch: 1, Next: int64(len(s.segments)), Clock: time.Hour, Changes: s.segments[since:]}, ctx.Err()
+}
+
+func (s *busyStore) Contents(context.Context, string) (cache.PartEvents, error) {
+	s.storeMu.Lock()
+	defer s.storeMu.Unlock()
+	return cache.PartEvents{Epoch: 1, Next: int64(len(s.segments)), Changes: s.segments}, nil
+}
+
+func (s *busyStore) Free(context.Context, string, int64, []cache.PartName) error { return errRefused }
+
+// save adds one segment to the store, and returns how many it holds.
+func (s *busyStore) save() int {
+	s.storeMu.Lock()
+	defer s.storeMu.Unlock()
+	name := cache.PartName{Salt: "v1/m/", ID: fmt.Sprintf("%04d", len(s.segments))}
+	s.segments = append(s.segments, cache.PartChange{PartName: name, Tokens: 1})
+	close(s.changed)
+	s.changed = make(chan struct{})
+	return len(s.segments)
+}
+
+// counts returns how many requests were received and how many of them refused.
+func (s *busyStore) counts() (requested, refused int) {
+	s.storeMu.Lock()
+	defer s.storeMu.Unlock()
+	return s.requested, s.refused
+}
+
+// indexMember is one daemon of a fleet with an index of a store.
+type indexMember struct {
+	name string
+	kept *cache.Kept
+	stop context.CancelFunc
+}
+
+// indexFleet runs a fleet that keeps an index of a store.
+func indexFleet(t *testing.T, store cache.Watcher, info cache.StoreInfo, daemons int) []*indexMember {
+	seeds, listeners := seedsAndListeners(t, daemons)
+	var wg sync.WaitGroup
+	var out []*indexMember
+	t.Cleanup(wg.Wait)
+	for i, seed := range seeds {
+		f := fleet.New(fleet.Options{
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+		})
+		indexes := spread.NewShelves(store, f)
+		m := &indexMember{name: seed.Name, kept: cache.NewKept(indexes, &event.Log{})}
+		indexes.Serve(m.kept)
+		ctx, cancel := context.WithCancel(context.Background())
+		m.stop = cancel
+		t.Cleanup(cancel)
+		wg.Go(func() { f.Run(ctx, listeners[i]) })
+		m.kept.Set(ctx, []cache.StoreInfo{info})
+		out = append(out, m)
+	}
+	return out
+}
+
+// upToDate returns a function that returns how many daemons have the given number of segments in
+// their index, reported by the store recently enough to act on.
+func upToDate(members []*indexMember, address string, segments int) func() int {
+	return func() int {
+		n := 0
+		for _, m := range members {
+			if _, ok := m.kept.Told(address, 0, false, clock.Now()); ok && m.kept.Tokens() == segments {
+				n++
+			}
+		}
+		return n
+	}
+}
+
+// If each of six cells sent requests on its own, a store that admits four watchers would refuse
+// some of them, and there would be no minute in which all daemons have a current index.
+func TestAFleetOfManyCellsNeverExceedsAStoresWatchers(t *testing.T) {
+	const daemons, address = 72, "10.0.0.1:1"
+	g := gomega.NewWithT(t)
+	store := &busyStore{watchers: 4, changed: make(chan struct{})}
+	store.save()
+	members := indexFleet(t, store, cache.StoreInfo{Address: address, Room: 1000, Watchers: store.watchers}, daemons)
+	g.Eventually(upToDate(members, address, 1), shortWait, pollInterval).Should(gomega.Equal(daemons))
+	for range 3 {
+		segments := store.save()
+		g.Eventually(upToDate(members, address, segments), shortWait, pollInterval).Should(gomega.Equal(daemons))
+	}
+	_, refused := store.counts()
+	g.Expect(refused).To(gomega.BeZero())
+}
+
+// Daemons that watch a store may be lost; others of the fleet must take their place.
+func TestAStoreIsWatchedAfterItsWatchersAreLost(t *testing.T) {
+	const daemons, address = 40, "10.0.0.1:1"
+	g := gomega.NewWithT(t)
+	store := &busyStore{watchers: 8, changed: make(chan struct{})}
+	members := indexFleet(t, store, cache.StoreInfo{Address: address, Room: 1000, Watchers: store.watchers}, daemons)
+	segments := store.save()
+	g.Eventually(upToDate(members, address, segments), shortWait, pollInterval).Should(gomega.Equal(daemons))
+	var names []string
+	for _, m := range members {
+		names = append(names, m.name)
+	}
+	lost := fleet.Rank(fleet.Key("shelf/"+address), names)[:2]
+	var rest []*indexMember
+	for _, m := range members {
+		if m.name == lost[0] || m.name == lost[1] {
+			m.stop()
+		} else {
+			rest = append(rest, m)
+		}
+	}
+	segments = store.save()
+	g.Eventually(upToDate(rest, address, segments), shortWait, pollInterval).Should(gomega.Equal(len(rest)))
+	_, refused := store.counts()
+	g.Expect(refused).To(gomega.BeZero())
+}
--- /dev/null
+++ b/core/spread/updates.go
@@ -0,0 +1,117 @@
+package spread
+
+import (
+	"context"
+	"time"
+
+	"embertally.dev/core/fleet"
+	"embertally.dev/core/roster"
+	"embertally.dev/core/wire"
+)
+
+const kindWeightUpdate wire.Kind = "spread.swap"
+
+const (
+	// noticePeers is how many daemons of a cell are notified of a weight update; each notifies its
+	// cell.
+	noticePeers = 2
+	// noticeTimeout bounds the sending of one notice.
+	noticeTimeout = 500 * time.Millisecond
+	// maxRemoteHold bounds how long a worker gets no requests because of another daemon's notice.
+	maxRemoteHold = 2 * time.Second
+)
+
+// Swaps notifies the cell that uses a worker when a weight update of the worker is about to start,
+// while it runs, and when it has completed.
+//
+// Heartbeats reach only the cell of the daemon that gives the order. Without a notice each daemon
+// of the worker's own cell would learn of the update only when the worker refuses a request.
+type Swaps struct {
+	fleet  *fleet.Fleet
+	roster *roster.Roster
+	// Divided, if set, reports whether the targets of a service are sharded between the cells. It
+	// is set before use.
+	Divided func(service string) bool
+}
+
+// NewSwaps returns a Swaps. It must be called before the fleet runs.
+func NewSwaps(f *fleet.Fleet, r *roster.Roster) *Swaps {
+	s := &Swaps{fleet: f, roster: r}
+	f.Mux().Register(kindWeightUpdate, wire.Handle(s.handleNotice))
+	return s
+}
+
+// updateNotice notifies another cell of a weight update.
+type updateNotice struct {
+	//lint:ignore U1000 read by the codec: frames are arrays
+	_msgpack struct{} `msgpack:",as_array"`
+	Target   string
+	Model    string
+	// Version is the version that the worker has now; 0 until the update has completed.
+	Version int64
+	// Remaining is for how much longer the worker is to get no requests, until the update has
+	// completed.
+	Remaining time.Duration
+}
+
+// Began notifies the worker's cell that a weight update is about to start or still runs, and takes
+// about the time remaining.
+func (s *Swaps) Began(t *roster.Target, model string, remaining time.Duration) {
+	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Remaining: remaining})
+}
+
+// Ended notifies the worker's cell that the worker has a version of the weights.
+func (s *Swaps) Ended(t *roster.Target, model string, version int64) {
+	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Version: version})
+}
+
+// notify sends a notice to the worker's cell, if that is not this daemon's.
+func (s *Swaps) notify(t *roster.Target, n *updateNotice) {
+	view := s.fleet.View()
+	cell := s.cellOf(view, t)
+	if cell == view.Cell() {
+		return
+	}
+	for _, peer := range view.Homes(cell, fleet.Key(t.ID()), noticePeers) {
+		go noticeSender{s.fleet, peer, n}.run()
+	}
+}
+
+// cellOf returns the cell that uses a worker.
+func (s *Swaps) cellOf(view *fleet.View, t *roster.Target) int {
+	e := t.Entry()
+	if s.Divided != nil && s.Divided(e.Service) {
+		return view.TargetCell(e.Name, e.Domain)
+	}
+	var names []string
+	for _, other := range s.roster.Of(e.Service) {
+		names = append(names, other.ID())
+	}
+	return view.SharedBy(names, t.ID())
+}
+
+// noticeSender sends one notice to one peer.
+type noticeSender struct {
+	fleet  *fleet.Fleet
+	peer   string
+	notice *updateNotice
+}
+
+func (s noticeSender) run() {
+	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
+	defer cancel()
+	// A daemon that misses the notice is refused by the worker, as it would be without one.
+	_ = s.fleet.Notify(ctx, s.peer, kindWeightUpdate, s.notice)
+}
+
+// handleNotice records a notice, which this daemon's heartbeats pass on to its cell.
+func (s *Swaps) handleNotice(_ context.Context, _ string, n *updateNotice) (struct{}, error) {
+	if n.Version > 0 {
+		s.roster.Learn(n.Target, n.Model, n.Version)
+		s.roster.Done(n.Target)
+	} else {
+		s.roster.Order(n.Target, time.Now().Add(min(max(0, n.Remaining), maxRemoteHold)))
+	}
+	s.fleet.Kick()
+	return struct{}{}, nil
+}
