--- a/core/relay/admit.go
+++ b/core/relay/admit.go
@@ -18,72 +18,72 @@
 const (
 	// soonest is the least time after which a refused caller is told to come back,
 	// about the time of a new connection and a decision.
-	soonest = 100 * time.Millisecond
+	minRetryAfter = 100 * time.Millisecond
 	// comeBackShare is the part of the time that is left within which callers are
 	// told to come back: the users' callers wait no longer than a third.
-	comeBackShare = 0.33
+	maxRetryAfterShare = 0.33
 	// comeBackSpread is by which part the time is drawn shorter or longer, so that
 	// callers do not come back together.
-	comeBackSpread = 0.25
+	retryAfterJitter = 0.25
 	// maxBody bounds a body where the configuration does not.
-	maxBody = 4 << 20
+	defaultMaxBodyBytes = 4 << 20
 	// defaultLimit bounds a request that has neither a deadline nor a time
 	// limit.
-	defaultLimit = 30 * time.Second
+	defaultTimeout = 30 * time.Second
 )
 
 // comeBack returns when a refused caller is to come back, where what it is refused
 // for is expected to last for some more time.
-func (p *pass) comeBack(lasts time.Duration) time.Duration {
-	spread := 1 + comeBackSpread*(2*rand.Float64()-1)
-	after := time.Duration(float64(max(lasts, soonest)) * spread)
-	if p.until.IsZero() {
-		p.until = p.began.Add(defaultLimit)
-		if p.ask.Deadline > 0 {
-			p.until = p.began.Add(p.ask.Deadline)
+func (p *proxiedRequest) retryAfter(lasts time.Duration) time.Duration {
+	spread := 1 + retryAfterJitter*(2*rand.Float64()-1)
+	after := time.Duration(float64(max(lasts, minRetryAfter)) * spread)
+	if p.deadline.IsZero() {
+		p.deadline = p.start.Add(defaultTimeout)
+		if p.meta.Deadline > 0 {
+			p.deadline = p.start.Add(p.meta.Deadline)
 		}
 	}
-	left := time.Duration(comeBackShare * float64(time.Until(p.until)))
+	left := time.Duration(maxRetryAfterShare * float64(time.Until(p.deadline)))
 	return max(min(after, left), time.Millisecond)
 }
 
 // admit reads the request and finds its route and organisation.
-func (p *pass) admit() *entry.Refusal {
-	ask, err := p.relay.o.Dialect.Ask(p.r.Header)
-	p.ask = ask
+func (p *proxiedRequest) admit() *entry.Refusal {
+	ask, err := p.relay.options.Dialect.Ask(p.r.Header)
+	p.meta = ask
 	if err != nil {
 		return entry.NewRefusal(http.StatusBadRequest, entry.CodeBadRequest, entry.NotRun, err.Error(), 0)
 	}
 	t := p.relay.Table()
 	p.table = t
-	if p.relay.closed.Load() {
+	if p.relay.refusing.Load() {
 		// Other daemons serve.
-		return p.notNow(entry.CodeNotReady, "the daemon is about to stop", soonest)
+		return p.refuseFor(entry.CodeNotReady, "the daemon is about to stop", minRetryAfter)
 	}
 	if t == nil {
-		return p.notNow(entry.CodeNotReady, "the daemon knows no configuration yet", p.relay.unready())
+		return p.refuseFor(entry.CodeNotReady, "the daemon knows no configuration yet", p.relay.notReadyFor())
 	}
-	if lasts := p.relay.lacks(); lasts > 0 {
-		return p.notNow(entry.CodeNotReady, "a newer configuration has not arrived", lasts)
+	if lasts := p.relay.configOverdue(); lasts > 0 {
+		return p.refuseFor(entry.CodeNotReady, "a newer configuration has not arrived", lasts)
 	}
 	path, _, _ := strings.Cut(p.r.RequestURI, "?")
 	if p.route = t.Match(p.r.Host, path); p.route == nil {
-		return p.unknown(http.StatusNotFound, entry.CodeNotFound, "there is no route for this host and path")
+		return p.refuseUnknown(http.StatusNotFound, entry.CodeNotFound, "there is no route for this host and path")
 	}
 	p.organisation = t.Organisation(ask.Key)
 	if p.organisation == nil && t.Keyed() && !p.route.Public {
-		return p.unknown(http.StatusUnauthorized, entry.CodeBadKey, "the key is not known")
+		return p.refuseUnknown(http.StatusUnauthorized, entry.CodeBadKey, "the key is not known")
 	}
 	p.regions = regionsOf(p.route, p.organisation)
-	p.limit()
-	return p.read(t.Limits())
+	p.setDeadline()
+	return p.readBody(t.Limits())
 }
 
 // unknown refuses for what the configuration does not hold. A daemon that may
 // have missed a change does not know that, and says so.
-func (p *pass) unknown(status int, code entry.Code, text string) *entry.Refusal {
-	if !p.relay.o.Current() {
-		return p.notNow(entry.CodeNotReady, "the daemon does not know whether its configuration is current: "+text, p.relay.o.Age())
+func (p *proxiedRequest) refuseUnknown(status int, code entry.Code, text string) *entry.Refusal {
+	if !p.relay.options.Current() {
+		return p.refuseFor(entry.CodeNotReady, "the daemon does not know whether its configuration is current: "+text, p.relay.options.Age())
 	}
 	return entry.NewRefusal(status, code, entry.NotRun, text, 0)
 }
@@ -91,33 +91,33 @@
 // notNow refuses a request that has not run. lasts is for how long the cause is
 // expected to last: one that has lasted for a while, and of which nothing else is
 // known, for as long again.
-func (p *pass) notNow(code entry.Code, text string, lasts time.Duration) *entry.Refusal {
-	return entry.NewRefusal(http.StatusServiceUnavailable, code, entry.NotRun, text, p.comeBack(lasts))
+func (p *proxiedRequest) refuseFor(code entry.Code, text string, lasts time.Duration) *entry.Refusal {
+	return entry.NewRefusal(http.StatusServiceUnavailable, code, entry.NotRun, text, p.retryAfter(lasts))
 }
 
 // notBefore refuses a request that has not run and will be refused until a time that is known. That time
 // is told whole, also where the caller may not have it: one that comes back sooner is refused again. Callers
 // are spread over the time after it, not around it.
-func (p *pass) notBefore(code entry.Code, text string, ends time.Duration) *entry.Refusal {
-	after := time.Duration(float64(max(ends, soonest)) * (1 + comeBackSpread*rand.Float64()))
+func (p *proxiedRequest) refuseUntil(code entry.Code, text string, ends time.Duration) *entry.Refusal {
+	after := time.Duration(float64(max(ends, minRetryAfter)) * (1 + retryAfterJitter*rand.Float64()))
 	return entry.NewRefusal(http.StatusServiceUnavailable, code, entry.NotRun, text, after)
 }
 
 // limit works out until when the request may be held.
-func (p *pass) limit() {
-	left := defaultLimit
-	if p.ask.Deadline > 0 {
-		left = p.ask.Deadline
+func (p *proxiedRequest) setDeadline() {
+	left := defaultTimeout
+	if p.meta.Deadline > 0 {
+		left = p.meta.Deadline
 	}
 	if p.route.Timeout > 0 {
 		left = min(left, p.route.Timeout)
 	}
-	p.until = p.began.Add(left)
+	p.deadline = p.start.Add(left)
 }
 
 // read takes the whole body, so that it can be sent again.
-func (p *pass) read(l table.Limits) *entry.Refusal {
-	most := int64(maxBody)
+func (p *proxiedRequest) readBody(l table.Limits) *entry.Refusal {
+	most := int64(defaultMaxBodyBytes)
 	if l.BodyBytes > 0 {
 		most = l.BodyBytes
 	}
@@ -137,9 +137,9 @@
 		// The request was not read whole, so it cannot have run.
 		return entry.NewRefusal(http.StatusBadRequest, entry.CodeBadRequest, entry.NotRun, "the body broke off: "+err.Error(), 0)
 	}
-	p.body, p.size = body, len(body)
-	p.asks = p.fingerprint()
-	return p.blocked()
+	p.body, p.bodyBytes = body, len(body)
+	p.digest = p.requestDigest()
+	return p.refuseBlocked()
 }
 
 // blocked refuses a request under which too many runs of targets ended, and returns nil for
@@ -147,17 +147,17 @@
 // nothing but the answer; each time that such a request is sent costs a target and all that
 // runs there. The status is that of a refusal that may be repeated, since nothing is wrong
 // with what was asked.
-func (p *pass) blocked() *entry.Refusal {
-	left, on := p.relay.o.Poison.Blocked(p.asks)
+func (p *proxiedRequest) refuseBlocked() *entry.Refusal {
+	left, on := p.relay.options.Poison.Blocked(p.digest)
 	if !on {
 		return nil
 	}
-	p.relay.o.Stats.Blocked.Inc()
-	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeEndsTargets, entry.NotRun, endsTargets, left)
+	p.relay.options.Stats.Blocked.Inc()
+	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeEndsTargets, entry.NotRun, crashesTargets, left)
 }
 
 // fingerprint names what the request asks.
-func (p *pass) fingerprint() poison.Fingerprint {
+func (p *proxiedRequest) requestDigest() poison.Fingerprint {
 	return poison.Of(&poison.Request{Organisation: p.organisationName(), Method: p.r.Method, Host: p.r.Host, URI: p.r.RequestURI, Body: p.body})
 }
 
--- a/core/relay/awake_test.go
+++ b/core/relay/awake_test.go
@@ -19,19 +19,19 @@
 	r := newRig(t, nil)
 	suspended := func(*bufio.Writer, *http.Request) error {
 		clock.Suspend(slept)
-		return hangsUp(nil, nil)
+		return hangUp(nil, nil)
 	}
 	for _, id := range []string{"a", "b"} {
 		r.target(id, "plain", func(int) handler {
-			if len(r.sends()) == 1 {
+			if len(r.received()) == 1 {
 				return suspended
 			}
-			return answers(200, "ok")
+			return respond(200, "ok")
 		})
 	}
 	g := r.ask(http.MethodPost, "/again/", "x", "Deadline", "1800")
 	r.g.Expect(g.status).To(gomega.Equal(200))
-	sends := r.sends()
+	sends := r.received()
 	r.g.Expect(sends).To(gomega.HaveLen(2))
 	first, _ := strconv.Atoi(sends[0].header.Get("Deadline"))
 	second, _ := strconv.Atoi(sends[1].header.Get("Deadline"))
--- a/core/relay/cold.go
+++ b/core/relay/cold.go
@@ -10,15 +10,15 @@
 )
 
 // colds counts what this daemon sends to cold targets. The zero value has sent nothing.
-type colds struct {
-	coldMu sync.Mutex
-	paces  map[string]*route.Pace // by target; guarded by coldMu
+type warmUpLimiter struct {
+	limiterMu sync.Mutex
+	paces     map[string]*route.Pace // by target; guarded by coldMu
 }
 
 // may reports whether a target may get one more of a share, and with take counts it.
-func (c *colds) may(id string, share int, take bool, now time.Time) bool {
-	c.coldMu.Lock()
-	defer c.coldMu.Unlock()
+func (c *warmUpLimiter) allow(id string, share int, take bool, now time.Time) bool {
+	c.limiterMu.Lock()
+	defer c.limiterMu.Unlock()
 	pace := c.paces[id]
 	if pace == nil {
 		pace = &route.Pace{}
@@ -27,7 +27,7 @@
 		return false
 	}
 	if take {
-		c.keep(id, pace, now)
+		c.add(id, pace, now)
 		pace.Sent(now)
 	}
 	return true
@@ -35,7 +35,7 @@
 
 // keep remembers a target's pace and forgets those of others that were sent nothing
 // lately. It is called with coldMu held.
-func (c *colds) keep(id string, pace *route.Pace, now time.Time) {
+func (c *warmUpLimiter) add(id string, pace *route.Pace, now time.Time) {
 	if c.paces[id] == pace {
 		return
 	}
@@ -52,32 +52,32 @@
 
 // coldMay reports whether a target may get a request, however cold it is, and with take
 // counts it. Only daemons that share the target may send to it while it is cold.
-func (rl *Relay) coldMay(svc *table.Service, t *roster.Target, shared, take bool, now time.Time) bool {
-	if svc.Cold.PerSecond <= 0 || !rl.o.Roster.Cold(t, svc.Cold.Start, now) {
+func (rl *Relay) warmUpAllows(svc *table.Service, t *roster.Target, shared, take bool, now time.Time) bool {
+	if svc.Cold.PerSecond <= 0 || !rl.options.Roster.Cold(t, svc.Cold.Start, now) {
 		return true
 	}
 	if !shared {
 		return false
 	}
-	place, of := rl.o.Place(t.ID(), svc.Engine != nil)
-	most := svc.Cold.PerSecond*rl.o.ColdOver + rl.o.ColdExtra
-	return rl.colds.may(t.ID(), route.ColdShare(most, of, place), take, now)
+	place, of := rl.options.Place(t.ID(), svc.Engine != nil)
+	most := svc.Cold.PerSecond*rl.options.ColdOver + rl.options.ColdExtra
+	return rl.warmUp.allow(t.ID(), route.ColdShare(most, of, place), take, now)
 }
 
 // spend takes a choice out of what a cold target and one with a limit may get. It reports whether it
 // may be sent: another request may have taken the last place meanwhile.
-func (p *pass) spend(c *choice, now time.Time) bool {
-	if c.order != nil {
+func (p *proxiedRequest) acquire(c *choice, now time.Time) bool {
+	if c.report != nil {
 		// The daemon that chose has done so.
 		return true
 	}
-	if !p.relay.coldMay(p.table.Service(p.service), c.target, true, true, now) {
+	if !p.relay.warmUpAllows(p.table.Service(p.service), c.target, true, true, now) {
 		return false
 	}
-	if c.token.Far {
+	if c.permit.Far {
 		return true
 	}
-	token, may := p.relay.o.Roster.Take(c.target)
-	c.token = token
+	token, may := p.relay.options.Roster.Take(c.target)
+	c.permit = token
 	return may
 }
--- a/core/relay/cold_test.go
+++ b/core/relay/cold_test.go
@@ -14,7 +14,7 @@
 
 // coldRig has a cold and a warm worker, and a cold plain target alone. A cold target
 // bears four requests a second.
-func coldRig(t *testing.T) *rig {
+func warmUpRig(t *testing.T) *rig {
 	r := newRig(t, nil)
 	old := r.relay.Table()
 	spec := table.Spec{Version: old.Version() + 1, Routes: testRoutes, Organisations: []table.Organisation{{Name: "org", Keys: []string{"secret"}}}}
@@ -28,14 +28,14 @@
 }
 
 // cool makes a target cold for a minute.
-func (r *rig) cool(id string) {
+func (r *rig) warmUp(id string) {
 	e := *r.roster.Target(id).Entry()
 	e.Cold = time.Minute
 	r.roster.Put(e)
 }
 
 // askAll sends n requests at once and counts the answers by status.
-func (r *rig) askAll(n int, path string, headers ...string) map[int]int {
+func (r *rig) countStatuses(n int, path string, headers ...string) map[int]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	out := map[int]int{}
@@ -51,9 +51,9 @@
 	return out
 }
 
-func (r *rig) sendsTo(id string) int {
+func (r *rig) receivedBy(id string) int {
 	n := 0
-	for _, s := range r.sends() {
+	for _, s := range r.received() {
 		if s.target == id {
 			n++
 		}
@@ -62,31 +62,31 @@
 }
 
 func TestAColdWorkerGetsItsShareAndTheOthersTheRest(t *testing.T) {
-	r := coldRig(t)
-	r.target("cold", "llm", always(streams(true, "id: 1\ndata: x\n\n")))
-	r.target("warm", "llm", always(streams(true, "id: 1\ndata: x\n\n")))
-	r.cool("cold")
-	got := r.askAll(10, "/stream/x", "Model", "m", "Parts", "a:10 b:10")
+	r := warmUpRig(t)
+	r.target("cold", "llm", always(stream(true, "id: 1\ndata: x\n\n")))
+	r.target("warm", "llm", always(stream(true, "id: 1\ndata: x\n\n")))
+	r.warmUp("cold")
+	got := r.countStatuses(10, "/stream/x", "Model", "m", "Parts", "a:10 b:10")
 	r.g.Expect(got).To(gomega.Equal(map[int]int{200: 10}))
-	r.g.Expect(r.sendsTo("cold")).To(gomega.BeNumerically("<=", 2), "half of what it bears: daemons may not agree who there is")
+	r.g.Expect(r.receivedBy("cold")).To(gomega.BeNumerically("<=", 2), "half of what it bears: daemons may not agree who there is")
 }
 
 func TestAPlainTargetThatIsColdAndAloneIsNotOverrun(t *testing.T) {
-	r := coldRig(t)
-	r.target("cold", "plain", always(answers(200, "x")))
-	r.cool("cold")
-	got := r.askAll(12, "/short/x", "Deadline", "100")
-	r.g.Expect(r.sendsTo("cold")).To(gomega.Equal(2))
+	r := warmUpRig(t)
+	r.target("cold", "plain", always(respond(200, "x")))
+	r.warmUp("cold")
+	got := r.countStatuses(12, "/short/x", "Deadline", "100")
+	r.g.Expect(r.receivedBy("cold")).To(gomega.Equal(2))
 	r.g.Expect(got).To(gomega.Equal(map[int]int{200: 2, 503: 10}))
 }
 
 func TestWhoIsNotAmongTheFirstSendsAColdTargetNothing(t *testing.T) {
-	r := coldRig(t)
-	r.relay.o.Place = func(string, bool) (int, int) { return 2, 79 }
-	r.target("cold", "plain", always(answers(200, "x")))
-	r.cool("cold")
+	r := warmUpRig(t)
+	r.relay.options.Place = func(string, bool) (int, int) { return 2, 79 }
+	r.target("cold", "plain", always(respond(200, "x")))
+	r.warmUp("cold")
 	r.g.Expect(r.ask("POST", "/short/x", "b", "Deadline", "100").status).To(gomega.Equal(503))
-	r.g.Expect(r.sendsTo("cold")).To(gomega.BeZero())
+	r.g.Expect(r.receivedBy("cold")).To(gomega.BeZero())
 }
 
 func TestNothingIsSentToAnEvacuatedDomain(t *testing.T) {
@@ -106,7 +106,7 @@
 			r := newRig(t, nil)
 			for i := 1; i <= 2; i++ {
 				id := fmt.Sprintf("w%d", i)
-				r.target(id, "llm", always(streams(true, "id: 1\ndata: x\n\n")))
+				r.target(id, "llm", always(stream(true, "id: 1\ndata: x\n\n")))
 				e := *r.roster.Target(id).Entry()
 				e.Domain = fmt.Sprintf("d%d", i)
 				r.roster.Put(e)
@@ -118,10 +118,10 @@
 			got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 			r.g.Expect(got.status).To(gomega.Equal(tc.want))
 			if tc.to != "" {
-				r.g.Expect(r.sendsTo(tc.to)).To(gomega.Equal(1))
+				r.g.Expect(r.receivedBy(tc.to)).To(gomega.Equal(1))
 			}
 			if tc.want == 503 {
-				r.g.Expect(r.sends()).To(gomega.BeEmpty())
+				r.g.Expect(r.received()).To(gomega.BeEmpty())
 				after, err := time.ParseDuration(got.header.Get("Come-Back"))
 				r.g.Expect(err).NotTo(gomega.HaveOccurred())
 				r.g.Expect(after).To(gomega.BeNumerically(">", 500*time.Millisecond), "it has lasted for a second")
@@ -133,9 +133,9 @@
 // A stream that breaks when its domain is evacuated goes on elsewhere.
 func TestASecondTryAvoidsAnEvacuatedDomain(t *testing.T) {
 	r := newRig(t, nil)
-	breaks := streams(false, "id: 1\ndata: x\n\n")
+	breaks := stream(false, "id: 1\ndata: x\n\n")
 	for id, domain := range map[string]string{"w1": "d1", "w2": "d1", "w3": "d2"} {
-		r.target(id, "llm", always(streams(true, "id: 2\ndata: y\n\n")))
+		r.target(id, "llm", always(stream(true, "id: 2\ndata: y\n\n")))
 		e := *r.roster.Target(id).Entry()
 		e.Domain = domain
 		r.roster.Put(e)
@@ -155,6 +155,6 @@
 	got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 	r.g.Expect(got.status).To(gomega.Equal(200))
 	r.g.Expect(got.body).To(gomega.ContainSubstring("id: 2"))
-	r.g.Expect(r.sendsTo("w0")).To(gomega.Equal(1))
-	r.g.Expect(r.sendsTo("w3")).To(gomega.Equal(1))
+	r.g.Expect(r.receivedBy("w0")).To(gomega.Equal(1))
+	r.g.Expect(r.receivedBy("w3")).To(gomega.Equal(1))
 }
--- a/core/relay/divided_test.go
+++ b/core/relay/divided_test.go
@@ -11,13 +11,13 @@
 )
 
 // divide makes each daemon hold the workers of its own cell only, all but those that gone names.
-func (h *homesRig) divide(gone func(cell int) bool) {
-	for i, f := range h.fleet {
+func (h *fleetRig) shard(gone func(cell int) bool) {
+	for i, f := range h.fleets {
 		r, view := h.rigs[i], f.View()
-		r.relay.o.Divided = func(string) bool { return true }
-		r.relay.o.Uses = func(string, string) bool { return true }
-		r.relay.o.CellDaemons = func() int { return f.View().CellSize() }
-		for _, id := range h.ids {
+		r.relay.options.Divided = func(string) bool { return true }
+		r.relay.options.Uses = func(string, string) bool { return true }
+		r.relay.options.CellDaemons = func() int { return f.View().CellSize() }
+		for _, id := range h.workers {
 			if cell := view.TargetCell(id, ""); cell != view.Cell() || gone(cell) {
 				r.roster.Drop(id)
 			}
@@ -29,27 +29,27 @@
 // is kept.
 func TestPromptsOfDividedWorkersAreServedAtHome(t *testing.T) {
 	const daemons = 24
-	h := newHomesRig(t, daemons, 12, always(streams(true, "id: 1\ndata: a\n\n")))
-	h.divide(func(int) bool { return false })
+	h := newFleetRig(t, daemons, 12, always(stream(true, "id: 1\ndata: a\n\n")))
+	h.shard(func(int) bool { return false })
 	const context = "c1"
-	home := h.fleet[0].View().KeyCell(fleet.Key(context))
+	home := h.fleets[0].View().KeyCell(fleet.Key(context))
 	for i := range daemons {
 		got := h.ask(i, context)
 		h.g.Expect(got.status).To(gomega.Equal(http.StatusOK), "daemon %d: %s", i, got.body)
-		h.settle()
+		h.waitIdle()
 	}
-	for _, s := range h.rigs[0].sends() {
-		h.g.Expect(h.fleet[0].View().TargetCell(s.target, "")).To(gomega.Equal(home))
+	for _, s := range h.rigs[0].received() {
+		h.g.Expect(h.fleets[0].View().TargetCell(s.target, "")).To(gomega.Equal(home))
 	}
 }
 
 // A cell that has none of a service's targets left uses others.
 func TestACellWithoutTargetsAsksOthers(t *testing.T) {
 	const daemons = 24
-	h := newHomesRig(t, daemons, 12, always(streams(true, "id: 1\ndata: a\n\n")))
-	lost := h.fleet[0].View().Cell()
-	h.divide(func(cell int) bool { return cell == lost })
-	for i, f := range h.fleet {
+	h := newFleetRig(t, daemons, 12, always(stream(true, "id: 1\ndata: a\n\n")))
+	lost := h.fleets[0].View().Cell()
+	h.shard(func(cell int) bool { return cell == lost })
+	for i, f := range h.fleets {
 		if f.View().Cell() != lost {
 			continue
 		}
@@ -67,18 +67,18 @@
 		want    bool
 	}{
 		{"fresh", 100 * time.Millisecond, true, true},
-		{"old", guestAge + time.Millisecond, true, false},
+		{"old", maxExternalListAge + time.Millisecond, true, false},
 		{"of a service that is not divided", 0, false, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.homes = &Homes{relay: r.relay, fleet: fleet.New(fleet.Options{Name: "me", Log: r.log})}
-			r.relay.o.Divided = func(string) bool { return tc.divided }
-			r.relay.o.CellDaemons = func() int { return 1 }
-			p := &pass{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}}
-			answer := &placeAnswer{Target: "w9@1", Weights: 1, Age: tc.age, Entry: placeEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4}}
-			c := p.orderOf(r.relay.Table().Service("llm"), "peer", &placeAsk{}, answer)
+			r.relay.owners = &Homes{relay: r.relay, fleet: fleet.New(fleet.Options{Name: "me", Log: r.log})}
+			r.relay.options.Divided = func(string) bool { return tc.divided }
+			r.relay.options.CellDaemons = func() int { return 1 }
+			p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}}
+			answer := &placementResponse{Target: "w9@1", WeightVersion: 1, ListAge: tc.age, Entry: placementEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4}}
+			c := p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, answer)
 			r.g.Expect(c != nil).To(gomega.Equal(tc.want))
 		})
 	}
--- a/core/relay/end.go
+++ b/core/relay/end.go
@@ -11,55 +11,55 @@
 )
 
 // end gives the final answer where there is none yet, and writes the log line.
-func (p *pass) end(r *entry.Refusal) {
-	st := p.relay.o.Stats
-	took := time.Since(p.began)
+func (p *proxiedRequest) finish(r *entry.Refusal) {
+	st := p.relay.options.Stats
+	took := time.Since(p.start)
 	switch {
-	case gone(p.r.Context()):
-		st.Gone.Inc()
-		p.log(event.CallerGone, took)
+	case callerGone(p.r.Context()):
+		st.CallersGone.Inc()
+		p.writeLog(event.CallerGone, took)
 	case r != nil:
 		if r.Ran == entry.NotRun {
 			st.Refused.Inc()
 		} else {
 			st.Failed.Inc()
 		}
-		p.relay.o.Dialect.Refusal(p.w.Header(), p.ask.ID, r.RetryAfter)
+		p.relay.options.Dialect.Refusal(p.w.Header(), p.meta.ID, r.RetryAfter)
 		p.note("%s", r.Error())
-		if err := r.Write(p.w, p.ask.ID); err != nil {
+		if err := r.Write(p.w, p.meta.ID); err != nil {
 			p.note("the caller has gone: %v", err)
 		}
-		p.log(event.RequestRefused, took)
+		p.writeLog(event.RequestRefused, took)
 	case p.aborted:
-		st.Cut.Inc()
-		p.log(event.StreamBroken, took)
+		st.AnswersCut.Inc()
+		p.writeLog(event.StreamBroken, took)
 		// The connection is reset, so that the answer does not look whole.
 		panic(http.ErrAbortHandler)
 	default:
 		st.Done.Inc()
-		st.Whole.Update(took.Seconds())
-		p.log(event.RequestDone, took)
+		st.TotalSeconds.Update(took.Seconds())
+		p.writeLog(event.RequestDone, took)
 	}
 }
 
 // note records a decision for the log line.
-func (p *pass) note(format string, args ...any) {
+func (p *proxiedRequest) note(format string, args ...any) {
 	p.notes = append(p.notes, fmt.Sprintf(format, args...))
 }
 
 // noteWords records which targets a choice passed over by what they said.
-func (p *pass) noteWords() {
-	if len(p.words) > 0 {
-		p.note("passed over: %s", strings.Join(p.words, ", "))
-		p.words = nil
+func (p *proxiedRequest) noteSkipped() {
+	if len(p.skipped) > 0 {
+		p.note("passed over: %s", strings.Join(p.skipped, ", "))
+		p.skipped = nil
 	}
 }
 
 // ref returns what the log lines of the request refer to.
-func (p *pass) ref() event.Ref {
-	ref := event.Ref{Request: p.ask.ID}
-	if p.last != nil {
-		ref.Target = p.last.ID()
+func (p *proxiedRequest) ref() event.Ref {
+	ref := event.Ref{Request: p.meta.ID}
+	if p.lastTarget != nil {
+		ref.Target = p.lastTarget.ID()
 	}
 	if p.organisation != nil {
 		ref.Organisation = p.organisation.Name
@@ -71,30 +71,30 @@
 }
 
 // log writes the log line of a request that took so long.
-func (p *pass) log(code event.Code, took time.Duration) {
+func (p *proxiedRequest) writeLog(code event.Code, took time.Duration) {
 	first := ""
-	if !p.first.IsZero() {
-		first = " first " + p.first.Sub(p.began).Round(time.Millisecond).String()
+	if !p.firstAt.IsZero() {
+		first = " first " + p.firstAt.Sub(p.start).Round(time.Millisecond).String()
 	}
 	var version int64
 	if p.table != nil {
 		version = p.table.Version()
 	}
 	text := fmt.Sprintf("took %s%s, asks %s, configuration %d known %s ago, sends %d, runs %d; %s",
-		took.Round(time.Millisecond), first, p.asks, version, p.relay.o.Age().Round(10*time.Millisecond), p.sends, p.runs, strings.Join(p.notes, "; "))
+		took.Round(time.Millisecond), first, p.digest, version, p.relay.options.Age().Round(10*time.Millisecond), p.attempts, p.executions, strings.Join(p.notes, "; "))
 	if p.forecast != nil {
-		p.forecast.Sends = p.sends
+		p.forecast.Sends = p.attempts
 	}
-	p.relay.o.Log.EmitForecast(code, p.ref(), text, p.forecast)
+	p.relay.options.Log.EmitForecast(code, p.ref(), text, p.forecast)
 }
 
 // expect records what is expected of the first send.
-func (p *pass) expect(c *choice) {
+func (p *proxiedRequest) recordForecast(c *choice) {
 	if p.forecast != nil {
 		return
 	}
 	p.forecast = &event.Forecast{
-		Service: p.service, Target: c.target.ID(), ExpectedMillis: event.Millis(c.judged.Expected),
-		InTime: c.judged.InTime, Served: c.judged.Served, AimMillis: event.Millis(p.route.Aim - time.Since(p.began)),
+		Service: p.service, Target: c.target.ID(), ExpectedMillis: event.Millis(c.judgement.Expected),
+		InTime: c.judgement.InTime, Served: c.judgement.Served, AimMillis: event.Millis(p.route.Aim - time.Since(p.start)),
 	}
 }
--- a/core/relay/hear_test.go
+++ b/core/relay/hear_test.go
@@ -15,7 +15,7 @@
 )
 
 // says answers with a head of its own and no body.
-func says(status int, head string) handler {
+func respondHead(status int, head string) handler {
 	return func(w *bufio.Writer, _ *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 %d X\r\nSeal: s\r\nContent-Length: 0\r\n%s\r\n", status, head)
 		return nil
@@ -23,7 +23,7 @@
 }
 
 // leaves reports whether a target is taken to leave.
-func (r *rig) leaves(id string) bool {
+func (r *rig) shuttingDown(id string) bool {
 	_, leaves := r.roster.Leaving(r.roster.Target(id))
 	return leaves
 }
@@ -35,10 +35,10 @@
 		answer     handler
 		want       bool
 	}{
-		{"a whole answer", "/once/", says(200, "Id: try-1\r\nLeaves: 1\r\n"), true},
-		{"a failure", "/once/", says(500, "Id: try-1\r\nLeaves: 1\r\n"), true},
-		{"a refusal", "/once/", says(503, "Id: try-1\r\nNot-Run: 1\r\nLeaves: 1\r\n"), true},
-		{"a refusal without ID", "/once/", says(503, "Not-Run: 1\r\nLeaves: 1\r\n"), true},
+		{"a whole answer", "/once/", respondHead(200, "Id: try-1\r\nLeaves: 1\r\n"), true},
+		{"a failure", "/once/", respondHead(500, "Id: try-1\r\nLeaves: 1\r\n"), true},
+		{"a refusal", "/once/", respondHead(503, "Id: try-1\r\nNot-Run: 1\r\nLeaves: 1\r\n"), true},
+		{"a refusal without ID", "/once/", respondHead(503, "Not-Run: 1\r\nLeaves: 1\r\n"), true},
 		{"an answer without a signature", "/again/", func(w *bufio.Writer, _ *http.Request) error {
 			fmt.Fprint(w, "HTTP/1.1 200 X\r\nId: try-1\r\nLeaves: 1\r\nContent-Length: 0\r\n\r\n")
 			return nil
@@ -47,16 +47,16 @@
 			fmt.Fprint(w, "HTTP/1.1 200 X\r\nId: try-1\r\nSeal: s\r\nLeaves: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 			return nil
 		}, true},
-		{"an answer to another request", "/once/", says(200, "Id: try-9\r\nLeaves: 1\r\n"), false},
-		{"an answer without ID", "/once/", says(200, "Leaves: 1\r\n"), false},
-		{"another target at the address", "/once/", says(421, "Run: other\r\nLeaves: 1\r\n"), false},
-		{"some target at the address", "/once/", says(421, "Leaves: 1\r\n"), false},
-		{"the target itself, of other weights", "/stream/", says(421, "Run: a\r\nLeaves: 1\r\n"), true},
+		{"an answer to another request", "/once/", respondHead(200, "Id: try-9\r\nLeaves: 1\r\n"), false},
+		{"an answer without ID", "/once/", respondHead(200, "Leaves: 1\r\n"), false},
+		{"another target at the address", "/once/", respondHead(421, "Run: other\r\nLeaves: 1\r\n"), false},
+		{"some target at the address", "/once/", respondHead(421, "Leaves: 1\r\n"), false},
+		{"the target itself, of other weights", "/stream/", respondHead(421, "Run: a\r\nLeaves: 1\r\n"), true},
 		{"no answer in the protocol", "/once/", func(w *bufio.Writer, _ *http.Request) error {
 			fmt.Fprint(w, "Leaves: 1\r\n\r\n")
 			return http.ErrAbortHandler
 		}, false},
-		{"one that says nothing", "/once/", says(200, "Id: try-1\r\n"), false},
+		{"one that says nothing", "/once/", respondHead(200, "Id: try-1\r\n"), false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 			}
 			r.target("a", service, always(tc.answer))
 			r.ask(http.MethodPost, tc.path, "x", "Model", "m", "Parts", "p:100")
-			r.g.Expect(r.leaves("a")).To(gomega.Equal(tc.want))
+			r.g.Expect(r.shuttingDown("a")).To(gomega.Equal(tc.want))
 		})
 	}
 }
@@ -80,25 +80,25 @@
 	r.target("a", "plain", always(func(w *bufio.Writer, req *http.Request) error {
 		arrived <- struct{}{}
 		<-release
-		return says(200, "Id: try-1\r\nLeaves: 1\r\n")(w, req)
+		return respondHead(200, "Id: try-1\r\nLeaves: 1\r\n")(w, req)
 	}))
-	r.relay.o.Pool.SetMost(r.roster.Target("a").Entry().Address, 1)
-	first := make(chan got)
+	r.relay.options.Pool.SetMost(r.roster.Target("a").Entry().Address, 1)
+	first := make(chan callerAnswer)
 	go func() { first <- r.ask(http.MethodPost, "/once/", "x") }()
 	<-arrived
 	// It is chosen before the word comes, as by a race for the last connection.
-	p := &pass{relay: r.relay, began: time.Now(), until: time.Now().Add(time.Second), tried: map[string]int{}}
+	p := &proxiedRequest{relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second), tried: map[string]int{}}
 	p.r, _ = http.NewRequest(http.MethodPost, "/once/", http.NoBody)
 	p.r.RequestURI = "/once/"
 	p.route = r.relay.Table().Match("h", "/once/")
 	c := &choice{target: r.roster.Target("a"), load: roster.Load{Running: 1}}
 	second := make(chan outcome)
 	go func() { out, _ := p.attempt(p.r.Context(), c); second <- out }()
-	r.g.Eventually(func() int { return r.roster.Target("a").Load().Running }, soon, "1ms").Should(gomega.Equal(2))
+	r.g.Eventually(func() int { return r.roster.Target("a").Load().Running }, waitTimeout, "1ms").Should(gomega.Equal(2))
 	close(release)
 	r.g.Expect((<-first).status).To(gomega.Equal(200))
-	r.g.Expect(<-second).To(gomega.Equal(stopped))
-	r.g.Expect(r.sends()).To(gomega.HaveLen(1))
+	r.g.Expect(<-second).To(gomega.Equal(outcomeUnavailable))
+	r.g.Expect(r.received()).To(gomega.HaveLen(1))
 	r.g.Expect(r.roster.Target("a").Load()).To(gomega.Equal(roster.Load{}))
 }
 
@@ -106,18 +106,18 @@
 // chooses the one that stays.
 func TestAHomeIsToldWhatAWorkerSaidToTheAsker(t *testing.T) {
 	const daemons = 24
-	h := newHomesRig(t, daemons, 8, always(streams(true, "id: 1\ndata: a\n\n")))
-	cell, workers := h.cell("context")
-	asker := h.outside(cell)
+	h := newFleetRig(t, daemons, 8, always(stream(true, "id: 1\ndata: a\n\n")))
+	cell, workers := h.ownerCell("context")
+	asker := h.outsideOf(cell)
 	// The asker alone knows that all workers of the home's cell but one leave.
 	for _, id := range workers[1:] {
 		h.rigs[asker].roster.Leaves(id, roster.ByAnswer)
 	}
-	before := len(h.rigs[0].sends())
+	before := len(h.rigs[0].received())
 	for range 4 {
 		h.g.Expect(h.ask(asker, "context").status).To(gomega.Equal(200))
 	}
-	for _, s := range h.rigs[0].sends()[before:] {
+	for _, s := range h.rigs[0].received()[before:] {
 		h.g.Expect(s.target).To(gomega.Equal(workers[0]))
 	}
 }
@@ -141,7 +141,7 @@
 			r := newRig(t, nil)
 			for i, d := range tc.rests {
 				id := fmt.Sprintf("t-%d", i)
-				r.target(id, "plain", always(answers(200, id)))
+				r.target(id, "plain", always(respond(200, id)))
 				r.roster.Turned(id, roster.Asked{Rest: d})
 			}
 			began := time.Now()
@@ -156,7 +156,7 @@
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
 			r.g.Expect(back).To(gomega.BeNumerically(">=", tc.from))
 			r.g.Expect(back).To(gomega.BeNumerically("<=", tc.from*2))
-			r.g.Expect(r.sends()).To(gomega.BeEmpty())
+			r.g.Expect(r.received()).To(gomega.BeEmpty())
 		})
 	}
 }
@@ -180,7 +180,7 @@
 			count(id, 1)
 			defer count(id, -1)
 			time.Sleep(30 * time.Millisecond)
-			return answers(200, "x")(w, req)
+			return respond(200, "x")(w, req)
 		}))
 	}
 	r.roster.Turned("t-0", roster.Asked{Rest: time.Minute})
@@ -195,38 +195,38 @@
 	r.g.Expect(most).To(gomega.HaveLen(3))
 	for id, n := range most {
 		// Choices at one moment do not see each other's sends yet.
-		r.g.Expect(n).To(gomega.BeNumerically("<=", 2*plainFull*slots), id)
+		r.g.Expect(n).To(gomega.BeNumerically("<=", 2*plainMaxLoad*slots), id)
 	}
 }
 
 // The line of a request names which targets were passed over by their own word.
 func TestALineNamesWhoWasPassedOver(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("a", "plain", always(answers(200, "x")))
-	r.target("b", "plain", always(answers(200, "x")))
-	r.target("c", "plain", always(answers(200, "x")))
+	r.target("a", "plain", always(respond(200, "x")))
+	r.target("b", "plain", always(respond(200, "x")))
+	r.target("c", "plain", always(respond(200, "x")))
 	r.roster.Leaves("a", roster.ByAnswer)
 	r.roster.Turned("b", roster.Asked{Rest: time.Minute})
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
-	r.g.Eventually(func() string { return r.line(event.RequestDone) }, soon, look).Should(gomega.ContainSubstring("passed over: a leaves, b rests"))
+	r.g.Eventually(func() string { return r.lastLogLine(event.RequestDone) }, waitTimeout, pollInterval).Should(gomega.ContainSubstring("passed over: a leaves, b rests"))
 }
 
 // One daemon's answer tells its whole cell, within heartbeats.
 func TestACellHearsThatAWorkerLeaves(t *testing.T) {
 	const daemons = 24
-	h := newHomesRig(t, daemons, 8, always(says(200, "Id: try-1\r\nLeaves: 1\r\n")))
+	h := newFleetRig(t, daemons, 8, always(respondHead(200, "Id: try-1\r\nLeaves: 1\r\n")))
 	// Of no context, so that no home is asked.
 	h.rigs[0].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
-	sends := h.rigs[0].sends()
+	sends := h.rigs[0].received()
 	h.g.Expect(sends).NotTo(gomega.BeEmpty())
-	cell := h.fleet[0].View().Cell()
+	cell := h.fleets[0].View().Cell()
 	heard := 0
-	for i, f := range h.fleet {
+	for i, f := range h.fleets {
 		if f.View().Cell() != cell {
 			continue
 		}
 		heard++
-		h.g.Eventually(func() bool { return h.rigs[i].leaves(sends[0].target) }, soon, look).Should(gomega.BeTrue())
+		h.g.Eventually(func() bool { return h.rigs[i].shuttingDown(sends[0].target) }, waitTimeout, pollInterval).Should(gomega.BeTrue())
 	}
 	h.g.Expect(heard).To(gomega.BeNumerically(">", 1))
 }
--- a/core/relay/homes.go
+++ b/core/relay/homes.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	kindPlace  wire.Kind = "relay.place"
-	kindPlaced wire.Kind = "relay.placed"
+	kindPlace           wire.Kind = "relay.place"
+	kindPlacementUpdate wire.Kind = "relay.placed"
 )
 
 // Homes asks the cells where contexts are at home, and answers for this daemon's own.
@@ -36,84 +36,84 @@
 	relay *Relay
 	fleet *fleet.Fleet
 	// silent are the daemons that did not answer.
-	silent wait.Backoff[string]
-	turn   atomic.Int64
+	backoff  wait.Backoff[string]
+	sequence atomic.Int64
 	// limit bounds the wait for a home's answer.
-	limit time.Duration
+	timeout time.Duration
 
-	placedMu sync.Mutex
+	placementsMu sync.Mutex
 	// placed are the choices that other daemons made use of, by the name that these
 	// gave them. Guarded by placedMu.
-	placed map[string]*placement
+	placements map[string]*ownedPlacement
 }
 
 // Bounds of asking at home.
 const (
 	// leastReading is the time that reading the shared parts takes below which a prompt
 	// is decided where it came: about ten questions.
-	leastReading = 20 * time.Millisecond
+	minPrefillTime = 20 * time.Millisecond
 	// homeLimit bounds the wait for a home's answer; reading 12,800 tokens takes 0.23 s.
-	homeLimit = 40 * time.Millisecond
+	ownerTimeout = 40 * time.Millisecond
 	// homePause spaces the questions of a prompt that waits for a place.
-	homePause = 60 * time.Millisecond
+	ownerQueryInterval = 60 * time.Millisecond
 	// homeDaemons is how many daemons of a home are asked, one after the other.
-	homeDaemons = 2
+	maxOwnerQueries = 2
 	// silentTime and silentMost are how long a daemon that did not answer is not asked.
-	silentTime = 300 * time.Millisecond
-	silentMost = 5 * time.Second
+	backoffFirst = 300 * time.Millisecond
+	backoffMax   = 5 * time.Second
 	// guestAge is how old another cell's list may be where this daemon sends by it: targets that
 	// leave get nothing more after a few seconds, two on the strictest of the users' sites.
-	guestAge = 1500 * time.Millisecond
+	maxExternalListAge = 1500 * time.Millisecond
 	// newsLimit bounds the sending of news to a home.
-	newsLimit = 500 * time.Millisecond
+	updateTimeout = 500 * time.Millisecond
 	// placedSweep is the pause between removals of choices whose end was not told.
-	placedSweep = time.Second
+	expiryInterval = time.Second
 )
 
 // NewHomes makes a relay ask the homes of contexts. It must be called before the fleet
 // runs and the relay answers.
 func NewHomes(rl *Relay, f *fleet.Fleet) *Homes {
 	h := &Homes{
-		relay: rl, fleet: f, limit: homeLimit, placed: map[string]*placement{},
-		silent: wait.Backoff[string]{First: silentTime, Most: silentMost},
+		relay: rl, fleet: f, timeout: ownerTimeout, placements: map[string]*ownedPlacement{},
+		backoff: wait.Backoff[string]{First: backoffFirst, Most: backoffMax},
 	}
-	rl.homes = h
-	f.Mux().Register(kindPlace, wire.Handle(h.place))
-	f.Mux().Register(kindPlaced, wire.Handle(h.news))
+	rl.owners = h
+	f.Mux().Register(kindPlace, wire.Handle(h.handlePlace))
+	f.Mux().Register(kindPlacementUpdate, wire.Handle(h.handleUpdate))
 	return h
 }
 
 // placeAsk asks for a worker for a prompt.
-type placeAsk struct {
+type placementRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  string
 	// Route is its name, by which times are learned.
-	Route string
-	Aim   time.Duration
-	Model string
+	Route            string
+	LatencyObjective time.Duration
+	Model            string
 	// Wall is the isolated organisation, or "".
-	Wall         string
-	Parts        []placePart
-	Prompt, Size int
-	Domain       string
-	Spent, Left  time.Duration
+	IsolatedOrganisation    string
+	Segments                []placementSegment
+	PromptTokens, BodyBytes int
+	OriginDomain            string
+	Elapsed, Remaining      time.Duration
 	// Tried are the workers that were sent to before, and those that may get no send from this
 	// daemon by their own word: the home may not know of it, and would choose them again.
-	Tried []string
+	Excluded []string
 	// Limits are the request rates that the service's targets named, as the asker knows them.
-	Limits map[string]roster.LimitNews
+	RateLimits map[string]roster.LimitNews
 	// ForToken tells that the asker has no token for the service's targets, so that also the choice
 	// of a target that it knows itself is of use.
-	ForToken bool
+	NeedsPermit bool
 	// Regions bind where it may run.
 	Regions regions
 	// Side says which versions of the service it may go to.
-	Side canary.Side
+	Versions canary.Side
 }
 
 // placePart is one part of a prompt.
-type placePart struct {
+type placementSegment struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
@@ -121,106 +121,106 @@
 }
 
 // placeAnswer names the worker, or none, and what the decision knew and expects of it.
-type placeAnswer struct {
+type placementResponse struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
-	_msgpack  struct{} `msgpack:",as_array"`
-	Target    string
-	Weights   int64
-	Copy      []string
-	CopyUntil time.Duration
-	Keep      []string
+	_msgpack      struct{} `msgpack:",as_array"`
+	Target        string
+	WeightVersion int64
+	CopyFrom      []string
+	CopyDeadline  time.Duration
+	StoreTo       []string
 	// Own, Before, Beside, Waiting and Crowd are its factors.
-	Own, Before            int
-	Beside, Waiting, Crowd float64
+	PrefillTokens, QueuedTokens           int
+	Occupancy, QueueRatio, MemoryPressure float64
 	// Kept, Copied, Running and Held are the candidate's.
-	Kept, Copied, Running, Held int
-	Expected, Usual             time.Duration
-	InTime, Served, Gain, Worth float64
-	Alone                       bool
+	CachedTokens, CopiedTokens, Running, HeldTokens int
+	Expected, Baseline                              time.Duration
+	OnTimeChance, ServedChance, Gain, Utility       float64
+	OnlyCandidate                                   bool
 	// Granted tells that the home took a token for the request, where the worker named a request
 	// rate.
-	Granted bool
+	PermitHeld bool
 	// Entry is what the home's list says of the worker, and Age how old that list is.
-	Entry placeEntry
-	Age   time.Duration
+	Entry   placementEntry
+	ListAge time.Duration
 }
 
 // placeEntry is an entry of the list of targets.
-type placeEntry struct {
+type placementEntry struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack              struct{} `msgpack:",as_array"`
 	Name, Address, Domain string
 	Version               string
-	Born                  time.Time
+	Started               time.Time
 	Slots                 int
 }
 
 // entry returns it as the roster takes it.
-func (a *placeAnswer) entry(service, model string) roster.Entry {
+func (a *placementResponse) entry(service, model string) roster.Entry {
 	e := &a.Entry
 	return roster.Entry{
-		ID: a.Target, Name: e.Name, Born: e.Born, Service: service, Address: e.Address, Domain: e.Domain, Version: e.Version, Slots: e.Slots,
-		Weights: map[string]int64{model: a.Weights},
+		ID: a.Target, Name: e.Name, Born: e.Started, Service: service, Address: e.Address, Domain: e.Domain, Version: e.Version, Slots: e.Slots,
+		Weights: map[string]int64{model: a.WeightVersion},
 	}
 }
 
 // answerOf writes a choice as daemons send it.
-func answerOf(c *choice, age time.Duration) *placeAnswer {
-	f, known, j, e := &c.factors, &c.candidate, &c.judged, c.target.Entry()
-	return &placeAnswer{
-		Target: c.sending.Target, Weights: c.sending.Weights, Copy: c.sending.Copy, CopyUntil: c.sending.CopyUntil, Keep: c.sending.Keep,
-		Own: f.Own, Before: f.Before, Beside: f.Beside, Waiting: f.Waiting, Crowd: f.Crowd,
-		Kept: known.Kept, Copied: known.Copied, Running: known.Running, Held: known.Held,
-		Expected: j.Expected, Usual: c.usual, InTime: j.InTime, Served: j.Served, Gain: j.Gain, Worth: j.Worth, Alone: c.alone, Granted: c.token.Held,
-		Entry: placeEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Born: e.Born, Slots: e.Slots}, Age: age,
+func newPlacementResponse(c *choice, age time.Duration) *placementResponse {
+	f, known, j, e := &c.factors, &c.candidate, &c.judgement, c.target.Entry()
+	return &placementResponse{
+		Target: c.meta.Target, WeightVersion: c.meta.Weights, CopyFrom: c.meta.Copy, CopyDeadline: c.meta.CopyUntil, StoreTo: c.meta.Keep,
+		PrefillTokens: f.Own, QueuedTokens: f.Before, Occupancy: f.Beside, QueueRatio: f.Waiting, MemoryPressure: f.Crowd,
+		CachedTokens: known.Kept, CopiedTokens: known.Copied, Running: known.Running, HeldTokens: known.Held,
+		Expected: j.Expected, Baseline: c.baseline, OnTimeChance: j.InTime, ServedChance: j.Served, Gain: j.Gain, Utility: j.Worth, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Held,
+		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Born, Slots: e.Slots}, ListAge: age,
 	}
 }
 
 // choice reads it for a prompt of some tokens.
-func (a *placeAnswer) choice(t *roster.Target, tokens int) *choice {
+func (a *placementResponse) choice(t *roster.Target, tokens int) *choice {
 	return &choice{
-		target: t, usual: a.Usual, alone: a.Alone, token: roster.Token{Held: a.Granted, Far: true},
-		sending:   Sending{Target: a.Target, Weights: a.Weights, Copy: a.Copy, CopyUntil: a.CopyUntil, Keep: a.Keep},
-		load:      roster.Load{Running: 1, Unread: a.Own, Held: tokens},
-		judged:    route.Judgement{Expected: a.Expected, InTime: a.InTime, Served: a.Served, Gain: a.Gain, Worth: a.Worth},
-		factors:   learn.Factors{Own: a.Own, Before: a.Before, Beside: a.Beside, Waiting: a.Waiting, Crowd: a.Crowd},
-		candidate: route.Candidate{Kept: a.Kept, Copied: a.Copied, Running: a.Running, Held: a.Held, Unread: a.Before},
+		target: t, baseline: a.Baseline, onlyCandidate: a.OnlyCandidate, permit: roster.Token{Held: a.PermitHeld, Far: true},
+		meta:      Sending{Target: a.Target, Weights: a.WeightVersion, Copy: a.CopyFrom, CopyUntil: a.CopyDeadline, Keep: a.StoreTo},
+		load:      roster.Load{Running: 1, Unread: a.PrefillTokens, Held: tokens},
+		judgement: route.Judgement{Expected: a.Expected, InTime: a.OnTimeChance, Served: a.ServedChance, Gain: a.Gain, Worth: a.Utility},
+		factors:   learn.Factors{Own: a.PrefillTokens, Before: a.QueuedTokens, Beside: a.Occupancy, Waiting: a.QueueRatio, Crowd: a.MemoryPressure},
+		candidate: route.Candidate{Kept: a.CachedTokens, Copied: a.CopiedTokens, Running: a.Running, Held: a.HeldTokens, Unread: a.QueuedTokens},
 	}
 }
 
 // placeNews tells a home what became of a choice.
-type placeNews struct {
+type placementUpdate struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	// Ask is what was asked and Answer what was answered, where the choice is made use
 	// of; later news have neither.
-	Ask    *placeAsk
-	Answer *placeAnswer
+	Request  *placementRequest
+	Response *placementResponse
 	// First is how long after the send the first event came; 0 where none has yet.
-	First time.Duration
+	FirstEvent time.Duration
 	// Ended tells that the send has ended, Bad that its answer was bad or broke off,
 	// Silent that there was none, and Reloads that the worker refused it while it seemed to
 	// change its weights.
-	Ended, Bad, Silent, Reloads bool
+	Ended, Bad, NoAnswer, Reloading bool
 	// Leaves tells that the worker said that it leaves.
-	Leaves bool
+	ShuttingDown bool
 }
 
 // chooseAtHome returns the choice of the home of the request's context, where another
 // cell is its home and the choice is better than this cell's own; else nil.
-func (p *pass) chooseAtHome(ctx context.Context, svc *table.Service, own *choice) *choice {
+func (p *proxiedRequest) chooseByOwner(ctx context.Context, svc *table.Service, own *choice) *choice {
 	now := time.Now()
-	h := p.relay.homes
-	if h == nil || svc.Engine == nil || p.relay.o.Without.Homes || now.Sub(p.homeAsked) < homePause || !p.worthAsking(now) {
+	h := p.relay.owners
+	if h == nil || svc.Engine == nil || p.relay.options.Without.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
 		return nil
 	}
-	peers := h.peers(p.service, p.context(), now)
+	peers := h.ownersOf(p.service, p.contextHash(), now)
 	if len(peers) == 0 {
 		return nil
 	}
-	c := p.chooseAt(ctx, svc, peers, now)
-	if c == nil || (own != nil && own.judged.Gain > 0 && own.judged.Worth > c.judged.Worth+p.apart()) {
+	c := p.chooseByPeers(ctx, svc, peers, now)
+	if c == nil || (own != nil && own.judgement.Gain > 0 && own.judgement.Worth > c.judgement.Worth+p.splitCost()) {
 		return nil
 	}
 	return c
@@ -228,17 +228,17 @@
 
 // chooseElsewhere returns the choice of another cell for a request to a divided service of which
 // this cell has no target to use, or nil.
-func (p *pass) chooseElsewhere(ctx context.Context, svc *table.Service) *choice {
+func (p *proxiedRequest) chooseInOtherCell(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
-	h := p.relay.homes
-	if h == nil || now.Sub(p.elsewhereAsked) < homePause {
+	h := p.relay.owners
+	if h == nil || now.Sub(p.cellsQueried) < ownerQueryInterval {
 		return nil
 	}
-	p.elsewhereAsked = now
+	p.cellsQueried = now
 	view := h.fleet.View()
 	for _, cell := range view.NextCells() {
-		peers := h.open(view.Homes(cell, fleet.Key("home/"+view.Self()), homeDaemons), now)
-		if c := p.chooseAt(ctx, svc, peers, now); c != nil {
+		peers := h.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
+		if c := p.chooseByPeers(ctx, svc, peers, now); c != nil {
 			return c
 		}
 	}
@@ -247,17 +247,17 @@
 
 // chooseByToken returns the choice of another daemon that may have a token for a target which is over
 // its limit here, or nil.
-func (p *pass) chooseByToken(ctx context.Context, svc *table.Service) *choice {
+func (p *proxiedRequest) chooseByPermit(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
-	h := p.relay.homes
-	if h == nil || p.relay.o.Choosers == nil || p.over == nil || now.Sub(p.tokenAsked) < homePause {
+	h := p.relay.owners
+	if h == nil || p.relay.options.Choosers == nil || p.rateLimited == nil || now.Sub(p.permitQueried) < ownerQueryInterval {
 		return nil
 	}
-	p.tokenAsked = now
-	peers := h.open(p.relay.o.Choosers(p.over, p.relay.o.Roster.Holders(p.over)), now)
+	p.permitQueried = now
+	peers := h.responsive(p.relay.options.Choosers(p.rateLimited, p.relay.options.Roster.Holders(p.rateLimited)), now)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, peer := range peers[:min(len(peers), homeDaemons)] {
-		if c := p.chooseAt(ctx, svc, []string{peer}, now); c != nil {
+	for _, peer := range peers[:min(len(peers), maxOwnerQueries)] {
+		if c := p.chooseByPeers(ctx, svc, []string{peer}, now); c != nil {
 			return c
 		}
 	}
@@ -266,12 +266,12 @@
 
 // chooseAt returns the choice of the first of some daemons of one cell that answers, or nil where
 // that has none.
-func (p *pass) chooseAt(ctx context.Context, svc *table.Service, peers []string, now time.Time) *choice {
-	h := p.relay.homes
-	p.homeAsked = now
-	ask := p.placeAsk(now)
+func (p *proxiedRequest) chooseByPeers(ctx context.Context, svc *table.Service, peers []string, now time.Time) *choice {
+	h := p.relay.owners
+	p.ownerQueried = now
+	ask := p.newPlacementRequest(now)
 	for _, peer := range peers {
-		got, err := h.ask(ctx, peer, ask)
+		got, err := h.query(ctx, peer, ask)
 		switch {
 		case errors.Is(err, wire.ErrRemote):
 			// It has no place for the request now.
@@ -280,191 +280,195 @@
 			p.note("home %s: %v", peer, errors.Cause(err))
 			continue
 		}
-		return p.orderOf(svc, peer, ask, got)
+		return p.choiceFromResponse(svc, peer, ask, got)
 	}
 	return nil
 }
 
 // apart returns what it costs that a context is kept in two cells: its next return has it
 // copied, over a connection that is not open.
-func (p *pass) apart() float64 {
-	prices := &p.relay.o.Prices
-	return prices.Connect + prices.Copied*float64(p.shared()) + apartShare*prices.Worth(p.ask.Prompt)
+func (p *proxiedRequest) splitCost() float64 {
+	prices := &p.relay.options.Prices
+	return prices.Connect + prices.Copied*float64(p.sharedTokens()) + splitLoss*prices.Worth(p.meta.Prompt)
 }
 
 // apartShare is the part of an answer's worth that it loses by the time of a copy: a tenth
 // for each aim's time, of which a copy of 12,800 tokens between domains takes a tenth.
-const apartShare = 0.01
+const splitLoss = 0.01
 
 // worthAsking reports whether a question costs less than reading the shared parts may.
-func (p *pass) worthAsking(now time.Time) bool {
+func (p *proxiedRequest) worthQuerying(now time.Time) bool {
 	e := p.estimate(now)
-	return e.Time(learn.Factors{Own: p.shared()})-e.Time(learn.Factors{}) >= leastReading
+	return e.Time(learn.Factors{Own: p.sharedTokens()})-e.Time(learn.Factors{}) >= minPrefillTime
 }
 
 // placeAsk returns the question for the request.
-func (p *pass) placeAsk(now time.Time) *placeAsk {
-	ask := &placeAsk{
-		Service: p.service, Route: p.route.Name, Aim: p.route.Aim, Model: p.ask.Model, Wall: p.salt(0).Wall, Prompt: p.ask.Prompt,
-		Size: p.size, Domain: p.relay.o.Domain, Spent: now.Sub(p.began), Left: p.until.Sub(now),
-		Regions: p.regions, Side: p.side, Limits: p.relay.o.Roster.Limits(p.service), ForToken: p.over != nil,
+func (p *proxiedRequest) newPlacementRequest(now time.Time) *placementRequest {
+	ask := &placementRequest{
+		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.Aim, Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).Wall, PromptTokens: p.meta.Prompt,
+		BodyBytes: p.bodyBytes, OriginDomain: p.relay.options.Domain, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
+		Regions: p.regions, Versions: p.versions, RateLimits: p.relay.options.Roster.Limits(p.service), NeedsPermit: p.rateLimited != nil,
 	}
-	for _, part := range p.ask.Parts {
-		ask.Parts = append(ask.Parts, placePart{ID: part.ID, Tokens: part.Tokens})
+	for _, part := range p.meta.Parts {
+		ask.Segments = append(ask.Segments, placementSegment{ID: part.ID, Tokens: part.Tokens})
 	}
 	for id := range p.tried {
-		ask.Tried = append(ask.Tried, id)
+		ask.Excluded = append(ask.Excluded, id)
 	}
-	ask.Tried = append(ask.Tried, p.relay.o.Roster.Stopped(p.service)...)
+	ask.Excluded = append(ask.Excluded, p.relay.options.Roster.Stopped(p.service)...)
 	return ask
 }
 
 // orderOf returns a home's answer as a choice, or nil where it names no worker that this
 // daemon may send to.
-func (p *pass) orderOf(svc *table.Service, peer string, ask *placeAsk, got *placeAnswer) *choice {
-	h, t := p.relay.homes, p.relay.o.Roster.Target(got.Target)
-	if p.relay.divided(p.service) && got.Age <= guestAge {
-		t = p.relay.o.Roster.Guest(got.entry(p.service, p.ask.Model))
+func (p *proxiedRequest) choiceFromResponse(svc *table.Service, peer string, ask *placementRequest, got *placementResponse) *choice {
+	h, t := p.relay.owners, p.relay.options.Roster.Target(got.Target)
+	if p.relay.sharded(p.service) && got.ListAge <= maxExternalListAge {
+		t = p.relay.options.Roster.Guest(got.entry(p.service, p.meta.Model))
 	}
-	if t == nil || !p.allowed(t.Entry().Domain) || !p.side.Allows(t.Entry().Version) || (svc.Engine != nil && p.relay.o.Outdated(p.ask.Model, got.Weights)) {
+	if t == nil || !p.domainAllowed(t.Entry().Domain) || !p.versions.Allows(t.Entry().Version) || (svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, got.WeightVersion)) {
 		return nil
 	}
-	gate := p.relay.o.Roster.Gate(time.Now())
+	gate := p.relay.options.Roster.Gate(time.Now())
 	stop, _ := gate.Stop(t)
-	if (stop != roster.Open && stop != roster.Limited) || (gate.Limits(t) && !got.Granted) {
+	if (stop != roster.Open && stop != roster.Limited) || (gate.Limits(t) && !got.PermitHeld) {
 		return nil
 	}
 	address := t.Entry().Address
-	p.bound(svc, address, true)
-	if p.relay.o.Pool.Room(address) <= 0 {
+	p.limitConnections(svc, address, true)
+	if p.relay.options.Pool.Room(address) <= 0 {
 		return nil
 	}
-	c := got.choice(t, p.ask.Prompt)
+	c := got.choice(t, p.meta.Prompt)
 	if svc.Engine == nil {
 		// Nothing is counted at the other cell, which hears nothing more of it.
 		c.load = roster.Load{Running: 1}
 		return c
 	}
-	c.order = &homeOrder{homes: h, peer: peer, name: h.name(), ask: ask, answer: got}
+	c.report = &ownerReport{owners: h, peer: peer, name: h.newPlacementName(), request: ask, response: got}
 	return c
 }
 
 // peers returns the daemons to ask about a context, best first; none where this daemon's
 // own cell is its home. A daemon asks the same ones of a cell each time, so that its
 // links are as many as there are cells.
-func (h *Homes) peers(service string, root uint64, now time.Time) []string {
+func (h *Homes) ownersOf(service string, root uint64, now time.Time) []string {
 	view := h.fleet.View()
 	if view.Cells() <= 1 {
 		return nil
 	}
-	cell := h.cell(view, service, root)
+	cell := h.ownerCell(view, service, root)
 	if cell == view.Cell() {
 		return nil
 	}
-	return h.open(view.Homes(cell, fleet.Key("home/"+view.Self()), homeDaemons), now)
+	return h.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
 }
 
 // cell returns the cell that a context is at home in. Cells have as many targets of a divided service
 // as each other, and of others as many as they have daemons.
-func (h *Homes) cell(view *fleet.View, service string, root uint64) int {
-	if h.relay.divided(service) {
+func (h *Homes) ownerCell(view *fleet.View, service string, root uint64) int {
+	if h.relay.sharded(service) {
 		return view.KeyCell(root)
 	}
 	return view.WeighedCell(root)
 }
 
 // open returns those of some daemons that did not fail to answer lately.
-func (h *Homes) open(names []string, now time.Time) []string {
-	return slices.DeleteFunc(names, func(name string) bool { return !h.silent.Open(name, now) })
+func (h *Homes) responsive(names []string, now time.Time) []string {
+	return slices.DeleteFunc(names, func(name string) bool { return !h.backoff.Open(name, now) })
 }
 
 // ask asks one daemon.
-func (h *Homes) ask(ctx context.Context, peer string, ask *placeAsk) (*placeAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.limit)
+func (h *Homes) query(ctx context.Context, peer string, ask *placementRequest) (*placementResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
-	var got placeAnswer
+	var got placementResponse
 	err := h.fleet.Call(ctx, peer, kindPlace, ask, &got)
 	if err != nil && !errors.Is(err, wire.ErrRemote) {
-		h.silent.Failed(peer, time.Now())
+		h.backoff.Failed(peer, time.Now())
 		return nil, err
 	}
-	h.silent.Worked(peer)
+	h.backoff.Worked(peer)
 	return &got, err
 }
 
 // name returns a new name for a choice.
-func (h *Homes) name() string {
-	return h.fleet.View().Self() + "/" + strconv.FormatInt(h.relay.began.UnixNano(), 36) + "/" + strconv.FormatInt(h.turn.Add(1), 36)
+func (h *Homes) newPlacementName() string {
+	return h.fleet.View().Self() + "/" + strconv.FormatInt(h.relay.start.UnixNano(), 36) + "/" + strconv.FormatInt(h.sequence.Add(1), 36)
 }
 
 // homeOrder is what a daemon tells the home that chose for it. A nil one tells nothing.
 // It is used by one goroutine.
-type homeOrder struct {
-	homes      *Homes
+type ownerReport struct {
+	owners     *Homes
 	peer, name string
-	ask        *placeAsk
-	answer     *placeAnswer
+	request    *placementRequest
+	response   *placementResponse
 	// bad, silent, reloads and leaves are what is told with the end.
-	bad, silent, reloads, leaves bool
+	bad, noAnswer, reloading, shuttingDown bool
 }
 
 // tell sends news in the background: what is lost runs out at the home.
-func (o *homeOrder) tell(n *placeNews) {
+func (o *ownerReport) send(n *placementUpdate) {
 	n.Name = o.name
-	go teller{o.homes, o.peer, n}.run()
+	go updateSender{o.owners, o.peer, n}.run()
 }
 
 // placed tells that the choice is sent.
-func (o *homeOrder) placed() { o.tell(&placeNews{Ask: o.ask, Answer: o.answer}) }
+func (o *ownerReport) reportSent() {
+	o.send(&placementUpdate{Request: o.request, Response: o.response})
+}
 
 // first tells how long the first event took.
-func (o *homeOrder) first(took time.Duration) { o.tell(&placeNews{First: took}) }
+func (o *ownerReport) reportFirstEvent(took time.Duration) {
+	o.send(&placementUpdate{FirstEvent: took})
+}
 
 // answered records whether an answer was good.
-func (o *homeOrder) answered(good bool) {
+func (o *ownerReport) recordAnswer(good bool) {
 	if o != nil {
 		o.bad = o.bad || !good
 	}
 }
 
 // noAnswer records that there was none.
-func (o *homeOrder) noAnswer() {
+func (o *ownerReport) recordNoAnswer() {
 	if o != nil {
-		o.silent = true
+		o.noAnswer = true
 	}
 }
 
 // refused records that the worker seems to change its weights.
-func (o *homeOrder) refused() {
+func (o *ownerReport) recordReload() {
 	if o != nil {
-		o.reloads = true
+		o.reloading = true
 	}
 }
 
 // left records that the worker said that it leaves.
-func (o *homeOrder) left() {
+func (o *ownerReport) recordShutdown() {
 	if o != nil {
-		o.leaves = true
+		o.shuttingDown = true
 	}
 }
 
 // ended tells that the send has ended.
-func (o *homeOrder) ended() {
+func (o *ownerReport) reportEnd() {
 	if o != nil {
-		o.tell(&placeNews{Ended: true, Bad: o.bad, Silent: o.silent, Reloads: o.reloads, Leaves: o.leaves})
+		o.send(&placementUpdate{Ended: true, Bad: o.bad, NoAnswer: o.noAnswer, Reloading: o.reloading, ShuttingDown: o.shuttingDown})
 	}
 }
 
 // teller sends news to a home.
-type teller struct {
-	homes *Homes
-	peer  string
-	news  *placeNews
+type updateSender struct {
+	owners *Homes
+	peer   string
+	update *placementUpdate
 }
 
-func (t teller) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), newsLimit)
+func (t updateSender) run() {
+	ctx, cancel := context.WithTimeout(context.Background(), updateTimeout)
 	defer cancel()
 	// A home that does not hear of it counts the choice until its time is up.
-	_ = t.homes.fleet.Notify(ctx, t.peer, kindPlaced, t.news)
+	_ = t.owners.fleet.Notify(ctx, t.peer, kindPlacementUpdate, t.update)
 }
--- a/core/relay/learned.go
+++ b/core/relay/learned.go
@@ -9,103 +9,103 @@
 )
 
 // mayRepeat takes one repeated send to a service out of what is allowed.
-func (rl *Relay) mayRepeat(service string) bool {
-	rl.allowMu.Lock()
-	defer rl.allowMu.Unlock()
-	return rl.allowance(service).Spend(time.Since(rl.began))
+func (rl *Relay) spendRetry(service string) bool {
+	rl.budgetMu.Lock()
+	defer rl.budgetMu.Unlock()
+	return rl.retryBudget(service).Spend(time.Since(rl.start))
 }
 
 // earn records a request for a service, of some worth.
-func (rl *Relay) earn(service string, worth float64, now time.Time) {
-	rl.allowMu.Lock()
-	defer rl.allowMu.Unlock()
-	rl.allowance(service).Earn(time.Since(rl.began))
-	r := rl.rates[service]
+func (rl *Relay) recordArrival(service string, worth float64, now time.Time) {
+	rl.budgetMu.Lock()
+	defer rl.budgetMu.Unlock()
+	rl.retryBudget(service).Earn(time.Since(rl.start))
+	r := rl.arrivalRates[service]
 	if r == nil {
 		r = &learn.Rate{}
-		rl.rates[service] = r
+		rl.arrivalRates[service] = r
 	}
 	r.Add(worth, now)
 }
 
 // rate returns the worth of the requests that would come to each of some targets of a
 // service in a second if all daemons shared these.
-func (rl *Relay) rate(service string, targets int, now time.Time) float64 {
-	rl.allowMu.Lock()
-	defer rl.allowMu.Unlock()
-	r := rl.rates[service]
+func (rl *Relay) utilityRate(service string, targets int, now time.Time) float64 {
+	rl.budgetMu.Lock()
+	defer rl.budgetMu.Unlock()
+	r := rl.arrivalRates[service]
 	if r == nil {
 		return 0
 	}
-	return r.PerSecond(now) * float64(max(1, rl.o.Daemons())) / float64(max(1, targets))
+	return r.PerSecond(now) * float64(max(1, rl.options.Daemons())) / float64(max(1, targets))
 }
 
 // allowedShare is the part of what is allowed that is used: requests that were
 // counted here but never arrived at a daemon's peer lower the others' count.
-const allowedShare = 0.7
+const retryBudgetUse = 0.7
 
 // allowance is called with allowMu held.
-func (rl *Relay) allowance(service string) *route.Allowance {
-	a := rl.allowances[service]
+func (rl *Relay) retryBudget(service string) *route.Allowance {
+	a := rl.retryBudgets[service]
 	if a == nil {
-		a = &route.Allowance{Share: rl.o.RetryShare * allowedShare, Window: rl.o.RetryWindow}
-		rl.allowances[service] = a
+		a = &route.Allowance{Share: rl.options.RetryShare * retryBudgetUse, Window: rl.options.RetryWindow}
+		rl.retryBudgets[service] = a
 	}
-	a.Extra = rl.o.RetryExtra * allowedShare / float64(max(1, rl.o.Daemons()))
+	a.Extra = rl.options.RetryExtra * retryBudgetUse / float64(max(1, rl.options.Daemons()))
 	return a
 }
 
 // kind is what the times to first answers of a request are learned by: the route,
 // since the work of calls and the urgency of prompts are its own.
-func (p *pass) kind() (string, *learn.Prior) {
+func (p *proxiedRequest) timingKey() (string, *learn.Prior) {
 	name := p.service + " " + p.route.Name
 	if svc := p.table.Service(p.service); svc != nil && svc.Engine != nil {
-		return name, &p.relay.o.Engines
+		return name, &p.relay.options.Engines
 	}
-	return name, &p.relay.o.Calls
+	return name, &p.relay.options.Calls
 }
 
 // estimate returns what is known of the times to first answers of the request.
-func (p *pass) estimate(now time.Time) *learn.Estimate {
-	kind, prior := p.kind()
-	return p.relay.o.Times.Estimate(kind, prior, now)
+func (p *proxiedRequest) estimate(now time.Time) *learn.Estimate {
+	kind, prior := p.timingKey()
+	return p.relay.options.Times.Estimate(kind, prior, now)
 }
 
 // answered records an answer of a target, and whether it was good.
-func (p *pass) answered(c *choice, good bool) {
-	if !p.far {
-		p.relay.o.Canary.Answered(p.service, p.route.Name, c.target.Entry().Version, good)
+func (p *proxiedRequest) recordAnswer(c *choice, good bool) {
+	if !p.remote {
+		p.relay.options.Canary.Answered(p.service, p.route.Name, c.target.Entry().Version, good)
 	}
 	c.target.Answered()
-	c.order.answered(good)
+	c.report.recordAnswer(good)
 	p.learnAnswer(c, good)
 }
 
 // firstAnswer records that the first answer to a send has come.
-func (p *pass) firstAnswer(c *choice, sent time.Time) {
+func (p *proxiedRequest) recordFirstAnswer(c *choice, sent time.Time) {
 	now := time.Now()
 	took := now.Sub(sent)
-	if c.usual > 0 {
-		p.relay.o.Canary.Timed(p.service, p.route.Name, c.target.Entry().Version, float64(took)/float64(c.usual))
+	if c.baseline > 0 {
+		p.relay.options.Canary.Timed(p.service, p.route.Name, c.target.Entry().Version, float64(took)/float64(c.baseline))
 	}
-	if p.forecast != nil && p.forecast.FirstMillis == 0 && p.sends <= 1 {
+	if p.forecast != nil && p.forecast.FirstMillis == 0 && p.attempts <= 1 {
 		p.forecast.FirstMillis = event.Millis(took)
 	}
-	if c.order != nil {
+	if c.report != nil {
 		// Of links and memories only the daemon that decided can learn.
-		c.order.first(took)
+		c.report.reportFirstEvent(took)
 		if c.candidate.Copied == 0 {
 			p.learnTime(c, took, now)
 		}
 		return
 	}
-	p.learnFirst(c, took, now)
+	p.learnFromFirstAnswer(c, took, now)
 }
 
 // learnFirst records what the time to the first answer of a choice of this daemon tells.
-func (p *pass) learnFirst(c *choice, took time.Duration, now time.Time) {
+func (p *proxiedRequest) learnFromFirstAnswer(c *choice, took time.Duration, now time.Time) {
 	p.learnCopies(c, took, now)
-	if c.plan.copied > 0 {
+	if c.plan.copyCount > 0 {
 		return
 	}
 	p.learnRetention(c, took, now)
@@ -114,27 +114,27 @@
 
 // learnTime records the time to the first answer of a request that had nothing
 // copied.
-func (p *pass) learnTime(c *choice, took time.Duration, now time.Time) {
-	if !p.relay.o.Without.Times {
-		kind, prior := p.kind()
-		p.relay.o.Times.Observe(kind, prior, c.factors, took, now)
+func (p *proxiedRequest) learnTime(c *choice, took time.Duration, now time.Time) {
+	if !p.relay.options.Without.Times {
+		kind, prior := p.timingKey()
+		p.relay.options.Times.Observe(kind, prior, c.factors, took, now)
 	}
-	if c.usual > 0 && !p.relay.o.Without.Targets {
-		p.relay.o.Targets.Timed(c.target.ID(), p.service, float64(took)/float64(c.usual), now)
+	if c.baseline > 0 && !p.relay.options.Without.Targets {
+		p.relay.options.Targets.Timed(c.target.ID(), p.service, float64(took)/float64(c.baseline), now)
 	}
 }
 
 // silent records that a target gave no answer.
-func (p *pass) silent(c *choice) {
+func (p *proxiedRequest) recordNoAnswer(c *choice) {
 	c.target.Silent(time.Now())
-	c.order.noAnswer()
+	c.report.recordNoAnswer()
 	p.learnAnswer(c, false)
 }
 
 // learnAnswer records whether a target answered well.
-func (p *pass) learnAnswer(c *choice, good bool) {
-	if !p.relay.o.Without.Targets {
-		p.relay.o.Targets.Answered(c.target.ID(), p.service, good, time.Now())
+func (p *proxiedRequest) learnAnswer(c *choice, good bool) {
+	if !p.relay.options.Without.Targets {
+		p.relay.options.Targets.Answered(c.target.ID(), p.service, good, time.Now())
 	}
 }
 
@@ -142,26 +142,26 @@
 // expected by less than keptShare of it tells that the part was held, one that is
 // later by more than readShare that it was read.
 const (
-	keptShare = 0.35
-	readShare = 0.65
+	cachedShare    = 0.35
+	prefilledShare = 0.65
 )
 
 // learnRetention records whether a worker held the part that lies deepest in its
 // memory of those that it was believed to hold, where the time to the first event
 // can tell.
-func (p *pass) learnRetention(c *choice, took time.Duration, now time.Time) {
+func (p *proxiedRequest) learnRetention(c *choice, took time.Duration, now time.Time) {
 	deepest, largest := 0.0, 0
 	for i, src := range c.plan.sources {
-		if src.here == 0 {
+		if src.cachedChance == 0 {
 			break
 		}
 		// Where a part is gone, what stands behind it is read as well.
 		if src.depth > deepest || i == 0 {
 			deepest, largest = src.depth, 0
 		}
-		largest += p.ask.Parts[i].Tokens
+		largest += p.meta.Parts[i].Tokens
 	}
-	if p.relay.o.Without.Retention {
+	if p.relay.options.Without.Retention {
 		return
 	}
 	e := p.estimate(now)
@@ -174,9 +174,9 @@
 		return
 	}
 	switch late := took - held; {
-	case late < time.Duration(keptShare*float64(reading)):
-		p.relay.o.Retention.Observe(p.service, deepest, true, now)
-	case late > time.Duration(readShare*float64(reading)) && late < 2*reading:
-		p.relay.o.Retention.Observe(p.service, deepest, false, now)
+	case late < time.Duration(cachedShare*float64(reading)):
+		p.relay.options.Retention.Observe(p.service, deepest, true, now)
+	case late > time.Duration(prefilledShare*float64(reading)) && late < 2*reading:
+		p.relay.options.Retention.Observe(p.service, deepest, false, now)
 	}
 }
--- a/core/relay/limit_test.go
+++ b/core/relay/limit_test.go
@@ -17,7 +17,7 @@
 )
 
 // limits is the head of an answer that names a request rate.
-func limits(perSecond float64) string {
+func limitHeader(perSecond float64) string {
 	return "Limit: " + strconv.FormatFloat(perSecond, 'g', -1, 64) + "\r\n"
 }
 
@@ -25,13 +25,13 @@
 	for _, path := range []string{"/once/", "/again/"} {
 		t.Run(path, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.target("a", "plain", always(answers(200, "x", limits(0.1))))
-			r.target("b", "plain", always(answers(200, "x")))
+			r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
+			r.target("b", "plain", always(respond(200, "x")))
 			for range 40 {
 				r.g.Expect(r.ask(http.MethodPost, path, "x").status).To(gomega.Equal(200))
 			}
 			limited := 0
-			for _, s := range r.sends() {
+			for _, s := range r.received() {
 				if s.target == "a" {
 					limited++
 				}
@@ -55,7 +55,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.target("a", "plain", always(answers(200, "x", limits(tc.perSecond))))
+			r.target("a", "plain", always(respond(200, "x", limitHeader(tc.perSecond))))
 			r.g.Expect(r.ask(http.MethodPost, "/again/", "x").status).To(gomega.Equal(200))
 			began := time.Now()
 			got := r.ask(http.MethodPost, "/again/", "x")
@@ -68,15 +68,15 @@
 			back, err := time.ParseDuration(got.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
 			r.g.Expect(back).To(gomega.BeNumerically("~", 11*time.Second, 2*time.Second))
-			r.g.Expect(got.body).To(gomega.ContainSubstring(allLimited))
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
+			r.g.Expect(got.body).To(gomega.ContainSubstring(allRateLimited))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 		})
 	}
 }
 
 func TestOneRequestOfAServiceWaitsForAToken(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var w waiters
+	var w permitWaiters
 	g.Expect(w.enter("a")).To(gomega.BeTrue())
 	g.Expect(w.enter("a")).To(gomega.BeFalse())
 	g.Expect(w.enter("b")).To(gomega.BeTrue())
@@ -87,26 +87,26 @@
 // The token of a request that no connection was there for is given back.
 func TestATokenIsGivenBackWhereNothingWasSent(t *testing.T) {
 	r := newRig(t, nil)
-	gone := r.target("a", "plain", always(answers(200, "x", limits(0.1))))
+	gone := r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
-	r.relay.o.Pool.Forget(r.roster.Target("a").Entry().Address)
+	r.relay.options.Pool.Forget(r.roster.Target("a").Entry().Address)
 	gone.l.Close()
 	target := r.roster.Target("a")
-	token := r.waitForToken(target)
-	p := &pass{relay: r.relay, began: time.Now(), until: time.Now().Add(time.Second), tried: map[string]int{}}
+	token := r.waitForPermit(target)
+	p := &proxiedRequest{relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second), tried: map[string]int{}}
 	p.r, _ = http.NewRequest(http.MethodPost, "/once/", http.NoBody)
 	p.r.RequestURI = "/once/"
 	p.route = r.relay.Table().Match("h", "/once/")
-	out, _ := p.attempt(p.r.Context(), &choice{target: target, load: roster.Load{Running: 1}, token: token})
-	r.g.Expect(out).To(gomega.Equal(notSent))
+	out, _ := p.attempt(p.r.Context(), &choice{target: target, load: roster.Load{Running: 1}, permit: token})
+	r.g.Expect(out).To(gomega.Equal(outcomeNotSent))
 	_, may := r.roster.Take(target)
 	r.g.Expect(may).To(gomega.BeTrue())
 }
 
 // waitForToken takes the next token of a target once its limit is higher.
-func (r *rig) waitForToken(target *roster.Target) (token roster.Token) {
+func (r *rig) waitForPermit(target *roster.Target) (token roster.Token) {
 	r.roster.MergeLimits(map[string]roster.LimitNews{target.ID(): {On: true, PerSecond: 20, Seq: 9}})
-	r.g.Eventually(func() (may bool) { token, may = r.roster.Take(target); return may }, soon, look).Should(gomega.BeTrue())
+	r.g.Eventually(func() (may bool) { token, may = r.roster.Take(target); return may }, waitTimeout, pollInterval).Should(gomega.BeTrue())
 	return token
 }
 
@@ -114,9 +114,9 @@
 // the asker does not send there.
 func TestAHomeTakesTheTokensOfItsWorkers(t *testing.T) {
 	const daemons = 24
-	h := newHomesRig(t, daemons, 8, always(streams(true, "id: 1\ndata: a\n\n")))
-	cell, workers := h.cell("context")
-	asker := h.outside(cell)
+	h := newFleetRig(t, daemons, 8, always(stream(true, "id: 1\ndata: a\n\n")))
+	cell, workers := h.ownerCell("context")
+	asker := h.outsideOf(cell)
 	// The asker alone knows that the workers of the home's cell take one request in 10 s.
 	told := map[string]roster.LimitNews{}
 	for _, id := range workers {
@@ -125,35 +125,35 @@
 	h.rigs[asker].roster.MergeLimits(told)
 	h.g.Expect(h.ask(asker, "context").status).To(gomega.Equal(http.StatusOK))
 	known := 0
-	for i, f := range h.fleet {
+	for i, f := range h.fleets {
 		if f.View().Cell() == cell && len(h.rigs[i].roster.Limited()) == len(workers) {
 			known++
 		}
 	}
 	h.g.Expect(known).To(gomega.BeNumerically(">", 0), "homes that were told")
-	for _, s := range h.rigs[0].sends() {
+	for _, s := range h.rigs[0].received() {
 		h.g.Expect(strings.Join(workers, " ")).NotTo(gomega.ContainSubstring(s.target), "the home had no token")
 	}
 	// With tokens the home's choice is sent.
-	for i, f := range h.fleet {
+	for i, f := range h.fleets {
 		if f.View().Cell() == cell {
-			h.rigs[i].roster.MergeLimits(higher(told))
+			h.rigs[i].roster.MergeLimits(raised(told))
 		}
 	}
 	h.g.Eventually(func() int {
 		h.ask(asker, "context")
 		n := 0
-		for _, s := range h.rigs[0].sends() {
+		for _, s := range h.rigs[0].received() {
 			if strings.Contains(strings.Join(workers, " "), s.target) {
 				n++
 			}
 		}
 		return n
-	}, soon, look).Should(gomega.BeNumerically(">", 0))
+	}, waitTimeout, pollInterval).Should(gomega.BeNumerically(">", 0))
 }
 
 // higher returns limits that leave something soon.
-func higher(told map[string]roster.LimitNews) map[string]roster.LimitNews {
+func raised(told map[string]roster.LimitNews) map[string]roster.LimitNews {
 	out := map[string]roster.LimitNews{}
 	for id, n := range told {
 		n.PerSecond, n.Seq = 100, n.Seq+1
@@ -164,10 +164,10 @@
 
 // A daemon that does not use the limited targets has its request sent by the token of one that does.
 func TestADaemonWithoutTokensAsksOneThatHasSome(t *testing.T) {
-	h := newHomesRig(t, 6, 1, always(limitedStream(20)))
-	told := map[string]roster.LimitNews{h.ids[0]: {On: true, PerSecond: 20, Seq: 1}}
+	h := newFleetRig(t, 6, 1, always(limitedStreamAnswer(20)))
+	told := map[string]roster.LimitNews{h.workers[0]: {On: true, PerSecond: 20, Seq: 1}}
 	for i, r := range h.rigs {
-		view := h.fleet[i].View
+		view := h.fleets[i].View
 		r.roster.Place = func(*roster.Target) (int, int) {
 			// Of all but the last daemon.
 			if view().Self() == "entry-05" {
@@ -175,10 +175,10 @@
 			}
 			return 0, 100
 		}
-		r.relay.o.Choosers = func(*roster.Target, int) []string { return []string{"entry-00", "entry-01"} }
+		r.relay.options.Choosers = func(*roster.Target, int) []string { return []string{"entry-00", "entry-01"} }
 		r.roster.MergeLimits(told)
 	}
-	h.g.Eventually(func() int { return h.ask(5, "context").status }, soon, look).Should(gomega.Equal(http.StatusOK))
+	h.g.Eventually(func() int { return h.ask(5, "context").status }, waitTimeout, pollInterval).Should(gomega.Equal(http.StatusOK))
 	h.g.Expect(h.rigs[5].roster.Limited()).To(gomega.HaveLen(1))
 	h.g.Expect(h.rigs[5].roster.Limited()[0].Holds).To(gomega.BeFalse())
 }
@@ -190,7 +190,7 @@
 		fmt.Fprintf(w, "HTTP/1.1 200 X\r\nId: %s\r\nContent-Length: 0\r\n\r\n", req.Header.Get("Id"))
 		return nil
 	}
-	r.target("a", "plain", inTurn(answers(200, "x", limits(20)), unsigned, answers(200, "x")))
+	r.target("a", "plain", inSequence(respond(200, "x", limitHeader(20)), unsigned, respond(200, "x")))
 	for _, want := range []int{1, 1, 0} {
 		r.ask(http.MethodPost, "/once/", "x")
 		r.g.Expect(r.roster.Limited()).To(gomega.HaveLen(want))
@@ -198,9 +198,9 @@
 }
 
 // limitedStream is a stream whose head names a request rate.
-func limitedStream(perSecond float64) handler {
+func limitedStreamAnswer(perSecond float64) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
-		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\n%sTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n", r.Header.Get("Id"), limits(perSecond))
+		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\n%sTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n", r.Header.Get("Id"), limitHeader(perSecond))
 		return nil
 	}
 }
@@ -208,17 +208,17 @@
 // Contexts have homes in either of two cells, and all workers name a limit: no way of choosing exceeds it.
 func TestLimitsHoldOverCellsAndHomes(t *testing.T) {
 	const perSecond, told, lasts, window = 3, time.Second, 6 * time.Second, 4 * time.Second
-	h := newHomesRig(t, 24, 4, always(limitedStream(perSecond)))
+	h := newFleetRig(t, 24, 4, always(limitedStreamAnswer(perSecond)))
 	for i, r := range h.rigs {
-		f := h.fleet[i]
+		f := h.fleets[i]
 		// As View.Place, which goes by a list of boxes that these daemons do not have.
 		r.roster.Place = func(t *roster.Target) (int, int) {
 			cell := f.View().OnDuty()
 			return fleet.Place(fleet.Key(t.ID()), cell, f.View().Self()), len(cell)
 		}
-		r.relay.o.Choosers = func(t *roster.Target, n int) []string { return f.View().Ranked(fleet.Key(t.ID()), true, n) }
+		r.relay.options.Choosers = func(t *roster.Target, n int) []string { return f.View().Ranked(fleet.Key(t.ID()), true, n) }
 	}
-	h.g.Expect(h.fleet[0].View().Cells()).To(gomega.BeNumerically(">", 1))
+	h.g.Expect(h.fleets[0].View().Cells()).To(gomega.BeNumerically(">", 1))
 	began := time.Now()
 	var wg sync.WaitGroup
 	for i := range h.rigs {
@@ -230,7 +230,7 @@
 	}
 	wg.Wait()
 	arrivals := map[string][]time.Time{}
-	for _, s := range h.rigs[0].sends() {
+	for _, s := range h.rigs[0].received() {
 		if s.at.Sub(began) > told {
 			arrivals[s.target] = append(arrivals[s.target], s.at)
 		}
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -5,24 +5,24 @@
 
 const (
 	// done: the caller has the whole answer.
-	done outcome = iota
+	outcomeDone outcome = iota
 	// notSent: no byte reached the target.
-	notSent
+	outcomeNotSent
 	// stopped: no byte went out, since the target may get nothing any more.
-	stopped
+	outcomeUnavailable
 	// refused: the target says that it did not run the request.
-	refused
+	outcomeRefused
 	// broken: there is no answer, or not a whole one; it may have run.
-	broken
+	outcomeIncomplete
 	// bad: the target answered with a failure that a repeatable request may
 	// try again elsewhere; the answer is kept.
-	bad
+	outcomeFailed
 	// left: the caller has gone.
-	left
+	outcomeCallerGone
 	// late: the time is up.
-	late
+	outcomeTimedOut
 	// cut: part of the answer was passed on and it cannot be completed.
-	cut
+	outcomeTruncated
 )
 
 var outcomeNames = [...]string{"done", "notSent", "stopped", "refused", "broken", "bad", "left", "late", "cut"}
--- a/core/relay/pass.go
+++ b/core/relay/pass.go
@@ -17,55 +17,55 @@
 )
 
 // pass is one request on its way. It is used by one goroutine.
-type pass struct {
-	relay *Relay
-	w     http.ResponseWriter
-	r     *http.Request
-	began time.Time
-	until time.Time
-	awake awake
+type proxiedRequest struct {
+	relay    *Relay
+	w        http.ResponseWriter
+	r        *http.Request
+	start    time.Time
+	deadline time.Time
+	suspends suspendDetector
 
-	ask          Ask
+	meta         Ask
 	route        *table.Route
 	organisation *table.Organisation
 	table        *table.Table
 	regions      regions
 	body         []byte
 	// asks is the fingerprint of the request; zero until its body is read.
-	asks    poison.Fingerprint
+	digest  poison.Fingerprint
 	service string
 	// size is that of the body, and domain where it comes from.
-	size   int
-	domain string
+	bodyBytes    int
+	originDomain string
 	// side says which versions of the service it may go to.
-	side canary.Side
+	versions canary.Side
 	// far tells that another daemon sends the request: this one only decides.
-	far bool
+	remote bool
 	// homeAsked is when the home of the request's context was asked last.
-	homeAsked time.Time
+	ownerQueried time.Time
 	// elsewhereAsked is when other cells were asked for a target last.
-	elsewhereAsked time.Time
+	cellsQueried time.Time
 	// tokenAsked is when another daemon was last asked for a target that is over its limit here.
-	tokenAsked time.Time
+	permitQueried time.Time
 
 	// tried counts the sends to each target.
 	tried map[string]int
 	// sends counts the sends that arrived or may have, runs those of them that
 	// may have run.
-	sends, runs int
+	attempts, executions int
 	// last is the target of the last send.
-	last *roster.Target
+	lastTarget *roster.Target
 	// begun tells that the head of the answer was passed on.
-	begun bool
+	headerSent bool
 	// after is the last event that the caller has.
-	after string
-	first time.Time
+	lastEventID string
+	firstAt     time.Time
 	// words are targets that the last choice passed over by what they said, and why.
-	words []string
+	skipped []string
 	// over is a target that the last choice passed over for its limit, or nil.
-	over *roster.Target
+	rateLimited *roster.Target
 	// line is how long the best target was last expected to take.
-	line time.Duration
+	expectedWait time.Duration
 	// forecast is what was expected of the first send; nil before.
 	forecast *event.Forecast
 	// aborted tells that the answer was cut.
@@ -76,25 +76,25 @@
 
 // lateMargin is how long after the limit the target's own last word is still
 // waited for; the users' rules allow half a second.
-const lateMargin = 60 * time.Millisecond
+const deadlineMargin = 60 * time.Millisecond
 
 // run sends the request until it is answered, or says why not.
-func (p *pass) run() *entry.Refusal {
-	p.service = p.route.Service(draw())
-	p.side = p.relay.o.Canary.Choose(p.service)
-	p.relay.earn(p.service, p.relay.o.Prices.Worth(p.ask.Prompt), p.began)
-	p.after = p.ask.After
-	ctx, cancel := context.WithDeadline(p.r.Context(), p.until.Add(lateMargin))
+func (p *proxiedRequest) run() *entry.Refusal {
+	p.service = p.route.Service(randomFraction())
+	p.versions = p.relay.options.Canary.Choose(p.service)
+	p.relay.recordArrival(p.service, p.relay.options.Prices.Worth(p.meta.Prompt), p.start)
+	p.lastEventID = p.meta.After
+	ctx, cancel := context.WithDeadline(p.r.Context(), p.deadline.Add(deadlineMargin))
 	defer cancel()
-	var kept *plainAnswer
+	var kept *bufferedAnswer
 	unsent := 0
 	for {
-		c, why := p.chooseSoon(ctx)
+		c, why := p.waitForChoice(ctx)
 		if c == nil {
 			return p.giveUp(kept, why)
 		}
-		p.last = c.target
-		p.expect(c)
+		p.lastTarget = c.target
+		p.recordForecast(c)
 		p.tried[c.target.ID()]++
 		out, ans := p.attempt(ctx, c)
 		p.note("%s=%s", c.target.ID(), out)
@@ -102,80 +102,80 @@
 			kept = ans
 		}
 		switch out {
-		case done, left, cut:
+		case outcomeDone, outcomeCallerGone, outcomeTruncated:
 			return nil
-		case late:
+		case outcomeTimedOut:
 			return p.giveUp(kept, "the time is up")
-		case stopped:
+		case outcomeUnavailable:
 			// It is chosen no more as long as that holds.
-			p.untry(c.target.ID())
-		case notSent:
+			p.uncountAttempt(c.target.ID())
+		case outcomeNotSent:
 			// The target got nothing; another one may get the request.
-			if unsent++; unsent >= unsentMost {
+			if unsent++; unsent >= maxUnreachable {
 				return p.giveUp(kept, "no target can be reached")
 			}
-		case refused, broken, bad:
-			if !p.again(out) {
+		case outcomeRefused, outcomeIncomplete, outcomeFailed:
+			if !p.mayRetry(out) {
 				return p.giveUp(kept, "it may not be sent again")
 			}
-			p.side = p.side.Aside()
+			p.versions = p.versions.Aside()
 		}
 	}
 }
 
 // untry takes back that a target was sent to.
-func (p *pass) untry(id string) {
+func (p *proxiedRequest) uncountAttempt(id string) {
 	if p.tried[id]--; p.tried[id] <= 0 {
 		delete(p.tried, id)
 	}
 }
 
 // endsTargets says that targets end of a request.
-const endsTargets = "targets end of it"
+const crashesTargets = "targets end of it"
 
 // holdLook is the pause between looks for a place.
-const holdLook = 15 * time.Millisecond
+const choiceInterval = 15 * time.Millisecond
 
 // chooseSoon chooses a target. Where none is worth taking now the request waits,
 // as long as it could still be answered in time.
-func (p *pass) chooseSoon(ctx context.Context) (*choice, string) {
+func (p *proxiedRequest) waitForChoice(ctx context.Context) (*choice, string) {
 	alone := false
 	defer func() {
 		if alone {
-			p.relay.waiters.leave(p.service)
+			p.relay.permitWaiters.leave(p.service)
 		}
 	}()
 	for {
-		p.wake()
-		if _, blocked := p.relay.o.Poison.Blocked(p.asks); blocked {
+		p.adjustForSuspend()
+		if _, blocked := p.relay.options.Poison.Blocked(p.digest); blocked {
 			// It has waited, or has just ended one more target.
-			return nil, endsTargets
+			return nil, crashesTargets
 		}
 		c, why := p.choose(ctx)
 		if c != nil {
-			p.line = c.judged.Expected
+			p.expectedWait = c.judgement.Expected
 		}
-		if c != nil && (c.judged.Gain > 0 || p.relay.o.Without.Refusals) {
-			if !p.spend(c, time.Now()) {
-				c.release()
+		if c != nil && (c.judgement.Gain > 0 || p.relay.options.Without.Refusals) {
+			if !p.acquire(c, time.Now()) {
+				c.releaseLoad()
 				continue
 			}
-			p.noteWords()
-			p.take(c, time.Now())
+			p.noteSkipped()
+			p.recordChoice(c, time.Now())
 			return c, why
 		}
-		c.release()
+		c.releaseLoad()
 		switch {
-		case c == nil && why == allRest && p.hopeful(p.line):
+		case c == nil && why == allUnderPushback && p.likelyOnTime(p.expectedWait):
 			// The first rest ends soon enough.
-		case c == nil && why == allLimited && p.hopeful(p.line) && p.waitAlone(&alone):
+		case c == nil && why == allRateLimited && p.likelyOnTime(p.expectedWait) && p.becomePermitWaiter(&alone):
 			// The first token comes soon enough, and no other request waits for it.
 		case c == nil && why != allFull:
 			return nil, why
-		case p.relay.o.Without.Waiting, !p.hopeful(0):
+		case p.relay.options.Without.Waiting, !p.likelyOnTime(0):
 			return nil, allFull
 		}
-		if !wait.For(ctx, holdLook) {
+		if !wait.For(ctx, choiceInterval) {
 			return nil, why
 		}
 	}
@@ -183,78 +183,78 @@
 
 // hopefulChance is the chance of an answer in time below which a request waits no
 // longer for a place.
-const hopefulChance = 0.5
+const minOnTimeChance = 0.5
 
 // hopeful reports whether an answer is likely to come in time if a target takes
 // the request some time from now.
-func (p *pass) hopeful(in time.Duration) bool {
+func (p *proxiedRequest) likelyOnTime(in time.Duration) bool {
 	now := time.Now().Add(in)
 	e := p.estimate(now)
-	expected := e.Time(learn.Factors{Own: p.ask.Prompt - p.shared()})
-	return e.Chance((p.route.Aim-now.Sub(p.began)).Seconds()/expected.Seconds()) >= hopefulChance
+	expected := e.Time(learn.Factors{Own: p.meta.Prompt - p.sharedTokens()})
+	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeChance
 }
 
 // Bounds on sends of one request.
 const (
 	// refusedMost is how many targets may refuse a request before it is given
 	// up: more would only add to an overload.
-	refusedMost = 2
+	maxRefusals = 2
 	// unsentMost is how many targets may be unreachable.
-	unsentMost = 4
+	maxUnreachable = 4
 	// shortest is the time below which a send is not worth while: a target
 	// would only throw the request away.
-	shortest = 20 * time.Millisecond
+	minAttemptTime = 20 * time.Millisecond
 	// endsMost is how many runs of targets may have ended under a request before the
 	// daemons repeat it no more of themselves: its caller may, once.
-	endsMost = 2
+	maxCrashes = 2
 )
 
 // again reports whether the request may be sent once more, and takes the send
 // out of what is allowed.
-func (p *pass) again(out outcome) bool {
-	p.wake()
+func (p *proxiedRequest) mayRetry(out outcome) bool {
+	p.adjustForSuspend()
 	switch {
-	case time.Until(p.until) < shortest:
+	case time.Until(p.deadline) < minAttemptTime:
 		return false
-	case out != refused && !p.route.MayRepeat():
+	case out != outcomeRefused && !p.route.MayRepeat():
 		return false
-	case p.runs >= p.route.Attempts:
+	case p.executions >= p.route.Attempts:
 		return false
-	case p.sends-p.runs > refusedMost, p.relay.o.Without.Repeats:
+	case p.attempts-p.executions > maxRefusals, p.relay.options.Without.Retries:
 		return false
-	case out == broken && p.relay.o.Poison.Ends(p.asks) >= endsMost:
+	case out == outcomeIncomplete && p.relay.options.Poison.Ends(p.digest) >= maxCrashes:
 		p.note("it may be what targets end of")
 		return false
 	}
-	if !p.relay.mayRepeat(p.service) {
+	if !p.relay.spendRetry(p.service) {
 		p.note("retries are used up")
 		return false
 	}
-	p.relay.o.Stats.Repeated.Inc()
+	p.relay.options.Stats.Retries.Inc()
 	return true
 }
 
 // giveUp is the final answer of a request that got none from a target.
-func (p *pass) giveUp(kept *plainAnswer, why string) *entry.Refusal {
-	p.noteWords()
+func (p *proxiedRequest) giveUp(kept *bufferedAnswer, why string) *entry.Refusal {
+	p.noteSkipped()
 	p.note("given up: %s", why)
 	switch {
-	case p.begun:
+	case p.headerSent:
 		p.aborted = true
 		return nil
 	case kept != nil:
 		kept.write(p)
 		return nil
-	case p.runs == 0:
-		if refusal := p.blocked(); refusal != nil {
+	case p.executions == 0:
+		if refusal := p.refuseBlocked(); refusal != nil {
 			return refusal
 		}
 		// Where it was blocked, that was taken back just now.
-		if later(why) {
-			return p.notBefore(entry.CodeNoTarget, "no target takes the request now: "+why, p.line)
+		if endsAtKnownTime(why) {
+			return p.refuseUntil(entry.CodeNoTarget, "no target takes the request now: "+why, p.expectedWait)
 		}
-		return p.notNow(entry.CodeNoTarget, "no target takes the request now: "+why, p.line)
-	case !time.Now().Before(p.until):
+		return p.refuseFor(entry.CodeNoTarget, "no target takes the request now: "+why, p.expectedWait)
+	case !time.Now().Before(p.deadline):
 		return entry.NewRefusal(http.StatusGatewayTimeout, entry.CodeTimeout, entry.Unknown, "no answer came in time", 0)
 	}
 	return entry.NewRefusal(http.StatusBadGateway, entry.CodeOutcomeUnknown, entry.Unknown, "the target gave no answer; whether it ran is not known", 0)
@@ -262,8 +262,8 @@
 
 // salt returns the name under which the parts of a request are kept by a
 // worker with a version of the weights.
-func (p *pass) salt(version int64) cache.PartSalt {
-	s := cache.PartSalt{Model: p.ask.Model, Version: version}
+func (p *proxiedRequest) cacheSalt(version int64) cache.PartSalt {
+	s := cache.PartSalt{Model: p.meta.Model, Version: version}
 	if p.organisation != nil && p.organisation.Isolated {
 		s.Wall = p.organisation.Name
 	}
--- a/core/relay/placed.go
+++ b/core/relay/placed.go
@@ -13,134 +13,134 @@
 )
 
 // placement is a choice of this daemon that another one sends.
-type placement struct {
-	pass *pass
+type ownedPlacement struct {
+	request *proxiedRequest
 	// choice is nil where its end was told before its begin.
 	choice *choice
 	// load is what is still counted of it, and until is when it is given up.
-	load  roster.Load
-	until time.Time
+	load     roster.Load
+	deadline time.Time
 }
 
-var errNotHome = errors.New("this daemon cannot decide about the prompt")
+var errCannotPlace = errors.New("this daemon cannot decide about the prompt")
 
 // place answers what to do with a prompt that another daemon has.
-func (h *Homes) place(_ context.Context, _ string, ask *placeAsk) (*placeAnswer, error) {
-	p, svc := h.passOf(ask)
-	if svc == nil || (svc.Engine == nil && !h.relay.divided(ask.Service) && !ask.ForToken) {
-		return nil, errors.WithStack(errNotHome)
+func (h *Homes) handlePlace(_ context.Context, _ string, ask *placementRequest) (*placementResponse, error) {
+	p, svc := h.requestOf(ask)
+	if svc == nil || (svc.Engine == nil && !h.relay.sharded(ask.Service) && !ask.NeedsPermit) {
+		return nil, errors.WithStack(errCannotPlace)
 	}
-	h.relay.o.Roster.MergeLimits(ask.Limits)
+	h.relay.options.Roster.MergeLimits(ask.RateLimits)
 	for {
-		c, why := p.chooseOwn(svc, time.Now())
+		c, why := p.chooseLocal(svc, time.Now())
 		// The asker tells when it makes use of it.
-		c.release()
-		if c == nil || c.judged.Gain <= 0 {
-			return nil, errors.Wrap(errNotHome, why)
+		c.releaseLoad()
+		if c == nil || c.judgement.Gain <= 0 {
+			return nil, errors.Wrap(errCannotPlace, why)
 		}
-		if p.spend(c, time.Now()) {
-			return answerOf(c, h.relay.o.Age()), nil
+		if p.acquire(c, time.Now()) {
+			return newPlacementResponse(c, h.relay.options.Age()), nil
 		}
 	}
 }
 
 // passOf returns a request of another daemon as decisions see it.
-func (h *Homes) passOf(ask *placeAsk) (*pass, *table.Service) {
+func (h *Homes) requestOf(ask *placementRequest) (*proxiedRequest, *table.Service) {
 	now, t := time.Now(), h.relay.Table()
 	if t == nil {
 		return nil, nil
 	}
-	p := &pass{
-		relay: h.relay, began: now.Add(-ask.Spent), until: now.Add(ask.Left), table: t, service: ask.Service, tried: map[string]int{},
-		ask: Ask{Model: ask.Model, Prompt: ask.Prompt}, route: &table.Route{Name: ask.Route, Aim: ask.Aim}, size: ask.Size, domain: ask.Domain, far: true, regions: ask.Regions, side: ask.Side,
+	p := &proxiedRequest{
+		relay: h.relay, start: now.Add(-ask.Elapsed), deadline: now.Add(ask.Remaining), table: t, service: ask.Service, tried: map[string]int{},
+		meta: Ask{Model: ask.Model, Prompt: ask.PromptTokens}, route: &table.Route{Name: ask.Route, Aim: ask.LatencyObjective}, bodyBytes: ask.BodyBytes, originDomain: ask.OriginDomain, remote: true, regions: ask.Regions, versions: ask.Versions,
 	}
-	if ask.Wall != "" {
-		p.organisation = &table.Organisation{Name: ask.Wall, Isolated: true}
+	if ask.IsolatedOrganisation != "" {
+		p.organisation = &table.Organisation{Name: ask.IsolatedOrganisation, Isolated: true}
 	}
-	for _, part := range ask.Parts {
-		p.ask.Parts = append(p.ask.Parts, cache.Part{ID: part.ID, Tokens: part.Tokens})
+	for _, part := range ask.Segments {
+		p.meta.Parts = append(p.meta.Parts, cache.Part{ID: part.ID, Tokens: part.Tokens})
 	}
-	for _, id := range ask.Tried {
+	for _, id := range ask.Excluded {
 		p.tried[id]++
 	}
 	return p, t.Service(ask.Service)
 }
 
 // news takes what became of a choice.
-func (h *Homes) news(_ context.Context, _ string, n *placeNews) (struct{}, error) {
+func (h *Homes) handleUpdate(_ context.Context, _ string, n *placementUpdate) (struct{}, error) {
 	now := time.Now()
-	h.placedMu.Lock()
-	defer h.placedMu.Unlock()
-	pl := h.placed[n.Name]
-	if n.Ask != nil && n.Answer != nil {
+	h.placementsMu.Lock()
+	defer h.placementsMu.Unlock()
+	pl := h.placements[n.Name]
+	if n.Request != nil && n.Response != nil {
 		if pl == nil {
-			h.put(n, now)
+			h.addPlacement(n, now)
 		} else {
 			// Its end overtook it.
-			delete(h.placed, n.Name)
+			delete(h.placements, n.Name)
 		}
 		return struct{}{}, nil
 	}
 	if pl == nil {
 		if n.Ended {
-			h.placed[n.Name] = &placement{until: now.Add(placedSweep)}
+			h.placements[n.Name] = &ownedPlacement{deadline: now.Add(expiryInterval)}
 		}
 		return struct{}{}, nil
 	}
 	if pl.choice != nil {
-		pl.learn(n, now)
+		pl.apply(n, now)
 	}
 	if n.Ended {
-		delete(h.placed, n.Name)
+		delete(h.placements, n.Name)
 	}
 	return struct{}{}, nil
 }
 
 // put counts a choice that is sent. It is called with placedMu held.
-func (h *Homes) put(n *placeNews, now time.Time) {
-	t := h.relay.o.Roster.Target(n.Answer.Target)
-	p, svc := h.passOf(n.Ask)
+func (h *Homes) addPlacement(n *placementUpdate, now time.Time) {
+	t := h.relay.options.Roster.Target(n.Response.Target)
+	p, svc := h.requestOf(n.Request)
 	if t == nil || svc == nil || svc.Engine == nil {
 		return
 	}
-	c := n.Answer.choice(t, n.Ask.Prompt)
-	c.option = option{target: t, entry: t.Entry(), version: n.Answer.Weights}
-	c.plan = p.plan(svc, c.option, p.find(c.option.version, now), now)
-	if len(n.Answer.Copy) == 0 {
-		c.plan.copied, c.plan.time = 0, 0
+	c := n.Response.choice(t, n.Request.PromptTokens)
+	c.eligible = eligibleTarget{target: t, entry: t.Entry(), version: n.Response.WeightVersion}
+	c.plan = p.planSegments(svc, c.eligible, p.findSegments(c.eligible.version, now), now)
+	if len(n.Response.CopyFrom) == 0 {
+		c.plan.copyCount, c.plan.copyTime = 0, 0
 	}
-	p.occupy(c, now)
+	p.recordUse(c, now)
 	t.Begin(c.load)
-	h.placed[n.Name] = &placement{pass: p, choice: c, load: c.load, until: p.until}
-	h.relay.o.Placed()
+	h.placements[n.Name] = &ownedPlacement{request: p, choice: c, load: c.load, deadline: p.deadline}
+	h.relay.options.Placed()
 }
 
 // learn takes what came of the choice, and ends what is counted of it.
-func (pl *placement) learn(n *placeNews, now time.Time) {
+func (pl *ownedPlacement) apply(n *placementUpdate, now time.Time) {
 	c := pl.choice
-	if n.Leaves {
-		pl.pass.relay.o.Roster.Leaves(c.target.ID(), roster.ByPeer)
+	if n.ShuttingDown {
+		pl.request.relay.options.Roster.Leaves(c.target.ID(), roster.ByPeer)
 	}
 	switch {
-	case n.Reloads:
-		pl.pass.reloads(c)
-	case n.Silent:
-		pl.pass.silent(c)
+	case n.Reloading:
+		pl.request.recordReload(c)
+	case n.NoAnswer:
+		pl.request.recordNoAnswer(c)
 	case n.Bad:
-		pl.pass.answered(c, false)
-	case n.First > 0:
-		pl.pass.answered(c, true)
-		pl.pass.learnFirst(c, n.First, now)
+		pl.request.recordAnswer(c, false)
+	case n.FirstEvent > 0:
+		pl.request.recordAnswer(c, true)
+		pl.request.learnFromFirstAnswer(c, n.FirstEvent, now)
 	}
 	done := roster.Load{Unread: pl.load.Unread}
 	if n.Ended {
 		done = pl.load
 	}
-	pl.end(done)
+	pl.releaseLoad(done)
 }
 
 // end takes back part of what is counted.
-func (pl *placement) end(l roster.Load) {
+func (pl *ownedPlacement) releaseLoad(l roster.Load) {
 	if pl.choice != nil {
 		pl.choice.target.End(l)
 	}
@@ -151,17 +151,17 @@
 
 // Run gives up choices whose end was not told, until ctx ends.
 func (h *Homes) Run(ctx context.Context) {
-	wait.Every(ctx, placedSweep, func() { h.sweep(time.Now()) })
+	wait.Every(ctx, expiryInterval, func() { h.removeExpired(time.Now()) })
 }
 
 // sweep gives up choices whose end was not told.
-func (h *Homes) sweep(now time.Time) {
-	h.placedMu.Lock()
-	defer h.placedMu.Unlock()
-	for name, pl := range h.placed {
-		if now.After(pl.until.Add(placedSweep)) {
-			pl.end(pl.load)
-			delete(h.placed, name)
+func (h *Homes) removeExpired(now time.Time) {
+	h.placementsMu.Lock()
+	defer h.placementsMu.Unlock()
+	for name, pl := range h.placements {
+		if now.After(pl.deadline.Add(expiryInterval)) {
+			pl.releaseLoad(pl.load)
+			delete(h.placements, name)
 		}
 	}
 }
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -14,75 +14,75 @@
 
 // plainMost is how much of an answer is read before any of it is passed on, so
 // that one that breaks off can be replaced.
-const plainMost = 256 << 10
+const maxBufferedBytes = 256 << 10
 
 // plainAnswer is a whole answer of a target.
-type plainAnswer struct {
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
 // plain passes on an answer that is not a stream.
-func (p *pass) plain(c *choice, in *target.Incoming, reply *Reply, sent time.Time) (outcome, *plainAnswer) {
-	body, err := readAll(nil, io.LimitReader(in, plainMost))
+func (p *proxiedRequest) plain(c *choice, in *target.Incoming, reply *Reply, sent time.Time) (outcome, *bufferedAnswer) {
+	body, err := readAll(nil, io.LimitReader(in, maxBufferedBytes))
 	if err != nil {
-		return p.brokenOff(c, err), nil
+		return p.classifyTruncated(c, err), nil
 	}
-	ans := &plainAnswer{in.Status, in.Header, body}
+	ans := &bufferedAnswer{in.Status, in.Header, body}
 	good := in.Status < http.StatusInternalServerError
 	if (in.Status/100 == 2 && !reply.Sealed) || reply.Encoded {
 		in.Spoil()
-		p.answered(c, false)
+		p.recordAnswer(c, false)
 		p.note("the answer is not signed")
-		return broken, nil
+		return outcomeIncomplete, nil
 	}
-	p.answered(c, good)
+	p.recordAnswer(c, good)
 	if good {
-		p.ranWell(c)
+		p.recordSuccess(c)
 	}
-	p.firstAnswer(c, sent)
-	if !good && p.route.MayRepeat() && len(body) < plainMost {
-		return bad, ans
+	p.recordFirstAnswer(c, sent)
+	if !good && p.route.MayRepeat() && len(body) < maxBufferedBytes {
+		return outcomeFailed, ans
 	}
-	p.first = time.Now()
-	if len(body) < plainMost {
+	p.firstAt = time.Now()
+	if len(body) < maxBufferedBytes {
 		ans.write(p)
-		return done, nil
+		return outcomeDone, nil
 	}
-	return p.long(ans, in), nil
+	return p.passOnRest(ans, in), nil
 }
 
 // long passes on an answer that is too large to be kept whole.
-func (p *pass) long(ans *plainAnswer, in *target.Incoming) outcome {
-	ans.head(p, in.Length)
+func (p *proxiedRequest) passOnRest(ans *bufferedAnswer, in *target.Incoming) outcome {
+	ans.writeHeader(p, in.Length)
 	if _, err := p.w.Write(ans.body); err != nil {
-		return left
+		return outcomeCallerGone
 	}
 	if _, err := io.Copy(p.w, in); err != nil {
 		p.aborted = true
-		return cut
+		return outcomeTruncated
 	}
-	return done
+	return outcomeDone
 }
 
 // brokenOff records an answer that broke off while it was read.
-func (p *pass) brokenOff(c *choice, err error) outcome {
+func (p *proxiedRequest) classifyTruncated(c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
 	now := time.Now()
-	p.answered(c, false)
+	p.recordAnswer(c, false)
 	switch {
-	case gone(p.r.Context()):
-		return left
-	case !now.Before(p.until):
-		return late
+	case callerGone(p.r.Context()):
+		return outcomeCallerGone
+	case !now.Before(p.deadline):
+		return outcomeTimedOut
 	}
-	p.lost(c)
-	return broken
+	p.recordDisconnect(c)
+	return outcomeIncomplete
 }
 
 // head passes on the head of the answer; a length below 0 is left open.
-func (a *plainAnswer) head(p *pass, length int64) {
+func (a *bufferedAnswer) writeHeader(p *proxiedRequest, length int64) {
 	h := p.w.Header()
 	for name, values := range a.header {
 		if !entry.HopHeader(name) && name != "Content-Length" {
@@ -92,25 +92,25 @@
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	if p.relay.closing.Load() {
+	if p.relay.closeConnections.Load() {
 		h.Set("Connection", "close")
 	}
-	p.begun = true
+	p.headerSent = true
 	p.w.WriteHeader(a.status)
 }
 
 // write passes on the whole answer.
-func (a *plainAnswer) write(p *pass) {
+func (a *bufferedAnswer) write(p *proxiedRequest) {
 	if p.r.Method == http.MethodHead {
 		// The length is that of the body which a GET would get.
 		length, err := strconv.ParseInt(a.header.Get("Content-Length"), 10, 64)
 		if err != nil {
 			length = -1
 		}
-		a.head(p, length)
+		a.writeHeader(p, length)
 		return
 	}
-	a.head(p, int64(len(a.body)))
+	a.writeHeader(p, int64(len(a.body)))
 	if _, err := p.w.Write(a.body); err != nil {
 		p.note("the caller has gone: %v", err)
 	}
--- a/core/relay/regions.go
+++ b/core/relay/regions.go
@@ -23,7 +23,7 @@
 }
 
 // allow reports whether all lists name a region; one that is not known ("") none does.
-func (rs regions) allow(region string) bool {
+func (rs regions) allows(region string) bool {
 	for _, list := range rs {
 		if region == "" || !slices.Contains(list, region) {
 			return false
@@ -34,6 +34,6 @@
 
 // allowed reports whether the request may run, and its context be kept, in a failure
 // domain.
-func (p *pass) allowed(domain string) bool {
-	return len(p.regions) == 0 || p.regions.allow(p.relay.o.Regions[domain])
+func (p *proxiedRequest) domainAllowed(domain string) bool {
+	return len(p.regions) == 0 || p.regions.allows(p.relay.options.Regions[domain])
 }
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -27,7 +27,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.o.Regions = map[string]string{"d1": "north", "d2": "south"}
+			r.relay.options.Regions = map[string]string{"d1": "north", "d2": "south"}
 			old := r.relay.Table()
 			routes := append([]table.Route(nil), testRoutes...)
 			for i := range routes {
@@ -40,7 +40,7 @@
 			// The first two break each stream, so that a second try is made.
 			for i := 1; i <= 3; i++ {
 				id := fmt.Sprintf("w%d", i)
-				r.target(id, "llm", always(hangsUp))
+				r.target(id, "llm", always(hangUp))
 				e := *r.roster.Target(id).Entry()
 				e.Domain = fmt.Sprintf("d%d", i)
 				r.roster.Put(e)
@@ -52,9 +52,9 @@
 				}
 			}
 			if len(tc.to) > 0 {
-				r.g.Expect(r.sends()).NotTo(gomega.BeEmpty())
+				r.g.Expect(r.received()).NotTo(gomega.BeEmpty())
 			}
-			for _, s := range r.sends() {
+			for _, s := range r.received() {
 				r.g.Expect(tc.to).To(gomega.ContainElement(s.target))
 			}
 		})
@@ -64,18 +64,18 @@
 // A home that does not know of a caller's regions, or has been told wrongly, is not obeyed.
 func TestAHomeOutsideTheRegionsIsNotObeyed(t *testing.T) {
 	r := newRig(t, nil)
-	r.relay.o.Regions = map[string]string{"d1": "north", "d2": "south"}
-	r.target("w1", "llm", always(hangsUp))
+	r.relay.options.Regions = map[string]string{"d1": "north", "d2": "south"}
+	r.target("w1", "llm", always(hangUp))
 	e := *r.roster.Target("w1").Entry()
 	e.Domain = "d2"
 	r.roster.Put(e)
-	p := &pass{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}, regions: regions{{"north"}}}
-	r.relay.homes = &Homes{}
-	answer := &placeAnswer{Target: "w1", Weights: 1}
-	r.g.Expect(p.orderOf(r.relay.Table().Service("llm"), "peer", &placeAsk{}, answer)).To(gomega.BeNil())
-	ask := p.placeAsk(p.began)
+	p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}, regions: regions{{"north"}}}
+	r.relay.owners = &Homes{}
+	answer := &placementResponse{Target: "w1", WeightVersion: 1}
+	r.g.Expect(p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, answer)).To(gomega.BeNil())
+	ask := p.newPlacementRequest(p.start)
 	r.g.Expect(ask.Regions).To(gomega.Equal(regions{{"north"}}))
-	far, _ := (&Homes{relay: r.relay}).passOf(ask)
-	r.g.Expect(far.allowed("d1")).To(gomega.BeTrue())
-	r.g.Expect(far.allowed("d2")).To(gomega.BeFalse())
+	far, _ := (&Homes{relay: r.relay}).requestOf(ask)
+	r.g.Expect(far.domainAllowed("d1")).To(gomega.BeTrue())
+	r.g.Expect(far.domainAllowed("d2")).To(gomega.BeFalse())
 }
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -114,33 +114,33 @@
 
 // Relay answers callers.
 type Relay struct {
-	o     Options
-	table atomic.Pointer[table.Table]
+	options Options
+	table   atomic.Pointer[table.Table]
 	// turn counts the choices.
-	turn atomic.Uint64
+	choiceCount atomic.Uint64
 	// began is the origin of the steady time that allowances count in.
-	began   time.Time
-	running atomic.Int64
-	closing atomic.Bool
+	start            time.Time
+	running          atomic.Int64
+	closeConnections atomic.Bool
 	// closed tells that new requests are refused: the planned stop is near.
-	closed atomic.Bool
+	refusing atomic.Bool
 	// homes, if set, are asked about contexts that other cells have at home. Set
 	// before the first request.
-	homes  *Homes
-	colds  colds
-	shares shares
+	owners *Homes
+	warmUp warmUpLimiter
+	shares shareCache
 	// waiters are the requests that wait for a token of a limited target.
-	waiters waiters
+	permitWaiters permitWaiters
 
 	// chooseMu is held from a look at the targets until the choice is counted at one.
 	chooseMu sync.Mutex
 
-	allowMu sync.Mutex
+	budgetMu sync.Mutex
 	// allowances bound repeated sends by service. Guarded by allowMu.
-	allowances map[string]*route.Allowance
+	retryBudgets map[string]*route.Allowance
 	// rates are the worth of the requests that come for each service. Guarded by
 	// allowMu.
-	rates map[string]*learn.Rate
+	arrivalRates map[string]*learn.Rate
 }
 
 // New returns a relay that has no table yet.
@@ -151,7 +151,7 @@
 	if o.Canary == nil {
 		o.Canary = &canary.Guard{}
 	}
-	return &Relay{o: o, began: time.Now(), allowances: map[string]*route.Allowance{}, rates: map[string]*learn.Rate{}}
+	return &Relay{options: o, start: time.Now(), retryBudgets: map[string]*route.Allowance{}, arrivalRates: map[string]*learn.Rate{}}
 }
 
 // SetTable puts a configuration in force. Running requests keep theirs.
@@ -165,52 +165,54 @@
 
 // Close makes each answer the last one on its connection: a planned stop has
 // begun.
-func (rl *Relay) Close() { rl.closing.Store(true) }
+func (rl *Relay) Close() { rl.closeConnections.Store(true) }
 
 // Refuse makes the relay refuse new requests: the planned stop is about to end.
-func (rl *Relay) Refuse() { rl.closed.Store(true) }
+func (rl *Relay) Refuse() { rl.refusing.Store(true) }
 
 // outageLeast is how much longer an outage of the platform's store is expected to
 // last at least: they last for seconds.
-const outageLeast = time.Second
+const minOutage = time.Second
 
 // unready returns how much longer the daemon is expected to know no configuration:
 // as long as it has known none, and longer where the platform's store is out.
-func (rl *Relay) unready() time.Duration {
-	lasted := time.Since(rl.began)
-	if rl.o.StoreDown != nil && rl.o.StoreDown() {
-		return max(lasted, outageLeast)
+func (rl *Relay) notReadyFor() time.Duration {
+	lasted := time.Since(rl.start)
+	if rl.options.StoreDown != nil && rl.options.StoreDown() {
+		return max(lasted, minOutage)
 	}
 	return lasted
 }
 
 // divided reports whether the cells divide the targets of a service.
-func (rl *Relay) divided(service string) bool { return rl.o.Divided != nil && rl.o.Divided(service) }
+func (rl *Relay) sharded(service string) bool {
+	return rl.options.Divided != nil && rl.options.Divided(service)
+}
 
 // lacks returns for how long a newer configuration has been lacking, if that is too
 // long to handle anything by the one in force.
-func (rl *Relay) lacks() time.Duration {
-	if rl.o.Lacks == nil {
+func (rl *Relay) configOverdue() time.Duration {
+	if rl.options.Lacks == nil {
 		return 0
 	}
-	return rl.o.Lacks()
+	return rl.options.Lacks()
 }
 
 // ServeHTTP answers one request.
 func (rl *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	rl.running.Add(1)
 	defer rl.running.Add(-1)
-	rl.o.Stats.Requests.Inc()
-	if rl.closing.Load() {
+	rl.options.Stats.Requests.Inc()
+	if rl.closeConnections.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	p := &pass{relay: rl, w: w, r: r, began: time.Now(), awake: watchSleep(), domain: rl.o.Domain, tried: map[string]int{}}
+	p := &proxiedRequest{relay: rl, w: w, r: r, start: time.Now(), suspends: newSuspendDetector(), originDomain: rl.options.Domain, tried: map[string]int{}}
 	refusal := p.admit()
 	if refusal == nil {
 		refusal = p.run()
 	}
-	p.end(refusal)
+	p.finish(refusal)
 }
 
 // gone reports whether the caller has closed its connection.
-func gone(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
+func callerGone(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -40,13 +40,13 @@
 		body   string
 		sends  int
 	}{
-		{"whole", "/once/a?b=c", always(answers(200, "yes")), nil, 200, "yes", 1},
-		{"own failure is passed on", "/once/a", always(answers(500, "bad")), nil, 500, "bad", 1},
-		{"not run moves on", "/once/a", always(declines), always(declines), 503, "notRun", 2},
-		{"not run is served by the other", "/once/a", inTurn(declines), always(answers(200, "yes")), 200, "yes", 0},
-		{"cut once is unknown", "/once/a", always(hangsUp), always(answers(200, "yes")), 0, "", 1},
-		{"cut repeatable is sent again", "/again/a", inTurn(hangsUp, answers(200, "yes")), always(answers(200, "yes")), 200, "yes", 0},
-		{"failure of repeatable is sent again", "/again/a", always(answers(500, "bad")), always(answers(500, "bad")), 500, "bad", 2},
+		{"whole", "/once/a?b=c", always(respond(200, "yes")), nil, 200, "yes", 1},
+		{"own failure is passed on", "/once/a", always(respond(500, "bad")), nil, 500, "bad", 1},
+		{"not run moves on", "/once/a", always(refuse), always(refuse), 503, "notRun", 2},
+		{"not run is served by the other", "/once/a", inSequence(refuse), always(respond(200, "yes")), 200, "yes", 0},
+		{"cut once is unknown", "/once/a", always(hangUp), always(respond(200, "yes")), 0, "", 1},
+		{"cut repeatable is sent again", "/again/a", inSequence(hangUp, respond(200, "yes")), always(respond(200, "yes")), 200, "yes", 0},
+		{"failure of repeatable is sent again", "/again/a", always(respond(500, "bad")), always(respond(500, "bad")), 500, "bad", 2},
 		{"foreign answer", "/once/a", always(foreign), nil, 502, "unknown", 1},
 		{"unsigned answer", "/once/a", always(unsigned), nil, 502, "unknown", 1},
 		{"short answer", "/once/a", always(short), nil, 502, "unknown", 1},
@@ -64,9 +64,9 @@
 			}
 			r.g.Expect(a.body).To(gomega.ContainSubstring(tc.body))
 			if tc.sends > 0 {
-				r.g.Expect(r.sends()).To(gomega.HaveLen(tc.sends))
+				r.g.Expect(r.received()).To(gomega.HaveLen(tc.sends))
 			}
-			for _, s := range r.sends() {
+			for _, s := range r.received() {
 				r.g.Expect(s.uri).To(gomega.Equal(tc.path))
 				r.g.Expect(s.body).To(gomega.Equal("hello"))
 				r.g.Expect(s.header.Get("Organisation")).To(gomega.Equal("org"))
@@ -79,12 +79,12 @@
 
 func TestCutOfWhatMayRunOnceIsNeverCalledNotRun(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "plain", always(hangsUp))
-	r.target("t2", "plain", always(hangsUp))
+	r.target("t1", "plain", always(hangUp))
+	r.target("t2", "plain", always(hangUp))
 	a := r.ask(http.MethodPost, "/once/a", "x")
 	r.g.Expect(a.status).To(gomega.Equal(http.StatusBadGateway))
 	r.g.Expect(a.header.Get("Come-Back")).To(gomega.BeEmpty())
-	r.g.Expect(r.sends()).To(gomega.HaveLen(1))
+	r.g.Expect(r.received()).To(gomega.HaveLen(1))
 }
 
 func TestRefusalsWithoutASend(t *testing.T) {
@@ -111,7 +111,7 @@
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"notRun"`))
 			r.g.Expect(a.header.Get("Come-Back") != "").To(gomega.Equal(tc.status == 503))
-			r.g.Expect(r.sends()).To(gomega.BeEmpty())
+			r.g.Expect(r.received()).To(gomega.BeEmpty())
 		})
 	}
 }
@@ -119,14 +119,14 @@
 // A route that is still there may lead elsewhere by now.
 func TestNothingIsSentUnderAConfigurationThatIsReplacedForTooLong(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "plain", always(answers(200, "ok")))
-	r.lacks = time.Second
+	r.target("t1", "plain", always(respond(200, "ok")))
+	r.configOverdue = time.Second
 	a := r.ask(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(503))
 	r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"notRun"`))
 	r.g.Expect(a.header.Get("Come-Back")).NotTo(gomega.BeEmpty())
-	r.g.Expect(r.sends()).To(gomega.BeEmpty())
-	r.lacks = 0
+	r.g.Expect(r.received()).To(gomega.BeEmpty())
+	r.configOverdue = 0
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "y").status).To(gomega.Equal(200))
 }
 
@@ -139,20 +139,20 @@
 		deadline    string
 		least, most time.Duration
 	}{
-		{"started just now", func(r *rig) { r.relay.table.Store(nil) }, "6000", soonest / 2, 400 * time.Millisecond},
+		{"started just now", func(r *rig) { r.relay.table.Store(nil) }, "6000", minRetryAfter / 2, 400 * time.Millisecond},
 		{"the store is out", func(r *rig) {
 			r.relay.table.Store(nil)
-			r.relay.o.StoreDown = func() bool { return true }
+			r.relay.options.StoreDown = func() bool { return true }
 		}, "6000", 700 * time.Millisecond, 1300 * time.Millisecond},
 		{"no configuration for long", func(r *rig) {
 			r.relay.table.Store(nil)
-			r.relay.began = time.Now().Add(-time.Minute)
+			r.relay.start = time.Now().Add(-time.Minute)
 		}, "6000", 1900 * time.Millisecond, 2 * time.Second},
 		{"little time is left", func(r *rig) {
 			r.relay.table.Store(nil)
-			r.relay.began = time.Now().Add(-time.Minute)
+			r.relay.start = time.Now().Add(-time.Minute)
 		}, "300", time.Millisecond, 100 * time.Millisecond},
-		{"about to stop", func(r *rig) { r.relay.Refuse() }, "6000", soonest / 2, 2 * soonest},
+		{"about to stop", func(r *rig) { r.relay.Refuse() }, "6000", minRetryAfter / 2, 2 * minRetryAfter},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -180,10 +180,10 @@
 
 func TestLeavingTargetsGetNothing(t *testing.T) {
 	r := newRig(t, nil)
-	f := r.target("t1", "plain", always(answers(200, "yes")))
+	f := r.target("t1", "plain", always(respond(200, "yes")))
 	r.roster.Put(roster.Entry{ID: "t1", Service: "plain", Address: f.l.Addr().String(), Leaving: true})
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(http.StatusServiceUnavailable))
-	r.g.Expect(r.sends()).To(gomega.BeEmpty())
+	r.g.Expect(r.received()).To(gomega.BeEmpty())
 }
 
 func TestStreams(t *testing.T) {
@@ -196,21 +196,21 @@
 		cut      bool
 		resumeAt string
 	}{
-		{"whole", "/stream/", always(streams(true, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n")), nil, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, ""},
+		{"whole", "/stream/", always(stream(true, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n")), nil, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, ""},
 		{
 			"broken inside an event, taken up elsewhere", "/stream/",
-			always(streams(false, "id: 1\ndata: a\n\n", "id: 2\nda")),
-			always(streams(true, "id: 2\ndata: b\n\n")),
+			always(stream(false, "id: 1\ndata: a\n\n", "id: 2\nda")),
+			always(stream(true, "id: 2\ndata: b\n\n")),
 			"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, "1",
 		},
 		{
 			"events that the caller has are left out", "/stream/",
-			always(streams(false, "id: 9\ndata: a\n\n")),
-			always(streams(true, "id: 9\ndata: a\n\n", "id: 10\ndata: b\n\n")),
+			always(stream(false, "id: 9\ndata: a\n\n")),
+			always(stream(true, "id: 9\ndata: a\n\n", "id: 10\ndata: b\n\n")),
 			"id: 9\ndata: a\n\nid: 10\ndata: b\n\n", false, "9",
 		},
-		{"broken and not resumable", "/single/", always(streams(false, "id: 1\ndata: a\n\n")), always(streams(true, "id: 2\ndata: b\n\n")), "id: 1\ndata: a\n\n", true, ""},
-		{"ends inside an event", "/single/", always(streams(true, "id: 1\ndata: a\n\n", "id: 2\nda")), nil, "id: 1\ndata: a\n\n", true, ""},
+		{"broken and not resumable", "/single/", always(stream(false, "id: 1\ndata: a\n\n")), always(stream(true, "id: 2\ndata: b\n\n")), "id: 1\ndata: a\n\n", true, ""},
+		{"ends inside an event", "/single/", always(stream(true, "id: 1\ndata: a\n\n", "id: 2\nda")), nil, "id: 1\ndata: a\n\n", true, ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -226,7 +226,7 @@
 			r.g.Expect(a.err != nil).To(gomega.Equal(tc.cut))
 			r.g.Expect(a.header.Get("Seal")).To(gomega.Equal("s-t1"))
 			if tc.resumeAt != "" {
-				s := r.sends()
+				s := r.received()
 				r.g.Expect(s).To(gomega.HaveLen(2))
 				r.g.Expect(s[1].target).To(gomega.Equal("t2"))
 				r.g.Expect(s[1].header.Get("After")).To(gomega.Equal(tc.resumeAt))
@@ -262,25 +262,25 @@
 
 func TestRetriesStayWithinWhatIsAllowed(t *testing.T) {
 	r := newRig(t, nil)
-	r.relay.o.RetryShare, r.relay.o.RetryExtra = 0, 3.5/allowedShare
-	r.target("t1", "plain", always(answers(500, "bad")))
-	r.target("t2", "plain", always(answers(500, "bad")))
+	r.relay.options.RetryShare, r.relay.options.RetryExtra = 0, 3.5/retryBudgetUse
+	r.target("t1", "plain", always(respond(500, "bad")))
+	r.target("t2", "plain", always(respond(500, "bad")))
 	for range 10 {
 		r.ask(http.MethodPost, "/again/", "x")
 	}
-	r.g.Expect(r.sends()).To(gomega.HaveLen(13))
+	r.g.Expect(r.received()).To(gomega.HaveLen(13))
 }
 
 // keptPart makes the rig's stores hold one part under a salt.
-func keptPart(r *rig, salt, id string) {
-	r.kept.Set(t0(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
+func storeSegment(r *rig, salt, id string) {
+	r.kept.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
 	name := cache.PartName{Salt: salt, ID: id}
 	r.g.Eventually(func() bool {
 		return len(r.kept.Find(name, clock.Now())) > 0
 	}, "10s", "5ms").Should(gomega.BeTrue())
 }
 
-func t0(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	return ctx
@@ -298,14 +298,14 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			salt := cache.PartSalt{Model: "m", Version: 1}.String()
-			r := newRig(t, noStores{[]cache.PartChange{{PartName: cache.PartName{Salt: salt, ID: "shared"}, Tokens: 5000}}})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			keptPart(r, salt, "shared")
-			r.named = tc.named
+			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: cache.PartName{Salt: salt, ID: "shared"}, Tokens: 5000}}})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			storeSegment(r, salt, "shared")
+			r.desired = tc.named
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "shared:5000 own:10")
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
-			r.g.Expect(r.sends()[0].header.Get("Salt")).To(gomega.Equal(salt))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
+			r.g.Expect(r.received()[0].header.Get("Salt")).To(gomega.Equal(salt))
 		})
 	}
 }
@@ -332,13 +332,13 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, noStores{tc.stored})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			keptPart(r, salt, tc.stored[0].ID)
+			r := newRig(t, fakeStores{tc.stored})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			storeSegment(r, salt, tc.stored[0].ID)
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
-			r.g.Expect(r.sends()[0].header.Get("Keep")).To(gomega.Equal(tc.keep))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
+			r.g.Expect(r.received()[0].header.Get("Keep")).To(gomega.Equal(tc.keep))
 		})
 	}
 }
@@ -354,39 +354,39 @@
 		want string
 	}{
 		{"the store nearby", func(*rig) {}, "near:1,"},
-		{"copies wait at the nearer", func(r *rig) { r.relay.o.Links.Begin("near:1", "else", 800*time.Millisecond, time.Now()) }, "far:1,"},
+		{"copies wait at the nearer", func(r *rig) { r.relay.options.Links.Begin("near:1", "else", 800*time.Millisecond, time.Now()) }, "far:1,"},
 		{"the nearer is slow", func(r *rig) {
 			for range 8 {
-				r.relay.o.Links.Sample("near:1", "else", 8, 1, time.Now())
+				r.relay.options.Links.Sample("near:1", "else", 8, 1, time.Now())
 			}
 		}, "far:1,"},
 		{"a worker holds it", func(r *rig) {
 			for _, store := range []string{"near:1", "far:1"} {
-				r.relay.o.Links.Begin(store, "else", 800*time.Millisecond, time.Now())
+				r.relay.options.Links.Begin(store, "else", 800*time.Millisecond, time.Now())
 			}
-			r.relay.o.Where.Note(cache.Use{Target: "t2", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, time.Now())
+			r.relay.options.Where.Note(cache.Use{Target: "t2", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, time.Now())
 		}, "t2,"},
 		{"nobody in time", func(r *rig) {
 			for _, store := range []string{"near:1", "far:1"} {
-				r.relay.o.Links.Begin(store, "else", 2*time.Second, time.Now())
+				r.relay.options.Links.Begin(store, "else", 2*time.Second, time.Now())
 			}
 		}, ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, noStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			r.kept.Set(t0(r.t), []cache.StoreInfo{
+			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			r.kept.Set(testContext(r.t), []cache.StoreInfo{
 				{Address: "near:1", Room: 1 << 20, TokenTime: 10 * time.Microsecond}, {Address: "far:1", Room: 1 << 20, TokenTime: 20 * time.Microsecond},
 			})
 			r.g.Eventually(func() int { return len(r.kept.Find(name, clock.Now())) }, "10s", "5ms").Should(gomega.Equal(2))
-			t2 := r.target("t2", "llm", always(streams(true)))
+			t2 := r.target("t2", "llm", always(stream(true)))
 			r.roster.Target("t2").Begin(roster.Load{Running: 100})
 			tc.make(r)
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			want := strings.Replace(tc.want, "t2", t2.l.Addr().String(), 1)
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(want))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(want))
 		})
 	}
 }
@@ -408,50 +408,50 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, noStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			keptPart(r, salt, "text")
-			r.relay.o.Where.Room = func(string) int { return 20000 }
+			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			storeSegment(r, salt, "text")
+			r.relay.options.Where.Room = func(string) int { return 20000 }
 			now := time.Now()
-			r.relay.o.Where.Note(cache.Use{Target: "t1", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, now)
-			r.relay.o.Where.Note(cache.Use{Target: "t1", Salt: salt, Rest: tc.used}, now)
+			r.relay.options.Where.Note(cache.Use{Target: "t1", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, now)
+			r.relay.options.Where.Note(cache.Use{Target: "t1", Salt: salt, Rest: tc.used}, now)
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
 		})
 	}
 }
 
 func TestIsolatedOrganisationsHaveASaltOfTheirOwn(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 	r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10")
 	r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10", "Key", "walled")
-	s := r.sends()
+	s := r.received()
 	r.g.Expect(s[0].header.Get("Salt")).To(gomega.Equal("v1/m/"))
 	r.g.Expect(s[1].header.Get("Salt")).To(gomega.Equal("v1/m/walled"))
 }
 
 func TestPlannedStop(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "plain", always(answers(200, "yes")))
+	r.target("t1", "plain", always(respond(200, "yes")))
 	r.relay.Close()
 	a := r.ask(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(200))
 	r.relay.Refuse()
 	a = r.ask(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(503))
-	r.g.Expect(r.sends()).To(gomega.HaveLen(1))
+	r.g.Expect(r.received()).To(gomega.HaveLen(1))
 }
 
 func TestNothingBeginsOnWeightsReplacedLongAgo(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-	r.named, r.least = 2, 2
+	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+	r.desired, r.minWeights = 2, 2
 	a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m")
 	r.g.Expect(a.status).To(gomega.Equal(http.StatusServiceUnavailable))
 	r.g.Expect(a.body).To(gomega.ContainSubstring("notRun"))
-	r.g.Expect(r.sends()).To(gomega.BeEmpty())
+	r.g.Expect(r.received()).To(gomega.BeEmpty())
 }
 
 func TestLongPromptsWaitForMemory(t *testing.T) {
@@ -470,8 +470,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			// Workers that read any prompt in time, if they have the memory.
-			r.relay.o.Engines.Own = time.Millisecond / 10
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+			r.relay.options.Engines.Own = time.Millisecond / 10
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("t1").Begin(roster.Load{Running: 1, Held: tc.held})
 			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
@@ -495,9 +495,9 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			var told []int
-			r.relay.o.Placed = func() { told = append(told, r.roster.Target("t1").Own().Held) }
+			r.relay.options.Placed = func() { told = append(told, r.roster.Target("t1").Own().Held) }
 			r.g.Expect(r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts).status).To(gomega.Equal(http.StatusOK))
 			r.g.Expect(told).To(gomega.Equal(tc.want))
 		})
@@ -518,22 +518,22 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.o.Share = func([]string) []string { return []string{"mine"} }
-			r.target("mine", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			r.target("other", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+			r.relay.options.Share = func([]string) []string { return []string{"mine"} }
+			r.target("mine", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			r.target("other", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			tc.make(r.roster.Target("mine"))
 			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
-			r.g.Expect(r.sends()).To(gomega.HaveLen(tc.sends))
+			r.g.Expect(r.received()).To(gomega.HaveLen(tc.sends))
 		})
 	}
 }
 
 func TestLargeFailuresArePassedOnWhole(t *testing.T) {
 	r := newRig(t, nil)
-	large := strings.Repeat("x", plainMost+1000)
-	r.target("t1", "plain", always(answers(500, large)))
-	r.target("t2", "plain", always(answers(500, large)))
+	large := strings.Repeat("x", maxBufferedBytes+1000)
+	r.target("t1", "plain", always(respond(500, large)))
+	r.target("t2", "plain", always(respond(500, large)))
 	a := r.ask(http.MethodPost, "/again/", "x")
 	r.g.Expect(a.err).NotTo(gomega.HaveOccurred())
 	r.g.Expect(a.status).To(gomega.Equal(500))
@@ -546,15 +546,15 @@
 func TestALineBeforeAShareOfWorkersIsWeighedByWhatItsDaemonsBring(t *testing.T) {
 	const workers, share, daemons, callers = 150, 6, 300, 4
 	r := newRig(t, nil)
-	r.relay.o.Daemons = func() int { return daemons }
+	r.relay.options.Daemons = func() int { return daemons }
 	// The times of real engines, not of this rig's.
-	r.relay.o.Without.Times, r.relay.o.Without.Targets = true, true
+	r.relay.options.Without.Times, r.relay.options.Without.Targets = true, true
 	var own []string
-	r.relay.o.Share = func([]string) []string { return own }
+	r.relay.options.Share = func([]string) []string { return own }
 	for i := range share {
 		id := "own-" + strconv.Itoa(i)
 		own = append(own, id)
-		r.target(id, "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+		r.target(id, "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 		// A line of 0.3 s, where answers are in time within a second.
 		r.roster.Target(id).Begin(roster.Load{Running: 1, Unread: 15000, Held: 15000})
 	}
@@ -585,18 +585,18 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, noStores{[]cache.PartChange{{PartName: name, Tokens: 400}}})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			keptPart(r, salt, "text")
+			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 400}}})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			storeSegment(r, salt, "text")
 			// It was read lately: reading it again has its price.
-			r.relay.o.Where.Note(cache.Use{Target: "gone", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 400}}}, time.Now())
+			r.relay.options.Where.Note(cache.Use{Target: "gone", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 400}}}, time.Now())
 			if tc.behind > 0 {
-				r.relay.o.Links.Begin("store:1", "else", tc.behind, time.Now())
+				r.relay.options.Links.Begin("store:1", "else", tc.behind, time.Now())
 			}
 			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
 			r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
 		})
 	}
 }
@@ -616,16 +616,16 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.named = tc.named
-			r.target("changing", "llm", always(declines))
-			r.target("busy", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+			r.desired = tc.named
+			r.target("changing", "llm", always(refuse))
+			r.target("busy", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("busy").Begin(roster.Load{Running: 1, Unread: 20000, Held: 20000})
 			for range 5 {
 				a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 				r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
 			}
 			refused := 0
-			for _, s := range r.sends() {
+			for _, s := range r.received() {
 				if s.target == "changing" {
 					refused++
 				}
@@ -640,8 +640,8 @@
 func TestARequestThatIsNoLongerBlockedIsRefused(t *testing.T) {
 	r := newRig(t, nil)
 	req := httptest.NewRequest(http.MethodPost, "/once/", nil)
-	p := &pass{relay: r.relay, r: req, w: httptest.NewRecorder(), began: time.Now(), until: time.Now().Add(time.Second)}
-	refusal := p.giveUp(nil, endsTargets)
+	p := &proxiedRequest{relay: r.relay, r: req, w: httptest.NewRecorder(), start: time.Now(), deadline: time.Now().Add(time.Second)}
+	refusal := p.giveUp(nil, crashesTargets)
 	r.g.Expect(refusal).NotTo(gomega.BeNil())
 	r.g.Expect(refusal.Status).To(gomega.Equal(http.StatusServiceUnavailable))
 }
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -26,9 +26,9 @@
 )
 
 // plainDialect is a dialect with names of its own.
-type plainDialect struct{}
+type testDialect struct{}
 
-func (plainDialect) Ask(h http.Header) (Ask, error) {
+func (testDialect) Ask(h http.Header) (Ask, error) {
 	ask := Ask{ID: h.Get("Id"), Key: h.Get("Key"), Model: h.Get("Model"), After: h.Get("After")}
 	ms, err := strconv.Atoi(h.Get("Deadline"))
 	if h.Get("Deadline") != "" && err != nil {
@@ -44,7 +44,7 @@
 	return ask, nil
 }
 
-func (plainDialect) Sending(h http.Header, s *Sending) {
+func (testDialect) Sending(h http.Header, s *Sending) {
 	h.Del("Key")
 	h.Set("Organisation", s.Organisation)
 	h.Set("Deadline", strconv.FormatInt(s.Deadline.Milliseconds(), 10))
@@ -56,7 +56,7 @@
 	h.Set("Keep", strings.Join(s.Keep, ","))
 }
 
-func (plainDialect) Reply(_ int, h http.Header) Reply {
+func (testDialect) Reply(_ int, h http.Header) Reply {
 	version, _ := strconv.ParseInt(h.Get("Weights"), 10, 64)
 	rest, _ := time.ParseDuration(h.Get("Rest"))
 	rate, err := strconv.ParseFloat(h.Get("Limit"), 64)
@@ -68,7 +68,7 @@
 	}
 }
 
-func (plainDialect) Refusal(h http.Header, id string, after time.Duration) {
+func (testDialect) Refusal(h http.Header, id string, after time.Duration) {
 	h.Set("Id", id)
 	if after > 0 {
 		h.Set("Come-Back", after.String())
@@ -76,7 +76,7 @@
 }
 
 // seen is one request as a target got it.
-type seen struct {
+type receivedRequest struct {
 	target string
 	method string
 	uri    string
@@ -126,7 +126,7 @@
 		n := t.count
 		t.count++
 		t.mu.Unlock()
-		t.rig.record(seen{target: t.id, method: req.Method, uri: req.RequestURI, header: req.Header, body: string(body)})
+		t.rig.record(receivedRequest{target: t.id, method: req.Method, uri: req.RequestURI, header: req.Header, body: string(body)})
 		w := bufio.NewWriter(c)
 		err = t.handle(n)(w, req)
 		w.Flush()
@@ -138,52 +138,52 @@
 
 // rig is a relay before fake targets.
 type rig struct {
-	t      *testing.T
-	g      *gomega.WithT
-	relay  *Relay
-	roster *roster.Roster
-	kept   *cache.Kept
-	log    *event.Log
-	front  *httptest.Server
-	named  int64
-	least  int64
-	stale  bool
+	t          *testing.T
+	g          *gomega.WithT
+	relay      *Relay
+	roster     *roster.Roster
+	kept       *cache.Kept
+	log        *event.Log
+	front      *httptest.Server
+	desired    int64
+	minWeights int64
+	stale      bool
 	// lacks is for how long a newer configuration has been lacking.
-	lacks time.Duration
+	configOverdue time.Duration
 
-	mu   sync.Mutex
-	seen []seen
+	mu       sync.Mutex
+	requests []receivedRequest
 }
 
-func (r *rig) record(s seen) {
+func (r *rig) record(s receivedRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.at = time.Now()
-	r.seen = append(r.seen, s)
+	r.requests = append(r.requests, s)
 }
 
-func (r *rig) sends() []seen {
+func (r *rig) received() []receivedRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]seen(nil), r.seen...)
+	return append([]receivedRequest(nil), r.requests...)
 }
 
 // noStores is a watcher of stores that hold what a test says.
-type noStores struct{ parts []cache.PartChange }
+type fakeStores struct{ segments []cache.PartChange }
 
-func (n noStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.PartEvents, error) {
+func (n fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.PartEvents, error) {
 	if since > 1 {
 		<-ctx.Done()
 		return cache.PartEvents{}, ctx.Err()
 	}
-	return cache.PartEvents{Epoch: 1, Next: 2, Changes: n.parts, Clock: time.Minute}, nil
+	return cache.PartEvents{Epoch: 1, Next: 2, Changes: n.segments, Clock: time.Minute}, nil
 }
 
-func (n noStores) Contents(context.Context, string) (cache.PartEvents, error) {
+func (n fakeStores) Contents(context.Context, string) (cache.PartEvents, error) {
 	return cache.PartEvents{Epoch: 1, Next: 1}, nil
 }
 
-func (noStores) Free(context.Context, string, int64, []cache.PartName) error { return nil }
+func (fakeStores) Free(context.Context, string, int64, []cache.PartName) error { return nil }
 
 var testRoutes = []table.Route{
 	{Name: "once", Host: "h", Prefix: "/once/", Kind: table.Once, Timeout: 2 * time.Second, Aim: time.Second, Attempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
@@ -203,15 +203,15 @@
 )
 
 func newRig(t *testing.T, stores cache.Watcher) *rig {
-	r := &rig{t: t, g: gomega.NewWithT(t), log: &event.Log{}, named: 1}
+	r := &rig{t: t, g: gomega.NewWithT(t), log: &event.Log{}, desired: 1}
 	if stores == nil {
-		stores = noStores{}
+		stores = fakeStores{}
 	}
 	r.roster = roster.New(r.log, nil)
 	r.kept = cache.NewKept(stores, r.log)
 	r.relay = New(Options{
-		Dialect: plainDialect{}, Roster: r.roster, Pool: &target.Pool{}, Kept: r.kept, Where: &cache.Where{}, Links: &learn.Links{}, Retention: &learn.Retention{}, Log: r.log, Stats: NewStats(),
-		Named: func(string) int64 { return r.named }, Current: func() bool { return !r.stale }, Lacks: func() time.Duration { return r.lacks }, Outdated: func(_ string, v int64) bool { return v < r.least }, CopyMay: func() bool { return true },
+		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, Kept: r.kept, Where: &cache.Where{}, Links: &learn.Links{}, Retention: &learn.Retention{}, Log: r.log, Stats: NewStats(),
+		Named: func(string) int64 { return r.desired }, Current: func() bool { return !r.stale }, Lacks: func() time.Duration { return r.configOverdue }, Outdated: func(_ string, v int64) bool { return v < r.minWeights }, CopyMay: func() bool { return true },
 		Times: learn.NewTimes(), Targets: &learn.Targets{}, Engines: enginePrior, Calls: callPrior, Prices: testPrices,
 		Daemons: func() int { return 1 }, Place: func(string, bool) (int, int) { return 0, 1 }, ColdOver: 1, Placed: func() {}, Age: func() time.Duration { return 0 }, Share: func(names []string) []string { return names }, RetryShare: 0.2, RetryExtra: 20, RetryWindow: 10 * time.Second,
 	})
@@ -242,12 +242,12 @@
 func always(h handler) func(int) handler { return func(int) handler { return h } }
 
 // inTurn answers with one handler after the other, the last one for ever.
-func inTurn(hs ...handler) func(int) handler {
+func inSequence(hs ...handler) func(int) handler {
 	return func(n int) handler { return hs[min(n, len(hs)-1)] }
 }
 
 // answers is a whole answer with a body.
-func answers(status int, body string, extra ...string) handler {
+func respond(status int, body string, extra ...string) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 %d X\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n%s\r\n%s",
 			status, r.Header.Get("Id"), len(body), strings.Join(append(extra, ""), "\r\n"), body)
@@ -256,16 +256,16 @@
 }
 
 // declines says that the request was not run.
-func declines(w *bufio.Writer, _ *http.Request) error {
+func refuse(w *bufio.Writer, _ *http.Request) error {
 	fmt.Fprint(w, "HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	return nil
 }
 
 // hangsUp closes the connection without an answer.
-func hangsUp(*bufio.Writer, *http.Request) error { return io.ErrClosedPipe }
+func hangUp(*bufio.Writer, *http.Request) error { return io.ErrClosedPipe }
 
 // streams answers with the given bytes in chunks; whole ends the stream.
-func streams(whole bool, chunks ...string) handler {
+func stream(whole bool, chunks ...string) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 			r.Header.Get("Id"), r.Header.Get("Target"))
@@ -282,7 +282,7 @@
 }
 
 // got is an answer as the caller got it.
-type got struct {
+type callerAnswer struct {
 	status int
 	header http.Header
 	body   string
@@ -290,7 +290,7 @@
 }
 
 // ask sends a request as a caller. Headers are name and value in turn.
-func (r *rig) ask(method, path, body string, headers ...string) got {
+func (r *rig) ask(method, path, body string, headers ...string) callerAnswer {
 	req, err := http.NewRequest(method, r.front.URL+path, strings.NewReader(body))
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	req.Host = "h"
@@ -301,15 +301,15 @@
 	}
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
-		return got{err: err}
+		return callerAnswer{err: err}
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
-	return got{resp.StatusCode, resp.Header, string(raw), err}
+	return callerAnswer{resp.StatusCode, resp.Header, string(raw), err}
 }
 
 // line returns the text of the newest line of a kind, or "".
-func (r *rig) line(code event.Code) string {
+func (r *rig) lastLogLine(code event.Code) string {
 	text := ""
 	for _, ev := range r.log.Since(0, 1<<20) {
 		if ev.Code == code {
--- a/core/relay/send.go
+++ b/core/relay/send.go
@@ -19,13 +19,13 @@
 )
 
 // attempt sends the request to one target and passes its answer on.
-func (p *pass) attempt(ctx context.Context, c *choice) (outcome, *plainAnswer) {
-	c.take()
+func (p *proxiedRequest) attempt(ctx context.Context, c *choice) (outcome, *bufferedAnswer) {
+	c.addLoad()
 	version := c.target.Entry().Version
-	p.relay.o.Canary.Begin(p.service, version)
+	p.relay.options.Canary.Begin(p.service, version)
 	// Of a choice of another cell its home tells; nobody here sends to its workers.
-	if p.ask.Prompt > 0 && c.order == nil && !p.relay.o.Without.Telling {
-		p.relay.o.Placed()
+	if p.meta.Prompt > 0 && c.report == nil && !p.relay.options.Without.Publishing {
+		p.relay.options.Placed()
 	}
 	read := false
 	defer func() {
@@ -34,8 +34,8 @@
 			l.Unread = 0
 		}
 		c.target.End(l)
-		p.relay.o.Canary.End(p.service, version)
-		c.order.ended()
+		p.relay.options.Canary.End(p.service, version)
+		c.report.reportEnd()
 	}()
 	// The prompt counts as unread until the first event or answer.
 	onFirst := func() {
@@ -45,27 +45,27 @@
 		}
 	}
 	sent := time.Now()
-	c.sent = clock.Now()
-	p.relay.o.Stats.Sent.Inc()
-	if c.token.Held {
-		p.relay.o.Stats.SentLimited.Inc()
+	c.sentAt = clock.Now()
+	p.relay.options.Stats.Attempts.Inc()
+	if c.permit.Held {
+		p.relay.options.Stats.RateLimitedAttempts.Inc()
 	}
-	ctx, cancel := p.patience(ctx, c)
+	ctx, cancel := p.waitBudget(ctx, c)
 	defer cancel()
-	in, err := p.relay.o.Pool.Send(ctx, c.target.Entry().Address, p.outgoing(c))
+	in, err := p.relay.options.Pool.Send(ctx, c.target.Entry().Address, p.outgoing(c))
 	if err != nil {
-		return p.unanswered(ctx, c, err), nil
+		return p.classifyNoAnswer(ctx, c, err), nil
 	}
 	defer in.Close()
-	reply := p.relay.o.Dialect.Reply(in.Status, in.Header)
-	if out, ok := p.check(c, in, &reply); !ok {
+	reply := p.relay.options.Dialect.Reply(in.Status, in.Header)
+	if out, ok := p.checkAnswer(c, in, &reply); !ok {
 		return out, nil
 	}
-	p.sends++
-	p.runs++
-	p.relay.o.Poison.Answers(c.target.ID())
+	p.attempts++
+	p.executions++
+	p.relay.options.Poison.Answers(c.target.ID())
 	if reply.Weights > 0 {
-		p.relay.o.Roster.Learn(c.target.ID(), p.ask.Model, reply.Weights)
+		p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
 	}
 	if p.route.Kind == table.Stream && in.Status == http.StatusOK {
 		out := p.stream(c, in, &reply, sent, onFirst)
@@ -79,17 +79,17 @@
 
 // patienceMargin is by how much the chance of an answer in time must be larger at
 // another target before a slow one is left: a second send costs a place there.
-const patienceMargin = 0.1
+const retryAdvantage = 0.1
 
 // patience bounds the wait for an answer that another target may still give in
 // time.
-func (p *pass) patience(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
+func (p *proxiedRequest) waitBudget(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
 	now := time.Now()
-	left := p.route.Aim - now.Sub(p.began)
-	if p.route.Kind != table.Repeatable || p.runs+1 >= p.route.Attempts || left <= 0 || c.alone || p.relay.o.Without.Patience {
+	left := p.route.Aim - now.Sub(p.start)
+	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.Attempts || left <= 0 || c.onlyCandidate || p.relay.options.Without.WaitBudget {
 		return context.WithCancel(ctx)
 	}
-	wait := p.estimate(now).Patience(left, c.judged.Expected, c.judged.Expected, patienceMargin)
+	wait := p.estimate(now).Patience(left, c.judgement.Expected, c.judgement.Expected, retryAdvantage)
 	if wait >= left {
 		return context.WithCancel(ctx)
 	}
@@ -97,58 +97,58 @@
 }
 
 // unanswered records a send without any answer.
-func (p *pass) unanswered(ctx context.Context, c *choice, err error) outcome {
+func (p *proxiedRequest) classifyNoAnswer(ctx context.Context, c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
 	sent := target.WasSent(err)
 	if sent {
-		p.sends++
-		p.runs++
+		p.attempts++
+		p.executions++
 	} else {
-		p.relay.o.Roster.Return(c.target, c.token)
+		p.relay.options.Roster.Return(c.target, c.permit)
 	}
-	var stop *stopError
+	var stop *unavailableError
 	switch {
 	case errors.As(err, &stop):
-		return stopped
-	case gone(p.r.Context()):
-		return left
+		return outcomeUnavailable
+	case callerGone(p.r.Context()):
+		return outcomeCallerGone
 	case errors.Is(err, target.ErrFull):
-		return notSent
-	case !time.Now().Before(p.until):
+		return outcomeNotSent
+	case !time.Now().Before(p.deadline):
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			p.answered(c, false)
+			p.recordAnswer(c, false)
 		}
-		return late
+		return outcomeTimedOut
 	case errors.Is(context.Cause(ctx), errSlow):
-		p.answered(c, false)
-		return broken
+		p.recordAnswer(c, false)
+		return outcomeIncomplete
 	}
-	p.silent(c)
+	p.recordNoAnswer(c)
 	if !sent {
-		p.relay.o.Poison.Refused(c.target.ID(), err)
-		return notSent
+		p.relay.options.Poison.Refused(c.target.ID(), err)
+		return outcomeNotSent
 	}
 	if !target.WasEarly(err) {
-		p.lost(c)
+		p.recordDisconnect(c)
 	}
-	return broken
+	return outcomeIncomplete
 }
 
 // lost records that the connection to a target ended under the request. It may have been the
 // request that ended the target, and its caller may repeat it.
-func (p *pass) lost(c *choice) {
-	if _, leaves := p.relay.o.Roster.Leaving(c.target); !leaves {
-		p.relay.o.Poison.Lost(p.asks, p.organisationName(), c.target.ID(), c.target.Entry().Address)
+func (p *proxiedRequest) recordDisconnect(c *choice) {
+	if _, leaves := p.relay.options.Roster.Leaving(c.target); !leaves {
+		p.relay.options.Poison.Lost(p.digest, p.organisationName(), c.target.ID(), c.target.Entry().Address)
 	}
 }
 
 // ranWell records that the request ended well at a target.
-func (p *pass) ranWell(c *choice) {
-	p.relay.o.Poison.Good(p.asks, p.organisationName(), c.target.ID())
+func (p *proxiedRequest) recordSuccess(c *choice) {
+	p.relay.options.Poison.Good(p.digest, p.organisationName(), c.target.ID())
 }
 
 // organisationName returns the name of the caller's organisation, or "".
-func (p *pass) organisationName() string {
+func (p *proxiedRequest) organisationName() string {
 	if p.organisation == nil {
 		return ""
 	}
@@ -156,37 +156,37 @@
 }
 
 // check decides whether an answer is the target's answer to this request.
-func (p *pass) check(c *choice, in *target.Incoming, reply *Reply) (outcome, bool) {
+func (p *proxiedRequest) checkAnswer(c *choice, in *target.Incoming, reply *Reply) (outcome, bool) {
 	moved := in.Status == http.StatusMisdirectedRequest
-	p.hear(c, moved, reply)
+	p.recordSelfReport(c, moved, reply)
 	switch {
-	case reply.ID != "" && reply.ID != p.ask.ID, reply.ID == "" && !reply.NotRun && !moved:
-		p.relay.o.Stats.Foreign.Inc()
-		p.relay.o.Log.Emit(event.AnswerRejected, p.ref(), "the answer names request "+strconv.Quote(reply.ID))
+	case reply.ID != "" && reply.ID != p.meta.ID, reply.ID == "" && !reply.NotRun && !moved:
+		p.relay.options.Stats.MismatchedAnswers.Inc()
+		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer names request "+strconv.Quote(reply.ID))
 		in.Spoil()
-		p.sends++
-		p.runs++
-		p.answered(c, false)
-		return broken, false
+		p.attempts++
+		p.executions++
+		p.recordAnswer(c, false)
+		return outcomeIncomplete, false
 	case moved:
-		p.relay.o.Stats.Moved.Inc()
+		p.relay.options.Stats.Misdirected.Inc()
 		if reply.Weights > 0 {
-			p.relay.o.Roster.Learn(c.target.ID(), p.ask.Model, reply.Weights)
+			p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
 		}
 		if reply.Target != "" && reply.Target != c.target.Entry().Name {
 			// Another target has the address now.
-			p.silent(c)
+			p.recordNoAnswer(c)
 		}
 	case reply.NotRun:
-		p.relay.o.Stats.NotRun.Inc()
-		p.reloads(c)
+		p.relay.options.Stats.NotExecuted.Inc()
+		p.recordReload(c)
 	default:
-		return done, true
+		return outcomeDone, true
 	}
 	// Where this fails the connection is not kept; the refusal is known already.
-	_, _ = io.Copy(io.Discard, io.LimitReader(in, drainMost))
-	p.sends++
-	return refused, false
+	_, _ = io.Copy(io.Discard, io.LimitReader(in, maxDrainBytes))
+	p.attempts++
+	return outcomeRefused, false
 }
 
 // reloadTime is how long a worker that refused a request while older weights than named are
@@ -195,52 +195,52 @@
 const reloadTime = 700 * time.Millisecond
 
 // reloads passes over a worker that seems to change its weights.
-func (p *pass) reloads(c *choice) {
-	if c.sending.Weights == 0 || c.sending.Weights >= p.relay.o.Named(p.ask.Model) {
+func (p *proxiedRequest) recordReload(c *choice) {
+	if c.meta.Weights == 0 || c.meta.Weights >= p.relay.options.Named(p.meta.Model) {
 		return
 	}
-	c.order.refused()
-	p.relay.o.Roster.Reloads(c.target.ID(), time.Now().Add(reloadTime))
-	p.relay.o.Placed()
+	c.report.recordReload()
+	p.relay.options.Roster.Reloads(c.target.ID(), time.Now().Add(reloadTime))
+	p.relay.options.Placed()
 }
 
 // drainMost bounds what is read of a refusal so that its connection can be
 // kept.
-const drainMost = 16 << 10
+const maxDrainBytes = 16 << 10
 
 // outgoing is the request as the target gets it.
-func (p *pass) outgoing(c *choice) *target.Outgoing {
+func (p *proxiedRequest) outgoing(c *choice) *target.Outgoing {
 	h := make(http.Header, len(p.r.Header)+8)
 	hop := strings.Split(p.r.Header.Get("Connection"), ",")
 	for name, values := range p.r.Header {
-		if !entry.HopHeader(name) && !names(hop, name) && name != "Content-Length" && name != "Expect" {
+		if !entry.HopHeader(name) && !containsName(hop, name) && name != "Content-Length" && name != "Expect" {
 			h[name] = values
 		}
 	}
-	p.wake()
-	s := c.sending
-	s.Deadline = time.Until(p.until)
-	s.After = p.after
+	p.adjustForSuspend()
+	s := c.meta
+	s.Deadline = time.Until(p.deadline)
+	s.After = p.lastEventID
 	s.Organisation = p.organisationName()
-	p.relay.o.Dialect.Sending(h, &s)
-	out := &target.Outgoing{Method: p.r.Method, URI: p.r.RequestURI, Host: p.r.Host, Header: h, Body: p.body, May: p.mayGo(c)}
+	p.relay.options.Dialect.Sending(h, &s)
+	out := &target.Outgoing{Method: p.r.Method, URI: p.r.RequestURI, Host: p.r.Host, Header: h, Body: p.body, May: p.availabilityCheck(c)}
 	if !p.route.MayRepeat() {
-		out.Fresh = freshLimit
+		out.Fresh = maxIdleForOnce
 	}
 	return out
 }
 
 // stopError says why a send did not go out.
-type stopError struct{ why roster.Stop }
+type unavailableError struct{ reason roster.Stop }
 
 // Error describes the reason.
-func (e *stopError) Error() string { return "the target " + e.why.String() }
+func (e *unavailableError) Error() string { return "the target " + e.reason.String() }
 
 // mayGo returns what is asked before the bytes of a choice go out.
-func (p *pass) mayGo(c *choice) func() error {
+func (p *proxiedRequest) availabilityCheck(c *choice) func() error {
 	return func() error {
-		if stop := p.relay.o.Roster.Enter(c.target, c.token); stop != roster.Open {
-			return &stopError{stop}
+		if stop := p.relay.options.Roster.Enter(c.target, c.permit); stop != roster.Open {
+			return &unavailableError{stop}
 		}
 		return nil
 	}
@@ -248,10 +248,10 @@
 
 // freshLimit is the idle time after which a connection is not used for what
 // may run only once: targets may close idle connections without notice.
-const freshLimit = 1500 * time.Millisecond
+const maxIdleForOnce = 1500 * time.Millisecond
 
 // names reports whether a list of header names holds a name.
-func names(list []string, name string) bool {
+func containsName(list []string, name string) bool {
 	for _, s := range list {
 		if strings.EqualFold(strings.TrimSpace(s), name) {
 			return true
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -7,50 +7,50 @@
 )
 
 // share is the part of a service's targets that this daemon's requests go to.
-type share struct {
+type targetShare struct {
 	// of are all targets of the service, and basis what they were shared out by.
-	of    []*roster.Target
+	all   []*roster.Target
 	basis any
 	// own are those of this daemon, and part how many of all they are.
-	own  []*roster.Target
-	part float64
+	own      []*roster.Target
+	fraction float64
 }
 
 // shares remembers the shares of services, so that targets are not ranked anew for each request. The
 // zero value remembers none.
-type shares struct {
+type shareCache struct {
 	sharesMu sync.Mutex
-	services map[string]*share // guarded by sharesMu
+	services map[string]*targetShare // guarded by sharesMu
 }
 
 // of returns the share of a service, worked out anew where its targets or what they are
 // shared out by have changed.
-func (s *shares) of(service string, all []*roster.Target, o *Options) *share {
+func (s *shareCache) get(service string, all []*roster.Target, o *Options) *targetShare {
 	var basis any
 	if o.Basis != nil {
 		basis = o.Basis()
 	}
 	s.sharesMu.Lock()
 	defer s.sharesMu.Unlock()
-	if was := s.services[service]; was != nil && basis != nil && was.basis == basis && sameList(was.of, all) {
+	if was := s.services[service]; was != nil && basis != nil && was.basis == basis && sameList(was.all, all) {
 		return was
 	}
-	var out *share
+	var out *targetShare
 	if o.Divided != nil && o.Divided(service) {
-		out = dividedShare(all, o)
+		out = shardedShare(all, o)
 	} else {
-		out = shareOf(all, o)
+		out = computeShare(all, o)
 	}
 	out.basis = basis
 	if s.services == nil {
-		s.services = map[string]*share{}
+		s.services = map[string]*targetShare{}
 	}
 	s.services[service] = out
 	return out
 }
 
 // shareOf works a share out.
-func shareOf(all []*roster.Target, o *Options) *share {
+func computeShare(all []*roster.Target, o *Options) *targetShare {
 	names := make([]string, len(all))
 	for i, t := range all {
 		names[i] = t.ID()
@@ -59,7 +59,7 @@
 	for _, name := range o.Share(names) {
 		mine[name] = true
 	}
-	out := &share{of: all, part: float64(len(mine)) / float64(max(1, len(all)))}
+	out := &targetShare{all: all, fraction: float64(len(mine)) / float64(max(1, len(all)))}
 	for _, t := range all {
 		if mine[t.ID()] {
 			out.own = append(out.own, t)
@@ -70,8 +70,8 @@
 
 // dividedShare returns the targets that fall to this daemon's cell, which serve as large a part of
 // the requests as the cell has of the daemons.
-func dividedShare(all []*roster.Target, o *Options) *share {
-	out := &share{of: all, part: float64(o.CellDaemons()) / float64(max(1, o.Daemons()))}
+func shardedShare(all []*roster.Target, o *Options) *targetShare {
+	out := &targetShare{all: all, fraction: float64(o.CellDaemons()) / float64(max(1, o.Daemons()))}
 	for _, t := range all {
 		if e := t.Entry(); o.Uses(e.Name, e.Domain) {
 			out.own = append(out.own, t)
--- a/core/relay/share_test.go
+++ b/core/relay/share_test.go
@@ -12,7 +12,7 @@
 )
 
 // listed returns a roster of some targets.
-func listed(n int) *roster.Roster {
+func listedTargets(n int) *roster.Roster {
 	r := roster.New(&event.Log{}, nil)
 	for i := range n {
 		r.Put(roster.Entry{ID: fmt.Sprintf("w-%04d", i), Service: "llm"})
@@ -22,20 +22,20 @@
 
 func TestSharesFollowTheTargetsAndTheFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := listed(4)
+	r := listedTargets(4)
 	half, basis, asked := 0, any("one"), 0
 	o := &Options{
 		Share: func(names []string) []string { asked++; return names[half : half+len(names)/2] },
 		Basis: func() any { return basis },
 	}
-	var s shares
+	var s shareCache
 	own := func() []string {
-		sh := s.of("llm", r.Of("llm"), o)
+		sh := s.get("llm", r.Of("llm"), o)
 		var names []string
 		for _, t := range sh.own {
 			names = append(names, t.ID())
 		}
-		g.Expect(sh.part).To(gomega.Equal(0.5))
+		g.Expect(sh.fraction).To(gomega.Equal(0.5))
 		return names
 	}
 	g.Expect(own()).To(gomega.Equal([]string{"w-0000", "w-0001"}))
@@ -58,18 +58,18 @@
 // BenchmarkShare works the share of a daemon out of 3,000 targets for each request, and
 // takes the remembered one.
 func BenchmarkShare(b *testing.B) {
-	list := listed(3000).Of("llm")
+	list := listedTargets(3000).Of("llm")
 	o := &Options{Share: func(names []string) []string { return fleet.Rank(7, names)[:120] }}
 	b.Run("each time", func(b *testing.B) {
 		for range b.N {
-			shareOf(list, o)
+			computeShare(list, o)
 		}
 	})
 	o.Basis = func() any { return "same" }
-	var s shares
+	var s shareCache
 	b.Run("remembered", func(b *testing.B) {
 		for range b.N {
-			s.of("llm", list, o)
+			s.get("llm", list, o)
 		}
 	})
 }
--- a/core/relay/stream.go
+++ b/core/relay/stream.go
@@ -14,12 +14,12 @@
 )
 
 // eventMost bounds one event of a stream.
-const eventMost = 1 << 20
+const maxEventBytes = 1 << 20
 
 // writeLimit bounds the writing of one event to a slow caller.
-const writeLimit = 10 * time.Second
+const writeTimeout = 10 * time.Second
 
-var errEvent = errors.New("an event of the stream is too long")
+var errEventTooLong = errors.New("an event of the stream is too long")
 
 // rawEvent is one event of a stream, with all its bytes.
 type rawEvent struct {
@@ -40,8 +40,8 @@
 			}
 			return ev, errors.WithStack(err)
 		}
-		if len(ev.raw) > eventMost {
-			return ev, errors.WithStack(errEvent)
+		if len(ev.raw) > maxEventBytes {
+			return ev, errors.WithStack(errEventTooLong)
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 && len(bytes.TrimSpace(ev.raw)) > 0 {
@@ -55,33 +55,33 @@
 
 // stream passes on the events of an answer. Where it breaks, the request may
 // be taken up by another worker after the last event that the caller has.
-func (p *pass) stream(c *choice, in *target.Incoming, reply *Reply, sent time.Time, onFirst func()) outcome {
+func (p *proxiedRequest) stream(c *choice, in *target.Incoming, reply *Reply, sent time.Time, onFirst func()) outcome {
 	if !reply.Sealed || reply.Encoded {
 		in.Spoil()
-		p.answered(c, false)
-		return broken
+		p.recordAnswer(c, false)
+		return outcomeIncomplete
 	}
 	r := bufio.NewReaderSize(in, 2<<10)
 	for n := 0; ; n++ {
 		ev, err := nextEvent(r)
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			return p.finished(c, in)
+			return p.finishStream(c, in)
 		}
 		if err != nil {
-			return p.streamBroke(c, err)
+			return p.classifyBrokenStream(c, err)
 		}
 		if n == 0 {
 			onFirst()
-			p.answered(c, true)
-			p.firstAnswer(c, sent)
+			p.recordAnswer(c, true)
+			p.recordFirstAnswer(c, sent)
 		}
-		if !newer(ev.id, p.after) {
+		if !newer(ev.id, p.lastEventID) {
 			// The caller has this event from the worker before.
 			continue
 		}
-		if err := p.give(in, ev); err != nil {
+		if err := p.writeEvent(in, ev); err != nil {
 			in.Spoil()
-			return left
+			return outcomeCallerGone
 		}
 	}
 }
@@ -99,52 +99,52 @@
 }
 
 // give passes one event on to the caller.
-func (p *pass) give(in *target.Incoming, ev rawEvent) error {
+func (p *proxiedRequest) writeEvent(in *target.Incoming, ev rawEvent) error {
 	rc := http.NewResponseController(p.w)
-	if err := rc.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+	if err := rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.WithStack(err)
 	}
-	if !p.begun {
-		(&plainAnswer{in.Status, in.Header, nil}).head(p, -1)
-		p.first = time.Now()
-		p.relay.o.Stats.First.Update(p.first.Sub(p.began).Seconds())
+	if !p.headerSent {
+		(&bufferedAnswer{in.Status, in.Header, nil}).writeHeader(p, -1)
+		p.firstAt = time.Now()
+		p.relay.options.Stats.FirstSeconds.Update(p.firstAt.Sub(p.start).Seconds())
 	}
 	if _, err := p.w.Write(ev.raw); err != nil {
 		return errors.WithStack(err)
 	}
 	if ev.id != "" {
-		p.after = ev.id
+		p.lastEventID = ev.id
 	}
 	return errors.WithStack(rc.Flush())
 }
 
 // finished ends a stream that the worker ended.
-func (p *pass) finished(c *choice, in *target.Incoming) outcome {
-	p.ranWell(c)
-	if p.begun {
-		return done
+func (p *proxiedRequest) finishStream(c *choice, in *target.Incoming) outcome {
+	p.recordSuccess(c)
+	if p.headerSent {
+		return outcomeDone
 	}
 	// A whole answer without events.
-	(&plainAnswer{in.Status, in.Header, nil}).head(p, -1)
-	p.answered(c, true)
-	return done
+	(&bufferedAnswer{in.Status, in.Header, nil}).writeHeader(p, -1)
+	p.recordAnswer(c, true)
+	return outcomeDone
 }
 
 // streamBroke decides what becomes of a stream that broke.
-func (p *pass) streamBroke(c *choice, err error) outcome {
+func (p *proxiedRequest) classifyBrokenStream(c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
-	if gone(p.r.Context()) {
-		return left
+	if callerGone(p.r.Context()) {
+		return outcomeCallerGone
 	}
 	now := time.Now()
-	p.answered(c, false)
-	if !now.Before(p.until) {
-		return late
+	p.recordAnswer(c, false)
+	if !now.Before(p.deadline) {
+		return outcomeTimedOut
 	}
-	p.lost(c)
-	if p.begun && p.route.Resumable {
-		p.relay.o.Stats.Resumed.Inc()
-		p.relay.o.Log.Emit(event.StreamResumed, p.ref(), "after event "+p.after+": "+err.Error())
+	p.recordDisconnect(c)
+	if p.headerSent && p.route.Resumable {
+		p.relay.options.Stats.StreamsResumed.Inc()
+		p.relay.options.Log.Emit(event.StreamResumed, p.ref(), "after event "+p.lastEventID+": "+err.Error())
 	}
-	return broken
+	return outcomeIncomplete
 }
--- a/core/relay/versions_test.go
+++ b/core/relay/versions_test.go
@@ -35,12 +35,12 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.o.Canary.Share = 0.1
-			r.relay.o.Canary.SetOrder(canary.Order{Service: "plain", Version: "v2", Lasts: time.Minute, Revision: 5})
-			r.relay.o.Canary.SetState("plain", canary.State{Order: 5, Version: "v2", Phase: tc.phase})
+			r.relay.options.Canary.Share = 0.1
+			r.relay.options.Canary.SetOrder(canary.Order{Service: "plain", Version: "v2", Lasts: time.Minute, Revision: 5})
+			r.relay.options.Canary.SetState("plain", canary.State{Order: 5, Version: "v2", Phase: tc.phase})
 			for i, version := range tc.targets {
 				id := fmt.Sprintf("%s-%d", version, i)
-				r.target(id, "plain", always(answers(http.StatusOK, "done")))
+				r.target(id, "plain", always(respond(http.StatusOK, "done")))
 				e := *r.roster.Target(id).Entry()
 				e.Version = version
 				r.roster.Put(e)
@@ -52,7 +52,7 @@
 				}
 			}
 			reached := map[string]int{}
-			for _, s := range r.sends() {
+			for _, s := range r.received() {
 				reached[s.target[:2]]++
 			}
 			r.g.Expect(reached["v2"]).To(gomega.And(gomega.BeNumerically(">=", tc.least), gomega.BeNumerically("<=", tc.most)))
--- a/core/relay/waiters.go
+++ b/core/relay/waiters.go
@@ -4,20 +4,20 @@
 
 // waitAlone makes the request the one of this daemon that waits for a token of its service's targets,
 // and reports whether it is.
-func (p *pass) waitAlone(alone *bool) bool {
-	*alone = *alone || p.relay.waiters.enter(p.service)
+func (p *proxiedRequest) becomePermitWaiter(alone *bool) bool {
+	*alone = *alone || p.relay.permitWaiters.enter(p.service)
 	return *alone
 }
 
 // waiters knows the services of which a request waits for a token. Of several that wait at one
 // daemon all but the first would wait for a time that none of them knows. The zero value knows none.
-type waiters struct {
+type permitWaiters struct {
 	waitersMu sync.Mutex
 	services  map[string]bool // guarded by waitersMu
 }
 
 // enter reports whether no other request waits, and makes this one wait.
-func (w *waiters) enter(service string) bool {
+func (w *permitWaiters) enter(service string) bool {
 	w.waitersMu.Lock()
 	defer w.waitersMu.Unlock()
 	if w.services[service] {
@@ -31,7 +31,7 @@
 }
 
 // leave ends the wait.
-func (w *waiters) leave(service string) {
+func (w *permitWaiters) leave(service string) {
 	w.waitersMu.Lock()
 	defer w.waitersMu.Unlock()
 	delete(w.services, service)
--- a/core/relay/without.go
+++ b/core/relay/without.go
@@ -3,23 +3,23 @@
 // Without switches mechanisms off, so that what each is worth can be measured. The
 // zero value switches none off.
 type Without struct {
-	Times        bool `yaml:"times" doc:"Learning times to first answers: what is expected of targets stays as the settings say."`
-	Targets      bool `yaml:"targets" doc:"Learning which targets are slow or fail."`
-	LinkSpeeds   bool `yaml:"linkSpeeds" doc:"Learning how slow the links of stores and workers are."`
-	LinkQueues   bool `yaml:"linkQueues" doc:"Counting the copies that wait for a link."`
-	Retention    bool `yaml:"retention" doc:"Learning how long workers hold parts: the chance stays as expected."`
-	StoreCopies  bool `yaml:"storeCopies" doc:"Keeping parts in stores and copying them from there."`
-	WorkerCopies bool `yaml:"workerCopies" doc:"Copying parts from other workers."`
-	SpareCopies  bool `yaml:"spareCopies" doc:"Copying parts that the worker likely holds, in case it does not."`
-	Reading      bool `yaml:"reading" doc:"Reading parts that could be copied, where copies take too long."`
-	Crowd        bool `yaml:"crowd" doc:"Weighing how full a worker's memory will be."`
-	Line         bool `yaml:"line" doc:"Weighing what others lose by a request's work."`
-	Waiting      bool `yaml:"waiting" doc:"Waiting for a place while an answer in time is likely: a request without a place is refused at once."`
-	Refusals     bool `yaml:"refusals" doc:"Refusing what callers gain nothing by: every request is sent somewhere."`
-	Telling      bool `yaml:"telling" doc:"Telling other daemons of each prompt at once: they hear with the next heartbeat."`
-	Patience     bool `yaml:"patience" doc:"Leaving a slow call for another target."`
-	Repeats      bool `yaml:"repeats" doc:"Sending a request again after a failure."`
-	Homes        bool `yaml:"homes" doc:"Asking the cell where a context is at home: prompts are decided in the cell that their callers reached."`
-	Warm         bool `yaml:"warm" doc:"Preferring targets that a connection is open to."`
-	Near         bool `yaml:"near" doc:"Preferring targets in the daemon's own failure domain."`
+	Times           bool `yaml:"times" doc:"Learning times to first answers: what is expected of targets stays as the settings say."`
+	Targets         bool `yaml:"targets" doc:"Learning which targets are slow or fail."`
+	LinkSpeeds      bool `yaml:"linkSpeeds" doc:"Learning how slow the links of stores and workers are."`
+	LinkQueues      bool `yaml:"linkQueues" doc:"Counting the copies that wait for a link."`
+	Retention       bool `yaml:"retention" doc:"Learning how long workers hold parts: the chance stays as expected."`
+	StoreCopies     bool `yaml:"storeCopies" doc:"Keeping parts in stores and copying them from there."`
+	WorkerCopies    bool `yaml:"workerCopies" doc:"Copying parts from other workers."`
+	SpareCopies     bool `yaml:"spareCopies" doc:"Copying parts that the worker likely holds, in case it does not."`
+	Prefill         bool `yaml:"reading" doc:"Reading parts that could be copied, where copies take too long."`
+	MemoryPressure  bool `yaml:"crowd" doc:"Weighing how full a worker's memory will be."`
+	QueueCost       bool `yaml:"line" doc:"Weighing what others lose by a request's work."`
+	Waiting         bool `yaml:"waiting" doc:"Waiting for a place while an answer in time is likely: a request without a place is refused at once."`
+	Refusals        bool `yaml:"refusals" doc:"Refusing what callers gain nothing by: every request is sent somewhere."`
+	Publishing      bool `yaml:"telling" doc:"Telling other daemons of each prompt at once: they hear with the next heartbeat."`
+	WaitBudget      bool `yaml:"patience" doc:"Leaving a slow call for another target."`
+	Retries         bool `yaml:"repeats" doc:"Sending a request again after a failure."`
+	ContextOwners   bool `yaml:"homes" doc:"Asking the cell where a context is at home: prompts are decided in the cell that their callers reached."`
+	OpenConnections bool `yaml:"warm" doc:"Preferring targets that a connection is open to."`
+	LocalDomain     bool `yaml:"near" doc:"Preferring targets in the daemon's own failure domain."`
 }
