--- a/core/relay/admit.go
+++ b/core/relay/admit.go
@@ -34,23 +34,23 @@
 
 // comeBack returns when a refused caller is to come back, where what it is refused
 // for is expected to last for some more time.
-func (p *proxiedRequest) retryAfter(lasts time.Duration) time.Duration {
-	spread := 1 + retryAfterJitter*(2*rand.Float64()-1)
-	after := time.Duration(float64(max(lasts, minRetryAfter)) * spread)
+func (p *proxiedRequest) retryAfter(expected time.Duration) time.Duration {
+	jitter := 1 + retryAfterJitter*(2*rand.Float64()-1)
+	after := time.Duration(float64(max(expected, minRetryAfter)) * jitter)
 	if p.deadline.IsZero() {
 		p.deadline = p.start.Add(defaultTimeout)
 		if p.meta.Deadline > 0 {
 			p.deadline = p.start.Add(p.meta.Deadline)
 		}
 	}
-	left := time.Duration(maxRetryAfterShare * float64(time.Until(p.deadline)))
-	return max(min(after, left), time.Millisecond)
+	limit := time.Duration(maxRetryAfterShare * float64(time.Until(p.deadline)))
+	return max(min(after, limit), time.Millisecond)
 }
 
 // admit reads the request and finds its route and organisation.
 func (p *proxiedRequest) admit() *entry.Refusal {
-	ask, err := p.relay.options.Dialect.Ask(p.r.Header)
-	p.meta = ask
+	meta, err := p.relay.options.Dialect.Ask(p.r.Header)
+	p.meta = meta
 	if err != nil {
 		return entry.NewRefusal(http.StatusBadRequest, entry.CodeBadRequest, entry.NotRun, err.Error(), 0)
 	}
@@ -63,14 +63,14 @@
 	if t == nil {
 		return p.refuseFor(entry.CodeNotReady, "the daemon knows no configuration yet", p.relay.notReadyFor())
 	}
-	if lasts := p.relay.configOverdue(); lasts > 0 {
-		return p.refuseFor(entry.CodeNotReady, "a newer configuration has not arrived", lasts)
+	if overdue := p.relay.configOverdue(); overdue > 0 {
+		return p.refuseFor(entry.CodeNotReady, "a newer configuration has not arrived", overdue)
 	}
 	path, _, _ := strings.Cut(p.r.RequestURI, "?")
 	if p.route = t.Match(p.r.Host, path); p.route == nil {
 		return p.refuseUnknown(http.StatusNotFound, entry.CodeNotFound, "there is no route for this host and path")
 	}
-	p.organisation = t.Organisation(ask.Key)
+	p.organisation = t.Organisation(meta.Key)
 	if p.organisation == nil && t.Keyed() && !p.route.Public {
 		return p.refuseUnknown(http.StatusUnauthorized, entry.CodeBadKey, "the key is not known")
 	}
@@ -91,44 +91,44 @@
 // notNow refuses a request that has not run. lasts is for how long the cause is
 // expected to last: one that has lasted for a while, and of which nothing else is
 // known, for as long again.
-func (p *proxiedRequest) refuseFor(code entry.Code, text string, lasts time.Duration) *entry.Refusal {
-	return entry.NewRefusal(http.StatusServiceUnavailable, code, entry.NotRun, text, p.retryAfter(lasts))
+func (p *proxiedRequest) refuseFor(code entry.Code, text string, expected time.Duration) *entry.Refusal {
+	return entry.NewRefusal(http.StatusServiceUnavailable, code, entry.NotRun, text, p.retryAfter(expected))
 }
 
 // notBefore refuses a request that has not run and will be refused until a time that is known. That time
 // is told whole, also where the caller may not have it: one that comes back sooner is refused again. Callers
 // are spread over the time after it, not around it.
-func (p *proxiedRequest) refuseUntil(code entry.Code, text string, ends time.Duration) *entry.Refusal {
-	after := time.Duration(float64(max(ends, minRetryAfter)) * (1 + retryAfterJitter*rand.Float64()))
+func (p *proxiedRequest) refuseUntil(code entry.Code, text string, remaining time.Duration) *entry.Refusal {
+	after := time.Duration(float64(max(remaining, minRetryAfter)) * (1 + retryAfterJitter*rand.Float64()))
 	return entry.NewRefusal(http.StatusServiceUnavailable, code, entry.NotRun, text, after)
 }
 
 // limit works out until when the request may be held.
 func (p *proxiedRequest) setDeadline() {
-	left := defaultTimeout
+	timeout := defaultTimeout
 	if p.meta.Deadline > 0 {
-		left = p.meta.Deadline
+		timeout = p.meta.Deadline
 	}
 	if p.route.Timeout > 0 {
-		left = min(left, p.route.Timeout)
+		timeout = min(timeout, p.route.Timeout)
 	}
-	p.deadline = p.start.Add(left)
+	p.deadline = p.start.Add(timeout)
 }
 
 // read takes the whole body, so that it can be sent again.
-func (p *proxiedRequest) readBody(l table.Limits) *entry.Refusal {
-	most := int64(defaultMaxBodyBytes)
-	if l.BodyBytes > 0 {
-		most = l.BodyBytes
+func (p *proxiedRequest) readBody(limits table.Limits) *entry.Refusal {
+	maxBytes := int64(defaultMaxBodyBytes)
+	if limits.BodyBytes > 0 {
+		maxBytes = limits.BodyBytes
 	}
 	tooLarge := entry.NewRefusal(http.StatusRequestEntityTooLarge, entry.CodeTooLarge, entry.NotRun, "the body is too large", 0)
-	if p.r.ContentLength > most {
+	if p.r.ContentLength > maxBytes {
 		return tooLarge
 	}
 	if p.r.ContentLength > 0 {
 		p.body = make([]byte, 0, p.r.ContentLength)
 	}
-	body, err := readAll(p.body, http.MaxBytesReader(p.w, p.r.Body, most))
+	body, err := readAll(p.body, http.MaxBytesReader(p.w, p.r.Body, maxBytes))
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
@@ -148,12 +148,12 @@
 // runs there. The status is that of a refusal that may be repeated, since nothing is wrong
 // with what was asked.
 func (p *proxiedRequest) refuseBlocked() *entry.Refusal {
-	left, on := p.relay.options.Poison.Blocked(p.digest)
-	if !on {
+	remaining, isBlocked := p.relay.options.Poison.Blocked(p.digest)
+	if !isBlocked {
 		return nil
 	}
 	p.relay.options.Stats.Blocked.Inc()
-	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeEndsTargets, entry.NotRun, crashesTargets, left)
+	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeEndsTargets, entry.NotRun, crashesTargets, remaining)
 }
 
 // fingerprint names what the request asks.
--- a/core/relay/awake.go
+++ b/core/relay/awake.go
@@ -25,23 +25,23 @@
 }
 
 // since returns how long the machine was suspended since it was asked last.
-func (a *suspendDetector) sinceLast() time.Duration {
-	if a.start.IsZero() {
+func (d *suspendDetector) sinceLast() time.Duration {
+	if d.start.IsZero() {
 		return 0
 	}
-	slept := clock.Since(a.start) - time.Since(a.steadyStart) - a.suspended
-	if slept < minSuspend {
+	suspended := clock.Since(d.start) - time.Since(d.steadyStart) - d.suspended
+	if suspended < minSuspend {
 		return 0
 	}
-	a.suspended += slept
-	return slept
+	d.suspended += suspended
+	return suspended
 }
 
 // wake takes the time that the machine was suspended off the time that the request has left:
 // its caller's clock went on. Else a target would be handed more time than there is.
 func (p *proxiedRequest) adjustForSuspend() {
-	if slept := p.suspends.sinceLast(); slept > 0 {
-		p.start, p.deadline = p.start.Add(-slept), p.deadline.Add(-slept)
-		p.note("suspended for %s", slept.Round(time.Millisecond))
+	if suspended := p.suspends.sinceLast(); suspended > 0 {
+		p.start, p.deadline = p.start.Add(-suspended), p.deadline.Add(-suspended)
+		p.note("suspended for %s", suspended.Round(time.Millisecond))
 	}
 }
--- a/core/relay/awake_test.go
+++ b/core/relay/awake_test.go
@@ -14,7 +14,7 @@
 
 // The machine is suspended while a target runs a request, which then breaks off: the second
 // target is handed what is left of the caller's time.
-func TestATargetIsHandedTheTimeThatIsLeftAfterASuspension(t *testing.T) {
+func TestRetryAfterSystemSuspendGetsRemainingTime(t *testing.T) {
 	const slept = time.Second
 	r := newRig(t, nil)
 	suspended := func(*bufio.Writer, *http.Request) error {
--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -19,9 +19,9 @@
 
 // choice is the target of one send and what is said to it.
 type choice struct {
-	target *roster.Target
-	meta   Sending
-	load   roster.Load
+	target      *roster.Target
+	attemptMeta Sending
+	load        roster.Load
 	// judged is what was expected of it, and usual the time to the first answer
 	// that would be expected of any target of the service with its load.
 	judgement route.Judgement
@@ -69,22 +69,22 @@
 	if svc == nil {
 		return nil, "the service is not configured"
 	}
-	own, why := p.chooseLocal(svc, time.Now())
-	if far := p.chooseByOwner(ctx, svc, own); far != nil {
+	own, reason := p.chooseLocal(svc, time.Now())
+	if remote := p.chooseByOwner(ctx, svc, own); remote != nil {
 		own.releaseLoad()
-		return far, ""
+		return remote, ""
 	}
 	if own == nil && p.relay.sharded(p.service) {
-		if far := p.chooseInOtherCell(ctx, svc); far != nil {
-			return far, ""
+		if remote := p.chooseInOtherCell(ctx, svc); remote != nil {
+			return remote, ""
 		}
 	}
-	if own == nil && why == allRateLimited {
-		if far := p.chooseByPermit(ctx, svc); far != nil {
-			return far, ""
+	if own == nil && reason == allRateLimited {
+		if remote := p.chooseByPermit(ctx, svc); remote != nil {
+			return remote, ""
 		}
 	}
-	return own, why
+	return own, reason
 }
 
 // chooseOwn chooses among the targets that this daemon knows the load of, and counts the request
@@ -93,30 +93,30 @@
 func (p *proxiedRequest) chooseLocal(svc *table.Service, now time.Time) (*choice, string) {
 	p.relay.chooseMu.Lock()
 	defer p.relay.chooseMu.Unlock()
-	c, why := p.pickLocal(svc, now)
+	c, reason := p.pickLocal(svc, now)
 	if c != nil {
 		c.addLoad()
 	}
-	return c, why
+	return c, reason
 }
 
 // pickOwn is chooseOwn without counting. It is called with chooseMu held.
 func (p *proxiedRequest) pickLocal(svc *table.Service, now time.Time) (*choice, string) {
-	options, share, why := p.ownEligibleTargets(svc, now)
-	ways := p.alternatives(svc, options, now)
-	list := make([]route.Candidate, len(ways))
-	for i := range ways {
-		list[i] = ways[i].candidate
+	targets, share, reason := p.ownEligibleTargets(svc, now)
+	alternatives := p.alternatives(svc, targets, now)
+	candidates := make([]route.Candidate, len(alternatives))
+	for i := range alternatives {
+		candidates[i] = alternatives[i].candidate
 	}
-	asked, estimate := p.routeInput(len(options), share, now), p.estimate(now)
+	input, estimate := p.routeInput(len(targets), share, now), p.estimate(now)
 	spot := route.Spot{Context: p.contextHash(), Turn: p.relay.choiceCount.Add(1), Chance: randomFraction()}
-	at, judged := route.PickBy(p.placement(svc), &asked, list, estimate, &p.relay.options.Prices, spot)
-	if at < 0 {
-		return nil, why
+	index, judgement := route.PickBy(p.placement(svc), &input, candidates, estimate, &p.relay.options.Prices, spot)
+	if index < 0 {
+		return nil, reason
 	}
-	w := &ways[at]
-	out := &choice{target: w.eligible.target, plan: w.plan, eligible: w.eligible, candidate: w.candidate, onlyCandidate: len(options) == 1, judgement: judged}
-	out.factors = w.candidate.Factors(&asked)
+	best := &alternatives[index]
+	out := &choice{target: best.eligible.target, plan: best.plan, eligible: best.eligible, candidate: best.candidate, onlyCandidate: len(targets) == 1, judgement: judgement}
+	out.factors = best.candidate.Factors(&input)
 	out.baseline = estimate.Time(out.factors)
 	p.fillMetadata(svc, out)
 	return out, ""
@@ -132,28 +132,28 @@
 // ways returns the ways to serve a request: at each target with the parts copied that can
 // be, and where that is weighed, with all that it does not hold read. A copy that waits
 // behind others on a slow link makes a short prompt late whose reading takes milliseconds.
-func (p *proxiedRequest) alternatives(svc *table.Service, options []eligibleTarget, now time.Time) []alternative {
-	out := make([]alternative, 0, 2*len(options))
-	parts := map[int64][]sharedSegment{}
-	for _, o := range options {
-		w := alternative{eligible: o, candidate: p.candidate(svc, o)}
+func (p *proxiedRequest) alternatives(svc *table.Service, targets []eligibleTarget, now time.Time) []alternative {
+	out := make([]alternative, 0, 2*len(targets))
+	segmentsOf := map[int64][]sharedSegment{}
+	for _, t := range targets {
+		copying := alternative{eligible: t, candidate: p.candidate(svc, t)}
 		if svc.Engine == nil {
-			out = append(out, w)
+			out = append(out, copying)
 			continue
 		}
-		known, found := parts[o.version]
+		segments, found := segmentsOf[t.version]
 		if !found {
-			known = p.findSegments(o.version, now)
-			parts[o.version] = known
+			segments = p.findSegments(t.version, now)
+			segmentsOf[t.version] = segments
 		}
-		w.plan = p.planSegments(svc, o, known, now)
-		reading := w
-		w.plan.applyTo(&w.candidate, known)
-		out = append(out, w)
-		if w.plan.copyCount > 0 && p.placement(svc) == route.Returning && !p.relay.options.Without.Prefill {
-			reading.plan.copyCount, reading.plan.copyTime = 0, 0
-			reading.plan.applyTo(&reading.candidate, known)
-			out = append(out, reading)
+		copying.plan = p.planSegments(svc, t, segments, now)
+		prefill := copying
+		copying.plan.applyTo(&copying.candidate, segments)
+		out = append(out, copying)
+		if copying.plan.copyCount > 0 && p.placement(svc) == route.Returning && !p.relay.options.Without.Prefill {
+			prefill.plan.copyCount, prefill.plan.copyTime = 0, 0
+			prefill.plan.applyTo(&prefill.candidate, segments)
+			out = append(out, prefill)
 		}
 	}
 	return out
@@ -170,11 +170,11 @@
 
 // context is the hash of the last shared part, or 0.
 func (p *proxiedRequest) contextHash() uint64 {
-	parts := p.sharedSegments()
-	if len(parts) == 0 {
+	segments := p.sharedSegments()
+	if len(segments) == 0 {
 		return 0
 	}
-	return fleet.Key(parts[len(parts)-1].ID)
+	return fleet.Key(segments[len(segments)-1].ID)
 }
 
 // asked is what a decision among some targets needs to know of the request. share is the
@@ -192,39 +192,39 @@
 
 // candidate works out what a decision needs to know of an option beside the
 // shared parts of the prompt.
-func (p *proxiedRequest) candidate(svc *table.Service, o eligibleTarget) route.Candidate {
+func (p *proxiedRequest) candidate(svc *table.Service, t eligibleTarget) route.Candidate {
 	without := &p.relay.options.Without
 	c := route.Candidate{
-		Running: o.load.Running, Slots: max(1, o.entry.Slots), Unread: o.load.Unread, Held: o.load.Held,
-		Far: o.entry.Domain != p.originDomain && !without.LocalDomain, Cold: (p.remote || !p.relay.options.Pool.Warm(o.entry.Address)) && !without.OpenConnections, Doubtful: o.health.Lapsed,
-		Faults: o.state.Faults, Pace: o.state.Pace,
+		Running: t.load.Running, Slots: max(1, t.entry.Slots), Unread: t.load.Unread, Held: t.load.Held,
+		Far: t.entry.Domain != p.originDomain && !without.LocalDomain, Cold: (p.remote || !p.relay.options.Pool.Warm(t.entry.Address)) && !without.OpenConnections, Doubtful: t.health.Lapsed,
+		Faults: t.state.Faults, Pace: t.state.Pace,
 	}
 	if svc.Engine != nil {
 		if !without.MemoryPressure {
 			c.Memory = svc.Engine.MemoryTokens
 		}
-		c.Old = o.version < p.relay.options.Named(p.meta.Model)
+		c.Old = t.version < p.relay.options.Named(p.meta.Model)
 	}
 	return c
 }
 
 // address works out what is said to the chosen target.
 func (p *proxiedRequest) fillMetadata(svc *table.Service, c *choice) {
-	c.meta.Target = c.target.ID()
+	c.attemptMeta.Target = c.target.ID()
 	c.load = roster.Load{Running: 1}
 	if svc.Engine == nil {
 		return
 	}
 	version := c.eligible.version
-	c.meta.Weights = version
+	c.attemptMeta.Weights = version
 	c.load.Unread = c.factors.Own
 	c.load.Held = p.meta.Prompt
 	if version == 0 || !p.relay.options.Placement.Exports() {
 		return
 	}
-	p.setCopySources(&c.meta, c.plan.sources[:c.plan.copyCount])
+	p.setCopySources(&c.attemptMeta, c.plan.sources[:c.plan.copyCount])
 	if version >= p.relay.options.Named(p.meta.Model) && !p.relay.options.Without.StoreCopies {
-		p.setStoreTargets(&c.meta, c.plan.sources, version, clock.Now())
+		p.setStoreTargets(&c.attemptMeta, c.plan.sources, version, clock.Now())
 	}
 }
 
@@ -233,8 +233,8 @@
 	if c.load.Held == 0 {
 		return
 	}
-	c.meta.Salt = p.cacheSalt(c.meta.Weights).String()
-	c.meta.Priority = p.priority()
+	c.attemptMeta.Salt = p.cacheSalt(c.attemptMeta.Weights).String()
+	c.attemptMeta.Priority = p.priority()
 	p.relay.options.Stats.PromptTokens.Add(p.meta.Prompt)
 	p.relay.options.Stats.PromptTokensCopied.Add(c.candidate.Copied)
 	p.relay.options.Stats.PromptTokensCached.Add(c.candidate.Kept)
@@ -251,16 +251,16 @@
 	if c.report != nil {
 		p.note("chosen by %s", c.report.peer)
 	}
-	if len(c.meta.Copy) > 0 {
-		p.note("copied from %s", strings.Join(c.meta.Copy, ","))
+	if len(c.attemptMeta.Copy) > 0 {
+		p.note("copied from %s", strings.Join(c.attemptMeta.Copy, ","))
 	}
-	if len(c.meta.Keep) > 0 {
-		p.note("sent to %s", strings.Join(c.meta.Keep, ","))
+	if len(c.attemptMeta.Keep) > 0 {
+		p.note("sent to %s", strings.Join(c.attemptMeta.Keep, ","))
 	}
-	known := &c.candidate
+	candidate := &c.candidate
 	p.note("kept %d, copied %d of %d shared in %d tokens, before it %d, running %d, held %d, expected %s, in time %.2f, worth %.2f, version %d",
-		known.Kept, known.Copied, p.sharedTokens(), p.meta.Prompt, known.Unread, known.Running, known.Held, c.judgement.Expected.Round(time.Millisecond),
-		c.judgement.InTime, c.judgement.Worth, c.meta.Weights)
+		candidate.Kept, candidate.Copied, p.sharedTokens(), p.meta.Prompt, candidate.Unread, candidate.Running, candidate.Held, c.judgement.Expected.Round(time.Millisecond),
+		c.judgement.InTime, c.judgement.Worth, c.attemptMeta.Weights)
 }
 
 // Ranks of requests at model workers, 0 first.
--- a/core/relay/cold.go
+++ b/core/relay/cold.go
@@ -16,52 +16,52 @@
 }
 
 // may reports whether a target may get one more of a share, and with take counts it.
-func (c *warmUpLimiter) allow(id string, share int, take bool, now time.Time) bool {
-	c.limiterMu.Lock()
-	defer c.limiterMu.Unlock()
-	pace := c.paces[id]
-	if pace == nil {
-		pace = &route.Pace{}
+func (l *warmUpLimiter) allow(id string, share int, consume bool, now time.Time) bool {
+	l.limiterMu.Lock()
+	defer l.limiterMu.Unlock()
+	limiter := l.paces[id]
+	if limiter == nil {
+		limiter = &route.Pace{}
 	}
-	if !pace.May(share, now) {
+	if !limiter.May(share, now) {
 		return false
 	}
-	if take {
-		c.add(id, pace, now)
-		pace.Sent(now)
+	if consume {
+		l.add(id, limiter, now)
+		limiter.Sent(now)
 	}
 	return true
 }
 
 // keep remembers a target's pace and forgets those of others that were sent nothing
 // lately. It is called with coldMu held.
-func (c *warmUpLimiter) add(id string, pace *route.Pace, now time.Time) {
-	if c.paces[id] == pace {
+func (l *warmUpLimiter) add(id string, limiter *route.Pace, now time.Time) {
+	if l.paces[id] == limiter {
 		return
 	}
-	for other, p := range c.paces {
+	for other, p := range l.paces {
 		if p.Idle(now) {
-			delete(c.paces, other)
+			delete(l.paces, other)
 		}
 	}
-	if c.paces == nil {
-		c.paces = map[string]*route.Pace{}
+	if l.paces == nil {
+		l.paces = map[string]*route.Pace{}
 	}
-	c.paces[id] = pace
+	l.paces[id] = limiter
 }
 
 // coldMay reports whether a target may get a request, however cold it is, and with take
 // counts it. Only daemons that share the target may send to it while it is cold.
-func (rl *Relay) warmUpAllows(svc *table.Service, t *roster.Target, shared, take bool, now time.Time) bool {
+func (rl *Relay) warmUpAllows(svc *table.Service, t *roster.Target, shared, consume bool, now time.Time) bool {
 	if svc.Cold.PerSecond <= 0 || !rl.options.Roster.Cold(t, svc.Cold.Start, now) {
 		return true
 	}
 	if !shared {
 		return false
 	}
-	place, of := rl.options.Place(t.ID(), svc.Engine != nil)
-	most := svc.Cold.PerSecond*rl.options.ColdOver + rl.options.ColdExtra
-	return rl.warmUp.allow(t.ID(), route.ColdShare(most, of, place), take, now)
+	rank, total := rl.options.Place(t.ID(), svc.Engine != nil)
+	perSecond := svc.Cold.PerSecond*rl.options.ColdOver + rl.options.ColdExtra
+	return rl.warmUp.allow(t.ID(), route.ColdShare(perSecond, total, rank), consume, now)
 }
 
 // spend takes a choice out of what a cold target and one with a limit may get. It reports whether it
@@ -77,7 +77,7 @@
 	if c.permit.Far {
 		return true
 	}
-	token, may := p.relay.options.Roster.Take(c.target)
-	c.permit = token
-	return may
+	permit, granted := p.relay.options.Roster.Take(c.target)
+	c.permit = permit
+	return granted
 }
--- a/core/relay/cold_test.go
+++ b/core/relay/cold_test.go
@@ -61,7 +61,7 @@
 	return n
 }
 
-func TestAColdWorkerGetsItsShareAndTheOthersTheRest(t *testing.T) {
+func TestWarmingWorkerIsRateLimited(t *testing.T) {
 	r := warmUpRig(t)
 	r.target("cold", "llm", always(stream(true, "id: 1\ndata: x\n\n")))
 	r.target("warm", "llm", always(stream(true, "id: 1\ndata: x\n\n")))
@@ -71,7 +71,7 @@
 	r.g.Expect(r.receivedBy("cold")).To(gomega.BeNumerically("<=", 2), "half of what it bears: daemons may not agree who there is")
 }
 
-func TestAPlainTargetThatIsColdAndAloneIsNotOverrun(t *testing.T) {
+func TestSingleWarmingPlainTargetIsRateLimited(t *testing.T) {
 	r := warmUpRig(t)
 	r.target("cold", "plain", always(respond(200, "x")))
 	r.warmUp("cold")
@@ -80,7 +80,7 @@
 	r.g.Expect(got).To(gomega.Equal(map[int]int{200: 2, 503: 10}))
 }
 
-func TestWhoIsNotAmongTheFirstSendsAColdTargetNothing(t *testing.T) {
+func TestDaemonWithoutShareSendsNothingToWarmingTarget(t *testing.T) {
 	r := warmUpRig(t)
 	r.relay.options.Place = func(string, bool) (int, int) { return 2, 79 }
 	r.target("cold", "plain", always(respond(200, "x")))
@@ -89,7 +89,7 @@
 	r.g.Expect(r.receivedBy("cold")).To(gomega.BeZero())
 }
 
-func TestNothingIsSentToAnEvacuatedDomain(t *testing.T) {
+func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	tests := []struct {
 		name      string
 		evacuated []string
@@ -111,9 +111,9 @@
 				e.Domain = fmt.Sprintf("d%d", i)
 				r.roster.Put(e)
 			}
-			began := time.Now()
+			start := time.Now()
 			for _, d := range tc.evacuated {
-				r.roster.Evacuate(d, true, began.Add(-time.Second))
+				r.roster.Evacuate(d, true, start.Add(-time.Second))
 			}
 			got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 			r.g.Expect(got.status).To(gomega.Equal(tc.want))
@@ -131,7 +131,7 @@
 }
 
 // A stream that breaks when its domain is evacuated goes on elsewhere.
-func TestASecondTryAvoidsAnEvacuatedDomain(t *testing.T) {
+func TestRetryAvoidsEvacuatedDomain(t *testing.T) {
 	r := newRig(t, nil)
 	breaks := stream(false, "id: 1\ndata: x\n\n")
 	for id, domain := range map[string]string{"w1": "d1", "w2": "d1", "w3": "d2"} {
--- a/core/relay/divided_test.go
+++ b/core/relay/divided_test.go
@@ -11,14 +11,14 @@
 )
 
 // divide makes each daemon hold the workers of its own cell only, all but those that gone names.
-func (h *fleetRig) shard(gone func(cell int) bool) {
+func (h *fleetRig) shard(removed func(cell int) bool) {
 	for i, f := range h.fleets {
 		r, view := h.rigs[i], f.View()
 		r.relay.options.Divided = func(string) bool { return true }
 		r.relay.options.Uses = func(string, string) bool { return true }
 		r.relay.options.CellDaemons = func() int { return f.View().CellSize() }
 		for _, id := range h.workers {
-			if cell := view.TargetCell(id, ""); cell != view.Cell() || gone(cell) {
+			if cell := view.TargetCell(id, ""); cell != view.Cell() || removed(cell) {
 				r.roster.Drop(id)
 			}
 		}
@@ -27,7 +27,7 @@
 
 // Daemons that hold their cell's workers only serve each prompt, and its returns where its context
 // is kept.
-func TestPromptsOfDividedWorkersAreServedAtHome(t *testing.T) {
+func TestShardedPromptsAreServedByOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 12, always(stream(true, "id: 1\ndata: a\n\n")))
 	h.shard(func(int) bool { return false })
@@ -44,13 +44,13 @@
 }
 
 // A cell that has none of a service's targets left uses others.
-func TestACellWithoutTargetsAsksOthers(t *testing.T) {
+func TestCellWithoutTargetsUsesOtherCells(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 12, always(stream(true, "id: 1\ndata: a\n\n")))
-	lost := h.fleets[0].View().Cell()
-	h.shard(func(cell int) bool { return cell == lost })
+	emptyCell := h.fleets[0].View().Cell()
+	h.shard(func(cell int) bool { return cell == emptyCell })
 	for i, f := range h.fleets {
-		if f.View().Cell() != lost {
+		if f.View().Cell() != emptyCell {
 			continue
 		}
 		got := h.rigs[i].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
@@ -59,7 +59,7 @@
 }
 
 // A target that only another cell's list holds is used by that list while it is fresh.
-func TestAHomeWithAnOldListIsNotObeyed(t *testing.T) {
+func TestOwnerWithStaleTargetListIsIgnored(t *testing.T) {
 	tests := []struct {
 		name    string
 		age     time.Duration
@@ -77,8 +77,8 @@
 			r.relay.options.Divided = func(string) bool { return tc.divided }
 			r.relay.options.CellDaemons = func() int { return 1 }
 			p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}}
-			answer := &placementResponse{Target: "w9@1", WeightVersion: 1, ListAge: tc.age, Entry: placementEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4}}
-			c := p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, answer)
+			response := &placementResponse{Target: "w9@1", WeightVersion: 1, ListAge: tc.age, Entry: placementEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4}}
+			c := p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, response)
 			r.g.Expect(c != nil).To(gomega.Equal(tc.want))
 		})
 	}
--- a/core/relay/end.go
+++ b/core/relay/end.go
@@ -11,33 +11,33 @@
 )
 
 // end gives the final answer where there is none yet, and writes the log line.
-func (p *proxiedRequest) finish(r *entry.Refusal) {
-	st := p.relay.options.Stats
+func (p *proxiedRequest) finish(refusal *entry.Refusal) {
+	stats := p.relay.options.Stats
 	took := time.Since(p.start)
 	switch {
 	case callerGone(p.r.Context()):
-		st.CallersGone.Inc()
+		stats.CallersGone.Inc()
 		p.writeLog(event.CallerGone, took)
-	case r != nil:
-		if r.Ran == entry.NotRun {
-			st.Refused.Inc()
+	case refusal != nil:
+		if refusal.Ran == entry.NotRun {
+			stats.Refused.Inc()
 		} else {
-			st.Failed.Inc()
+			stats.Failed.Inc()
 		}
-		p.relay.options.Dialect.Refusal(p.w.Header(), p.meta.ID, r.RetryAfter)
-		p.note("%s", r.Error())
-		if err := r.Write(p.w, p.meta.ID); err != nil {
+		p.relay.options.Dialect.Refusal(p.w.Header(), p.meta.ID, refusal.RetryAfter)
+		p.note("%s", refusal.Error())
+		if err := refusal.Write(p.w, p.meta.ID); err != nil {
 			p.note("the caller has gone: %v", err)
 		}
 		p.writeLog(event.RequestRefused, took)
 	case p.aborted:
-		st.AnswersCut.Inc()
+		stats.AnswersCut.Inc()
 		p.writeLog(event.StreamBroken, took)
 		// The connection is reset, so that the answer does not look whole.
 		panic(http.ErrAbortHandler)
 	default:
-		st.Done.Inc()
-		st.TotalSeconds.Update(took.Seconds())
+		stats.Done.Inc()
+		stats.TotalSeconds.Update(took.Seconds())
 		p.writeLog(event.RequestDone, took)
 	}
 }
--- a/core/relay/hear.go
+++ b/core/relay/hear.go
@@ -4,8 +4,8 @@
 
 // hear takes what a target says of itself in the head of an answer. Each answer to a request of a
 // caller comes by here before any of it is passed on.
-func (p *proxiedRequest) recordSelfReport(c *choice, moved bool, reply *Reply) {
-	if !p.isFromTarget(c, moved, reply) {
+func (p *proxiedRequest) recordSelfReport(c *choice, misdirected bool, reply *Reply) {
+	if !p.isFromTarget(c, misdirected, reply) {
 		return
 	}
 	if reply.Leaves {
@@ -30,7 +30,7 @@
 		// Until other daemons hear of it they send at the former rate.
 		p.relay.options.Placed()
 	}
-	if !moved && !reply.NotRun {
+	if !misdirected && !reply.NotRun {
 		p.relay.options.Roster.Took(c.target.ID())
 	}
 }
@@ -38,8 +38,8 @@
 // saidBy reports whether an answer is the word of the target that was asked. One that names
 // another request may be anybody's, and one that the address has passed on comes from another
 // target unless it names this one.
-func (p *proxiedRequest) isFromTarget(c *choice, moved bool, reply *Reply) bool {
-	if moved {
+func (p *proxiedRequest) isFromTarget(c *choice, misdirected bool, reply *Reply) bool {
+	if misdirected {
 		return reply.Target == c.target.Entry().Name
 	}
 	return reply.ID == p.meta.ID || (reply.ID == "" && reply.NotRun)
--- a/core/relay/hear_test.go
+++ b/core/relay/hear_test.go
@@ -29,7 +29,7 @@
 }
 
 // Which heads are the word of the target that was asked.
-func TestWhoseWordAnAnswerIs(t *testing.T) {
+func TestSelfReportsAreAttributed(t *testing.T) {
 	tests := []struct {
 		name, path string
 		answer     handler
@@ -74,7 +74,7 @@
 
 // A request that waits for a connection while another answer says that the target leaves is not
 // sent there.
-func TestARequestInLineForAConnectionIsNotSentToATargetThatLeaves(t *testing.T) {
+func TestQueuedRequestIsNotSentToTargetShuttingDown(t *testing.T) {
 	r := newRig(t, nil)
 	arrived, release := make(chan struct{}), make(chan struct{})
 	r.target("a", "plain", always(func(w *bufio.Writer, req *http.Request) error {
@@ -104,7 +104,7 @@
 
 // A home in another cell that does not know that workers leave is told so with the question, and
 // chooses the one that stays.
-func TestAHomeIsToldWhatAWorkerSaidToTheAsker(t *testing.T) {
+func TestOwnerIsSentExcludedWorkers(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, workers := h.ownerCell("context")
@@ -124,7 +124,7 @@
 
 // Where all targets rest a request waits if the first rest ends soon enough for an answer in time;
 // else it is refused at once and told when that is.
-func TestWhereAllTargetsRest(t *testing.T) {
+func TestAllTargetsUnderPushback(t *testing.T) {
 	tests := []struct {
 		name  string
 		rests []time.Duration
@@ -144,14 +144,14 @@
 				r.target(id, "plain", always(respond(200, id)))
 				r.roster.Turned(id, roster.Asked{Rest: d})
 			}
-			began := time.Now()
+			start := time.Now()
 			// Of a route with an aim of ten seconds, so that a busy machine changes nothing.
 			got := r.ask(http.MethodPost, "/again/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
 				return
 			}
-			r.g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second), "half of what its caller has")
+			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "half of what its caller has")
 			back, err := time.ParseDuration(got.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
 			r.g.Expect(back).To(gomega.BeNumerically(">=", tc.from))
@@ -163,16 +163,16 @@
 
 // A burst meets four targets of which one rests: the others get no more at a time than before, so that
 // they are not driven to ask for rest in their turn, and the one that rests gets nothing.
-func TestOthersAreNotOverrunWhileOneRests(t *testing.T) {
+func TestPushbackDoesNotOverloadOtherTargets(t *testing.T) {
 	const slots, callers = 4, 150
 	r := newRig(t, nil)
 	var mu sync.Mutex
-	now, most := map[string]int{}, map[string]int{}
+	now, peak := map[string]int{}, map[string]int{}
 	count := func(id string, d int) {
 		mu.Lock()
 		defer mu.Unlock()
 		now[id] += d
-		most[id] = max(most[id], now[id])
+		peak[id] = max(peak[id], now[id])
 	}
 	for n := range 4 {
 		id := fmt.Sprintf("t-%d", n)
@@ -191,16 +191,16 @@
 	wg.Wait()
 	mu.Lock()
 	defer mu.Unlock()
-	r.g.Expect(most).NotTo(gomega.HaveKey("t-0"))
-	r.g.Expect(most).To(gomega.HaveLen(3))
-	for id, n := range most {
+	r.g.Expect(peak).NotTo(gomega.HaveKey("t-0"))
+	r.g.Expect(peak).To(gomega.HaveLen(3))
+	for id, n := range peak {
 		// Choices at one moment do not see each other's sends yet.
 		r.g.Expect(n).To(gomega.BeNumerically("<=", 2*plainMaxLoad*slots), id)
 	}
 }
 
 // The line of a request names which targets were passed over by their own word.
-func TestALineNamesWhoWasPassedOver(t *testing.T) {
+func TestLogLineNamesSkippedTargets(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("a", "plain", always(respond(200, "x")))
 	r.target("b", "plain", always(respond(200, "x")))
@@ -212,7 +212,7 @@
 }
 
 // One daemon's answer tells its whole cell, within heartbeats.
-func TestACellHearsThatAWorkerLeaves(t *testing.T) {
+func TestShutdownReportReachesWholeCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(respondHead(200, "Id: try-1\r\nLeaves: 1\r\n")))
 	// Of no context, so that no home is asked.
@@ -220,13 +220,13 @@
 	sends := h.rigs[0].received()
 	h.g.Expect(sends).NotTo(gomega.BeEmpty())
 	cell := h.fleets[0].View().Cell()
-	heard := 0
+	notified := 0
 	for i, f := range h.fleets {
 		if f.View().Cell() != cell {
 			continue
 		}
-		heard++
+		notified++
 		h.g.Eventually(func() bool { return h.rigs[i].shuttingDown(sends[0].target) }, waitTimeout, pollInterval).Should(gomega.BeTrue())
 	}
-	h.g.Expect(heard).To(gomega.BeNumerically(">", 1))
+	h.g.Expect(notified).To(gomega.BeNumerically(">", 1))
 }
--- a/core/relay/homes.go
+++ b/core/relay/homes.go
@@ -156,35 +156,35 @@
 }
 
 // entry returns it as the roster takes it.
-func (a *placementResponse) entry(service, model string) roster.Entry {
-	e := &a.Entry
+func (r *placementResponse) entry(service, model string) roster.Entry {
+	e := &r.Entry
 	return roster.Entry{
-		ID: a.Target, Name: e.Name, Born: e.Started, Service: service, Address: e.Address, Domain: e.Domain, Version: e.Version, Slots: e.Slots,
-		Weights: map[string]int64{model: a.WeightVersion},
+		ID: r.Target, Name: e.Name, Born: e.Started, Service: service, Address: e.Address, Domain: e.Domain, Version: e.Version, Slots: e.Slots,
+		Weights: map[string]int64{model: r.WeightVersion},
 	}
 }
 
 // answerOf writes a choice as daemons send it.
 func newPlacementResponse(c *choice, age time.Duration) *placementResponse {
-	f, known, j, e := &c.factors, &c.candidate, &c.judgement, c.target.Entry()
+	f, candidate, judgement, e := &c.factors, &c.candidate, &c.judgement, c.target.Entry()
 	return &placementResponse{
-		Target: c.meta.Target, WeightVersion: c.meta.Weights, CopyFrom: c.meta.Copy, CopyDeadline: c.meta.CopyUntil, StoreTo: c.meta.Keep,
+		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.Weights, CopyFrom: c.attemptMeta.Copy, CopyDeadline: c.attemptMeta.CopyUntil, StoreTo: c.attemptMeta.Keep,
 		PrefillTokens: f.Own, QueuedTokens: f.Before, Occupancy: f.Beside, QueueRatio: f.Waiting, MemoryPressure: f.Crowd,
-		CachedTokens: known.Kept, CopiedTokens: known.Copied, Running: known.Running, HeldTokens: known.Held,
-		Expected: j.Expected, Baseline: c.baseline, OnTimeChance: j.InTime, ServedChance: j.Served, Gain: j.Gain, Utility: j.Worth, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Held,
+		CachedTokens: candidate.Kept, CopiedTokens: candidate.Copied, Running: candidate.Running, HeldTokens: candidate.Held,
+		Expected: judgement.Expected, Baseline: c.baseline, OnTimeChance: judgement.InTime, ServedChance: judgement.Served, Gain: judgement.Gain, Utility: judgement.Worth, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Held,
 		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Born, Slots: e.Slots}, ListAge: age,
 	}
 }
 
 // choice reads it for a prompt of some tokens.
-func (a *placementResponse) choice(t *roster.Target, tokens int) *choice {
+func (r *placementResponse) choice(t *roster.Target, tokens int) *choice {
 	return &choice{
-		target: t, baseline: a.Baseline, onlyCandidate: a.OnlyCandidate, permit: roster.Token{Held: a.PermitHeld, Far: true},
-		meta:      Sending{Target: a.Target, Weights: a.WeightVersion, Copy: a.CopyFrom, CopyUntil: a.CopyDeadline, Keep: a.StoreTo},
-		load:      roster.Load{Running: 1, Unread: a.PrefillTokens, Held: tokens},
-		judgement: route.Judgement{Expected: a.Expected, InTime: a.OnTimeChance, Served: a.ServedChance, Gain: a.Gain, Worth: a.Utility},
-		factors:   learn.Factors{Own: a.PrefillTokens, Before: a.QueuedTokens, Beside: a.Occupancy, Waiting: a.QueueRatio, Crowd: a.MemoryPressure},
-		candidate: route.Candidate{Kept: a.CachedTokens, Copied: a.CopiedTokens, Running: a.Running, Held: a.HeldTokens, Unread: a.QueuedTokens},
+		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Token{Held: r.PermitHeld, Far: true},
+		attemptMeta: Sending{Target: r.Target, Weights: r.WeightVersion, Copy: r.CopyFrom, CopyUntil: r.CopyDeadline, Keep: r.StoreTo},
+		load:        roster.Load{Running: 1, Unread: r.PrefillTokens, Held: tokens},
+		judgement:   route.Judgement{Expected: r.Expected, InTime: r.OnTimeChance, Served: r.ServedChance, Gain: r.Gain, Worth: r.Utility},
+		factors:     learn.Factors{Own: r.PrefillTokens, Before: r.QueuedTokens, Beside: r.Occupancy, Waiting: r.QueueRatio, Crowd: r.MemoryPressure},
+		candidate:   route.Candidate{Kept: r.CachedTokens, Copied: r.CopiedTokens, Running: r.Running, Held: r.HeldTokens, Unread: r.QueuedTokens},
 	}
 }
 
@@ -209,7 +209,7 @@
 
 // chooseAtHome returns the choice of the home of the request's context, where another
 // cell is its home and the choice is better than this cell's own; else nil.
-func (p *proxiedRequest) chooseByOwner(ctx context.Context, svc *table.Service, own *choice) *choice {
+func (p *proxiedRequest) chooseByOwner(ctx context.Context, svc *table.Service, local *choice) *choice {
 	now := time.Now()
 	h := p.relay.owners
 	if h == nil || svc.Engine == nil || p.relay.options.Without.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
@@ -220,7 +220,7 @@
 		return nil
 	}
 	c := p.chooseByPeers(ctx, svc, peers, now)
-	if c == nil || (own != nil && own.judgement.Gain > 0 && own.judgement.Worth > c.judgement.Worth+p.splitCost()) {
+	if c == nil || (local != nil && local.judgement.Gain > 0 && local.judgement.Worth > c.judgement.Worth+p.splitCost()) {
 		return nil
 	}
 	return c
@@ -269,9 +269,9 @@
 func (p *proxiedRequest) chooseByPeers(ctx context.Context, svc *table.Service, peers []string, now time.Time) *choice {
 	h := p.relay.owners
 	p.ownerQueried = now
-	ask := p.newPlacementRequest(now)
+	request := p.newPlacementRequest(now)
 	for _, peer := range peers {
-		got, err := h.query(ctx, peer, ask)
+		response, err := h.query(ctx, peer, request)
 		switch {
 		case errors.Is(err, wire.ErrRemote):
 			// It has no place for the request now.
@@ -280,7 +280,7 @@
 			p.note("home %s: %v", peer, errors.Cause(err))
 			continue
 		}
-		return p.choiceFromResponse(svc, peer, ask, got)
+		return p.choiceFromResponse(svc, peer, request, response)
 	}
 	return nil
 }
@@ -304,34 +304,34 @@
 
 // placeAsk returns the question for the request.
 func (p *proxiedRequest) newPlacementRequest(now time.Time) *placementRequest {
-	ask := &placementRequest{
+	request := &placementRequest{
 		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.Aim, Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).Wall, PromptTokens: p.meta.Prompt,
 		BodyBytes: p.bodyBytes, OriginDomain: p.relay.options.Domain, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
 		Regions: p.regions, Versions: p.versions, RateLimits: p.relay.options.Roster.Limits(p.service), NeedsPermit: p.rateLimited != nil,
 	}
-	for _, part := range p.meta.Parts {
-		ask.Segments = append(ask.Segments, placementSegment{ID: part.ID, Tokens: part.Tokens})
+	for _, segment := range p.meta.Parts {
+		request.Segments = append(request.Segments, placementSegment{ID: segment.ID, Tokens: segment.Tokens})
 	}
 	for id := range p.tried {
-		ask.Excluded = append(ask.Excluded, id)
+		request.Excluded = append(request.Excluded, id)
 	}
-	ask.Excluded = append(ask.Excluded, p.relay.options.Roster.Stopped(p.service)...)
-	return ask
+	request.Excluded = append(request.Excluded, p.relay.options.Roster.Stopped(p.service)...)
+	return request
 }
 
 // orderOf returns a home's answer as a choice, or nil where it names no worker that this
 // daemon may send to.
-func (p *proxiedRequest) choiceFromResponse(svc *table.Service, peer string, ask *placementRequest, got *placementResponse) *choice {
-	h, t := p.relay.owners, p.relay.options.Roster.Target(got.Target)
-	if p.relay.sharded(p.service) && got.ListAge <= maxExternalListAge {
-		t = p.relay.options.Roster.Guest(got.entry(p.service, p.meta.Model))
+func (p *proxiedRequest) choiceFromResponse(svc *table.Service, peer string, request *placementRequest, response *placementResponse) *choice {
+	owners, t := p.relay.owners, p.relay.options.Roster.Target(response.Target)
+	if p.relay.sharded(p.service) && response.ListAge <= maxExternalListAge {
+		t = p.relay.options.Roster.Guest(response.entry(p.service, p.meta.Model))
 	}
-	if t == nil || !p.domainAllowed(t.Entry().Domain) || !p.versions.Allows(t.Entry().Version) || (svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, got.WeightVersion)) {
+	if t == nil || !p.domainAllowed(t.Entry().Domain) || !p.versions.Allows(t.Entry().Version) || (svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, response.WeightVersion)) {
 		return nil
 	}
-	gate := p.relay.options.Roster.Gate(time.Now())
-	stop, _ := gate.Stop(t)
-	if (stop != roster.Open && stop != roster.Limited) || (gate.Limits(t) && !got.PermitHeld) {
+	availability := p.relay.options.Roster.Gate(time.Now())
+	reason, _ := availability.Stop(t)
+	if (reason != roster.Open && reason != roster.Limited) || (availability.Limits(t) && !response.PermitHeld) {
 		return nil
 	}
 	address := t.Entry().Address
@@ -339,25 +339,25 @@
 	if p.relay.options.Pool.Room(address) <= 0 {
 		return nil
 	}
-	c := got.choice(t, p.meta.Prompt)
+	c := response.choice(t, p.meta.Prompt)
 	if svc.Engine == nil {
 		// Nothing is counted at the other cell, which hears nothing more of it.
 		c.load = roster.Load{Running: 1}
 		return c
 	}
-	c.report = &ownerReport{owners: h, peer: peer, name: h.newPlacementName(), request: ask, response: got}
+	c.report = &ownerReport{owners: owners, peer: peer, name: owners.newPlacementName(), request: request, response: response}
 	return c
 }
 
 // peers returns the daemons to ask about a context, best first; none where this daemon's
 // own cell is its home. A daemon asks the same ones of a cell each time, so that its
 // links are as many as there are cells.
-func (h *Homes) ownersOf(service string, root uint64, now time.Time) []string {
+func (h *Homes) ownersOf(service string, contextHash uint64, now time.Time) []string {
 	view := h.fleet.View()
 	if view.Cells() <= 1 {
 		return nil
 	}
-	cell := h.ownerCell(view, service, root)
+	cell := h.ownerCell(view, service, contextHash)
 	if cell == view.Cell() {
 		return nil
 	}
@@ -366,11 +366,11 @@
 
 // cell returns the cell that a context is at home in. Cells have as many targets of a divided service
 // as each other, and of others as many as they have daemons.
-func (h *Homes) ownerCell(view *fleet.View, service string, root uint64) int {
+func (h *Homes) ownerCell(view *fleet.View, service string, contextHash uint64) int {
 	if h.relay.sharded(service) {
-		return view.KeyCell(root)
+		return view.KeyCell(contextHash)
 	}
-	return view.WeighedCell(root)
+	return view.WeighedCell(contextHash)
 }
 
 // open returns those of some daemons that did not fail to answer lately.
@@ -379,17 +379,17 @@
 }
 
 // ask asks one daemon.
-func (h *Homes) query(ctx context.Context, peer string, ask *placementRequest) (*placementResponse, error) {
+func (h *Homes) query(ctx context.Context, peer string, request *placementRequest) (*placementResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
-	var got placementResponse
-	err := h.fleet.Call(ctx, peer, kindPlace, ask, &got)
+	var response placementResponse
+	err := h.fleet.Call(ctx, peer, kindPlace, request, &response)
 	if err != nil && !errors.Is(err, wire.ErrRemote) {
 		h.backoff.Failed(peer, time.Now())
 		return nil, err
 	}
 	h.backoff.Worked(peer)
-	return &got, err
+	return &response, err
 }
 
 // name returns a new name for a choice.
@@ -409,9 +409,9 @@
 }
 
 // tell sends news in the background: what is lost runs out at the home.
-func (o *ownerReport) send(n *placementUpdate) {
-	n.Name = o.name
-	go updateSender{o.owners, o.peer, n}.run()
+func (o *ownerReport) send(update *placementUpdate) {
+	update.Name = o.name
+	go updateSender{o.owners, o.peer, update}.run()
 }
 
 // placed tells that the choice is sent.
--- a/core/relay/homes_test.go
+++ b/core/relay/homes_test.go
@@ -147,7 +147,7 @@
 }
 
 // A fleet of two cells kept each context in both, and found it in a worker half as often.
-func TestAContextIsReadOnceWhereverItsReturnsArrive(t *testing.T) {
+func TestContextStaysInOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
 	for _, context := range []string{"a1", "b2", "c3", "d4"} {
@@ -166,7 +166,7 @@
 }
 
 // Who cannot reach a home decides by itself.
-func TestAContextWhoseHomeIsGoneIsServed(t *testing.T) {
+func TestUnreachableOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, _ := h.ownerCell("a1")
@@ -183,7 +183,7 @@
 }
 
 // A home that has no place is no reason to refuse while this cell has one.
-func TestAContextWhoseHomeIsFullIsServedElsewhere(t *testing.T) {
+func TestFullOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, workers := h.ownerCell("a1")
--- a/core/relay/learned.go
+++ b/core/relay/learned.go
@@ -16,7 +16,7 @@
 }
 
 // earn records a request for a service, of some worth.
-func (rl *Relay) recordArrival(service string, worth float64, now time.Time) {
+func (rl *Relay) recordArrival(service string, utility float64, now time.Time) {
 	rl.budgetMu.Lock()
 	defer rl.budgetMu.Unlock()
 	rl.retryBudget(service).Earn(time.Since(rl.start))
@@ -25,7 +25,7 @@
 		r = &learn.Rate{}
 		rl.arrivalRates[service] = r
 	}
-	r.Add(worth, now)
+	r.Add(utility, now)
 }
 
 // rate returns the worth of the requests that would come to each of some targets of a
@@ -150,33 +150,33 @@
 // memory of those that it was believed to hold, where the time to the first event
 // can tell.
 func (p *proxiedRequest) learnRetention(c *choice, took time.Duration, now time.Time) {
-	deepest, largest := 0.0, 0
+	deepest, tokens := 0.0, 0
 	for i, src := range c.plan.sources {
 		if src.cachedChance == 0 {
 			break
 		}
 		// Where a part is gone, what stands behind it is read as well.
 		if src.depth > deepest || i == 0 {
-			deepest, largest = src.depth, 0
+			deepest, tokens = src.depth, 0
 		}
-		largest += p.meta.Parts[i].Tokens
+		tokens += p.meta.Parts[i].Tokens
 	}
 	if p.relay.options.Without.Retention {
 		return
 	}
 	e := p.estimate(now)
-	held := e.Time(c.factors)
+	cachedTime := e.Time(c.factors)
 	factors := c.factors
-	factors.Own += largest
-	reading := e.Time(factors) - held
+	factors.Own += tokens
+	prefillTime := e.Time(factors) - cachedTime
 	// Times differ by a share of themselves for other reasons.
-	if largest == 0 || reading < held {
+	if tokens == 0 || prefillTime < cachedTime {
 		return
 	}
-	switch late := took - held; {
-	case late < time.Duration(cachedShare*float64(reading)):
+	switch delay := took - cachedTime; {
+	case delay < time.Duration(cachedShare*float64(prefillTime)):
 		p.relay.options.Retention.Observe(p.service, deepest, true, now)
-	case late > time.Duration(prefilledShare*float64(reading)) && late < 2*reading:
+	case delay > time.Duration(prefilledShare*float64(prefillTime)) && delay < 2*prefillTime:
 		p.relay.options.Retention.Observe(p.service, deepest, false, now)
 	}
 }
--- a/core/relay/limit_test.go
+++ b/core/relay/limit_test.go
@@ -21,7 +21,7 @@
 	return "Limit: " + strconv.FormatFloat(perSecond, 'g', -1, 64) + "\r\n"
 }
 
-func TestOthersTakeWhatALimitedTargetDoesNot(t *testing.T) {
+func TestOtherTargetsServeWhatExceedsARateLimit(t *testing.T) {
 	for _, path := range []string{"/once/", "/again/"} {
 		t.Run(path, func(t *testing.T) {
 			r := newRig(t, nil)
@@ -43,7 +43,7 @@
 
 // Where all targets are over their limits the time of the next token is told. One request waits for it
 // where that is soon enough; the others are refused at once.
-func TestWhereAllTargetsAreOverTheirLimits(t *testing.T) {
+func TestAllTargetsRateLimited(t *testing.T) {
 	tests := []struct {
 		name      string
 		perSecond float64
@@ -57,14 +57,14 @@
 			r := newRig(t, nil)
 			r.target("a", "plain", always(respond(200, "x", limitHeader(tc.perSecond))))
 			r.g.Expect(r.ask(http.MethodPost, "/again/", "x").status).To(gomega.Equal(200))
-			began := time.Now()
+			start := time.Now()
 			got := r.ask(http.MethodPost, "/again/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
-				r.g.Expect(time.Since(began)).To(gomega.BeNumerically(">=", 100*time.Millisecond), "it waited for the token")
+				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond), "it waited for the token")
 				return
 			}
-			r.g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second), "of two until its time limit")
+			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "of two until its time limit")
 			back, err := time.ParseDuration(got.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
 			r.g.Expect(back).To(gomega.BeNumerically("~", 11*time.Second, 2*time.Second))
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestOneRequestOfAServiceWaitsForAToken(t *testing.T) {
+func TestOneRequestPerServiceWaitsForPermit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var w permitWaiters
 	g.Expect(w.enter("a")).To(gomega.BeTrue())
@@ -85,59 +85,59 @@
 }
 
 // The token of a request that no connection was there for is given back.
-func TestATokenIsGivenBackWhereNothingWasSent(t *testing.T) {
+func TestUnusedPermitIsReturned(t *testing.T) {
 	r := newRig(t, nil)
-	gone := r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
+	unreachable := r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
 	r.relay.options.Pool.Forget(r.roster.Target("a").Entry().Address)
-	gone.l.Close()
+	unreachable.l.Close()
 	target := r.roster.Target("a")
-	token := r.waitForPermit(target)
+	permit := r.waitForPermit(target)
 	p := &proxiedRequest{relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second), tried: map[string]int{}}
 	p.r, _ = http.NewRequest(http.MethodPost, "/once/", http.NoBody)
 	p.r.RequestURI = "/once/"
 	p.route = r.relay.Table().Match("h", "/once/")
-	out, _ := p.attempt(p.r.Context(), &choice{target: target, load: roster.Load{Running: 1}, permit: token})
+	out, _ := p.attempt(p.r.Context(), &choice{target: target, load: roster.Load{Running: 1}, permit: permit})
 	r.g.Expect(out).To(gomega.Equal(outcomeNotSent))
 	_, may := r.roster.Take(target)
 	r.g.Expect(may).To(gomega.BeTrue())
 }
 
 // waitForToken takes the next token of a target once its limit is higher.
-func (r *rig) waitForPermit(target *roster.Target) (token roster.Token) {
+func (r *rig) waitForPermit(target *roster.Target) (permit roster.Token) {
 	r.roster.MergeLimits(map[string]roster.LimitNews{target.ID(): {On: true, PerSecond: 20, Seq: 9}})
-	r.g.Eventually(func() (may bool) { token, may = r.roster.Take(target); return may }, waitTimeout, pollInterval).Should(gomega.BeTrue())
-	return token
+	r.g.Eventually(func() (granted bool) { permit, granted = r.roster.Take(target); return granted }, waitTimeout, pollInterval).Should(gomega.BeTrue())
+	return permit
 }
 
 // A home is told of the limits that the asker knows. It takes the tokens of its workers, and without one
 // the asker does not send there.
-func TestAHomeTakesTheTokensOfItsWorkers(t *testing.T) {
+func TestOwnerTakesPermits(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, workers := h.ownerCell("context")
 	asker := h.outsideOf(cell)
 	// The asker alone knows that the workers of the home's cell take one request in 10 s.
-	told := map[string]roster.LimitNews{}
+	reported := map[string]roster.LimitNews{}
 	for _, id := range workers {
-		told[id] = roster.LimitNews{On: true, PerSecond: 0.1, Seq: 1}
+		reported[id] = roster.LimitNews{On: true, PerSecond: 0.1, Seq: 1}
 	}
-	h.rigs[asker].roster.MergeLimits(told)
+	h.rigs[asker].roster.MergeLimits(reported)
 	h.g.Expect(h.ask(asker, "context").status).To(gomega.Equal(http.StatusOK))
-	known := 0
+	informed := 0
 	for i, f := range h.fleets {
 		if f.View().Cell() == cell && len(h.rigs[i].roster.Limited()) == len(workers) {
-			known++
+			informed++
 		}
 	}
-	h.g.Expect(known).To(gomega.BeNumerically(">", 0), "homes that were told")
+	h.g.Expect(informed).To(gomega.BeNumerically(">", 0), "homes that were told")
 	for _, s := range h.rigs[0].received() {
 		h.g.Expect(strings.Join(workers, " ")).NotTo(gomega.ContainSubstring(s.target), "the home had no token")
 	}
 	// With tokens the home's choice is sent.
 	for i, f := range h.fleets {
 		if f.View().Cell() == cell {
-			h.rigs[i].roster.MergeLimits(raised(told))
+			h.rigs[i].roster.MergeLimits(raised(reported))
 		}
 	}
 	h.g.Eventually(func() int {
@@ -153,19 +153,19 @@
 }
 
 // higher returns limits that leave something soon.
-func raised(told map[string]roster.LimitNews) map[string]roster.LimitNews {
+func raised(limits map[string]roster.LimitNews) map[string]roster.LimitNews {
 	out := map[string]roster.LimitNews{}
-	for id, n := range told {
-		n.PerSecond, n.Seq = 100, n.Seq+1
-		out[id] = n
+	for id, limit := range limits {
+		limit.PerSecond, limit.Seq = 100, limit.Seq+1
+		out[id] = limit
 	}
 	return out
 }
 
 // A daemon that does not use the limited targets has its request sent by the token of one that does.
-func TestADaemonWithoutTokensAsksOneThatHasSome(t *testing.T) {
+func TestDaemonWithoutPermitsQueriesPermitHolders(t *testing.T) {
 	h := newFleetRig(t, 6, 1, always(limitedStreamAnswer(20)))
-	told := map[string]roster.LimitNews{h.workers[0]: {On: true, PerSecond: 20, Seq: 1}}
+	reported := map[string]roster.LimitNews{h.workers[0]: {On: true, PerSecond: 20, Seq: 1}}
 	for i, r := range h.rigs {
 		view := h.fleets[i].View
 		r.roster.Place = func(*roster.Target) (int, int) {
@@ -176,7 +176,7 @@
 			return 0, 100
 		}
 		r.relay.options.Choosers = func(*roster.Target, int) []string { return []string{"entry-00", "entry-01"} }
-		r.roster.MergeLimits(told)
+		r.roster.MergeLimits(reported)
 	}
 	h.g.Eventually(func() int { return h.ask(5, "context").status }, waitTimeout, pollInterval).Should(gomega.Equal(http.StatusOK))
 	h.g.Expect(h.rigs[5].roster.Limited()).To(gomega.HaveLen(1))
@@ -184,7 +184,7 @@
 }
 
 // An answer that the target did not sign may be anybody's: it ends no limit.
-func TestAnUnsignedAnswerEndsNoLimit(t *testing.T) {
+func TestUnsignedAnswerKeepsRateLimit(t *testing.T) {
 	r := newRig(t, nil)
 	unsigned := func(w *bufio.Writer, req *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 200 X\r\nId: %s\r\nContent-Length: 0\r\n\r\n", req.Header.Get("Id"))
@@ -206,8 +206,8 @@
 }
 
 // Contexts have homes in either of two cells, and all workers name a limit: no way of choosing exceeds it.
-func TestLimitsHoldOverCellsAndHomes(t *testing.T) {
-	const perSecond, told, lasts, window = 3, time.Second, 6 * time.Second, 4 * time.Second
+func TestRateLimitHoldsAcrossCells(t *testing.T) {
+	const perSecond, convergence, duration, window = 3, time.Second, 6 * time.Second, 4 * time.Second
 	h := newFleetRig(t, 24, 4, always(limitedStreamAnswer(perSecond)))
 	for i, r := range h.rigs {
 		f := h.fleets[i]
@@ -219,11 +219,11 @@
 		r.relay.options.Choosers = func(t *roster.Target, n int) []string { return f.View().Ranked(fleet.Key(t.ID()), true, n) }
 	}
 	h.g.Expect(h.fleets[0].View().Cells()).To(gomega.BeNumerically(">", 1))
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for i := range h.rigs {
 		wg.Go(func() {
-			for n := 0; time.Since(began) < lasts; n++ {
+			for n := 0; time.Since(start) < duration; n++ {
 				h.ask(i, fmt.Sprintf("c%d", n%7))
 			}
 		})
@@ -231,7 +231,7 @@
 	wg.Wait()
 	arrivals := map[string][]time.Time{}
 	for _, s := range h.rigs[0].received() {
-		if s.at.Sub(began) > told {
+		if s.at.Sub(start) > convergence {
 			arrivals[s.target] = append(arrivals[s.target], s.at)
 		}
 	}
--- a/core/relay/options.go
+++ b/core/relay/options.go
@@ -34,84 +34,84 @@
 // use, and the part of the service's targets that these are. Where these are full the
 // request waits or is refused: of other workers' load this daemon knows nothing. Only
 // where none of its own answers does it use all.
-func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, share float64, why string) {
+func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
 	all := p.relay.options.Roster.Of(p.service)
 	divided := p.relay.sharded(p.service)
 	if svc.Engine == nil && !divided {
-		own, why = p.eligibleTargets(svc, all, true, now)
-		return own, 1, why
+		own, reason = p.eligibleTargets(svc, all, true, now)
+		return own, 1, reason
 	}
-	mine := p.relay.shares.get(p.service, all, &p.relay.options)
-	own, why = p.eligibleTargets(svc, mine.own, true, now)
-	if divided || len(own) > 0 || why == allFull || endsAtKnownTime(why) {
+	share := p.relay.shares.get(p.service, all, &p.relay.options)
+	own, reason = p.eligibleTargets(svc, share.own, true, now)
+	if divided || len(own) > 0 || reason == allFull || endsAtKnownTime(reason) {
 		// Where all of its own rest, the others would be overrun by what these turned away. Of
 		// divided targets other cells decide.
-		return own, mine.fraction, why
+		return own, share.fraction, reason
 	}
-	own, why = p.eligibleTargets(svc, all, false, now)
-	return own, 1, why
+	own, reason = p.eligibleTargets(svc, all, false, now)
+	return own, 1, reason
 }
 
 // options returns the targets of a list that may get the request, or why there are none.
 // shared tells that this daemon is one of those who share the targets.
 func (p *proxiedRequest) eligibleTargets(svc *table.Service, list []*roster.Target, shared bool, now time.Time) ([]eligibleTarget, string) {
 	var out []eligibleTarget
-	gate, reloading := p.relay.options.Roster.Gate(now), p.relay.options.Roster.Reloading(now)
-	var none unavailability
+	availability, reloading := p.relay.options.Roster.Gate(now), p.relay.options.Roster.Reloading(now)
+	var rejected unavailability
 	list = p.applyRollout(list)
 	for _, t := range list {
 		if p.tried[t.ID()] > 0 {
 			continue
 		}
-		o := eligibleTarget{target: t, entry: t.Entry(), health: t.Health(now), load: t.Load()}
-		if !p.domainAllowed(o.entry.Domain) {
-			none.outsideRegions++
+		candidate := eligibleTarget{target: t, entry: t.Entry(), health: t.Health(now), load: t.Load()}
+		if !p.domainAllowed(candidate.entry.Domain) {
+			rejected.outsideRegions++
 			continue
 		}
-		if !p.versions.Allows(o.entry.Version) {
-			none.excludedVersions++
+		if !p.versions.Allows(candidate.entry.Version) {
+			rejected.excludedVersions++
 			continue
 		}
-		stop, lasts := gate.Stop(t)
-		if stop == roster.Open && !shared && gate.Limits(t) {
+		stop, duration := availability.Stop(t)
+		if stop == roster.Open && !shared && availability.Limits(t) {
 			// Other daemons share its limit.
 			stop = roster.Limited
 		}
 		if stop != roster.Open {
-			none.count(t.ID(), stop, lasts)
+			rejected.count(t.ID(), stop, duration)
 			if stop == roster.Limited {
-				none.rateLimitedTarget = t
+				rejected.rateLimitedTarget = t
 			}
 			continue
 		}
-		p.limitConnections(svc, o.entry.Address, false)
-		if o.load.Running >= p.maxRunning(svc, o.entry) || p.relay.options.Pool.Room(o.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
-			none.full++
+		p.limitConnections(svc, candidate.entry.Address, false)
+		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) || p.relay.options.Pool.Room(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
+			rejected.full++
 			continue
 		}
-		o.version = o.entry.Weights[p.meta.Model]
-		if svc.Engine != nil && reloading[t.ID()] && o.version < p.relay.options.Named(p.meta.Model) {
-			none.full++
+		candidate.version = candidate.entry.Weights[p.meta.Model]
+		if svc.Engine != nil && reloading[t.ID()] && candidate.version < p.relay.options.Named(p.meta.Model) {
+			rejected.full++
 			continue
 		}
-		o.state = p.relay.options.Targets.State(t.ID(), p.service, now)
-		if svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, o.version) {
-			none.outdated++
+		candidate.state = p.relay.options.Targets.State(t.ID(), p.service, now)
+		if svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, candidate.version) {
+			rejected.outdated++
 			continue
 		}
-		out = append(out, o)
+		out = append(out, candidate)
 	}
 	out = p.preferVersion(out)
-	why := none.reason()
-	p.skipped, p.rateLimited = none.skipped, none.rateLimitedTarget
+	reason := rejected.reason()
+	p.skipped, p.rateLimited = rejected.skipped, rejected.rateLimitedTarget
 	switch {
 	case len(out) > 0:
-	case why == allEvacuated:
-		p.expectedWait = none.evacuationAge
-	case endsAtKnownTime(why):
-		p.expectedWait = none.untilAvailable
+	case reason == allEvacuated:
+		p.expectedWait = rejected.evacuationAge
+	case endsAtKnownTime(reason):
+		p.expectedWait = rejected.untilAvailable
 	}
-	return out, why
+	return out, reason
 }
 
 // Reasons why no target may get a request.
@@ -127,7 +127,9 @@
 )
 
 // later reports whether a reason ends at a time that is known.
-func endsAtKnownTime(why string) bool { return why == allUnderPushback || why == allRateLimited }
+func endsAtKnownTime(reason string) bool {
+	return reason == allUnderPushback || reason == allRateLimited
+}
 
 // shortage counts the targets that may not get a request, by reason.
 type unavailability struct {
@@ -145,51 +147,51 @@
 const maxSkippedNoted = 4
 
 // stopped counts a target that may get no send from anybody here.
-func (l *unavailability) count(id string, why roster.Stop, lasts time.Duration) {
-	if (why == roster.Leaves || why == roster.Rests || why == roster.Limited) && len(l.skipped) < maxSkippedNoted {
-		l.skipped = append(l.skipped, id+" "+why.String())
+func (u *unavailability) count(id string, reason roster.Stop, duration time.Duration) {
+	if (reason == roster.Leaves || reason == roster.Rests || reason == roster.Limited) && len(u.skipped) < maxSkippedNoted {
+		u.skipped = append(u.skipped, id+" "+reason.String())
 	}
-	switch why {
+	switch reason {
 	case roster.Suspect:
-		l.suspects++
+		u.suspects++
 	case roster.Evacuated:
-		l.evacuated++
-		l.evacuationAge = max(l.evacuationAge, lasts)
+		u.evacuated++
+		u.evacuationAge = max(u.evacuationAge, duration)
 	case roster.Leaves:
-		l.shuttingDown++
+		u.shuttingDown++
 	case roster.Rests, roster.Limited:
-		if l.underPushback+l.rateLimited == 0 || lasts < l.untilAvailable {
-			l.untilAvailable = lasts
+		if u.underPushback+u.rateLimited == 0 || duration < u.untilAvailable {
+			u.untilAvailable = duration
 		}
-		if why == roster.Rests {
-			l.underPushback++
+		if reason == roster.Rests {
+			u.underPushback++
 		} else {
-			l.rateLimited++
+			u.rateLimited++
 		}
 	default:
 	}
 }
 
 // why says why no target may get a request.
-func (l *unavailability) reason() string {
+func (u *unavailability) reason() string {
 	switch {
-	case l.full > 0:
+	case u.full > 0:
 		return allFull
-	case l.rateLimited > 0:
+	case u.rateLimited > 0:
 		return allRateLimited
-	case l.underPushback > 0:
+	case u.underPushback > 0:
 		return allUnderPushback
-	case l.outdated > 0:
+	case u.outdated > 0:
 		return "all targets hold weights that were replaced too long ago"
-	case l.suspects > 0:
+	case u.suspects > 0:
 		return "no target answers"
-	case l.evacuated > 0:
+	case u.evacuated > 0:
 		return allEvacuated
-	case l.outsideRegions > 0:
+	case u.outsideRegions > 0:
 		return "no target is in a region where the request may run"
-	case l.shuttingDown > 0:
+	case u.shuttingDown > 0:
 		return "all targets leave"
-	case l.excludedVersions > 0:
+	case u.excludedVersions > 0:
 		return "all targets are of versions that a roll-out keeps back"
 	}
 	return "no target is listed"
@@ -210,18 +212,18 @@
 
 // bound shares the connections to a target out among the daemons. guest tells that the target falls
 // to another cell.
-func (p *proxiedRequest) limitConnections(svc *table.Service, address string, guest bool) {
+func (p *proxiedRequest) limitConnections(svc *table.Service, address string, external bool) {
 	if svc.MaxConns <= 0 {
 		return
 	}
-	conns, daemons := connectionShare*float64(svc.MaxConns), p.relay.options.Daemons()
+	limit, daemons := connectionShare*float64(svc.MaxConns), p.relay.options.Daemons()
 	switch {
 	case !p.relay.sharded(p.service):
-	case guest:
-		conns *= 1 - cellConnectionShare
+	case external:
+		limit *= 1 - cellConnectionShare
 	default:
-		conns *= cellConnectionShare
+		limit *= cellConnectionShare
 		daemons = p.relay.options.CellDaemons()
 	}
-	p.relay.options.Pool.SetMost(address, max(1, int(conns/float64(max(1, daemons)))))
+	p.relay.options.Pool.SetMost(address, max(1, int(limit/float64(max(1, daemons)))))
 }
--- a/core/relay/parts.go
+++ b/core/relay/parts.go
@@ -22,8 +22,8 @@
 // shared is how many tokens they have.
 func (p *proxiedRequest) sharedTokens() int {
 	n := 0
-	for _, part := range p.sharedSegments() {
-		n += part.Tokens
+	for _, segment := range p.sharedSegments() {
+		n += segment.Tokens
 	}
 	return n
 }
@@ -51,25 +51,25 @@
 // find looks the shared parts up as they are under a version of the weights.
 func (p *proxiedRequest) findSegments(version int64, now time.Time) []sharedSegment {
 	// Parts of superseded weights in stores are about to be freed.
-	stores := version >= p.relay.options.Named(p.meta.Model) && p.relay.options.CopyMay() && !p.relay.options.Without.StoreCopies
+	copyable := version >= p.relay.options.Named(p.meta.Model) && p.relay.options.CopyMay() && !p.relay.options.Without.StoreCopies
 	salt := p.cacheSalt(version).String()
 	var out []sharedSegment
-	aged := clock.Now()
-	for _, part := range p.sharedSegments() {
-		known := sharedSegment{Part: part, name: cache.PartName{Salt: salt, ID: part.ID}}
-		if stores {
-			known.stores = p.relay.options.Kept.Find(known.name, aged)
+	storeNow := clock.Now()
+	for _, segment := range p.sharedSegments() {
+		shared := sharedSegment{Part: segment, name: cache.PartName{Salt: salt, ID: segment.ID}}
+		if copyable {
+			shared.stores = p.relay.options.Kept.Find(shared.name, storeNow)
 		}
-		found, read := p.relay.options.Where.Find(known.name, now)
-		known.prefilledRecently = read
+		found, prefilled := p.relay.options.Where.Find(shared.name, now)
+		shared.prefilledRecently = prefilled
 		for _, f := range found {
 			t := p.relay.options.Roster.Target(f.Target)
 			if t == nil || t.Entry().Weights[p.meta.Model] != version {
 				continue
 			}
-			known.holders = append(known.holders, holder{t, f.Depth, p.relay.options.Retention.Chance(p.service, f.Depth, now)})
+			shared.holders = append(shared.holders, holder{t, f.Depth, p.relay.options.Retention.Chance(p.service, f.Depth, now)})
 		}
-		out = append(out, known)
+		out = append(out, shared)
 	}
 	return out
 }
@@ -97,44 +97,44 @@
 const workerCopyLatency = 61 * time.Millisecond
 
 // source finds the best place for a worker to get a part from.
-func (p *proxiedRequest) bestSource(svc *table.Service, o eligibleTarget, part *sharedSegment, now time.Time) source {
-	out := source{stored: len(part.stores) > 0}
-	to := p.relay.options.Links.State(o.entry.Address, now)
-	for _, place := range part.stores {
-		p.considerSource(&out, to, part, source{address: place.Address, chance: 1, copyTime: place.Time(o.entry.Domain), deadline: place.Until}, now)
+func (p *proxiedRequest) bestSource(svc *table.Service, t eligibleTarget, segment *sharedSegment, now time.Time) source {
+	best := source{stored: len(segment.stores) > 0}
+	destination := p.relay.options.Links.State(t.entry.Address, now)
+	for _, place := range segment.stores {
+		p.considerSource(&best, destination, segment, source{address: place.Address, chance: 1, copyTime: place.Time(t.entry.Domain), deadline: place.Until}, now)
 	}
-	for _, h := range part.holders {
-		if h.target == o.target {
-			out.cachedChance, out.depth = h.chance, h.depth
+	for _, h := range segment.holders {
+		if h.target == t.target {
+			best.cachedChance, best.depth = h.chance, h.depth
 			continue
 		}
 		if h.target.Health(now).Suspect || p.relay.options.Without.WorkerCopies {
 			continue
 		}
-		took := workerCopyLatency + table.LinkTime(part.Tokens*svc.Engine.TokenBytes, svc.Engine.LinkBits)
-		p.considerSource(&out, to, part, source{address: h.target.Entry().Address, chance: h.chance, copyTime: took}, now)
+		took := workerCopyLatency + table.LinkTime(segment.Tokens*svc.Engine.TokenBytes, svc.Engine.LinkBits)
+		p.considerSource(&best, destination, segment, source{address: h.target.Entry().Address, chance: h.chance, copyTime: took}, now)
 	}
-	return out
+	return best
 }
 
 // offer makes a place to copy from the best one, if it is: where the time of the
 // copy and the risk that the part is read after all cost least. to is the state of
 // the worker's own link.
-func (p *proxiedRequest) considerSource(best *source, to learn.LinkState, part *sharedSegment, with source, now time.Time) {
-	from := p.relay.options.Links.State(with.address, now)
-	with.copyTime = time.Duration(float64(with.copyTime) * from.Slow * to.Slow)
-	with.queueTime = max(from.Wait, to.Wait)
-	if best.address != "" && p.copyCost(&with, part) >= p.copyCost(best, part) {
+func (p *proxiedRequest) considerSource(best *source, destination learn.LinkState, segment *sharedSegment, candidate source, now time.Time) {
+	origin := p.relay.options.Links.State(candidate.address, now)
+	candidate.copyTime = time.Duration(float64(candidate.copyTime) * origin.Slow * destination.Slow)
+	candidate.queueTime = max(origin.Wait, destination.Wait)
+	if best.address != "" && p.copyCost(&candidate, segment) >= p.copyCost(best, segment) {
 		return
 	}
-	best.address, best.chance, best.copyTime, best.queueTime, best.deadline = with.address, with.chance, with.copyTime, with.queueTime, with.deadline
+	best.address, best.chance, best.copyTime, best.queueTime, best.deadline = candidate.address, candidate.chance, candidate.copyTime, candidate.queueTime, candidate.deadline
 }
 
 // copyCost returns what a copy costs where its time is all that an answer waits
 // for.
-func (p *proxiedRequest) copyCost(src *source, part *sharedSegment) float64 {
+func (p *proxiedRequest) copyCost(src *source, segment *sharedSegment) float64 {
 	prices := &p.relay.options.Prices
-	cost := (1 - src.chance) * prices.Again * float64(part.Tokens)
+	cost := (1 - src.chance) * prices.Again * float64(segment.Tokens)
 	if p.route.Aim > 0 {
 		cost += prices.Worth(p.meta.Prompt) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
 	}
@@ -154,20 +154,20 @@
 
 // plan works out how a worker gets the shared parts. They are copied as long as
 // each can be in the time that a copy may take.
-func (p *proxiedRequest) planSegments(svc *table.Service, o eligibleTarget, parts []sharedSegment, now time.Time) segmentPlan {
+func (p *proxiedRequest) planSegments(svc *table.Service, t eligibleTarget, segments []sharedSegment, now time.Time) segmentPlan {
 	var out segmentPlan
-	var wait, sum time.Duration
-	whole := true
-	for i := range parts {
-		part := &parts[i]
-		src := p.bestSource(svc, o, part, now)
+	var queueTime, copyTime time.Duration
+	contiguous := true
+	for i := range segments {
+		segment := &segments[i]
+		src := p.bestSource(svc, t, segment, now)
 		out.sources = append(out.sources, src)
-		wait, sum = max(wait, src.queueTime), sum+src.copyTime
-		if src.address == "" || (src.deadline > 0 && wait+sum > cache.CopyLimit()) {
-			whole = false
+		queueTime, copyTime = max(queueTime, src.queueTime), copyTime+src.copyTime
+		if src.address == "" || (src.deadline > 0 && queueTime+copyTime > cache.CopyLimit()) {
+			contiguous = false
 		}
-		if whole && p.copyWorthwhile(&src, part) {
-			out.copyCount, out.copyTime = i+1, wait+sum
+		if contiguous && p.copyWorthwhile(&src, segment) {
+			out.copyCount, out.copyTime = i+1, queueTime+copyTime
 		}
 	}
 	return out
@@ -176,10 +176,10 @@
 // copyPays reports whether copying a part costs less than the risk that the worker
 // does not hold it after all. Engines copy what they are told to, also what they
 // hold.
-func (p *proxiedRequest) copyWorthwhile(src *source, part *sharedSegment) bool {
+func (p *proxiedRequest) copyWorthwhile(src *source, segment *sharedSegment) bool {
 	prices := &p.relay.options.Prices
-	gain := (1 - src.cachedChance) * src.chance * prices.Again * float64(part.Tokens)
-	cost := prices.Copied * float64(part.Tokens)
+	gain := (1 - src.cachedChance) * src.chance * prices.Again * float64(segment.Tokens)
+	cost := prices.Copied * float64(segment.Tokens)
 	if p.route.Aim > 0 {
 		cost += prices.Worth(p.meta.Prompt) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
 	}
@@ -188,30 +188,30 @@
 
 // weigh adds how a worker gets the shared parts to what a decision knows of it:
 // held, copied or read, each as likely as it is.
-func (pl *segmentPlan) applyTo(c *route.Candidate, parts []sharedSegment) {
+func (pl *segmentPlan) applyTo(c *route.Candidate, segments []sharedSegment) {
 	c.CopyTime = pl.copyTime
-	whole, kept, copied, again := 1.0, 0.0, 0.0, 0.0
-	for i, part := range parts {
-		src, tokens := &pl.sources[i], float64(part.Tokens)
+	prefixChance, cached, copied, recomputed := 1.0, 0.0, 0.0, 0.0
+	for i, segment := range segments {
+		src, tokens := &pl.sources[i], float64(segment.Tokens)
 		// What stands behind a part that is read is read as well.
-		held, got := whole*src.cachedChance, whole*src.cachedChance
+		cachedChance, availableChance := prefixChance*src.cachedChance, prefixChance*src.cachedChance
 		if i < pl.copyCount {
-			got += (whole - held) * src.chance
+			availableChance += (prefixChance - cachedChance) * src.chance
 		}
-		kept += held * tokens
-		copied += (got - held) * tokens
-		if part.prefilledRecently || src.address != "" {
+		cached += cachedChance * tokens
+		copied += (availableChance - cachedChance) * tokens
+		if segment.prefilledRecently || src.address != "" {
 			// What can be copied was read by some daemon's request.
-			again += (1 - got) * tokens
+			recomputed += (1 - availableChance) * tokens
 		}
-		whole = got
+		prefixChance = availableChance
 	}
-	c.Kept, c.Copied, c.Again = int(kept), int(copied), int(again)
+	c.Kept, c.Copied, c.Again = int(cached), int(copied), int(recomputed)
 }
 
 // occupy records what the choice makes of links and of the worker's memory.
 func (p *proxiedRequest) recordUse(c *choice, now time.Time) {
-	if c.meta.Weights == 0 || !p.relay.options.Placement.Exports() {
+	if c.attemptMeta.Weights == 0 || !p.relay.options.Placement.Exports() {
 		return
 	}
 	if !p.relay.options.Without.LinkQueues {
@@ -223,22 +223,22 @@
 }
 
 // use is what the request leaves in a worker's memory.
-func (p *proxiedRequest) cacheUse(o eligibleTarget) cache.Use {
-	u := cache.Use{Target: o.target.ID(), Salt: p.cacheSalt(o.version).String(), Rest: p.meta.Prompt}
-	for _, part := range p.sharedSegments() {
-		u.Parts = append(u.Parts, cache.UsedPart{ID: part.ID, Tokens: part.Tokens})
-		u.Rest -= part.Tokens
+func (p *proxiedRequest) cacheUse(t eligibleTarget) cache.Use {
+	use := cache.Use{Target: t.target.ID(), Salt: p.cacheSalt(t.version).String(), Rest: p.meta.Prompt}
+	for _, segment := range p.sharedSegments() {
+		use.Parts = append(use.Parts, cache.UsedPart{ID: segment.ID, Tokens: segment.Tokens})
+		use.Rest -= segment.Tokens
 	}
-	return u
+	return use
 }
 
 // setCopy names the addresses that the first parts are copied from, and until when.
-func (p *proxiedRequest) setCopySources(to *Sending, copied []source) {
-	if len(copied) == 0 {
+func (p *proxiedRequest) setCopySources(to *Sending, sources []source) {
+	if len(sources) == 0 {
 		return
 	}
 	to.Copy = make([]string, len(p.meta.Parts))
-	for i, src := range copied {
+	for i, src := range sources {
 		to.Copy[i] = src.address
 		if src.deadline > 0 && (to.CopyUntil == 0 || src.deadline < to.CopyUntil) {
 			to.CopyUntil = src.deadline
@@ -248,19 +248,19 @@
 
 // setKeep names the stores that parts are sent to: those parts that no store has
 // and that one has room for.
-func (p *proxiedRequest) setStoreTargets(to *Sending, list []source, version int64, now clock.Time) {
+func (p *proxiedRequest) setStoreTargets(to *Sending, sources []source, version int64, now clock.Time) {
 	stores := make([]string, len(p.meta.Parts))
-	keeps := false
+	found := false
 	salt := p.cacheSalt(version).String()
-	for i, src := range list {
+	for i, src := range sources {
 		if src.stored {
 			continue
 		}
-		part := p.meta.Parts[i]
-		stores[i] = p.relay.options.Kept.Room(cache.PartName{Salt: salt, ID: part.ID}, part.Tokens, p.domainAllowed, now)
-		keeps = keeps || stores[i] != ""
+		segment := p.meta.Parts[i]
+		stores[i] = p.relay.options.Kept.Room(cache.PartName{Salt: salt, ID: segment.ID}, segment.Tokens, p.domainAllowed, now)
+		found = found || stores[i] != ""
 	}
-	if keeps {
+	if found {
 		to.Keep = stores
 	}
 }
@@ -272,9 +272,9 @@
 	if c.plan.copyCount == 0 || p.relay.options.Without.LinkSpeeds {
 		return
 	}
-	queue, reading := p.estimate(now).Parts(c.factors)
+	queue, prefill := p.estimate(now).Parts(c.factors)
 	share := float64(c.plan.copyTime) / float64(c.plan.copyTime+queue+copyNoise)
-	ratio := float64(max(took-reading, copyNoise/10)) / float64(c.plan.copyTime)
+	ratio := float64(max(took-prefill, copyNoise/10)) / float64(c.plan.copyTime)
 	from := c.plan.sources[c.plan.copyCount-1].address
 	p.relay.options.Links.Sample(from, c.target.Entry().Address, ratio, share, now)
 }
--- a/core/relay/pass.go
+++ b/core/relay/pass.go
@@ -86,37 +86,37 @@
 	p.lastEventID = p.meta.After
 	ctx, cancel := context.WithDeadline(p.r.Context(), p.deadline.Add(deadlineMargin))
 	defer cancel()
-	var kept *bufferedAnswer
-	unsent := 0
+	var failed *bufferedAnswer
+	unreachable := 0
 	for {
-		c, why := p.waitForChoice(ctx)
+		c, reason := p.waitForChoice(ctx)
 		if c == nil {
-			return p.giveUp(kept, why)
+			return p.giveUp(failed, reason)
 		}
 		p.lastTarget = c.target
 		p.recordForecast(c)
 		p.tried[c.target.ID()]++
-		out, ans := p.attempt(ctx, c)
+		out, answer := p.attempt(ctx, c)
 		p.note("%s=%s", c.target.ID(), out)
-		if ans != nil {
-			kept = ans
+		if answer != nil {
+			failed = answer
 		}
 		switch out {
 		case outcomeDone, outcomeCallerGone, outcomeTruncated:
 			return nil
 		case outcomeTimedOut:
-			return p.giveUp(kept, "the time is up")
+			return p.giveUp(failed, "the time is up")
 		case outcomeUnavailable:
 			// It is chosen no more as long as that holds.
 			p.uncountAttempt(c.target.ID())
 		case outcomeNotSent:
 			// The target got nothing; another one may get the request.
-			if unsent++; unsent >= maxUnreachable {
-				return p.giveUp(kept, "no target can be reached")
+			if unreachable++; unreachable >= maxUnreachable {
+				return p.giveUp(failed, "no target can be reached")
 			}
 		case outcomeRefused, outcomeIncomplete, outcomeFailed:
 			if !p.mayRetry(out) {
-				return p.giveUp(kept, "it may not be sent again")
+				return p.giveUp(failed, "it may not be sent again")
 			}
 			p.versions = p.versions.Aside()
 		}
@@ -139,9 +139,9 @@
 // chooseSoon chooses a target. Where none is worth taking now the request waits,
 // as long as it could still be answered in time.
 func (p *proxiedRequest) waitForChoice(ctx context.Context) (*choice, string) {
-	alone := false
+	isPermitWaiter := false
 	defer func() {
-		if alone {
+		if isPermitWaiter {
 			p.relay.permitWaiters.leave(p.service)
 		}
 	}()
@@ -151,7 +151,7 @@
 			// It has waited, or has just ended one more target.
 			return nil, crashesTargets
 		}
-		c, why := p.choose(ctx)
+		c, reason := p.choose(ctx)
 		if c != nil {
 			p.expectedWait = c.judgement.Expected
 		}
@@ -162,21 +162,21 @@
 			}
 			p.noteSkipped()
 			p.recordChoice(c, time.Now())
-			return c, why
+			return c, reason
 		}
 		c.releaseLoad()
 		switch {
-		case c == nil && why == allUnderPushback && p.likelyOnTime(p.expectedWait):
+		case c == nil && reason == allUnderPushback && p.likelyOnTime(p.expectedWait):
 			// The first rest ends soon enough.
-		case c == nil && why == allRateLimited && p.likelyOnTime(p.expectedWait) && p.becomePermitWaiter(&alone):
+		case c == nil && reason == allRateLimited && p.likelyOnTime(p.expectedWait) && p.becomePermitWaiter(&isPermitWaiter):
 			// The first token comes soon enough, and no other request waits for it.
-		case c == nil && why != allFull:
-			return nil, why
+		case c == nil && reason != allFull:
+			return nil, reason
 		case p.relay.options.Without.Waiting, !p.likelyOnTime(0):
 			return nil, allFull
 		}
 		if !wait.For(ctx, choiceInterval) {
-			return nil, why
+			return nil, reason
 		}
 	}
 }
@@ -187,8 +187,8 @@
 
 // hopeful reports whether an answer is likely to come in time if a target takes
 // the request some time from now.
-func (p *proxiedRequest) likelyOnTime(in time.Duration) bool {
-	now := time.Now().Add(in)
+func (p *proxiedRequest) likelyOnTime(delay time.Duration) bool {
+	now := time.Now().Add(delay)
 	e := p.estimate(now)
 	expected := e.Time(learn.Factors{Own: p.meta.Prompt - p.sharedTokens()})
 	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeChance
@@ -235,25 +235,25 @@
 }
 
 // giveUp is the final answer of a request that got none from a target.
-func (p *proxiedRequest) giveUp(kept *bufferedAnswer, why string) *entry.Refusal {
+func (p *proxiedRequest) giveUp(failed *bufferedAnswer, reason string) *entry.Refusal {
 	p.noteSkipped()
-	p.note("given up: %s", why)
+	p.note("given up: %s", reason)
 	switch {
 	case p.headerSent:
 		p.aborted = true
 		return nil
-	case kept != nil:
-		kept.write(p)
+	case failed != nil:
+		failed.write(p)
 		return nil
 	case p.executions == 0:
 		if refusal := p.refuseBlocked(); refusal != nil {
 			return refusal
 		}
 		// Where it was blocked, that was taken back just now.
-		if endsAtKnownTime(why) {
-			return p.refuseUntil(entry.CodeNoTarget, "no target takes the request now: "+why, p.expectedWait)
+		if endsAtKnownTime(reason) {
+			return p.refuseUntil(entry.CodeNoTarget, "no target takes the request now: "+reason, p.expectedWait)
 		}
-		return p.refuseFor(entry.CodeNoTarget, "no target takes the request now: "+why, p.expectedWait)
+		return p.refuseFor(entry.CodeNoTarget, "no target takes the request now: "+reason, p.expectedWait)
 	case !time.Now().Before(p.deadline):
 		return entry.NewRefusal(http.StatusGatewayTimeout, entry.CodeTimeout, entry.Unknown, "no answer came in time", 0)
 	}
--- a/core/relay/placed.go
+++ b/core/relay/placed.go
@@ -25,18 +25,18 @@
 var errCannotPlace = errors.New("this daemon cannot decide about the prompt")
 
 // place answers what to do with a prompt that another daemon has.
-func (h *Homes) handlePlace(_ context.Context, _ string, ask *placementRequest) (*placementResponse, error) {
-	p, svc := h.requestOf(ask)
-	if svc == nil || (svc.Engine == nil && !h.relay.sharded(ask.Service) && !ask.NeedsPermit) {
+func (h *Homes) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
+	p, svc := h.requestOf(request)
+	if svc == nil || (svc.Engine == nil && !h.relay.sharded(request.Service) && !request.NeedsPermit) {
 		return nil, errors.WithStack(errCannotPlace)
 	}
-	h.relay.options.Roster.MergeLimits(ask.RateLimits)
+	h.relay.options.Roster.MergeLimits(request.RateLimits)
 	for {
-		c, why := p.chooseLocal(svc, time.Now())
+		c, reason := p.chooseLocal(svc, time.Now())
 		// The asker tells when it makes use of it.
 		c.releaseLoad()
 		if c == nil || c.judgement.Gain <= 0 {
-			return nil, errors.Wrap(errCannotPlace, why)
+			return nil, errors.Wrap(errCannotPlace, reason)
 		}
 		if p.acquire(c, time.Now()) {
 			return newPlacementResponse(c, h.relay.options.Age()), nil
@@ -45,98 +45,98 @@
 }
 
 // passOf returns a request of another daemon as decisions see it.
-func (h *Homes) requestOf(ask *placementRequest) (*proxiedRequest, *table.Service) {
+func (h *Homes) requestOf(request *placementRequest) (*proxiedRequest, *table.Service) {
 	now, t := time.Now(), h.relay.Table()
 	if t == nil {
 		return nil, nil
 	}
 	p := &proxiedRequest{
-		relay: h.relay, start: now.Add(-ask.Elapsed), deadline: now.Add(ask.Remaining), table: t, service: ask.Service, tried: map[string]int{},
-		meta: Ask{Model: ask.Model, Prompt: ask.PromptTokens}, route: &table.Route{Name: ask.Route, Aim: ask.LatencyObjective}, bodyBytes: ask.BodyBytes, originDomain: ask.OriginDomain, remote: true, regions: ask.Regions, versions: ask.Versions,
+		relay: h.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining), table: t, service: request.Service, tried: map[string]int{},
+		meta: Ask{Model: request.Model, Prompt: request.PromptTokens}, route: &table.Route{Name: request.Route, Aim: request.LatencyObjective}, bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true, regions: request.Regions, versions: request.Versions,
 	}
-	if ask.IsolatedOrganisation != "" {
-		p.organisation = &table.Organisation{Name: ask.IsolatedOrganisation, Isolated: true}
+	if request.IsolatedOrganisation != "" {
+		p.organisation = &table.Organisation{Name: request.IsolatedOrganisation, Isolated: true}
 	}
-	for _, part := range ask.Segments {
-		p.meta.Parts = append(p.meta.Parts, cache.Part{ID: part.ID, Tokens: part.Tokens})
+	for _, segment := range request.Segments {
+		p.meta.Parts = append(p.meta.Parts, cache.Part{ID: segment.ID, Tokens: segment.Tokens})
 	}
-	for _, id := range ask.Excluded {
+	for _, id := range request.Excluded {
 		p.tried[id]++
 	}
-	return p, t.Service(ask.Service)
+	return p, t.Service(request.Service)
 }
 
 // news takes what became of a choice.
-func (h *Homes) handleUpdate(_ context.Context, _ string, n *placementUpdate) (struct{}, error) {
+func (h *Homes) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
 	now := time.Now()
 	h.placementsMu.Lock()
 	defer h.placementsMu.Unlock()
-	pl := h.placements[n.Name]
-	if n.Request != nil && n.Response != nil {
+	pl := h.placements[update.Name]
+	if update.Request != nil && update.Response != nil {
 		if pl == nil {
-			h.addPlacement(n, now)
+			h.addPlacement(update, now)
 		} else {
 			// Its end overtook it.
-			delete(h.placements, n.Name)
+			delete(h.placements, update.Name)
 		}
 		return struct{}{}, nil
 	}
 	if pl == nil {
-		if n.Ended {
-			h.placements[n.Name] = &ownedPlacement{deadline: now.Add(expiryInterval)}
+		if update.Ended {
+			h.placements[update.Name] = &ownedPlacement{deadline: now.Add(expiryInterval)}
 		}
 		return struct{}{}, nil
 	}
 	if pl.choice != nil {
-		pl.apply(n, now)
+		pl.apply(update, now)
 	}
-	if n.Ended {
-		delete(h.placements, n.Name)
+	if update.Ended {
+		delete(h.placements, update.Name)
 	}
 	return struct{}{}, nil
 }
 
 // put counts a choice that is sent. It is called with placedMu held.
-func (h *Homes) addPlacement(n *placementUpdate, now time.Time) {
-	t := h.relay.options.Roster.Target(n.Response.Target)
-	p, svc := h.requestOf(n.Request)
+func (h *Homes) addPlacement(update *placementUpdate, now time.Time) {
+	t := h.relay.options.Roster.Target(update.Response.Target)
+	p, svc := h.requestOf(update.Request)
 	if t == nil || svc == nil || svc.Engine == nil {
 		return
 	}
-	c := n.Response.choice(t, n.Request.PromptTokens)
-	c.eligible = eligibleTarget{target: t, entry: t.Entry(), version: n.Response.WeightVersion}
+	c := update.Response.choice(t, update.Request.PromptTokens)
+	c.eligible = eligibleTarget{target: t, entry: t.Entry(), version: update.Response.WeightVersion}
 	c.plan = p.planSegments(svc, c.eligible, p.findSegments(c.eligible.version, now), now)
-	if len(n.Response.CopyFrom) == 0 {
+	if len(update.Response.CopyFrom) == 0 {
 		c.plan.copyCount, c.plan.copyTime = 0, 0
 	}
 	p.recordUse(c, now)
 	t.Begin(c.load)
-	h.placements[n.Name] = &ownedPlacement{request: p, choice: c, load: c.load, deadline: p.deadline}
+	h.placements[update.Name] = &ownedPlacement{request: p, choice: c, load: c.load, deadline: p.deadline}
 	h.relay.options.Placed()
 }
 
 // learn takes what came of the choice, and ends what is counted of it.
-func (pl *ownedPlacement) apply(n *placementUpdate, now time.Time) {
+func (pl *ownedPlacement) apply(update *placementUpdate, now time.Time) {
 	c := pl.choice
-	if n.ShuttingDown {
+	if update.ShuttingDown {
 		pl.request.relay.options.Roster.Leaves(c.target.ID(), roster.ByPeer)
 	}
 	switch {
-	case n.Reloading:
+	case update.Reloading:
 		pl.request.recordReload(c)
-	case n.NoAnswer:
+	case update.NoAnswer:
 		pl.request.recordNoAnswer(c)
-	case n.Bad:
+	case update.Bad:
 		pl.request.recordAnswer(c, false)
-	case n.FirstEvent > 0:
+	case update.FirstEvent > 0:
 		pl.request.recordAnswer(c, true)
-		pl.request.learnFromFirstAnswer(c, n.FirstEvent, now)
+		pl.request.learnFromFirstAnswer(c, update.FirstEvent, now)
 	}
-	done := roster.Load{Unread: pl.load.Unread}
-	if n.Ended {
-		done = pl.load
+	released := roster.Load{Unread: pl.load.Unread}
+	if update.Ended {
+		released = pl.load
 	}
-	pl.releaseLoad(done)
+	pl.releaseLoad(released)
 }
 
 // end takes back part of what is counted.
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return p.classifyTruncated(c, err), nil
 	}
-	ans := &bufferedAnswer{in.Status, in.Header, body}
+	answer := &bufferedAnswer{in.Status, in.Header, body}
 	good := in.Status < http.StatusInternalServerError
 	if (in.Status/100 == 2 && !reply.Sealed) || reply.Encoded {
 		in.Spoil()
@@ -43,20 +43,20 @@
 	}
 	p.recordFirstAnswer(c, sent)
 	if !good && p.route.MayRepeat() && len(body) < maxBufferedBytes {
-		return outcomeFailed, ans
+		return outcomeFailed, answer
 	}
 	p.firstAt = time.Now()
 	if len(body) < maxBufferedBytes {
-		ans.write(p)
+		answer.write(p)
 		return outcomeDone, nil
 	}
-	return p.passOnRest(ans, in), nil
+	return p.passOnRest(answer, in), nil
 }
 
 // long passes on an answer that is too large to be kept whole.
-func (p *proxiedRequest) passOnRest(ans *bufferedAnswer, in *target.Incoming) outcome {
-	ans.writeHeader(p, in.Length)
-	if _, err := p.w.Write(ans.body); err != nil {
+func (p *proxiedRequest) passOnRest(answer *bufferedAnswer, in *target.Incoming) outcome {
+	answer.writeHeader(p, in.Length)
+	if _, err := p.w.Write(answer.body); err != nil {
 		return outcomeCallerGone
 	}
 	if _, err := io.Copy(p.w, in); err != nil {
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -9,7 +9,7 @@
 	"embertally.dev/core/table"
 )
 
-func TestRegionsOfRouteAndOrganisationBothBind(t *testing.T) {
+func TestRouteAndOrganisationRegionsBothApply(t *testing.T) {
 	tests := []struct {
 		name                string
 		route, organisation []string
@@ -62,7 +62,7 @@
 }
 
 // A home that does not know of a caller's regions, or has been told wrongly, is not obeyed.
-func TestAHomeOutsideTheRegionsIsNotObeyed(t *testing.T) {
+func TestOwnerChoiceOutsideRegionsIsRejected(t *testing.T) {
 	r := newRig(t, nil)
 	r.relay.options.Regions = map[string]string{"d1": "north", "d2": "south"}
 	r.target("w1", "llm", always(hangUp))
@@ -71,11 +71,11 @@
 	r.roster.Put(e)
 	p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}, regions: regions{{"north"}}}
 	r.relay.owners = &Homes{}
-	answer := &placementResponse{Target: "w1", WeightVersion: 1}
-	r.g.Expect(p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, answer)).To(gomega.BeNil())
-	ask := p.newPlacementRequest(p.start)
-	r.g.Expect(ask.Regions).To(gomega.Equal(regions{{"north"}}))
-	far, _ := (&Homes{relay: r.relay}).requestOf(ask)
-	r.g.Expect(far.domainAllowed("d1")).To(gomega.BeTrue())
-	r.g.Expect(far.domainAllowed("d2")).To(gomega.BeFalse())
+	response := &placementResponse{Target: "w1", WeightVersion: 1}
+	r.g.Expect(p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, response)).To(gomega.BeNil())
+	request := p.newPlacementRequest(p.start)
+	r.g.Expect(request.Regions).To(gomega.Equal(regions{{"north"}}))
+	remote, _ := (&Homes{relay: r.relay}).requestOf(request)
+	r.g.Expect(remote.domainAllowed("d1")).To(gomega.BeTrue())
+	r.g.Expect(remote.domainAllowed("d2")).To(gomega.BeFalse())
 }
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -177,11 +177,11 @@
 // unready returns how much longer the daemon is expected to know no configuration:
 // as long as it has known none, and longer where the platform's store is out.
 func (rl *Relay) notReadyFor() time.Duration {
-	lasted := time.Since(rl.start)
+	elapsed := time.Since(rl.start)
 	if rl.options.StoreDown != nil && rl.options.StoreDown() {
-		return max(lasted, minOutage)
+		return max(elapsed, minOutage)
 	}
-	return lasted
+	return elapsed
 }
 
 // divided reports whether the cells divide the targets of a service.
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestCutOfWhatMayRunOnceIsNeverCalledNotRun(t *testing.T) {
+func TestDisconnectOfNonRepeatableIsNotReportedAsNotRun(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("t1", "plain", always(hangUp))
 	r.target("t2", "plain", always(hangUp))
@@ -87,7 +87,7 @@
 	r.g.Expect(r.received()).To(gomega.HaveLen(1))
 }
 
-func TestRefusalsWithoutASend(t *testing.T) {
+func TestRefusalsBeforeAnyAttempt(t *testing.T) {
 	tests := []struct {
 		name    string
 		path    string
@@ -117,7 +117,7 @@
 }
 
 // A route that is still there may lead elsewhere by now.
-func TestNothingIsSentUnderAConfigurationThatIsReplacedForTooLong(t *testing.T) {
+func TestOverdueConfigurationIsRefused(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("t1", "plain", always(respond(200, "ok")))
 	r.configOverdue = time.Second
@@ -132,7 +132,7 @@
 
 // Callers are told to come back when the cause is expected to have ended, within
 // a third of their time.
-func TestCallersAreToldWhenToComeBack(t *testing.T) {
+func TestRetryAfterOfRefusals(t *testing.T) {
 	tests := []struct {
 		name        string
 		make        func(r *rig)
@@ -178,7 +178,7 @@
 	r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"unknown"`))
 }
 
-func TestLeavingTargetsGetNothing(t *testing.T) {
+func TestTargetsShuttingDownGetNoRequests(t *testing.T) {
 	r := newRig(t, nil)
 	f := r.target("t1", "plain", always(respond(200, "yes")))
 	r.roster.Put(roster.Entry{ID: "t1", Service: "plain", Address: f.l.Addr().String(), Leaving: true})
@@ -235,11 +235,11 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheSend(t *testing.T) {
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	r := newRig(t, nil)
-	began, ended := make(chan struct{}), make(chan struct{})
+	started, ended := make(chan struct{}), make(chan struct{})
 	r.target("t1", "plain", always(func(_ *bufio.Writer, req *http.Request) error {
-		close(began)
+		close(started)
 		<-req.Context().Done()
 		return nil
 	}))
@@ -253,14 +253,14 @@
 		defer close(ended)
 		http.DefaultClient.Do(req)
 	}()
-	<-began
+	<-started
 	cancel()
 	<-ended
 	r.g.Eventually(r.relay.Running, "10s", "5ms").Should(gomega.BeZero())
 	r.g.Expect(r.roster.Target("t1").Own()).To(gomega.Equal(roster.Load{}))
 }
 
-func TestRetriesStayWithinWhatIsAllowed(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	r := newRig(t, nil)
 	r.relay.options.RetryShare, r.relay.options.RetryExtra = 0, 3.5/retryBudgetUse
 	r.target("t1", "plain", always(respond(500, "bad")))
@@ -286,7 +286,7 @@
 	return ctx
 }
 
-func TestPartsAreCopiedOnlyUnderTheNewestWeights(t *testing.T) {
+func TestSegmentsAreCopiedOnlyForDesiredWeights(t *testing.T) {
 	tests := []struct {
 		name  string
 		named int64
@@ -312,7 +312,7 @@
 
 // Parts of any size are kept and copied. Engines copy no part after one that no
 // place is named for.
-func TestPartsOfAnySizeAreKeptAndCopied(t *testing.T) {
+func TestSegmentsOfAnySizeAreStoredAndCopied(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	part := func(id string, tokens int) cache.PartChange {
 		return cache.PartChange{PartName: cache.PartName{Salt: salt, ID: id}, Tokens: tokens}
@@ -345,7 +345,7 @@
 
 // Of the places that hold a part, the one that is expected to hand it out first
 // is named; where none can within the time of a copy, the part is read.
-func TestPartsAreCopiedFromWhereTheyComeSoonest(t *testing.T) {
+func TestFastestCopySourceIsChosen(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
 	tests := []struct {
@@ -393,7 +393,7 @@
 
 // A part that the worker may have pushed out is copied as well, where that costs
 // less than the risk.
-func TestPartsThatMayBeGoneAreCopied(t *testing.T) {
+func TestProbablyEvictedSegmentsAreCopied(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
 	tests := []struct {
@@ -422,7 +422,7 @@
 	}
 }
 
-func TestIsolatedOrganisationsHaveASaltOfTheirOwn(t *testing.T) {
+func TestIsolatedOrganisationsHaveTheirOwnSalt(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 	r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10")
@@ -444,7 +444,7 @@
 	r.g.Expect(r.received()).To(gomega.HaveLen(1))
 }
 
-func TestNothingBeginsOnWeightsReplacedLongAgo(t *testing.T) {
+func TestOutdatedWeightsAreRefused(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 	r.desired, r.minWeights = 2, 2
@@ -482,7 +482,7 @@
 
 // Other daemons hear of a prompt while it runs, with the work that it adds, so
 // that they do not all take the same worker.
-func TestPromptsAreToldAtOnce(t *testing.T) {
+func TestPromptsArePublishedAtOnce(t *testing.T) {
 	tests := []struct {
 		name  string
 		parts string
@@ -496,15 +496,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
-			var told []int
-			r.relay.options.Placed = func() { told = append(told, r.roster.Target("t1").Own().Held) }
+			var published []int
+			r.relay.options.Placed = func() { published = append(published, r.roster.Target("t1").Own().Held) }
 			r.g.Expect(r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts).status).To(gomega.Equal(http.StatusOK))
-			r.g.Expect(told).To(gomega.Equal(tc.want))
+			r.g.Expect(published).To(gomega.Equal(tc.want))
 		})
 	}
 }
 
-func TestAFullShareOfWorkersIsNotLeftForOthers(t *testing.T) {
+func TestFullShareDoesNotSpillOver(t *testing.T) {
 	tests := []struct {
 		name   string
 		make   func(t *roster.Target)
@@ -529,7 +529,7 @@
 	}
 }
 
-func TestLargeFailuresArePassedOnWhole(t *testing.T) {
+func TestLargeFailuresArePassedOnCompletely(t *testing.T) {
 	r := newRig(t, nil)
 	large := strings.Repeat("x", maxBufferedBytes+1000)
 	r.target("t1", "plain", always(respond(500, large)))
@@ -543,7 +543,7 @@
 // A daemon of a large fleet expects of its cell's workers what its own callers bring as
 // often as there are daemons in the cell, not in the fleet: it took its callers to bring
 // 25 times what they do, and refused prompts wherever a short line stood.
-func TestALineBeforeAShareOfWorkersIsWeighedByWhatItsDaemonsBring(t *testing.T) {
+func TestQueueCostCountsOnlyTheCellsDaemons(t *testing.T) {
 	const workers, share, daemons, callers = 150, 6, 300, 4
 	r := newRig(t, nil)
 	r.relay.options.Daemons = func() int { return daemons }
@@ -570,7 +570,7 @@
 // While links are slow, copies for long prompts fill them. A short prompt reads in some
 // milliseconds what it would wait for behind these: on a day with half of the large
 // stores four times slower, one short answer in seven was late.
-func TestAShortPromptDoesNotWaitForItsCopyBehindLongOnes(t *testing.T) {
+func TestShortPromptIsPrefilledInsteadOfWaitingForCopy(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
 	tests := []struct {
@@ -603,7 +603,7 @@
 
 // A worker that changes its weights refuses what comes. Who gave the order tells its own
 // cell only; the others learn it from the first refusal, not from each.
-func TestAWorkerThatRefusesWhileItsWeightsAreOldIsPassedOver(t *testing.T) {
+func TestReloadingWorkerIsSkipped(t *testing.T) {
 	tests := []struct {
 		name  string
 		named int64
@@ -637,7 +637,7 @@
 
 // A request that was given up since it was blocked gets an answer also where the block is taken
 // back at that moment.
-func TestARequestThatIsNoLongerBlockedIsRefused(t *testing.T) {
+func TestUnblockedRequestStillGetsARefusal(t *testing.T) {
 	r := newRig(t, nil)
 	req := httptest.NewRequest(http.MethodPost, "/once/", nil)
 	p := &proxiedRequest{relay: r.relay, r: req, w: httptest.NewRecorder(), start: time.Now(), deadline: time.Now().Add(time.Second)}
--- a/core/relay/send.go
+++ b/core/relay/send.go
@@ -27,20 +27,20 @@
 	if p.meta.Prompt > 0 && c.report == nil && !p.relay.options.Without.Publishing {
 		p.relay.options.Placed()
 	}
-	read := false
+	prefilled := false
 	defer func() {
-		l := c.load
-		if read {
-			l.Unread = 0
+		load := c.load
+		if prefilled {
+			load.Unread = 0
 		}
-		c.target.End(l)
+		c.target.End(load)
 		p.relay.options.Canary.End(p.service, version)
 		c.report.reportEnd()
 	}()
 	// The prompt counts as unread until the first event or answer.
 	onFirst := func() {
-		if !read {
-			read = true
+		if !prefilled {
+			prefilled = true
 			c.target.End(roster.Load{Unread: c.load.Unread})
 		}
 	}
@@ -85,15 +85,15 @@
 // time.
 func (p *proxiedRequest) waitBudget(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
 	now := time.Now()
-	left := p.route.Aim - now.Sub(p.start)
-	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.Attempts || left <= 0 || c.onlyCandidate || p.relay.options.Without.WaitBudget {
+	remaining := p.route.Aim - now.Sub(p.start)
+	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.Attempts || remaining <= 0 || c.onlyCandidate || p.relay.options.Without.WaitBudget {
 		return context.WithCancel(ctx)
 	}
-	wait := p.estimate(now).Patience(left, c.judgement.Expected, c.judgement.Expected, retryAdvantage)
-	if wait >= left {
+	budget := p.estimate(now).Patience(remaining, c.judgement.Expected, c.judgement.Expected, retryAdvantage)
+	if budget >= remaining {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeoutCause(ctx, wait, errSlow)
+	return context.WithTimeoutCause(ctx, budget, errSlow)
 }
 
 // unanswered records a send without any answer.
@@ -106,9 +106,9 @@
 	} else {
 		p.relay.options.Roster.Return(c.target, c.permit)
 	}
-	var stop *unavailableError
+	var unavailable *unavailableError
 	switch {
-	case errors.As(err, &stop):
+	case errors.As(err, &unavailable):
 		return outcomeUnavailable
 	case callerGone(p.r.Context()):
 		return outcomeCallerGone
@@ -137,7 +137,7 @@
 // lost records that the connection to a target ended under the request. It may have been the
 // request that ended the target, and its caller may repeat it.
 func (p *proxiedRequest) recordDisconnect(c *choice) {
-	if _, leaves := p.relay.options.Roster.Leaving(c.target); !leaves {
+	if _, shuttingDown := p.relay.options.Roster.Leaving(c.target); !shuttingDown {
 		p.relay.options.Poison.Lost(p.digest, p.organisationName(), c.target.ID(), c.target.Entry().Address)
 	}
 }
@@ -157,10 +157,10 @@
 
 // check decides whether an answer is the target's answer to this request.
 func (p *proxiedRequest) checkAnswer(c *choice, in *target.Incoming, reply *Reply) (outcome, bool) {
-	moved := in.Status == http.StatusMisdirectedRequest
-	p.recordSelfReport(c, moved, reply)
+	misdirected := in.Status == http.StatusMisdirectedRequest
+	p.recordSelfReport(c, misdirected, reply)
 	switch {
-	case reply.ID != "" && reply.ID != p.meta.ID, reply.ID == "" && !reply.NotRun && !moved:
+	case reply.ID != "" && reply.ID != p.meta.ID, reply.ID == "" && !reply.NotRun && !misdirected:
 		p.relay.options.Stats.MismatchedAnswers.Inc()
 		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer names request "+strconv.Quote(reply.ID))
 		in.Spoil()
@@ -168,7 +168,7 @@
 		p.executions++
 		p.recordAnswer(c, false)
 		return outcomeIncomplete, false
-	case moved:
+	case misdirected:
 		p.relay.options.Stats.Misdirected.Inc()
 		if reply.Weights > 0 {
 			p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
@@ -196,7 +196,7 @@
 
 // reloads passes over a worker that seems to change its weights.
 func (p *proxiedRequest) recordReload(c *choice) {
-	if c.meta.Weights == 0 || c.meta.Weights >= p.relay.options.Named(p.meta.Model) {
+	if c.attemptMeta.Weights == 0 || c.attemptMeta.Weights >= p.relay.options.Named(p.meta.Model) {
 		return
 	}
 	c.report.recordReload()
@@ -211,14 +211,14 @@
 // outgoing is the request as the target gets it.
 func (p *proxiedRequest) outgoing(c *choice) *target.Outgoing {
 	h := make(http.Header, len(p.r.Header)+8)
-	hop := strings.Split(p.r.Header.Get("Connection"), ",")
+	hopByHop := strings.Split(p.r.Header.Get("Connection"), ",")
 	for name, values := range p.r.Header {
-		if !entry.HopHeader(name) && !containsName(hop, name) && name != "Content-Length" && name != "Expect" {
+		if !entry.HopHeader(name) && !containsName(hopByHop, name) && name != "Content-Length" && name != "Expect" {
 			h[name] = values
 		}
 	}
 	p.adjustForSuspend()
-	s := c.meta
+	s := c.attemptMeta
 	s.Deadline = time.Until(p.deadline)
 	s.After = p.lastEventID
 	s.Organisation = p.organisationName()
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -32,8 +32,8 @@
 	}
 	s.sharesMu.Lock()
 	defer s.sharesMu.Unlock()
-	if was := s.services[service]; was != nil && basis != nil && was.basis == basis && sameList(was.all, all) {
-		return was
+	if cached := s.services[service]; cached != nil && basis != nil && cached.basis == basis && sameList(cached.all, all) {
+		return cached
 	}
 	var out *targetShare
 	if o.Divided != nil && o.Divided(service) {
@@ -55,13 +55,13 @@
 	for i, t := range all {
 		names[i] = t.ID()
 	}
-	mine := map[string]bool{}
+	own := map[string]bool{}
 	for _, name := range o.Share(names) {
-		mine[name] = true
+		own[name] = true
 	}
-	out := &targetShare{all: all, fraction: float64(len(mine)) / float64(max(1, len(all)))}
+	out := &targetShare{all: all, fraction: float64(len(own)) / float64(max(1, len(all)))}
 	for _, t := range all {
-		if mine[t.ID()] {
+		if own[t.ID()] {
 			out.own = append(out.own, t)
 		}
 	}
--- a/core/relay/share_test.go
+++ b/core/relay/share_test.go
@@ -20,12 +20,12 @@
 	return r
 }
 
-func TestSharesFollowTheTargetsAndTheFleet(t *testing.T) {
+func TestShareCacheFollowsTargetsAndFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := listedTargets(4)
-	half, basis, asked := 0, any("one"), 0
+	offset, basis, calls := 0, any("one"), 0
 	o := &Options{
-		Share: func(names []string) []string { asked++; return names[half : half+len(names)/2] },
+		Share: func(names []string) []string { calls++; return names[offset : offset+len(names)/2] },
 		Basis: func() any { return basis },
 	}
 	var s shareCache
@@ -40,19 +40,19 @@
 	}
 	g.Expect(own()).To(gomega.Equal([]string{"w-0000", "w-0001"}))
 	g.Expect(own()).To(gomega.Equal([]string{"w-0000", "w-0001"}))
-	g.Expect(asked).To(gomega.Equal(1))
-	half, basis = 2, "other"
+	g.Expect(calls).To(gomega.Equal(1))
+	offset, basis = 2, "other"
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0003"}), "the fleet has changed")
 	r.Unlist("w-0003")
 	r.Put(roster.Entry{ID: "w-0009", Service: "llm"})
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0009"}), "the targets have changed")
 	r.Put(roster.Entry{ID: "w-0009", Service: "llm", Leaving: true})
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0009"}))
-	g.Expect(asked).To(gomega.Equal(3))
+	g.Expect(calls).To(gomega.Equal(3))
 	o.Basis = nil
 	own()
 	own()
-	g.Expect(asked).To(gomega.Equal(5), "nothing says that it is the same")
+	g.Expect(calls).To(gomega.Equal(5), "nothing says that it is the same")
 }
 
 // BenchmarkShare works the share of a daemon out of 3,000 targets for each request, and
--- a/core/relay/versions_test.go
+++ b/core/relay/versions_test.go
@@ -12,8 +12,8 @@
 )
 
 // Which versions requests reach while a roll-out is on trial, moves, or was taken back.
-func TestRequestsKeepToARollout(t *testing.T) {
-	const asked = 200
+func TestRequestsFollowRollout(t *testing.T) {
+	const requests = 200
 	tests := []struct {
 		name  string
 		phase canary.Phase
@@ -24,10 +24,10 @@
 		least, most int
 		refused     bool
 	}{
-		{"on trial", canary.Trying, []string{"v1", "v2", "v2"}, 5, asked / 10, false},
+		{"on trial", canary.Trying, []string{"v1", "v2", "v2"}, 5, requests / 10, false},
 		{"on trial, no target of the version yet", canary.Trying, []string{"v1"}, 0, 0, false},
-		{"on trial, all targets have the version", canary.Trying, []string{"v2"}, asked, asked, false},
-		{"moving", canary.Moving, []string{"v1", "v2"}, asked, asked, false},
+		{"on trial, all targets have the version", canary.Trying, []string{"v2"}, requests, requests, false},
+		{"moving", canary.Moving, []string{"v1", "v2"}, requests, requests, false},
 		{"moving, no target of the version left", canary.Moving, []string{"v1"}, 0, 0, false},
 		{"taken back", canary.RolledBack, []string{"v1", "v2"}, 0, 0, false},
 		{"taken back, no other target left", canary.RolledBack, []string{"v2"}, 0, 0, true},
@@ -46,7 +46,7 @@
 				r.roster.Put(e)
 			}
 			refused := 0
-			for range asked {
+			for range requests {
 				if r.ask(http.MethodPost, "/once/x", "x").status != http.StatusOK {
 					refused++
 				}
@@ -57,11 +57,11 @@
 			}
 			r.g.Expect(reached["v2"]).To(gomega.And(gomega.BeNumerically(">=", tc.least), gomega.BeNumerically("<=", tc.most)))
 			if tc.refused {
-				r.g.Expect(refused).To(gomega.Equal(asked))
+				r.g.Expect(refused).To(gomega.Equal(requests))
 				return
 			}
 			r.g.Expect(refused).To(gomega.BeZero())
-			r.g.Expect(reached["v1"]).To(gomega.Equal(asked - reached["v2"]))
+			r.g.Expect(reached["v1"]).To(gomega.Equal(requests - reached["v2"]))
 		})
 	}
 }
--- a/core/relay/waiters.go
+++ b/core/relay/waiters.go
@@ -4,9 +4,9 @@
 
 // waitAlone makes the request the one of this daemon that waits for a token of its service's targets,
 // and reports whether it is.
-func (p *proxiedRequest) becomePermitWaiter(alone *bool) bool {
-	*alone = *alone || p.relay.permitWaiters.enter(p.service)
-	return *alone
+func (p *proxiedRequest) becomePermitWaiter(isPermitWaiter *bool) bool {
+	*isPermitWaiter = *isPermitWaiter || p.relay.permitWaiters.enter(p.service)
+	return *isPermitWaiter
 }
 
 // waiters knows the services of which a request waits for a token. Of several that wait at one
