--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -14,37 +14,37 @@
 	"embertally.dev/core/table"
 )
 
-// draw returns a random number from 0 to 1.
+// randomFraction returns a random number in [0, 1).
 func randomFraction() float64 { return rand.Float64() }
 
-// choice is the target of one send and what is said to it.
+// choice is the target of one attempt and what was expected of it.
 type choice struct {
 	target      *roster.Target
 	attemptMeta Sending
 	load        roster.Load
-	// judged is what was expected of it, and usual the time to the first answer
-	// that would be expected of any target of the service with its load.
+	// judgement is what was expected of the target, and baseline the expected time to a first
+	// answer of any target of the service with the same load.
 	judgement route.Judgement
 	baseline  time.Duration
-	// factors are what that time depends on.
+	// factors are the inputs of that time.
 	factors learn.Factors
-	// plan is how the target gets the shared parts, option and candidate what the
-	// decision knew of it. Only the daemon that decided has plan and option.
+	// plan is how the target gets the shared segments; eligible and candidate are the inputs of the
+	// decision. plan and eligible are set only in the daemon that decided.
 	plan      segmentPlan
 	eligible  eligibleTarget
 	candidate route.Candidate
-	// alone tells that there was no other candidate.
+	// onlyCandidate is set if there was no other eligible target.
 	onlyCandidate bool
-	// order is where the choice came from, where another daemon made it.
+	// report sends updates to the daemon that made the choice; nil if this one did.
 	report *ownerReport
-	// taken tells that its load is counted at the target.
+	// loadCounted is set while load is counted at the target.
 	loadCounted bool
-	// token is the right to send to a target with a limit, and sent when the request was sent.
+	// permit is the permit for a target with a rate limit, and sentAt when the request was sent.
 	permit roster.Token
 	sentAt clock.Time
 }
 
-// take counts the load of a choice at its target.
+// addLoad counts the load of the choice at its target.
 func (c *choice) addLoad() {
 	if !c.loadCounted {
 		c.target.Begin(c.load)
@@ -52,7 +52,7 @@
 	}
 }
 
-// release takes back what take counted, where the choice is not made use of.
+// releaseLoad takes back what addLoad counted if the choice is not used.
 func (c *choice) releaseLoad() {
 	if c != nil && c.loadCounted {
 		c.target.End(c.load)
@@ -60,7 +60,7 @@
 	}
 }
 
-// choose returns the target for the next send, or why there is none.
+// choose returns the target of the next attempt, or why there is none.
 func (p *proxiedRequest) choose(ctx context.Context) (*choice, string) {
 	if time.Until(p.deadline) < minAttemptTime {
 		return nil, "no time is left"
@@ -87,9 +87,8 @@
 	return own, reason
 }
 
-// chooseOwn chooses among the targets that this daemon knows the load of, and counts the request
-// there before another one is chosen for: of requests that come together each would find the same
-// target idle.
+// chooseLocal chooses among the targets whose load this daemon knows. It counts the load before the
+// next request is decided: concurrent requests would otherwise all choose the same idle target.
 func (p *proxiedRequest) chooseLocal(svc *table.Service, now time.Time) (*choice, string) {
 	p.relay.chooseMu.Lock()
 	defer p.relay.chooseMu.Unlock()
@@ -100,7 +99,7 @@
 	return c, reason
 }
 
-// pickOwn is chooseOwn without counting. It is called with chooseMu held.
+// pickLocal is chooseLocal without counting the load. It is called with chooseMu held.
 func (p *proxiedRequest) pickLocal(svc *table.Service, now time.Time) (*choice, string) {
 	targets, share, reason := p.ownEligibleTargets(svc, now)
 	alternatives := p.alternatives(svc, targets, now)
@@ -122,16 +121,17 @@
 	return out, ""
 }
 
-// way is one way to serve a request: a target, and how it gets the shared parts.
+// alternative is one way to serve a request: a target and how it gets the shared segments.
 type alternative struct {
 	eligible  eligibleTarget
 	plan      segmentPlan
 	candidate route.Candidate
 }
 
-// ways returns the ways to serve a request: at each target with the parts copied that can
-// be, and where that is weighed, with all that it does not hold read. A copy that waits
-// behind others on a slow link makes a short prompt late whose reading takes milliseconds.
+// alternatives returns the ways to serve a request. For each target these are copying the segments
+// that can be copied and, where the placement weighs costs, prefilling everything that the target
+// does not hold: a copy queued on a slow link makes a short prompt late whose prefill takes
+// milliseconds.
 func (p *proxiedRequest) alternatives(svc *table.Service, targets []eligibleTarget, now time.Time) []alternative {
 	out := make([]alternative, 0, 2*len(targets))
 	segmentsOf := map[int64][]sharedSegment{}
@@ -159,8 +159,8 @@
 	return out
 }
 
-// placement is how a worker is chosen; the placements to measure against are for
-// engines only.
+// placement returns the policy that chooses the target. The policies used as baselines in
+// measurements apply to engines only.
 func (p *proxiedRequest) placement(svc *table.Service) route.Placement {
 	if svc.Engine == nil {
 		return route.Returning
@@ -168,7 +168,7 @@
 	return p.relay.options.Placement
 }
 
-// context is the hash of the last shared part, or 0.
+// contextHash returns the hash of the last shared segment, or 0.
 func (p *proxiedRequest) contextHash() uint64 {
 	segments := p.sharedSegments()
 	if len(segments) == 0 {
@@ -177,8 +177,8 @@
 	return fleet.Key(segments[len(segments)-1].ID)
 }
 
-// asked is what a decision among some targets needs to know of the request. share is the
-// part of the service's targets that they were chosen from.
+// routeInput returns what a decision among some targets needs to know of the request. share is the
+// fraction of the service's targets that they were taken from.
 func (p *proxiedRequest) routeInput(targets int, share float64, now time.Time) route.Asked {
 	out := route.Asked{
 		Tokens: p.meta.Prompt, Bytes: p.bodyBytes, Aim: p.route.Aim, Spent: now.Sub(p.start), Left: p.deadline.Sub(now),
@@ -190,8 +190,7 @@
 	return out
 }
 
-// candidate works out what a decision needs to know of an option beside the
-// shared parts of the prompt.
+// candidate returns what a decision needs to know of a target, except for the shared segments.
 func (p *proxiedRequest) candidate(svc *table.Service, t eligibleTarget) route.Candidate {
 	without := &p.relay.options.Without
 	c := route.Candidate{
@@ -208,7 +207,7 @@
 	return c
 }
 
-// address works out what is said to the chosen target.
+// fillMetadata sets the metadata and the load of a choice.
 func (p *proxiedRequest) fillMetadata(svc *table.Service, c *choice) {
 	c.attemptMeta.Target = c.target.ID()
 	c.load = roster.Load{Running: 1}
@@ -228,7 +227,7 @@
 	}
 }
 
-// take records that the choice is sent.
+// recordChoice records that the choice is used, and completes its metadata.
 func (p *proxiedRequest) recordChoice(c *choice, now time.Time) {
 	if c.load.Held == 0 {
 		return
@@ -246,7 +245,7 @@
 	p.noteChoice(c)
 }
 
-// noteTaken records the choice for the log line.
+// noteChoice records the choice for the log line.
 func (p *proxiedRequest) noteChoice(c *choice) {
 	if c.report != nil {
 		p.note("chosen by %s", c.report.peer)
@@ -263,15 +262,14 @@
 		c.judgement.InTime, c.judgement.Worth, c.attemptMeta.Weights)
 }
 
-// Ranks of requests at model workers, 0 first.
+// Priorities of requests at model workers; 0 is the most urgent.
 const (
 	priorityLevels = 10
-	// ranksPerOrganisation keeps the organisation's priority before the
-	// route's.
+	// levelsPerOrganisation makes the organisation's priority outrank the route's.
 	levelsPerOrganisation = 3
 )
 
-// priority ranks the request at model workers.
+// priority returns the request's priority at model workers.
 func (p *proxiedRequest) priority() int {
 	own := 1
 	if p.organisation != nil {
--- a/core/relay/end.go
+++ b/core/relay/end.go
@@ -10,7 +10,7 @@
 	"embertally.dev/core/event"
 )
 
-// end gives the final answer where there is none yet, and writes the log line.
+// finish answers the request if that has not been done, and writes the log line.
 func (p *proxiedRequest) finish(refusal *entry.Refusal) {
 	stats := p.relay.options.Stats
 	took := time.Since(p.start)
@@ -33,7 +33,7 @@
 	case p.aborted:
 		stats.AnswersCut.Inc()
 		p.writeLog(event.StreamBroken, took)
-		// The connection is reset, so that the answer does not look whole.
+		// The connection is reset, so that the answer does not look complete.
 		panic(http.ErrAbortHandler)
 	default:
 		stats.Done.Inc()
@@ -47,7 +47,7 @@
 	p.notes = append(p.notes, fmt.Sprintf(format, args...))
 }
 
-// noteWords records which targets a choice passed over by what they said.
+// noteSkipped records the targets that a choice skipped for their self-reported state.
 func (p *proxiedRequest) noteSkipped() {
 	if len(p.skipped) > 0 {
 		p.note("passed over: %s", strings.Join(p.skipped, ", "))
@@ -55,7 +55,7 @@
 	}
 }
 
-// ref returns what the log lines of the request refer to.
+// ref returns the references of the request's log lines.
 func (p *proxiedRequest) ref() event.Ref {
 	ref := event.Ref{Request: p.meta.ID}
 	if p.lastTarget != nil {
@@ -70,7 +70,7 @@
 	return ref
 }
 
-// log writes the log line of a request that took so long.
+// writeLog writes the log line of a request. took is its total time.
 func (p *proxiedRequest) writeLog(code event.Code, took time.Duration) {
 	first := ""
 	if !p.firstAt.IsZero() {
@@ -88,7 +88,7 @@
 	p.relay.options.Log.EmitForecast(code, p.ref(), text, p.forecast)
 }
 
-// expect records what is expected of the first send.
+// recordForecast records what is expected of the first attempt.
 func (p *proxiedRequest) recordForecast(c *choice) {
 	if p.forecast != nil {
 		return
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -1,31 +1,32 @@
 package relay
 
-// outcome says how one send ended.
+// outcome is how one attempt ended.
 type outcome int
 
 const (
-	// done: the caller has the whole answer.
+	// outcomeDone: the caller has the complete answer.
 	outcomeDone outcome = iota
-	// notSent: no byte reached the target.
+	// outcomeNotSent: no byte reached the target.
 	outcomeNotSent
-	// stopped: no byte went out, since the target may get nothing any more.
+	// outcomeUnavailable: no byte was sent, since the target became unavailable after it was
+	// chosen.
 	outcomeUnavailable
-	// refused: the target says that it did not run the request.
+	// outcomeRefused: the target reports that it did not execute the request.
 	outcomeRefused
-	// broken: there is no answer, or not a whole one; it may have run.
+	// outcomeIncomplete: there is no answer or a truncated one; the request may have been executed.
 	outcomeIncomplete
-	// bad: the target answered with a failure that a repeatable request may
-	// try again elsewhere; the answer is kept.
+	// outcomeFailed: the target answered with an error, and the request may be retried elsewhere;
+	// the answer is kept.
 	outcomeFailed
-	// left: the caller has gone.
+	// outcomeCallerGone: the caller disconnected.
 	outcomeCallerGone
-	// late: the time is up.
+	// outcomeTimedOut: the deadline has passed.
 	outcomeTimedOut
-	// cut: part of the answer was passed on and it cannot be completed.
+	// outcomeTruncated: part of the answer was passed on and it cannot be completed.
 	outcomeTruncated
 )
 
 var outcomeNames = [...]string{"done", "notSent", "stopped", "refused", "broken", "bad", "left", "late", "cut"}
 
-// String returns the outcome as it stands in log lines.
+// String returns the outcome as written in log lines.
 func (o outcome) String() string { return outcomeNames[o] }
--- a/core/relay/pass.go
+++ b/core/relay/pass.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/wait"
 )
 
-// pass is one request on its way. It is used by one goroutine.
+// proxiedRequest is the state of one request while it is relayed. It is used by one goroutine.
 type proxiedRequest struct {
 	relay    *Relay
 	w        http.ResponseWriter
@@ -31,54 +31,57 @@
 	table        *table.Table
 	regions      regions
 	body         []byte
-	// asks is the fingerprint of the request; zero until its body is read.
+	// digest is the request digest; zero until the body is read.
 	digest  poison.Fingerprint
 	service string
-	// size is that of the body, and domain where it comes from.
+	// bodyBytes is the size of the body, and originDomain the failure domain of the daemon that
+	// received the request.
 	bodyBytes    int
 	originDomain string
-	// side says which versions of the service it may go to.
+	// versions restricts the target versions that the request may go to.
 	versions canary.Side
-	// far tells that another daemon sends the request: this one only decides.
+	// remote is set if another daemon sends the request and this one only chooses the target.
 	remote bool
-	// homeAsked is when the home of the request's context was asked last.
+	// ownerQueried is when another daemon was last queried for a choice.
 	ownerQueried time.Time
-	// elsewhereAsked is when other cells were asked for a target last.
+	// cellsQueried is when other cells were last queried for a target.
 	cellsQueried time.Time
-	// tokenAsked is when another daemon was last asked for a target that is over its limit here.
+	// permitQueried is when other daemons were last queried for a permit.
 	permitQueried time.Time
 
-	// tried counts the sends to each target.
+	// tried counts the attempts at each target, by ID.
 	tried map[string]int
-	// sends counts the sends that arrived or may have, runs those of them that
-	// may have run.
+	// attempts counts the attempts that reached a target or may have, executions those of them that
+	// the target may have executed.
 	attempts, executions int
-	// last is the target of the last send.
+	// lastTarget is the target of the last attempt.
 	lastTarget *roster.Target
-	// begun tells that the head of the answer was passed on.
+	// headerSent is set once the header of an answer has been passed on.
 	headerSent bool
-	// after is the last event that the caller has.
+	// lastEventID is the ID of the last stream event that the caller has received.
 	lastEventID string
 	firstAt     time.Time
-	// words are targets that the last choice passed over by what they said, and why.
+	// skipped lists targets that the last choice skipped for their self-reported state, with the
+	// reasons.
 	skipped []string
-	// over is a target that the last choice passed over for its limit, or nil.
+	// rateLimited is a target that the last choice skipped for its rate limit, or nil.
 	rateLimited *roster.Target
-	// line is how long the best target was last expected to take.
+	// expectedWait is the expected time to an answer from the last choice. Without a choice it is
+	// the time until a target becomes available.
 	expectedWait time.Duration
-	// forecast is what was expected of the first send; nil before.
+	// forecast is the expectation recorded for the first attempt; nil before it.
 	forecast *event.Forecast
-	// aborted tells that the answer was cut.
+	// aborted is set if the answer was cut off after its header was sent.
 	aborted bool
-	// notes are the decisions, for the log.
+	// notes are the decisions so far, for the log line.
 	notes []string
 }
 
-// lateMargin is how long after the limit the target's own last word is still
-// waited for; the users' rules allow half a second.
+// deadlineMargin is how long after the deadline a target's own final answer is still accepted. The
+// caller contract allows half a second.
 const deadlineMargin = 60 * time.Millisecond
 
-// run sends the request until it is answered, or says why not.
+// run sends the request until it is answered, or returns the refusal.
 func (p *proxiedRequest) run() *entry.Refusal {
 	p.service = p.route.Service(randomFraction())
 	p.versions = p.relay.options.Canary.Choose(p.service)
@@ -107,10 +110,10 @@
 		case outcomeTimedOut:
 			return p.giveUp(failed, "the time is up")
 		case outcomeUnavailable:
-			// It is chosen no more as long as that holds.
+			// While the target is unavailable it is not eligible anyway.
 			p.uncountAttempt(c.target.ID())
 		case outcomeNotSent:
-			// The target got nothing; another one may get the request.
+			// The target received nothing, so another one may serve the request.
 			if unreachable++; unreachable >= maxUnreachable {
 				return p.giveUp(failed, "no target can be reached")
 			}
@@ -123,21 +126,21 @@
 	}
 }
 
-// untry takes back that a target was sent to.
+// uncountAttempt takes back one attempt at a target.
 func (p *proxiedRequest) uncountAttempt(id string) {
 	if p.tried[id]--; p.tried[id] <= 0 {
 		delete(p.tried, id)
 	}
 }
 
-// endsTargets says that targets end of a request.
+// crashesTargets is the reason for refusing a request that crashes targets.
 const crashesTargets = "targets end of it"
 
-// holdLook is the pause between looks for a place.
+// choiceInterval is the pause between two choices of a waiting request.
 const choiceInterval = 15 * time.Millisecond
 
-// chooseSoon chooses a target. Where none is worth taking now the request waits,
-// as long as it could still be answered in time.
+// waitForChoice chooses a target. If none is worth using now, the request waits as long as it may
+// still be answered on time.
 func (p *proxiedRequest) waitForChoice(ctx context.Context) (*choice, string) {
 	isPermitWaiter := false
 	defer func() {
@@ -148,7 +151,7 @@
 	for {
 		p.adjustForSuspend()
 		if _, blocked := p.relay.options.Poison.Blocked(p.digest); blocked {
-			// It has waited, or has just ended one more target.
+			// It became blocked while it waited, or by the crash that it has just caused.
 			return nil, crashesTargets
 		}
 		c, reason := p.choose(ctx)
@@ -167,9 +170,9 @@
 		c.releaseLoad()
 		switch {
 		case c == nil && reason == allUnderPushback && p.likelyOnTime(p.expectedWait):
-			// The first rest ends soon enough.
+			// The first pushback ends soon enough.
 		case c == nil && reason == allRateLimited && p.likelyOnTime(p.expectedWait) && p.becomePermitWaiter(&isPermitWaiter):
-			// The first token comes soon enough, and no other request waits for it.
+			// The first permit comes soon enough, and no other request waits for it.
 		case c == nil && reason != allFull:
 			return nil, reason
 		case p.relay.options.Without.Waiting, !p.likelyOnTime(0):
@@ -181,12 +184,12 @@
 	}
 }
 
-// hopefulChance is the chance of an answer in time below which a request waits no
-// longer for a place.
+// minOnTimeChance is the chance of an answer within the latency objective below which a request
+// stops waiting for a target.
 const minOnTimeChance = 0.5
 
-// hopeful reports whether an answer is likely to come in time if a target takes
-// the request some time from now.
+// likelyOnTime reports whether the answer is likely to meet the latency objective if a target takes
+// the request after a delay.
 func (p *proxiedRequest) likelyOnTime(delay time.Duration) bool {
 	now := time.Now().Add(delay)
 	e := p.estimate(now)
@@ -194,23 +197,23 @@
 	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeChance
 }
 
-// Bounds on sends of one request.
+// Bounds on the attempts of one request.
 const (
-	// refusedMost is how many targets may refuse a request before it is given
-	// up: more would only add to an overload.
+	// maxRefusals is how many targets may refuse a request before it is given up: more attempts
+	// would only add to an overload.
 	maxRefusals = 2
-	// unsentMost is how many targets may be unreachable.
+	// maxUnreachable is how many attempts may fail before the request is sent.
 	maxUnreachable = 4
-	// shortest is the time below which a send is not worth while: a target
-	// would only throw the request away.
+	// minAttemptTime is the least remaining time for an attempt: with less, a target would only
+	// discard the request.
 	minAttemptTime = 20 * time.Millisecond
-	// endsMost is how many runs of targets may have ended under a request before the
-	// daemons repeat it no more of themselves: its caller may, once.
+	// maxCrashes is how many target incarnations may have crashed under a request before the
+	// daemons stop retrying it. Its caller may retry it once.
 	maxCrashes = 2
 )
 
-// again reports whether the request may be sent once more, and takes the send
-// out of what is allowed.
+// mayRetry reports whether the request may be sent again, and if so takes the retry from the
+// budget.
 func (p *proxiedRequest) mayRetry(out outcome) bool {
 	p.adjustForSuspend()
 	switch {
@@ -234,7 +237,8 @@
 	return true
 }
 
-// giveUp is the final answer of a request that got none from a target.
+// giveUp ends a request that got no answer worth passing on. failed is the kept answer of a failed
+// attempt, or nil.
 func (p *proxiedRequest) giveUp(failed *bufferedAnswer, reason string) *entry.Refusal {
 	p.noteSkipped()
 	p.note("given up: %s", reason)
@@ -249,7 +253,7 @@
 		if refusal := p.refuseBlocked(); refusal != nil {
 			return refusal
 		}
-		// Where it was blocked, that was taken back just now.
+		// A block that has been lifted since the choice leaves no refusal.
 		if endsAtKnownTime(reason) {
 			return p.refuseUntil(entry.CodeNoTarget, "no target takes the request now: "+reason, p.expectedWait)
 		}
@@ -260,8 +264,7 @@
 	return entry.NewRefusal(http.StatusBadGateway, entry.CodeOutcomeUnknown, entry.Unknown, "the target gave no answer; whether it ran is not known", 0)
 }
 
-// salt returns the name under which the parts of a request are kept by a
-// worker with a version of the weights.
+// cacheSalt returns the cache salt of the request's segments for a version of the weights.
 func (p *proxiedRequest) cacheSalt(version int64) cache.PartSalt {
 	s := cache.PartSalt{Model: p.meta.Model, Version: version}
 	if p.organisation != nil && p.organisation.Isolated {
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -12,11 +12,11 @@
 	"embertally.dev/core/target"
 )
 
-// plainMost is how much of an answer is read before any of it is passed on, so
-// that one that breaks off can be replaced.
+// maxBufferedBytes is how much of an answer is read before any of it is passed on, so that a
+// truncated one can be replaced by a retry.
 const maxBufferedBytes = 256 << 10
 
-// plainAnswer is a whole answer of a target.
+// bufferedAnswer is the buffered start of an answer, or all of it.
 type bufferedAnswer struct {
 	status int
 	header http.Header
@@ -53,7 +53,7 @@
 	return p.passOnRest(answer, in), nil
 }
 
-// long passes on an answer that is too large to be kept whole.
+// passOnRest passes on an answer that is too large to be buffered completely.
 func (p *proxiedRequest) passOnRest(answer *bufferedAnswer, in *target.Incoming) outcome {
 	answer.writeHeader(p, in.Length)
 	if _, err := p.w.Write(answer.body); err != nil {
@@ -66,7 +66,7 @@
 	return outcomeDone
 }
 
-// brokenOff records an answer that broke off while it was read.
+// classifyTruncated records an answer that ended early and returns the outcome.
 func (p *proxiedRequest) classifyTruncated(c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
 	now := time.Now()
@@ -81,7 +81,7 @@
 	return outcomeIncomplete
 }
 
-// head passes on the head of the answer; a length below 0 is left open.
+// writeHeader passes on the status and header. A negative length sets no Content-Length.
 func (a *bufferedAnswer) writeHeader(p *proxiedRequest, length int64) {
 	h := p.w.Header()
 	for name, values := range a.header {
@@ -99,10 +99,10 @@
 	p.w.WriteHeader(a.status)
 }
 
-// write passes on the whole answer.
+// write passes on the complete answer.
 func (a *bufferedAnswer) write(p *proxiedRequest) {
 	if p.r.Method == http.MethodHead {
-		// The length is that of the body which a GET would get.
+		// The length is that of the body that a GET would return.
 		length, err := strconv.ParseInt(a.header.Get("Content-Length"), 10, 64)
 		if err != nil {
 			length = -1
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,10 +1,8 @@
-// Package relay owns the callers' side of routed requests: a request is matched
-// to a route, sent to a target of the route's service, and the target's answer
-// is passed on unchanged and whole.
+// Package relay forwards callers' requests to targets. It matches a request to a route, sends it to
+// a target of the route's service, and passes the target's answer on complete and unchanged.
 //
-// It must not know how the headers of callers and targets are named (see
-// Dialect), where the routing table comes from, or how a target's cost is
-// worked out (package route).
+// It must not know the names of the headers used with callers and targets (see Dialect), where the
+// routing table comes from, or how a target's cost is computed (package route).
 package relay
 
 import (
@@ -27,7 +25,7 @@
 	"embertally.dev/core/target"
 )
 
-// Options of a relay.
+// Options configures a Relay.
 type Options struct {
 	Dialect Dialect
 	Roster  *roster.Roster
@@ -35,115 +33,112 @@
 	Kept    *cache.Kept
 	Where   *cache.Where
 	Links   *learn.Links
-	// Retention is what is learned of how long workers hold parts.
+	// Retention is the learned chance that a segment is still in a worker's KV cache.
 	Retention *learn.Retention
-	// Times and Targets are what is learned of the targets' answers, and Engines
-	// and Calls what is expected of model workers and of plain calls before.
+	// Times and Targets are statistics of the targets' answers. Engines and Calls are the priors of
+	// the time to a first answer, for model workers and for plain calls.
 	Times          *learn.Times
 	Targets        *learn.Targets
 	Engines, Calls learn.Prior
-	// Prices say what answers are worth.
+	// Prices is the cost model: the utility of answers and the cost of serving them.
 	Prices route.Prices
-	// Without switches mechanisms off.
+	// Without disables single mechanisms.
 	Without Without
 	Log     *event.Log
 	Stats   *Stats
-	// Poison keeps requests from targets that end of them; nil stands for none.
+	// Poison blocks requests that crash targets. Nil blocks none.
 	Poison *poison.Guard
-	// Canary keeps requests to what roll-outs allow; nil stands for none.
+	// Canary restricts requests to the versions that a rollout allows. Nil restricts none.
 	Canary *canary.Guard
-	// Placement chooses the workers; the zero value stands for route.Returning.
+	// Placement is the policy that chooses workers. The zero value means route.Returning.
 	Placement route.Placement
 	// Domain is the failure domain of this daemon.
 	Domain string
-	// Regions holds the region of each failure domain. It must not be changed.
+	// Regions maps each failure domain to its region. It must not be changed.
 	Regions map[string]string
-	// Named returns the newest version named of a model's weights.
+	// Named returns the desired version of a model's weights.
 	Named func(model string) int64
-	// Outdated reports whether weights were replaced so long ago that no request
-	// may begin on them any more.
+	// Outdated reports whether a version of the weights was superseded so long ago that no request
+	// may start on it.
 	Outdated func(model string, version int64) bool
-	// Age returns how old this daemon's knowledge of the platform's store is.
+	// Age returns the age of this daemon's view of the coordination store.
 	Age func() time.Duration
-	// StoreDown reports whether the platform's store is known not to answer; nil
-	// stands for never.
+	// StoreDown reports whether the coordination store is known to be unreachable. Nil means never.
 	StoreDown func() bool
-	// Current reports whether this daemon's configuration is known to be
-	// current, so that it may say that a route or key does not exist.
+	// Current reports whether this daemon's configuration is known to be current. Only then may it
+	// answer that a route or key does not exist.
 	Current func() bool
-	// Lacks returns for how long a newer configuration has been known to be there
-	// without having arrived, if that is too long to handle anything by the one in
-	// force; nil stands for never.
+	// Lacks returns how long a newer configuration has been known to exist without having arrived.
+	// It is 0 while the applied one may still be used. Nil means always 0.
 	Lacks func() time.Duration
-	// CopyMay reports whether parts may be copied from stores: the daemon has
-	// heard lately which weights are named.
+	// CopyMay reports whether segments may be copied from KV-cache stores: the daemon's view of the
+	// desired weights is recent enough.
 	CopyMay func() bool
-	// Placed hears of each long prompt that is sent, so that other daemons learn
-	// of it at once. It must be set.
+	// Placed is called when the load of a target or its reported state has changed, to publish that
+	// to the other daemons at once. It must be set.
 	Placed func()
-	// Share returns the workers that this daemon's requests go to, where a large
-	// fleet shares them out so that daemons know the load of theirs.
+	// Share returns those of the given workers that this daemon uses. A large fleet partitions its
+	// workers, so that a daemon knows the load of the ones that it uses.
 	Share func(names []string) []string
-	// Basis returns what Share goes by: as long as it is the same, so are shares. nil
-	// stands for not known.
+	// Basis returns a value that stays equal as long as Share returns the same partition. Nil means
+	// that shares must not be cached.
 	Basis func() any
-	// Divided reports whether the cells of a large fleet divide the targets of a service, so that
-	// this daemon may hold only those of its cell; nil stands for never.
+	// Divided reports whether the targets of a service are sharded by cell, so that this daemon may
+	// list only those of its own cell. Nil means never.
 	Divided func(service string) bool
-	// Uses reports whether a target of a divided service falls to this daemon's cell.
+	// Uses reports whether a target of a sharded service belongs to this daemon's cell.
 	Uses func(name, domain string) bool
-	// CellDaemons returns how many daemons this one's cell has.
+	// CellDaemons returns the number of daemons in this daemon's cell.
 	CellDaemons func() int
-	// Daemons returns how many daemons share the connections to targets.
+	// Daemons returns the number of daemons that share the connections to targets.
 	Daemons func() int
-	// Place returns how many daemons come before this one for a target, of how many that
-	// may send to it: those of its cell, or of the whole fleet.
+	// Place returns this daemon's rank, from 0, among the daemons that may send to a target, and
+	// their number. They are the daemons of its cell, or of the whole fleet.
 	Place func(target string, cell bool) (place, of int)
-	// Choosers returns the first n other daemons of those among which Place counts; nil stands for
+	// Choosers returns the n best-ranked other daemons among those that Place counts. Nil means
 	// none.
 	Choosers func(t *roster.Target, n int) []string
-	// A cold target gets at most ColdOver times what its service says it bears in a second,
-	// and ColdExtra beside, from all daemons together.
+	// All daemons together send a target that is warming up at most ColdOver times the rate that
+	// its service configures, plus ColdExtra requests per second.
 	ColdOver, ColdExtra float64
-	// RetryShare, RetryExtra and RetryWindow bound repeated sends over all
-	// daemons together.
+	// RetryShare, RetryExtra and RetryWindow bound the retries of all daemons together: within
+	// RetryWindow, RetryShare for each request, plus RetryExtra.
 	RetryShare  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
 }
 
-// Relay answers callers.
+// Relay is the HTTP handler for callers' requests.
 type Relay struct {
 	options Options
 	table   atomic.Pointer[table.Table]
-	// turn counts the choices.
+	// choiceCount counts the decisions, for placements that take the workers in turn.
 	choiceCount atomic.Uint64
-	// began is the origin of the steady time that allowances count in.
+	// start is the origin of the monotonic time used by retryBudgets.
 	start            time.Time
 	running          atomic.Int64
 	closeConnections atomic.Bool
-	// closed tells that new requests are refused: the planned stop is near.
+	// refusing is set when a planned stop is about to end: new requests are refused.
 	refusing atomic.Bool
-	// homes, if set, are asked about contexts that other cells have at home. Set
-	// before the first request.
+	// owners queries the owners of contexts in other cells. It may be nil, and is set before the
+	// first request.
 	owners *Homes
 	warmUp warmUpLimiter
 	shares shareCache
-	// waiters are the requests that wait for a token of a limited target.
+	// permitWaiters holds the services with a request that waits for a permit.
 	permitWaiters permitWaiters
 
-	// chooseMu is held from a look at the targets until the choice is counted at one.
+	// chooseMu is held from reading the targets' load until the chosen target's load is updated.
 	chooseMu sync.Mutex
 
 	budgetMu sync.Mutex
-	// allowances bound repeated sends by service. Guarded by allowMu.
+	// retryBudgets bounds the retries, by service. Guarded by budgetMu.
 	retryBudgets map[string]*route.Allowance
-	// rates are the worth of the requests that come for each service. Guarded by
-	// allowMu.
+	// arrivalRates is the utility of the requests that arrive, by service. Guarded by budgetMu.
 	arrivalRates map[string]*learn.Rate
 }
 
-// New returns a relay that has no table yet.
+// New returns a relay without a routing table.
 func New(o Options) *Relay {
 	if o.Placement == "" {
 		o.Placement = route.Returning
@@ -154,28 +149,27 @@
 	return &Relay{options: o, start: time.Now(), retryBudgets: map[string]*route.Allowance{}, arrivalRates: map[string]*learn.Rate{}}
 }
 
-// SetTable puts a configuration in force. Running requests keep theirs.
+// SetTable applies a configuration. Running requests keep the one they started with.
 func (rl *Relay) SetTable(t *table.Table) { rl.table.Store(t) }
 
-// Table returns the configuration in force, or nil.
+// Table returns the applied configuration, or nil.
 func (rl *Relay) Table() *table.Table { return rl.table.Load() }
 
-// Running returns how many requests have not ended.
+// Running returns the number of unfinished requests.
 func (rl *Relay) Running() int64 { return rl.running.Load() }
 
-// Close makes each answer the last one on its connection: a planned stop has
-// begun.
+// Close starts a planned stop: from now on each answer closes its connection.
 func (rl *Relay) Close() { rl.closeConnections.Store(true) }
 
-// Refuse makes the relay refuse new requests: the planned stop is about to end.
+// Refuse makes the relay refuse new requests, near the end of a planned stop.
 func (rl *Relay) Refuse() { rl.refusing.Store(true) }
 
-// outageLeast is how much longer an outage of the platform's store is expected to
-// last at least: they last for seconds.
+// minOutage is the least expected remaining time of an outage of the coordination store: outages
+// last for seconds.
 const minOutage = time.Second
 
-// unready returns how much longer the daemon is expected to know no configuration:
-// as long as it has known none, and longer where the platform's store is out.
+// notReadyFor returns how much longer the daemon is expected to be without a configuration: as long
+// as it has been so far, and at least minOutage if the coordination store is down.
 func (rl *Relay) notReadyFor() time.Duration {
 	elapsed := time.Since(rl.start)
 	if rl.options.StoreDown != nil && rl.options.StoreDown() {
@@ -184,13 +178,13 @@
 	return elapsed
 }
 
-// divided reports whether the cells divide the targets of a service.
+// sharded reports whether the targets of a service are sharded by cell.
 func (rl *Relay) sharded(service string) bool {
 	return rl.options.Divided != nil && rl.options.Divided(service)
 }
 
-// lacks returns for how long a newer configuration has been lacking, if that is too
-// long to handle anything by the one in force.
+// configOverdue returns how long a newer configuration has been missing, or 0 while the applied one
+// may still be used.
 func (rl *Relay) configOverdue() time.Duration {
 	if rl.options.Lacks == nil {
 		return 0
@@ -214,5 +208,5 @@
 	p.finish(refusal)
 }
 
-// gone reports whether the caller has closed its connection.
+// callerGone reports whether the caller has closed its connection.
 func callerGone(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
--- a/core/relay/send.go
+++ b/core/relay/send.go
@@ -23,7 +23,7 @@
 	c.addLoad()
 	version := c.target.Entry().Version
 	p.relay.options.Canary.Begin(p.service, version)
-	// Of a choice of another cell its home tells; nobody here sends to its workers.
+	// If another cell made the choice, the context owner there publishes the load.
 	if p.meta.Prompt > 0 && c.report == nil && !p.relay.options.Without.Publishing {
 		p.relay.options.Placed()
 	}
@@ -37,7 +37,7 @@
 		p.relay.options.Canary.End(p.service, version)
 		c.report.reportEnd()
 	}()
-	// The prompt counts as unread until the first event or answer.
+	// The prompt counts as not yet prefilled until the first event or answer.
 	onFirst := func() {
 		if !prefilled {
 			prefilled = true
@@ -74,15 +74,14 @@
 	return p.plain(c, in, &reply, sent)
 }
 
-// errSlow ends the wait for a target that another one may be quicker than.
+// errSlow ends the wait for a slow target if another one may be faster.
 var errSlow = errors.New("the target was slower than others are")
 
-// patienceMargin is by how much the chance of an answer in time must be larger at
-// another target before a slow one is left: a second send costs a place there.
+// retryAdvantage is by how much the chance of an on-time answer must be higher at another target
+// before a slow one is abandoned: the second attempt takes a slot there.
 const retryAdvantage = 0.1
 
-// patience bounds the wait for an answer that another target may still give in
-// time.
+// waitBudget bounds the wait for an answer while another target may still answer on time.
 func (p *proxiedRequest) waitBudget(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
 	now := time.Now()
 	remaining := p.route.Aim - now.Sub(p.start)
@@ -96,7 +95,7 @@
 	return context.WithTimeoutCause(ctx, budget, errSlow)
 }
 
-// unanswered records a send without any answer.
+// classifyNoAnswer records an attempt without an answer and returns its outcome.
 func (p *proxiedRequest) classifyNoAnswer(ctx context.Context, c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
 	sent := target.WasSent(err)
@@ -134,15 +133,15 @@
 	return outcomeIncomplete
 }
 
-// lost records that the connection to a target ended under the request. It may have been the
-// request that ended the target, and its caller may repeat it.
+// recordDisconnect records that the connection to a target closed under the request. The request
+// may have crashed the target, and its caller may repeat it.
 func (p *proxiedRequest) recordDisconnect(c *choice) {
 	if _, shuttingDown := p.relay.options.Roster.Leaving(c.target); !shuttingDown {
 		p.relay.options.Poison.Lost(p.digest, p.organisationName(), c.target.ID(), c.target.Entry().Address)
 	}
 }
 
-// ranWell records that the request ended well at a target.
+// recordSuccess records that a target completed the request.
 func (p *proxiedRequest) recordSuccess(c *choice) {
 	p.relay.options.Poison.Good(p.digest, p.organisationName(), c.target.ID())
 }
@@ -155,7 +154,8 @@
 	return p.organisation.Name
 }
 
-// check decides whether an answer is the target's answer to this request.
+// checkAnswer reports whether a response is the target's answer to this request; if not it returns
+// the outcome of the attempt.
 func (p *proxiedRequest) checkAnswer(c *choice, in *target.Incoming, reply *Reply) (outcome, bool) {
 	misdirected := in.Status == http.StatusMisdirectedRequest
 	p.recordSelfReport(c, misdirected, reply)
@@ -174,7 +174,7 @@
 			p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
 		}
 		if reply.Target != "" && reply.Target != c.target.Entry().Name {
-			// Another target has the address now.
+			// The address now belongs to another target.
 			p.recordNoAnswer(c)
 		}
 	case reply.NotRun:
@@ -183,18 +183,18 @@
 	default:
 		return outcomeDone, true
 	}
-	// Where this fails the connection is not kept; the refusal is known already.
+	// If this fails, only the connection is not reused; the refusal is already known.
 	_, _ = io.Copy(io.Discard, io.LimitReader(in, maxDrainBytes))
 	p.attempts++
 	return outcomeRefused, false
 }
 
-// reloadTime is how long a worker that refused a request while older weights than named are
-// on it is passed over by all daemons of the cell. Orders are told in the cell of the
+// reloadTime is how long all daemons of the cell skip a worker that refused a request while its
+// weights were older than desired. Weight-update orders are published only in the cell of the
 // daemon that gives them, which may be another one.
 const reloadTime = 700 * time.Millisecond
 
-// reloads passes over a worker that seems to change its weights.
+// recordReload skips a worker that appears to be changing its weights.
 func (p *proxiedRequest) recordReload(c *choice) {
 	if c.attemptMeta.Weights == 0 || c.attemptMeta.Weights >= p.relay.options.Named(p.meta.Model) {
 		return
@@ -204,11 +204,10 @@
 	p.relay.options.Placed()
 }
 
-// drainMost bounds what is read of a refusal so that its connection can be
-// kept.
+// maxDrainBytes bounds how much of a refusal's body is read so that its connection can be reused.
 const maxDrainBytes = 16 << 10
 
-// outgoing is the request as the target gets it.
+// outgoing returns the request as it is sent to the target.
 func (p *proxiedRequest) outgoing(c *choice) *target.Outgoing {
 	h := make(http.Header, len(p.r.Header)+8)
 	hopByHop := strings.Split(p.r.Header.Get("Connection"), ",")
@@ -230,13 +229,14 @@
 	return out
 }
 
-// stopError says why a send did not go out.
+// unavailableError reports why an attempt was not sent.
 type unavailableError struct{ reason roster.Stop }
 
-// Error describes the reason.
+// Error implements error.
 func (e *unavailableError) Error() string { return "the target " + e.reason.String() }
 
-// mayGo returns what is asked before the bytes of a choice go out.
+// availabilityCheck returns the check that runs once there is a connection, before the request is
+// written.
 func (p *proxiedRequest) availabilityCheck(c *choice) func() error {
 	return func() error {
 		if stop := p.relay.options.Roster.Enter(c.target, c.permit); stop != roster.Open {
@@ -246,11 +246,11 @@
 	}
 }
 
-// freshLimit is the idle time after which a connection is not used for what
-// may run only once: targets may close idle connections without notice.
+// maxIdleForOnce is the idle time after which a connection is not used for a request that may be
+// executed only once: targets may close idle connections without notice.
 const maxIdleForOnce = 1500 * time.Millisecond
 
-// names reports whether a list of header names holds a name.
+// containsName reports whether a list of header names contains a name.
 func containsName(list []string, name string) bool {
 	for _, s := range list {
 		if strings.EqualFold(strings.TrimSpace(s), name) {
--- a/core/relay/stats.go
+++ b/core/relay/stats.go
@@ -6,30 +6,31 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Stats counts what a relay did.
+// Stats holds the counters of a relay.
 type Stats struct {
 	set                                                                            *metrics.Set
 	Requests, Done, Refused, Failed, AnswersCut, CallersGone                       *metrics.Counter
 	Attempts, Retries, StreamsResumed, MismatchedAnswers, NotExecuted, Misdirected *metrics.Counter
-	// First is the time to the first event or answer, Whole to the end, in
-	// seconds.
+	// FirstSeconds is the time to the first event of a stream, TotalSeconds the time to the end of
+	// a complete answer.
 	FirstSeconds, TotalSeconds *metrics.Histogram
-	// Read counts prompt tokens of requests sent, and Copied those of them that
-	// a store was named for.
+	// PromptTokens counts the prompt tokens of attempts. Of these, PromptTokensCopied were expected
+	// to be copied from a KV-cache store or another worker, and PromptTokensCached to be in the
+	// worker's cache.
 	PromptTokens, PromptTokensCopied, PromptTokensCached *metrics.Counter
-	// Opened counts connections to targets.
+	// Opened counts the connections opened to targets.
 	Opened *metrics.Counter
-	// Blocked counts refusals of requests that targets end of.
+	// Blocked counts refusals of requests that crash targets.
 	Blocked *metrics.Counter
-	// SaidLeaving counts answers in which a target says that it leaves, AskedRest refusals in which
-	// one asks for rest.
+	// ReportedShutdown counts answers in which a target reports that it is shutting down, Pushbacks
+	// refusals that ask for pushback.
 	ReportedShutdown, Pushbacks *metrics.Counter
-	// NamedLimit counts answers in which a target names a request rate, SentLimited sends to targets
-	// that did.
+	// ReportedRateLimit counts answers in which a target names a rate limit, RateLimitedAttempts
+	// the attempts at targets that have one.
 	ReportedRateLimit, RateLimitedAttempts *metrics.Counter
 }
 
-// NewStats returns counts that are 0.
+// NewStats returns counters at 0.
 func NewStats() *Stats {
 	set := metrics.NewSet()
 	c := func(name string) *metrics.Counter { return set.NewCounter("embertally_" + name) }
@@ -45,8 +46,8 @@
 	}
 }
 
-// Gauge adds a figure that f tells when it is asked for.
+// Gauge adds a metric whose value f returns when it is read.
 func (s *Stats) Gauge(name string, f func() float64) { s.set.NewGauge("embertally_"+name, f) }
 
-// Write writes all figures in text form.
+// Write writes all metrics in the Prometheus text format.
 func (s *Stats) Write(w io.Writer) { s.set.WritePrometheus(w) }
--- a/core/relay/stream.go
+++ b/core/relay/stream.go
@@ -13,10 +13,10 @@
 	"embertally.dev/core/target"
 )
 
-// eventMost bounds one event of a stream.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-// writeLimit bounds the writing of one event to a slow caller.
+// writeTimeout bounds the time for writing one event to a slow caller.
 const writeTimeout = 10 * time.Second
 
 var errEventTooLong = errors.New("an event of the stream is too long")
@@ -27,8 +27,8 @@
 	id  string
 }
 
-// nextEvent reads one event. At the end of the stream it returns io.EOF; bytes
-// of an event that is not whole make that io.ErrUnexpectedEOF.
+// nextEvent reads one event. It returns io.EOF at the end of the stream, and io.ErrUnexpectedEOF if
+// the stream ends within an event.
 func nextEvent(r *bufio.Reader) (rawEvent, error) {
 	var ev rawEvent
 	for {
@@ -53,8 +53,8 @@
 	}
 }
 
-// stream passes on the events of an answer. Where it breaks, the request may
-// be taken up by another worker after the last event that the caller has.
+// stream passes on the events of an answer. If the stream breaks, another worker may resume the
+// request after the last event that the caller has received.
 func (p *proxiedRequest) stream(c *choice, in *target.Incoming, reply *Reply, sent time.Time, onFirst func()) outcome {
 	if !reply.Sealed || reply.Encoded {
 		in.Spoil()
@@ -76,7 +76,7 @@
 			p.recordFirstAnswer(c, sent)
 		}
 		if !newer(ev.id, p.lastEventID) {
-			// The caller has this event from the worker before.
+			// The caller received this event from the previous worker.
 			continue
 		}
 		if err := p.writeEvent(in, ev); err != nil {
@@ -86,8 +86,8 @@
 	}
 }
 
-// newer reports whether an event comes after the last one passed on. Numbers
-// rise; they are compared as digits.
+// newer reports whether an event comes after the last one passed on. IDs are rising decimal numbers
+// and are compared as digits.
 func newer(id, last string) bool {
 	if id == "" || last == "" {
 		return true
@@ -98,7 +98,7 @@
 	return id > last
 }
 
-// give passes one event on to the caller.
+// writeEvent passes one event on to the caller.
 func (p *proxiedRequest) writeEvent(in *target.Incoming, ev rawEvent) error {
 	rc := http.NewResponseController(p.w)
 	if err := rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -118,19 +118,19 @@
 	return errors.WithStack(rc.Flush())
 }
 
-// finished ends a stream that the worker ended.
+// finishStream records the regular end of a stream.
 func (p *proxiedRequest) finishStream(c *choice, in *target.Incoming) outcome {
 	p.recordSuccess(c)
 	if p.headerSent {
 		return outcomeDone
 	}
-	// A whole answer without events.
+	// A complete answer without events.
 	(&bufferedAnswer{in.Status, in.Header, nil}).writeHeader(p, -1)
 	p.recordAnswer(c, true)
 	return outcomeDone
 }
 
-// streamBroke decides what becomes of a stream that broke.
+// classifyBrokenStream records a stream that broke and returns the outcome.
 func (p *proxiedRequest) classifyBrokenStream(c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
 	if callerGone(p.r.Context()) {
