--- a/core/relay/admit.go
+++ b/core/relay/admit.go
@@ -16,24 +16,21 @@
 
 // Times of refusals.
 const (
-	// soonest is the least time after which a refused caller is told to come back,
-	// about the time of a new connection and a decision.
+	// minRetryAfter is the least Retry-After, about the time of a new connection and a decision.
 	minRetryAfter = 100 * time.Millisecond
-	// comeBackShare is the part of the time that is left within which callers are
-	// told to come back: the users' callers wait no longer than a third.
+	// maxRetryAfterShare is the fraction of the remaining time that a Retry-After may take: callers
+	// wait no longer than a third of it.
 	maxRetryAfterShare = 0.33
-	// comeBackSpread is by which part the time is drawn shorter or longer, so that
-	// callers do not come back together.
+	// retryAfterJitter is the fraction by which the time varies at random, so that callers do not
+	// return all at once.
 	retryAfterJitter = 0.25
-	// maxBody bounds a body where the configuration does not.
+	// defaultMaxBodyBytes bounds a body if the configuration does not.
 	defaultMaxBodyBytes = 4 << 20
-	// defaultLimit bounds a request that has neither a deadline nor a time
-	// limit.
+	// defaultTimeout bounds a request that has neither a deadline nor a configured timeout.
 	defaultTimeout = 30 * time.Second
 )
 
-// comeBack returns when a refused caller is to come back, where what it is refused
-// for is expected to last for some more time.
+// retryAfter returns the Retry-After for a refusal whose cause is expected to last for some time.
 func (p *proxiedRequest) retryAfter(expected time.Duration) time.Duration {
 	jitter := 1 + retryAfterJitter*(2*rand.Float64()-1)
 	after := time.Duration(float64(max(expected, minRetryAfter)) * jitter)
@@ -47,7 +44,7 @@
 	return max(min(after, limit), time.Millisecond)
 }
 
-// admit reads the request and finds its route and organisation.
+// admit parses the request, finds its route and organisation, and reads its body.
 func (p *proxiedRequest) admit() *entry.Refusal {
 	meta, err := p.relay.options.Dialect.Ask(p.r.Header)
 	p.meta = meta
@@ -57,7 +54,7 @@
 	t := p.relay.Table()
 	p.table = t
 	if p.relay.refusing.Load() {
-		// Other daemons serve.
+		// Other daemons keep serving.
 		return p.refuseFor(entry.CodeNotReady, "the daemon is about to stop", minRetryAfter)
 	}
 	if t == nil {
@@ -79,8 +76,8 @@
 	return p.readBody(t.Limits())
 }
 
-// unknown refuses for what the configuration does not hold. A daemon that may
-// have missed a change does not know that, and says so.
+// refuseUnknown refuses a request for a route or key that the configuration does not contain. If
+// the daemon may have missed a change, it refuses as not ready instead.
 func (p *proxiedRequest) refuseUnknown(status int, code entry.Code, text string) *entry.Refusal {
 	if !p.relay.options.Current() {
 		return p.refuseFor(entry.CodeNotReady, "the daemon does not know whether its configuration is current: "+text, p.relay.options.Age())
@@ -88,22 +85,21 @@
 	return entry.NewRefusal(status, code, entry.NotRun, text, 0)
 }
 
-// notNow refuses a request that has not run. lasts is for how long the cause is
-// expected to last: one that has lasted for a while, and of which nothing else is
-// known, for as long again.
+// refuseFor refuses a request that was not executed. expected is how much longer the cause is
+// expected to last: if nothing else is known, as long as it has lasted so far.
 func (p *proxiedRequest) refuseFor(code entry.Code, text string, expected time.Duration) *entry.Refusal {
 	return entry.NewRefusal(http.StatusServiceUnavailable, code, entry.NotRun, text, p.retryAfter(expected))
 }
 
-// notBefore refuses a request that has not run and will be refused until a time that is known. That time
-// is told whole, also where the caller may not have it: one that comes back sooner is refused again. Callers
-// are spread over the time after it, not around it.
+// refuseUntil refuses a request that was not executed and will be refused for a known time. The
+// Retry-After is that whole time, even beyond the caller's deadline, since an earlier return would
+// be refused again. Jitter is only added, for the same reason.
 func (p *proxiedRequest) refuseUntil(code entry.Code, text string, remaining time.Duration) *entry.Refusal {
 	after := time.Duration(float64(max(remaining, minRetryAfter)) * (1 + retryAfterJitter*rand.Float64()))
 	return entry.NewRefusal(http.StatusServiceUnavailable, code, entry.NotRun, text, after)
 }
 
-// limit works out until when the request may be held.
+// setDeadline sets the deadline from the caller's deadline and the route's timeout.
 func (p *proxiedRequest) setDeadline() {
 	timeout := defaultTimeout
 	if p.meta.Deadline > 0 {
@@ -115,7 +111,7 @@
 	p.deadline = p.start.Add(timeout)
 }
 
-// read takes the whole body, so that it can be sent again.
+// readBody reads the complete body, so that the request can be sent more than once.
 func (p *proxiedRequest) readBody(limits table.Limits) *entry.Refusal {
 	maxBytes := int64(defaultMaxBodyBytes)
 	if limits.BodyBytes > 0 {
@@ -134,7 +130,7 @@
 	case errors.As(err, &large):
 		return tooLarge
 	case err != nil:
-		// The request was not read whole, so it cannot have run.
+		// The request was incomplete, so it cannot have been executed.
 		return entry.NewRefusal(http.StatusBadRequest, entry.CodeBadRequest, entry.NotRun, "the body broke off: "+err.Error(), 0)
 	}
 	p.body, p.bodyBytes = body, len(body)
@@ -142,11 +138,10 @@
 	return p.refuseBlocked()
 }
 
-// blocked refuses a request under which too many runs of targets ended, and returns nil for
-// others. A caller that comes back before its time is refused again at once, which costs
-// nothing but the answer; each time that such a request is sent costs a target and all that
-// runs there. The status is that of a refusal that may be repeated, since nothing is wrong
-// with what was asked.
+// refuseBlocked refuses a request under which too many target incarnations crashed, and returns nil
+// for others. Refusing an early return costs next to nothing, while each attempt would cost a
+// target and everything that runs there. The status is that of a refusal that may be repeated,
+// since the request itself is valid.
 func (p *proxiedRequest) refuseBlocked() *entry.Refusal {
 	remaining, isBlocked := p.relay.options.Poison.Blocked(p.digest)
 	if !isBlocked {
@@ -156,12 +151,12 @@
 	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeEndsTargets, entry.NotRun, crashesTargets, remaining)
 }
 
-// fingerprint names what the request asks.
+// requestDigest returns the digest that identifies equal requests.
 func (p *proxiedRequest) requestDigest() poison.Fingerprint {
 	return poison.Of(&poison.Request{Organisation: p.organisationName(), Method: p.r.Method, Host: p.r.Host, URI: p.r.RequestURI, Body: p.body})
 }
 
-// readAll appends what r gives to b, whose room is used first.
+// readAll appends everything that r yields to b, using the free capacity of b first.
 func readAll(b []byte, r io.Reader) ([]byte, error) {
 	for {
 		if len(b) == cap(b) {
--- a/core/relay/awake.go
+++ b/core/relay/awake.go
@@ -6,25 +6,25 @@
 	"embertally.dev/core/clock"
 )
 
-// awake notices that the machine was suspended while a request was here. The zero value
-// notices nothing; see watchSleep.
+// suspendDetector detects that the box was suspended while a request was in flight. The zero value
+// detects nothing; see newSuspendDetector.
 type suspendDetector struct {
 	steadyStart time.Time
 	start       clock.Time
-	// slept is how long the suspensions were that were noticed.
+	// suspended is the total time of the suspensions detected so far.
 	suspended time.Duration
 }
 
-// sleepLeast is the shortest suspension that is noticed: the two clocks are not read at the
-// same moment.
+// minSuspend is the shortest suspension that is detected: the two clocks are not read at the same
+// instant.
 const minSuspend = 20 * time.Millisecond
 
-// watchSleep begins to notice suspensions.
+// newSuspendDetector starts detecting suspensions.
 func newSuspendDetector() suspendDetector {
 	return suspendDetector{steadyStart: time.Now(), start: clock.Now()}
 }
 
-// since returns how long the machine was suspended since it was asked last.
+// sinceLast returns how long the box was suspended since the last call.
 func (d *suspendDetector) sinceLast() time.Duration {
 	if d.start.IsZero() {
 		return 0
@@ -37,8 +37,8 @@
 	return suspended
 }
 
-// wake takes the time that the machine was suspended off the time that the request has left:
-// its caller's clock went on. Else a target would be handed more time than there is.
+// adjustForSuspend moves start and deadline back by the time that the box was suspended, since the
+// caller's clock kept running. Otherwise a target would be given more time than remains.
 func (p *proxiedRequest) adjustForSuspend() {
 	if suspended := p.suspends.sinceLast(); suspended > 0 {
 		p.start, p.deadline = p.start.Add(-suspended), p.deadline.Add(-suspended)
--- a/core/relay/cold.go
+++ b/core/relay/cold.go
@@ -9,13 +9,15 @@
 	"embertally.dev/core/table"
 )
 
-// colds counts what this daemon sends to cold targets. The zero value has sent nothing.
+// warmUpLimiter limits the rate of this daemon's attempts at targets that are warming up. The zero
+// value is ready for use.
 type warmUpLimiter struct {
 	limiterMu sync.Mutex
-	paces     map[string]*route.Pace // by target; guarded by coldMu
+	paces     map[string]*route.Pace // by target ID; guarded by limiterMu
 }
 
-// may reports whether a target may get one more of a share, and with take counts it.
+// allow reports whether a target may get one more of share requests per second. If consume is set,
+// it counts the request.
 func (l *warmUpLimiter) allow(id string, share int, consume bool, now time.Time) bool {
 	l.limiterMu.Lock()
 	defer l.limiterMu.Unlock()
@@ -33,8 +35,7 @@
 	return true
 }
 
-// keep remembers a target's pace and forgets those of others that were sent nothing
-// lately. It is called with coldMu held.
+// add stores a target's limiter and removes idle ones. It is called with limiterMu held.
 func (l *warmUpLimiter) add(id string, limiter *route.Pace, now time.Time) {
 	if l.paces[id] == limiter {
 		return
@@ -50,8 +51,9 @@
 	l.paces[id] = limiter
 }
 
-// coldMay reports whether a target may get a request, however cold it is, and with take
-// counts it. Only daemons that share the target may send to it while it is cold.
+// warmUpAllows reports whether the warm-up rate limit of a target, if any, allows one more request.
+// If consume is set, it counts the request. Only daemons that use the target may send to it while
+// it warms up.
 func (rl *Relay) warmUpAllows(svc *table.Service, t *roster.Target, shared, consume bool, now time.Time) bool {
 	if svc.Cold.PerSecond <= 0 || !rl.options.Roster.Cold(t, svc.Cold.Start, now) {
 		return true
@@ -64,11 +66,11 @@
 	return rl.warmUp.allow(t.ID(), route.ColdShare(perSecond, total, rank), consume, now)
 }
 
-// spend takes a choice out of what a cold target and one with a limit may get. It reports whether it
-// may be sent: another request may have taken the last place meanwhile.
+// acquire takes a choice from the warm-up rate limit and the rate limit of its target. It reports
+// whether the choice may be sent: another request may have taken the last permit since.
 func (p *proxiedRequest) acquire(c *choice, now time.Time) bool {
 	if c.report != nil {
-		// The daemon that chose has done so.
+		// The daemon that made the choice has done this.
 		return true
 	}
 	if !p.relay.warmUpAllows(p.table.Service(p.service), c.target, true, true, now) {
--- a/core/relay/dialect.go
+++ b/core/relay/dialect.go
@@ -8,80 +8,82 @@
 	"embertally.dev/core/roster"
 )
 
-// Ask is what a caller says beside the request itself.
+// Ask is the metadata of a caller's request.
 type Ask struct {
-	// ID names the try; it comes back in each answer.
+	// ID identifies the caller's attempt; every answer repeats it.
 	ID string
-	// Deadline is how long the caller waits; 0 where it does not say.
+	// Deadline is how long the caller waits, from the arrival of the request; 0 if not given.
 	Deadline time.Duration
-	// Key is the caller's key, or "".
+	// Key is the caller's API key, or "".
 	Key string
-	// Model is the model that is asked, or "".
+	// Model is the requested model, or "".
 	Model string
 	// Prompt is the length of the prompt in tokens.
 	Prompt int
-	// Parts are the parts of the prompt, in order.
+	// Parts are the segments of the prompt, in order.
 	Parts []cache.Part
-	// After is the last event that the caller has of a stream that broke, or "".
+	// After is the ID of the last event that the caller received of a broken stream, or "".
 	After string
 }
 
-// Sending is what the system says to a target beside the request itself.
+// Sending is the metadata that is sent to a target with a request.
 type Sending struct {
-	// Deadline is the time that is left.
+	// Deadline is the remaining time.
 	Deadline time.Duration
-	// Target is the run of the target that must answer.
+	// Target is the ID of the target incarnation that must answer.
 	Target string
-	// Organisation is the caller's, or "".
+	// Organisation is the caller's organisation, or "".
 	Organisation string
-	// Salt is the name under which parts are kept, or "".
+	// Salt is the cache salt of the segments, or "".
 	Salt string
-	// Weights is the version that the target must hold; 0 for any.
+	// Weights is the version of the weights that the target must have; 0 for any.
 	Weights int64
-	// Priority ranks the request; 0 is the most urgent.
+	// Priority is the request's priority; 0 is the most urgent.
 	Priority int
-	// Copy names, for each part, the store that it is copied from, or "".
+	// Copy holds, for each segment, the address of the KV-cache store or worker to copy it from, or
+	// "".
 	Copy []string
-	// CopyUntil is the time on the targets' clock after which copies are void.
+	// CopyUntil is the time on the targets' clock after which copies must be discarded; 0 for
+	// never.
 	CopyUntil time.Duration
-	// Keep names, for each part, the store that it is to be sent to, or "".
+	// Keep holds, for each segment, the address of the KV-cache store to write it to, or "".
 	Keep []string
-	// After is the last event that the caller has, or "".
+	// After is the ID of the last event that the caller has received, or "".
 	After string
 }
 
-// Reply is what the head of a target's answer says.
+// Reply is the metadata in the header of a target's answer.
 type Reply struct {
-	// ID is the try that is answered.
+	// ID identifies the caller's attempt that is answered.
 	ID string
-	// Sealed tells that the target signed the answer.
+	// Sealed is set if the target signed the answer.
 	Sealed bool
-	// NotRun tells that the target did not run the request and never will.
+	// NotRun is set if the target did not execute the request and never will.
 	NotRun bool
-	// Target is the name of the target that answered, where it says so.
+	// Target is the name of the target that answered, or "" if not given.
 	Target string
-	// Weights is the version of the weights, where it says so.
+	// Weights is the version of the weights; 0 if not given.
 	Weights int64
-	// Encoded tells that the body is not as the target made it.
+	// Encoded is set if the body is not encoded as the target made it.
 	Encoded bool
-	// Leaves tells that the target says that it leaves.
+	// Leaves is set if the target reports that it is shutting down.
 	Leaves bool
-	// Rest is how long the target wants nothing, where it turns the request away and says so, and
-	// Odd what it says of that and can't be read, or "".
+	// Rest is the pushback that a refusal asks for, or 0; Odd is its value if it cannot be parsed,
+	// or "".
 	Rest time.Duration
 	Odd  string
-	// Limit is the request rate that the target names for all daemons together.
+	// Limit is the rate limit that the target names, for all daemons together.
 	Limit roster.Limit
 }
 
-// Dialect names the headers between callers, the system and targets.
+// Dialect reads and writes the headers used with callers and targets.
 type Dialect interface {
-	// Ask reads a caller's headers.
+	// Ask parses a caller's headers.
 	Ask(h http.Header) (Ask, error)
-	// Sending removes from h what only the system may say, and writes s.
+	// Sending removes the headers reserved for the daemon from h, and writes s.
 	Sending(h http.Header, s *Sending)
-	// Reply reads the head of a target's answer.
+	// Reply parses the header of a target's answer.
 	Reply(status int, h http.Header) Reply
-	// Refusal writes the try's ID and when to come back.
+	// Refusal writes the ID of the caller's attempt and the Retry-After.
 	Refusal(h http.Header, id string, after time.Duration)
 }
--- a/core/relay/hear.go
+++ b/core/relay/hear.go
@@ -2,8 +2,8 @@
 
 import "embertally.dev/core/roster"
 
-// hear takes what a target says of itself in the head of an answer. Each answer to a request of a
-// caller comes by here before any of it is passed on.
+// recordSelfReport records the self-reported state in the header of a target's answer. It is called
+// for every answer to a caller's request before any of it is passed on.
 func (p *proxiedRequest) recordSelfReport(c *choice, misdirected bool, reply *Reply) {
 	if !p.isFromTarget(c, misdirected, reply) {
 		return
@@ -13,7 +13,7 @@
 		p.note("%s says that it leaves", c.target.ID())
 		c.report.recordShutdown()
 		if p.relay.options.Roster.Leaves(c.target.ID(), roster.ByAnswer) {
-			// Other daemons hear of it at once: a heartbeat may be a second away.
+			// Publish it at once: the next heartbeat may be a second away.
 			p.relay.options.Placed()
 		}
 	}
@@ -27,7 +27,7 @@
 		p.note("%s names a limit of %g a second%s", c.target.ID(), l.PerSecond, l.Odd)
 	}
 	if p.relay.options.Roster.HearLimit(c.target.ID(), reply.Limit, c.sentAt, reply.Sealed && !reply.NotRun) {
-		// Until other daemons hear of it they send at the former rate.
+		// Until other daemons receive this they send at the previous rate.
 		p.relay.options.Placed()
 	}
 	if !misdirected && !reply.NotRun {
@@ -35,9 +35,9 @@
 	}
 }
 
-// saidBy reports whether an answer is the word of the target that was asked. One that names
-// another request may be anybody's, and one that the address has passed on comes from another
-// target unless it names this one.
+// isFromTarget reports whether an answer comes from the target that was asked. An answer to another
+// request may come from any target. A misdirected request was answered by the target that has the
+// address now, unless it names this one.
 func (p *proxiedRequest) isFromTarget(c *choice, misdirected bool, reply *Reply) bool {
 	if misdirected {
 		return reply.Target == c.target.Entry().Name
--- a/core/relay/homes.go
+++ b/core/relay/homes.go
@@ -26,52 +26,56 @@
 	kindPlacementUpdate wire.Kind = "relay.placed"
 )
 
-// Homes asks the cells where contexts are at home, and answers for this daemon's own.
+// Homes queries the owners of contexts in other cells, and decides as an owner for this daemon's
+// own cell.
 //
-// In a large fleet each cell has a share of the workers and knows what these hold. A
-// prompt that is decided in the cell that its caller happened to reach would find its context
-// in a worker once in as many returns as there are cells. So the daemons of one cell decide for all returns of a context, and the daemon
-// that has the prompt sends it.
+// In a large fleet each cell uses a share of the workers and knows which contexts these have
+// cached. If each prompt were decided in the cell that its caller happens to reach, only one in as
+// many returns of a context as there are cells would find it cached. So the daemons of one cell,
+// the context's owners, decide for all its requests, and the daemon that received the request sends
+// it.
 type Homes struct {
 	relay *Relay
 	fleet *fleet.Fleet
-	// silent are the daemons that did not answer.
+	// backoff holds the daemons that did not answer lately.
 	backoff  wait.Backoff[string]
 	sequence atomic.Int64
-	// limit bounds the wait for a home's answer.
+	// timeout bounds a query to an owner.
 	timeout time.Duration
 
 	placementsMu sync.Mutex
-	// placed are the choices that other daemons made use of, by the name that these
-	// gave them. Guarded by placedMu.
+	// placements holds the choices of this daemon that other daemons use, by the name that those
+	// gave them. Guarded by placementsMu.
 	placements map[string]*ownedPlacement
 }
 
-// Bounds of asking at home.
+// Bounds of queries to owners.
 const (
-	// leastReading is the time that reading the shared parts takes below which a prompt
-	// is decided where it came: about ten questions.
+	// minPrefillTime is the prefill time of the shared segments below which a request is decided
+	// locally: about ten times that of a query.
 	minPrefillTime = 20 * time.Millisecond
-	// homeLimit bounds the wait for a home's answer; reading 12,800 tokens takes 0.23 s.
+	// ownerTimeout bounds a query to an owner; the prefill of 12,800 tokens takes 0.23 s.
 	ownerTimeout = 40 * time.Millisecond
-	// homePause spaces the questions of a prompt that waits for a place.
+	// ownerQueryInterval is the least time between the queries of a request that waits for a
+	// target.
 	ownerQueryInterval = 60 * time.Millisecond
-	// homeDaemons is how many daemons of a home are asked, one after the other.
+	// maxOwnerQueries is how many daemons of a cell are queried, one after the other.
 	maxOwnerQueries = 2
-	// silentTime and silentMost are how long a daemon that did not answer is not asked.
+	// backoffFirst and backoffMax bound how long a daemon that did not answer is not queried.
 	backoffFirst = 300 * time.Millisecond
 	backoffMax   = 5 * time.Second
-	// guestAge is how old another cell's list may be where this daemon sends by it: targets that
-	// leave get nothing more after a few seconds, two on the strictest of the users' sites.
+	// maxExternalListAge is how old another cell's target list may be for this daemon to send by
+	// it: targets that are shutting down must get nothing more after a few seconds, two in the
+	// strictest deployment.
 	maxExternalListAge = 1500 * time.Millisecond
-	// newsLimit bounds the sending of news to a home.
+	// updateTimeout bounds the sending of an update to an owner.
 	updateTimeout = 500 * time.Millisecond
-	// placedSweep is the pause between removals of choices whose end was not told.
+	// expiryInterval is the interval for removing placements whose end was not reported.
 	expiryInterval = time.Second
 )
 
-// NewHomes makes a relay ask the homes of contexts. It must be called before the fleet
-// runs and the relay answers.
+// NewHomes makes a relay query the owners of contexts. It must be called before the fleet runs and
+// the relay serves.
 func NewHomes(rl *Relay, f *fleet.Fleet) *Homes {
 	h := &Homes{
 		relay: rl, fleet: f, timeout: ownerTimeout, placements: map[string]*ownedPlacement{},
@@ -83,36 +87,36 @@
 	return h
 }
 
-// placeAsk asks for a worker for a prompt.
+// placementRequest asks another daemon to choose a target for a request.
 type placementRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  string
-	// Route is its name, by which times are learned.
+	// Route is the route's name, by which response times are learned.
 	Route            string
 	LatencyObjective time.Duration
 	Model            string
-	// Wall is the isolated organisation, or "".
+	// IsolatedOrganisation is the caller's organisation if its cache is isolated, or "".
 	IsolatedOrganisation    string
 	Segments                []placementSegment
 	PromptTokens, BodyBytes int
 	OriginDomain            string
 	Elapsed, Remaining      time.Duration
-	// Tried are the workers that were sent to before, and those that may get no send from this
-	// daemon by their own word: the home may not know of it, and would choose them again.
+	// Excluded are the targets of earlier attempts, and those that are unavailable to the sender by
+	// their self-reported state: the owner may not know that and would choose them again.
 	Excluded []string
-	// Limits are the request rates that the service's targets named, as the asker knows them.
+	// RateLimits are the rate limits of the service's targets as the sender knows them.
 	RateLimits map[string]roster.LimitNews
-	// ForToken tells that the asker has no token for the service's targets, so that also the choice
-	// of a target that it knows itself is of use.
+	// NeedsPermit is set if the sender has no permit for the service's targets. Then a choice is
+	// useful even among targets that the sender uses itself.
 	NeedsPermit bool
-	// Regions bind where it may run.
+	// Regions restrict where the request may run.
 	Regions regions
-	// Side says which versions of the service it may go to.
+	// Versions restricts the target versions that the request may go to.
 	Versions canary.Side
 }
 
-// placePart is one part of a prompt.
+// placementSegment is one segment of a prompt.
 type placementSegment struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
@@ -120,7 +124,7 @@
 	Tokens   int
 }
 
-// placeAnswer names the worker, or none, and what the decision knew and expects of it.
+// placementResponse is a choice, with the inputs and the result of the decision.
 type placementResponse struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack      struct{} `msgpack:",as_array"`
@@ -129,23 +133,23 @@
 	CopyFrom      []string
 	CopyDeadline  time.Duration
 	StoreTo       []string
-	// Own, Before, Beside, Waiting and Crowd are its factors.
+	// The factors of the expected time; see learn.Factors.
 	PrefillTokens, QueuedTokens           int
 	Occupancy, QueueRatio, MemoryPressure float64
-	// Kept, Copied, Running and Held are the candidate's.
+	// The candidate's state; see route.Candidate.
 	CachedTokens, CopiedTokens, Running, HeldTokens int
 	Expected, Baseline                              time.Duration
 	OnTimeChance, ServedChance, Gain, Utility       float64
 	OnlyCandidate                                   bool
-	// Granted tells that the home took a token for the request, where the worker named a request
-	// rate.
+	// PermitHeld is set if the responder took a permit for the request, for a target with a rate
+	// limit.
 	PermitHeld bool
-	// Entry is what the home's list says of the worker, and Age how old that list is.
+	// Entry is the target's entry in the responder's list, and ListAge the age of that list.
 	Entry   placementEntry
 	ListAge time.Duration
 }
 
-// placeEntry is an entry of the list of targets.
+// placementEntry is an entry of the target list.
 type placementEntry struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack              struct{} `msgpack:",as_array"`
@@ -155,7 +159,7 @@
 	Slots                 int
 }
 
-// entry returns it as the roster takes it.
+// entry returns the entry in the roster's form.
 func (r *placementResponse) entry(service, model string) roster.Entry {
 	e := &r.Entry
 	return roster.Entry{
@@ -164,7 +168,7 @@
 	}
 }
 
-// answerOf writes a choice as daemons send it.
+// newPlacementResponse returns a choice as it is sent to other daemons.
 func newPlacementResponse(c *choice, age time.Duration) *placementResponse {
 	f, candidate, judgement, e := &c.factors, &c.candidate, &c.judgement, c.target.Entry()
 	return &placementResponse{
@@ -176,7 +180,7 @@
 	}
 }
 
-// choice reads it for a prompt of some tokens.
+// choice returns the choice for a prompt of some tokens.
 func (r *placementResponse) choice(t *roster.Target, tokens int) *choice {
 	return &choice{
 		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Token{Held: r.PermitHeld, Far: true},
@@ -188,27 +192,26 @@
 	}
 }
 
-// placeNews tells a home what became of a choice.
+// placementUpdate reports to an owner what became of its choice.
 type placementUpdate struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
-	// Ask is what was asked and Answer what was answered, where the choice is made use
-	// of; later news have neither.
+	// Request and Response are set in the first update, which reports that the choice is used.
 	Request  *placementRequest
 	Response *placementResponse
-	// First is how long after the send the first event came; 0 where none has yet.
+	// FirstEvent is the time from sending to the first event; 0 if there has been none yet.
 	FirstEvent time.Duration
-	// Ended tells that the send has ended, Bad that its answer was bad or broke off,
-	// Silent that there was none, and Reloads that the worker refused it while it seemed to
-	// change its weights.
+	// Ended is set once the attempt has ended, Bad if its answer was an error or was truncated,
+	// NoAnswer if there was none, and Reloading if the worker refused it and appears to be changing
+	// its weights.
 	Ended, Bad, NoAnswer, Reloading bool
-	// Leaves tells that the worker said that it leaves.
+	// ShuttingDown is set if the worker reported that it is shutting down.
 	ShuttingDown bool
 }
 
-// chooseAtHome returns the choice of the home of the request's context, where another
-// cell is its home and the choice is better than this cell's own; else nil.
+// chooseByOwner returns the choice of the owner of the request's context if that is another cell
+// and its choice is better than the local one, or else nil.
 func (p *proxiedRequest) chooseByOwner(ctx context.Context, svc *table.Service, local *choice) *choice {
 	now := time.Now()
 	h := p.relay.owners
@@ -226,8 +229,8 @@
 	return c
 }
 
-// chooseElsewhere returns the choice of another cell for a request to a divided service of which
-// this cell has no target to use, or nil.
+// chooseInOtherCell returns another cell's choice for a request to a sharded service if this cell
+// has no target for it, or nil.
 func (p *proxiedRequest) chooseInOtherCell(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
 	h := p.relay.owners
@@ -245,8 +248,8 @@
 	return nil
 }
 
-// chooseByToken returns the choice of another daemon that may have a token for a target which is over
-// its limit here, or nil.
+// chooseByPermit returns the choice of another daemon that may have a permit for a target that is
+// rate-limited here, or nil.
 func (p *proxiedRequest) chooseByPermit(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
 	h := p.relay.owners
@@ -264,8 +267,8 @@
 	return nil
 }
 
-// chooseAt returns the choice of the first of some daemons of one cell that answers, or nil where
-// that has none.
+// chooseByPeers returns the choice of the first of some daemons that answers, or nil if that has
+// none. The daemons belong to one cell.
 func (p *proxiedRequest) chooseByPeers(ctx context.Context, svc *table.Service, peers []string, now time.Time) *choice {
 	h := p.relay.owners
 	p.ownerQueried = now
@@ -274,7 +277,7 @@
 		response, err := h.query(ctx, peer, request)
 		switch {
 		case errors.Is(err, wire.ErrRemote):
-			// It has no place for the request now.
+			// It has no target for the request now.
 			return nil
 		case err != nil:
 			p.note("home %s: %v", peer, errors.Cause(err))
@@ -285,24 +288,25 @@
 	return nil
 }
 
-// apart returns what it costs that a context is kept in two cells: its next return has it
-// copied, over a connection that is not open.
+// splitCost returns the cost of caching a context in two cells: for its next request it is copied,
+// over a connection that is not yet open.
 func (p *proxiedRequest) splitCost() float64 {
 	prices := &p.relay.options.Prices
 	return prices.Connect + prices.Copied*float64(p.sharedTokens()) + splitLoss*prices.Worth(p.meta.Prompt)
 }
 
-// apartShare is the part of an answer's worth that it loses by the time of a copy: a tenth
-// for each aim's time, of which a copy of 12,800 tokens between domains takes a tenth.
+// splitLoss is the fraction of an answer's utility that is lost by the time of a copy: an answer
+// loses a tenth per latency objective, and copying 12,800 tokens across domains takes a tenth of
+// that time.
 const splitLoss = 0.01
 
-// worthAsking reports whether a question costs less than reading the shared parts may.
+// worthQuerying reports whether a query costs less than prefilling the shared segments may.
 func (p *proxiedRequest) worthQuerying(now time.Time) bool {
 	e := p.estimate(now)
 	return e.Time(learn.Factors{Own: p.sharedTokens()})-e.Time(learn.Factors{}) >= minPrefillTime
 }
 
-// placeAsk returns the question for the request.
+// newPlacementRequest returns the query for the request.
 func (p *proxiedRequest) newPlacementRequest(now time.Time) *placementRequest {
 	request := &placementRequest{
 		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.Aim, Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).Wall, PromptTokens: p.meta.Prompt,
@@ -319,8 +323,8 @@
 	return request
 }
 
-// orderOf returns a home's answer as a choice, or nil where it names no worker that this
-// daemon may send to.
+// choiceFromResponse returns a response as a choice, or nil if this daemon may not send to the
+// target that it names.
 func (p *proxiedRequest) choiceFromResponse(svc *table.Service, peer string, request *placementRequest, response *placementResponse) *choice {
 	owners, t := p.relay.owners, p.relay.options.Roster.Target(response.Target)
 	if p.relay.sharded(p.service) && response.ListAge <= maxExternalListAge {
@@ -341,7 +345,7 @@
 	}
 	c := response.choice(t, p.meta.Prompt)
 	if svc.Engine == nil {
-		// Nothing is counted at the other cell, which hears nothing more of it.
+		// The other cell counts no load and gets no updates for it.
 		c.load = roster.Load{Running: 1}
 		return c
 	}
@@ -349,9 +353,9 @@
 	return c
 }
 
-// peers returns the daemons to ask about a context, best first; none where this daemon's
-// own cell is its home. A daemon asks the same ones of a cell each time, so that its
-// links are as many as there are cells.
+// ownersOf returns the daemons to query for a context, best first, or none if this daemon's own
+// cell is its owner. A daemon always queries the same daemons of a cell, so that it needs only one
+// link per cell.
 func (h *Homes) ownersOf(service string, contextHash uint64, now time.Time) []string {
 	view := h.fleet.View()
 	if view.Cells() <= 1 {
@@ -364,8 +368,8 @@
 	return h.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
 }
 
-// cell returns the cell that a context is at home in. Cells have as many targets of a divided service
-// as each other, and of others as many as they have daemons.
+// ownerCell returns the cell that owns a context. Each cell has about the same number of targets of
+// a sharded service; of other services, it has targets in proportion to its daemons.
 func (h *Homes) ownerCell(view *fleet.View, service string, contextHash uint64) int {
 	if h.relay.sharded(service) {
 		return view.KeyCell(contextHash)
@@ -373,12 +377,12 @@
 	return view.WeighedCell(contextHash)
 }
 
-// open returns those of some daemons that did not fail to answer lately.
+// responsive returns those of some daemons that are not in backoff.
 func (h *Homes) responsive(names []string, now time.Time) []string {
 	return slices.DeleteFunc(names, func(name string) bool { return !h.backoff.Open(name, now) })
 }
 
-// ask asks one daemon.
+// query queries one daemon.
 func (h *Homes) query(ctx context.Context, peer string, request *placementRequest) (*placementResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
@@ -392,74 +396,74 @@
 	return &response, err
 }
 
-// name returns a new name for a choice.
+// newPlacementName returns a new name for a choice, unique in the fleet.
 func (h *Homes) newPlacementName() string {
 	return h.fleet.View().Self() + "/" + strconv.FormatInt(h.relay.start.UnixNano(), 36) + "/" + strconv.FormatInt(h.sequence.Add(1), 36)
 }
 
-// homeOrder is what a daemon tells the home that chose for it. A nil one tells nothing.
-// It is used by one goroutine.
+// ownerReport collects and sends the updates for a choice to the daemon that made it. A nil report
+// does nothing. It is used by one goroutine.
 type ownerReport struct {
 	owners     *Homes
 	peer, name string
 	request    *placementRequest
 	response   *placementResponse
-	// bad, silent, reloads and leaves are what is told with the end.
+	// bad, noAnswer, reloading and shuttingDown are sent with the final update.
 	bad, noAnswer, reloading, shuttingDown bool
 }
 
-// tell sends news in the background: what is lost runs out at the home.
+// send sends an update in the background. If it is lost, the placement expires at the owner.
 func (o *ownerReport) send(update *placementUpdate) {
 	update.Name = o.name
 	go updateSender{o.owners, o.peer, update}.run()
 }
 
-// placed tells that the choice is sent.
+// reportSent reports that the choice is used.
 func (o *ownerReport) reportSent() {
 	o.send(&placementUpdate{Request: o.request, Response: o.response})
 }
 
-// first tells how long the first event took.
+// reportFirstEvent reports the time to the first event.
 func (o *ownerReport) reportFirstEvent(took time.Duration) {
 	o.send(&placementUpdate{FirstEvent: took})
 }
 
-// answered records whether an answer was good.
+// recordAnswer records whether an answer was good.
 func (o *ownerReport) recordAnswer(good bool) {
 	if o != nil {
 		o.bad = o.bad || !good
 	}
 }
 
-// noAnswer records that there was none.
+// recordNoAnswer records that there was no answer.
 func (o *ownerReport) recordNoAnswer() {
 	if o != nil {
 		o.noAnswer = true
 	}
 }
 
-// refused records that the worker seems to change its weights.
+// recordReload records that the worker appears to be changing its weights.
 func (o *ownerReport) recordReload() {
 	if o != nil {
 		o.reloading = true
 	}
 }
 
-// left records that the worker said that it leaves.
+// recordShutdown records that the worker reported that it is shutting down.
 func (o *ownerReport) recordShutdown() {
 	if o != nil {
 		o.shuttingDown = true
 	}
 }
 
-// ended tells that the send has ended.
+// reportEnd reports that the attempt has ended.
 func (o *ownerReport) reportEnd() {
 	if o != nil {
 		o.send(&placementUpdate{Ended: true, Bad: o.bad, NoAnswer: o.noAnswer, Reloading: o.reloading, ShuttingDown: o.shuttingDown})
 	}
 }
 
-// teller sends news to a home.
+// updateSender sends one update to an owner.
 type updateSender struct {
 	owners *Homes
 	peer   string
@@ -469,6 +473,6 @@
 func (t updateSender) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), updateTimeout)
 	defer cancel()
-	// A home that does not hear of it counts the choice until its time is up.
+	// An owner that does not receive it counts the placement until that expires.
 	_ = t.owners.fleet.Notify(ctx, t.peer, kindPlacementUpdate, t.update)
 }
--- a/core/relay/learned.go
+++ b/core/relay/learned.go
@@ -8,14 +8,14 @@
 	"embertally.dev/core/route"
 )
 
-// mayRepeat takes one repeated send to a service out of what is allowed.
+// spendRetry takes one retry from the budget of a service and reports whether it may be made.
 func (rl *Relay) spendRetry(service string) bool {
 	rl.budgetMu.Lock()
 	defer rl.budgetMu.Unlock()
 	return rl.retryBudget(service).Spend(time.Since(rl.start))
 }
 
-// earn records a request for a service, of some worth.
+// recordArrival records a request for a service and its utility.
 func (rl *Relay) recordArrival(service string, utility float64, now time.Time) {
 	rl.budgetMu.Lock()
 	defer rl.budgetMu.Unlock()
@@ -28,8 +28,8 @@
 	r.Add(utility, now)
 }
 
-// rate returns the worth of the requests that would come to each of some targets of a
-// service in a second if all daemons shared these.
+// utilityRate returns the utility per second of the requests that arrive at each of some targets of
+// a service, if the daemons together divide their requests evenly among these.
 func (rl *Relay) utilityRate(service string, targets int, now time.Time) float64 {
 	rl.budgetMu.Lock()
 	defer rl.budgetMu.Unlock()
@@ -40,11 +40,11 @@
 	return r.PerSecond(now) * float64(max(1, rl.options.Daemons())) / float64(max(1, targets))
 }
 
-// allowedShare is the part of what is allowed that is used: requests that were
-// counted here but never arrived at a daemon's peer lower the others' count.
+// retryBudgetUse is the fraction of the retry budget that is used: requests counted here that never
+// reach another daemon reduce the count there.
 const retryBudgetUse = 0.7
 
-// allowance is called with allowMu held.
+// retryBudget returns the retry budget of a service. It is called with budgetMu held.
 func (rl *Relay) retryBudget(service string) *route.Allowance {
 	a := rl.retryBudgets[service]
 	if a == nil {
@@ -55,8 +55,8 @@
 	return a
 }
 
-// kind is what the times to first answers of a request are learned by: the route,
-// since the work of calls and the urgency of prompts are its own.
+// timingKey returns the key under which the times to first answers are learned, and their prior. It
+// contains the route, since the work of calls and the urgency of prompts depend on it.
 func (p *proxiedRequest) timingKey() (string, *learn.Prior) {
 	name := p.service + " " + p.route.Name
 	if svc := p.table.Service(p.service); svc != nil && svc.Engine != nil {
@@ -65,13 +65,13 @@
 	return name, &p.relay.options.Calls
 }
 
-// estimate returns what is known of the times to first answers of the request.
+// estimate returns what has been learned of the times to first answers of such requests.
 func (p *proxiedRequest) estimate(now time.Time) *learn.Estimate {
 	kind, prior := p.timingKey()
 	return p.relay.options.Times.Estimate(kind, prior, now)
 }
 
-// answered records an answer of a target, and whether it was good.
+// recordAnswer records an answer of a target, and whether it was good.
 func (p *proxiedRequest) recordAnswer(c *choice, good bool) {
 	if !p.remote {
 		p.relay.options.Canary.Answered(p.service, p.route.Name, c.target.Entry().Version, good)
@@ -81,7 +81,7 @@
 	p.learnAnswer(c, good)
 }
 
-// firstAnswer records that the first answer to a send has come.
+// recordFirstAnswer records the time to the first answer of an attempt.
 func (p *proxiedRequest) recordFirstAnswer(c *choice, sent time.Time) {
 	now := time.Now()
 	took := now.Sub(sent)
@@ -92,7 +92,7 @@
 		p.forecast.FirstMillis = event.Millis(took)
 	}
 	if c.report != nil {
-		// Of links and memories only the daemon that decided can learn.
+		// Only the daemon that made the choice can learn about links and caches.
 		c.report.reportFirstEvent(took)
 		if c.candidate.Copied == 0 {
 			p.learnTime(c, took, now)
@@ -102,7 +102,7 @@
 	p.learnFromFirstAnswer(c, took, now)
 }
 
-// learnFirst records what the time to the first answer of a choice of this daemon tells.
+// learnFromFirstAnswer learns from the time to the first answer of a choice that this daemon made.
 func (p *proxiedRequest) learnFromFirstAnswer(c *choice, took time.Duration, now time.Time) {
 	p.learnCopies(c, took, now)
 	if c.plan.copyCount > 0 {
@@ -112,8 +112,7 @@
 	p.learnTime(c, took, now)
 }
 
-// learnTime records the time to the first answer of a request that had nothing
-// copied.
+// learnTime learns from the time to the first answer of a request for which nothing was copied.
 func (p *proxiedRequest) learnTime(c *choice, took time.Duration, now time.Time) {
 	if !p.relay.options.Without.Times {
 		kind, prior := p.timingKey()
@@ -124,7 +123,7 @@
 	}
 }
 
-// silent records that a target gave no answer.
+// recordNoAnswer records that a target did not answer.
 func (p *proxiedRequest) recordNoAnswer(c *choice) {
 	c.target.Silent(time.Now())
 	c.report.recordNoAnswer()
@@ -138,24 +137,22 @@
 	}
 }
 
-// Shares of the time that reading a part takes: a first event that is later than
-// expected by less than keptShare of it tells that the part was held, one that is
-// later by more than readShare that it was read.
+// Shares of a segment's prefill time. If the first event is later than expected by less than
+// cachedShare of it, the segment was cached; if by more than prefilledShare, it was prefilled.
 const (
 	cachedShare    = 0.35
 	prefilledShare = 0.65
 )
 
-// learnRetention records whether a worker held the part that lies deepest in its
-// memory of those that it was believed to hold, where the time to the first event
-// can tell.
+// learnRetention records whether a worker still had the segment that was closest to eviction among
+// those expected in its cache, if the time to the first event can tell.
 func (p *proxiedRequest) learnRetention(c *choice, took time.Duration, now time.Time) {
 	deepest, tokens := 0.0, 0
 	for i, src := range c.plan.sources {
 		if src.cachedChance == 0 {
 			break
 		}
-		// Where a part is gone, what stands behind it is read as well.
+		// If a segment was evicted, those after it are prefilled as well.
 		if src.depth > deepest || i == 0 {
 			deepest, tokens = src.depth, 0
 		}
@@ -169,7 +166,7 @@
 	factors := c.factors
 	factors.Own += tokens
 	prefillTime := e.Time(factors) - cachedTime
-	// Times differ by a share of themselves for other reasons.
+	// Times vary by a share of themselves for other reasons.
 	if tokens == 0 || prefillTime < cachedTime {
 		return
 	}
--- a/core/relay/options.go
+++ b/core/relay/options.go
@@ -8,19 +8,19 @@
 	"embertally.dev/core/table"
 )
 
-// Bounds of a choice.
+// Bounds on the load and connections of a target.
 const (
-	// plainFull is how many times its slots a plain target may have on its
-	// way; more would only wait there.
+	// plainMaxLoad is how many requests a plain target may have in flight, as a multiple of its
+	// slots; more would only queue there.
 	plainMaxLoad = 4
-	// engineFull is the same for model workers.
+	// engineMaxLoad is the same for model workers.
 	engineMaxLoad = 3
-	// connShare is the part of a target's connections that the daemons share
-	// out; the rest is left for daemons that one of them does not know of.
+	// connectionShare is the fraction of a target's connections that the daemons divide among
+	// themselves; the rest is for daemons that are missing from the view of one of them.
 	connectionShare = 0.9
 )
 
-// option is one target that may get a send.
+// eligibleTarget is a target that may get the request, with its state at the time of the decision.
 type eligibleTarget struct {
 	target  *roster.Target
 	entry   *roster.Entry
@@ -30,10 +30,10 @@
 	state   learn.TargetState
 }
 
-// ownOptions returns the options among the workers that are this daemon's to
-// use, and the part of the service's targets that these are. Where these are full the
-// request waits or is refused: of other workers' load this daemon knows nothing. Only
-// where none of its own answers does it use all.
+// ownEligibleTargets returns the eligible targets among those that this daemon uses, and the
+// fraction of the service's targets that it uses. If those are full, the request waits or is
+// refused, since this daemon does not know the load of other workers. It falls back to all targets
+// only if none of its own answers.
 func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
 	all := p.relay.options.Roster.Of(p.service)
 	divided := p.relay.sharded(p.service)
@@ -44,16 +44,16 @@
 	share := p.relay.shares.get(p.service, all, &p.relay.options)
 	own, reason = p.eligibleTargets(svc, share.own, true, now)
 	if divided || len(own) > 0 || reason == allFull || endsAtKnownTime(reason) {
-		// Where all of its own rest, the others would be overrun by what these turned away. Of
-		// divided targets other cells decide.
+		// If all of its own are under pushback, what they turned away would overload the others.
+		// Sharded targets outside the cell are chosen by other cells.
 		return own, share.fraction, reason
 	}
 	own, reason = p.eligibleTargets(svc, all, false, now)
 	return own, 1, reason
 }
 
-// options returns the targets of a list that may get the request, or why there are none.
-// shared tells that this daemon is one of those who share the targets.
+// eligibleTargets returns the targets of a list that may get the request, or why there are none.
+// shared is set if this daemon is one of those that use these targets.
 func (p *proxiedRequest) eligibleTargets(svc *table.Service, list []*roster.Target, shared bool, now time.Time) ([]eligibleTarget, string) {
 	var out []eligibleTarget
 	availability, reloading := p.relay.options.Roster.Gate(now), p.relay.options.Roster.Reloading(now)
@@ -74,7 +74,7 @@
 		}
 		stop, duration := availability.Stop(t)
 		if stop == roster.Open && !shared && availability.Limits(t) {
-			// Other daemons share its limit.
+			// Its rate limit is divided among other daemons.
 			stop = roster.Limited
 		}
 		if stop != roster.Open {
@@ -116,37 +116,40 @@
 
 // Reasons why no target may get a request.
 const (
-	// allFull says that targets are there but take nothing more now.
+	// allFull: targets are available, but have no free capacity.
 	allFull      = "all targets are full"
 	allEvacuated = "all failure domains of the service are evacuated"
-	// allRest says that targets are there and each asked this daemon for rest; the first
-	// of these ends at a time that is known.
+	// allUnderPushback: each target asked this daemon for pushback. It is known when the first
+	// pushback ends.
 	allUnderPushback = "all targets rest"
-	// allLimited says the same of targets of which some named a request rate that leaves nothing now.
+	// allRateLimited: as allUnderPushback, but some targets named a rate limit and are
+	// rate-limited.
 	allRateLimited = "all targets rest or are over the limits that they named"
 )
 
-// later reports whether a reason ends at a time that is known.
+// endsAtKnownTime reports whether it is known when a reason ends.
 func endsAtKnownTime(reason string) bool {
 	return reason == allUnderPushback || reason == allRateLimited
 }
 
-// shortage counts the targets that may not get a request, by reason.
+// unavailability counts the targets that may not get a request, by reason.
 type unavailability struct {
 	full, suspects, outdated, evacuated, outsideRegions, shuttingDown, underPushback, rateLimited, excludedVersions int
-	// words names the first few of the targets that are passed over by what they said, for the log.
+	// skipped lists the first few targets that are skipped for their self-reported state, for the
+	// log.
 	skipped []string
-	// lasts is the longest time that an evacuation has lasted, rest the time until the first rest
-	// ends or the first limit leaves something.
+	// evacuationAge is the age of the oldest evacuation, untilAvailable the time until the first
+	// pushback ends or the first permit is due.
 	evacuationAge, untilAvailable time.Duration
-	// over is a target that is over its limit.
+	// rateLimitedTarget is one of the rate-limited targets.
 	rateLimitedTarget *roster.Target
 }
 
-// wordsMost bounds how many targets a line names that are passed over by what they said.
+// maxSkippedNoted bounds how many skipped targets a log line names.
 const maxSkippedNoted = 4
 
-// stopped counts a target that may get no send from anybody here.
+// count counts a target that is unavailable to this daemon. duration is what is known of how long
+// that lasts; see roster.Gate.Stop.
 func (u *unavailability) count(id string, reason roster.Stop, duration time.Duration) {
 	if (reason == roster.Leaves || reason == roster.Rests || reason == roster.Limited) && len(u.skipped) < maxSkippedNoted {
 		u.skipped = append(u.skipped, id+" "+reason.String())
@@ -172,7 +175,7 @@
 	}
 }
 
-// why says why no target may get a request.
+// reason returns why no target may get the request.
 func (u *unavailability) reason() string {
 	switch {
 	case u.full > 0:
@@ -197,7 +200,7 @@
 	return "no target is listed"
 }
 
-// most is how many requests a target may have on their way.
+// maxRunning is how many requests a target may have in flight.
 func (p *proxiedRequest) maxRunning(svc *table.Service, e *roster.Entry) int {
 	slots := max(1, e.Slots)
 	if svc.Engine != nil {
@@ -206,12 +209,12 @@
 	return plainMaxLoad * slots
 }
 
-// cellConns is the part of a divided target's connections that the daemons of its cell share; the
-// rest is for the other daemons, which other cells' answers lead there.
+// cellConnectionShare is the fraction of a sharded target's connections that the daemons of its
+// cell divide; the rest is for daemons that other cells' placements direct there.
 const cellConnectionShare = 0.5
 
-// bound shares the connections to a target out among the daemons. guest tells that the target falls
-// to another cell.
+// limitConnections sets this daemon's share of the connections to a target. external is set if the
+// target belongs to another cell.
 func (p *proxiedRequest) limitConnections(svc *table.Service, address string, external bool) {
 	if svc.MaxConns <= 0 {
 		return
--- a/core/relay/parts.go
+++ b/core/relay/parts.go
@@ -11,7 +11,7 @@
 	"embertally.dev/core/table"
 )
 
-// sharedParts are the parts that other requests have as well: all but the last.
+// sharedSegments returns the segments that other requests have in common: all but the last.
 func (p *proxiedRequest) sharedSegments() []cache.Part {
 	if len(p.meta.Parts) < 2 {
 		return nil
@@ -19,7 +19,7 @@
 	return p.meta.Parts[:len(p.meta.Parts)-1]
 }
 
-// shared is how many tokens they have.
+// sharedTokens returns the number of tokens in the shared segments.
 func (p *proxiedRequest) sharedTokens() int {
 	n := 0
 	for _, segment := range p.sharedSegments() {
@@ -28,29 +28,29 @@
 	return n
 }
 
-// sharedPart is what is known of one shared part under one version of the weights.
+// sharedSegment is what is known of a shared segment for one version of the weights.
 type sharedSegment struct {
 	cache.Part
 	name cache.PartName
-	// stores hold the part and may hand it out.
+	// stores are the KV-cache stores that hold the segment and may hand it out.
 	stores []cache.Place
-	// holders are the workers that are believed to hold it.
+	// holders are the workers expected to have it cached.
 	holders []holder
-	// read tells that some worker has read it lately.
+	// prefilledRecently is set if some worker has prefilled it recently.
 	prefilledRecently bool
 }
 
-// holder is a worker that is believed to hold a part.
+// holder is a worker that is expected to have a segment cached.
 type holder struct {
 	target *roster.Target
-	// depth says how much the worker has used since, and chance how likely it
-	// still holds the part.
+	// depth is how much of its cache the worker has used since, and chance how likely the segment
+	// is still there.
 	depth, chance float64
 }
 
-// find looks the shared parts up as they are under a version of the weights.
+// findSegments looks up the shared segments for a version of the weights.
 func (p *proxiedRequest) findSegments(version int64, now time.Time) []sharedSegment {
-	// Parts of superseded weights in stores are about to be freed.
+	// Segments of superseded weights are about to be freed in the stores.
 	copyable := version >= p.relay.options.Named(p.meta.Model) && p.relay.options.CopyMay() && !p.relay.options.Without.StoreCopies
 	salt := p.cacheSalt(version).String()
 	var out []sharedSegment
@@ -74,29 +74,28 @@
 	return out
 }
 
-// source is where a worker gets a part from.
+// source is where a worker gets a segment from.
 type source struct {
-	// here is the chance that the worker holds the part, and depth how much it has
-	// used since.
+	// cachedChance is the chance that the worker has the segment cached, and depth how much of its
+	// cache it has used since.
 	cachedChance, depth float64
-	// stored tells that a store holds the part.
+	// stored is set if a KV-cache store holds the segment.
 	stored bool
-	// address is the store or worker that the part can be copied from, or "", and
-	// chance how likely it still has the part.
+	// address is the store or worker to copy the segment from, or "", and chance how likely the
+	// segment is still there.
 	address string
 	chance  float64
-	// time is how long the copy takes once it has its turn, as was learned, and
-	// wait how long it waits for that.
+	// copyTime is the learned time of the copy, and queueTime how long it first waits for the link.
 	copyTime, queueTime time.Duration
-	// until is when a copy is void, on the targets' clock; 0 for workers, which
-	// free nothing that they hand out.
+	// deadline is when the copy must be discarded, on the targets' clock; 0 for copies from
+	// workers, which free nothing while they hand it out.
 	deadline time.Duration
 }
 
-// workerFirst is the wait before the first byte of a copy between workers.
+// workerCopyLatency is the time to the first byte of a copy between workers.
 const workerCopyLatency = 61 * time.Millisecond
 
-// source finds the best place for a worker to get a part from.
+// bestSource returns the best source of a segment for a worker.
 func (p *proxiedRequest) bestSource(svc *table.Service, t eligibleTarget, segment *sharedSegment, now time.Time) source {
 	best := source{stored: len(segment.stores) > 0}
 	destination := p.relay.options.Links.State(t.entry.Address, now)
@@ -117,9 +116,8 @@
 	return best
 }
 
-// offer makes a place to copy from the best one, if it is: where the time of the
-// copy and the risk that the part is read after all cost least. to is the state of
-// the worker's own link.
+// considerSource makes a candidate the best source if the time of its copy and the risk of having
+// to prefill the segment after all cost least. destination is the state of the worker's own link.
 func (p *proxiedRequest) considerSource(best *source, destination learn.LinkState, segment *sharedSegment, candidate source, now time.Time) {
 	origin := p.relay.options.Links.State(candidate.address, now)
 	candidate.copyTime = time.Duration(float64(candidate.copyTime) * origin.Slow * destination.Slow)
@@ -130,8 +128,7 @@
 	best.address, best.chance, best.copyTime, best.queueTime, best.deadline = candidate.address, candidate.chance, candidate.copyTime, candidate.queueTime, candidate.deadline
 }
 
-// copyCost returns what a copy costs where its time is all that an answer waits
-// for.
+// copyCost returns the cost of a copy if the answer waits for nothing else.
 func (p *proxiedRequest) copyCost(src *source, segment *sharedSegment) float64 {
 	prices := &p.relay.options.Prices
 	cost := (1 - src.chance) * prices.Again * float64(segment.Tokens)
@@ -141,19 +138,19 @@
 	return cost
 }
 
-// plan is how a worker gets the shared parts of a prompt.
+// segmentPlan is how a worker gets the shared segments of a prompt.
 type segmentPlan struct {
-	// sources are those of the parts, in the order of the prompt.
+	// sources are the sources of the segments, in prompt order.
 	sources []source
-	// copied is how many of them are copied: the first ones. Engines copy no part
-	// after one that no place is named for.
+	// copyCount is how many of the first segments are copied. Engines copy no segment after one
+	// without a source.
 	copyCount int
-	// time is when the last of them has arrived.
+	// copyTime is the time until the last copy has arrived.
 	copyTime time.Duration
 }
 
-// plan works out how a worker gets the shared parts. They are copied as long as
-// each can be in the time that a copy may take.
+// planSegments plans how a worker gets the shared segments. They are copied as long as each copy
+// can finish within the time limit of copies.
 func (p *proxiedRequest) planSegments(svc *table.Service, t eligibleTarget, segments []sharedSegment, now time.Time) segmentPlan {
 	var out segmentPlan
 	var queueTime, copyTime time.Duration
@@ -173,9 +170,8 @@
 	return out
 }
 
-// copyPays reports whether copying a part costs less than the risk that the worker
-// does not hold it after all. Engines copy what they are told to, also what they
-// hold.
+// copyWorthwhile reports whether copying a segment costs less than the risk that the worker does
+// not have it cached. Engines copy what they are told to, even what they have cached.
 func (p *proxiedRequest) copyWorthwhile(src *source, segment *sharedSegment) bool {
 	prices := &p.relay.options.Prices
 	gain := (1 - src.cachedChance) * src.chance * prices.Again * float64(segment.Tokens)
@@ -186,14 +182,14 @@
 	return src.cachedChance == 0 || (gain > cost && !p.relay.options.Without.SpareCopies)
 }
 
-// weigh adds how a worker gets the shared parts to what a decision knows of it:
-// held, copied or read, each as likely as it is.
+// applyTo adds to a candidate how many tokens are expected to be cached, copied and prefilled
+// again.
 func (pl *segmentPlan) applyTo(c *route.Candidate, segments []sharedSegment) {
 	c.CopyTime = pl.copyTime
 	prefixChance, cached, copied, recomputed := 1.0, 0.0, 0.0, 0.0
 	for i, segment := range segments {
 		src, tokens := &pl.sources[i], float64(segment.Tokens)
-		// What stands behind a part that is read is read as well.
+		// Segments after one that is prefilled are prefilled as well.
 		cachedChance, availableChance := prefixChance*src.cachedChance, prefixChance*src.cachedChance
 		if i < pl.copyCount {
 			availableChance += (prefixChance - cachedChance) * src.chance
@@ -201,7 +197,7 @@
 		cached += cachedChance * tokens
 		copied += (availableChance - cachedChance) * tokens
 		if segment.prefilledRecently || src.address != "" {
-			// What can be copied was read by some daemon's request.
+			// A segment that can be copied was prefilled for some daemon's request.
 			recomputed += (1 - availableChance) * tokens
 		}
 		prefixChance = availableChance
@@ -209,7 +205,7 @@
 	c.Kept, c.Copied, c.Again = int(cached), int(copied), int(recomputed)
 }
 
-// occupy records what the choice makes of links and of the worker's memory.
+// recordUse records the load of a choice on links and its use of the worker's cache.
 func (p *proxiedRequest) recordUse(c *choice, now time.Time) {
 	if c.attemptMeta.Weights == 0 || !p.relay.options.Placement.Exports() {
 		return
@@ -222,7 +218,7 @@
 	p.relay.options.Where.Note(p.cacheUse(c.eligible), now)
 }
 
-// use is what the request leaves in a worker's memory.
+// cacheUse returns the use of a worker's cache by the request.
 func (p *proxiedRequest) cacheUse(t eligibleTarget) cache.Use {
 	use := cache.Use{Target: t.target.ID(), Salt: p.cacheSalt(t.version).String(), Rest: p.meta.Prompt}
 	for _, segment := range p.sharedSegments() {
@@ -232,7 +228,8 @@
 	return use
 }
 
-// setCopy names the addresses that the first parts are copied from, and until when.
+// setCopySources sets the addresses that the first segments are copied from, and the deadline of
+// the copies.
 func (p *proxiedRequest) setCopySources(to *Sending, sources []source) {
 	if len(sources) == 0 {
 		return
@@ -246,8 +243,8 @@
 	}
 }
 
-// setKeep names the stores that parts are sent to: those parts that no store has
-// and that one has room for.
+// setStoreTargets sets the KV-cache store that each segment is to be written to: for segments that
+// no store holds, one with free capacity.
 func (p *proxiedRequest) setStoreTargets(to *Sending, sources []source, version int64, now clock.Time) {
 	stores := make([]string, len(p.meta.Parts))
 	found := false
@@ -265,9 +262,9 @@
 	}
 }
 
-// learnCopies records what the time to the first event of a stream says of the
-// links that its parts were copied over. Where the prompt waited as long to be
-// read as for its copies, it says little.
+// learnCopies learns the speed of the links that segments were copied over from the time to the
+// first event. Where the prompt waited for its prefill as long as for its copies, this tells
+// little.
 func (p *proxiedRequest) learnCopies(c *choice, took time.Duration, now time.Time) {
 	if c.plan.copyCount == 0 || p.relay.options.Without.LinkSpeeds {
 		return
@@ -279,6 +276,6 @@
 	p.relay.options.Links.Sample(from, c.target.Entry().Address, ratio, share, now)
 }
 
-// copyNoise is the time by which first events come sooner or later for other
-// reasons than copies: about the step of an engine.
+// copyNoise is how much first events vary for other reasons than copies: about one step of an
+// engine.
 const copyNoise = 30 * time.Millisecond
--- a/core/relay/placed.go
+++ b/core/relay/placed.go
@@ -12,19 +12,19 @@
 	"embertally.dev/core/wait"
 )
 
-// placement is a choice of this daemon that another one sends.
+// ownedPlacement is a choice of this daemon that another daemon sends.
 type ownedPlacement struct {
 	request *proxiedRequest
-	// choice is nil where its end was told before its begin.
+	// choice is nil if the end was reported before the start.
 	choice *choice
-	// load is what is still counted of it, and until is when it is given up.
+	// load is the load still counted for it, and deadline when it may be removed.
 	load     roster.Load
 	deadline time.Time
 }
 
 var errCannotPlace = errors.New("this daemon cannot decide about the prompt")
 
-// place answers what to do with a prompt that another daemon has.
+// handlePlace chooses a target for another daemon's request.
 func (h *Homes) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
 	p, svc := h.requestOf(request)
 	if svc == nil || (svc.Engine == nil && !h.relay.sharded(request.Service) && !request.NeedsPermit) {
@@ -33,7 +33,7 @@
 	h.relay.options.Roster.MergeLimits(request.RateLimits)
 	for {
 		c, reason := p.chooseLocal(svc, time.Now())
-		// The asker tells when it makes use of it.
+		// The other daemon reports if it uses the choice.
 		c.releaseLoad()
 		if c == nil || c.judgement.Gain <= 0 {
 			return nil, errors.Wrap(errCannotPlace, reason)
@@ -44,7 +44,7 @@
 	}
 }
 
-// passOf returns a request of another daemon as decisions see it.
+// requestOf returns another daemon's request in the form that decisions use.
 func (h *Homes) requestOf(request *placementRequest) (*proxiedRequest, *table.Service) {
 	now, t := time.Now(), h.relay.Table()
 	if t == nil {
@@ -66,7 +66,7 @@
 	return p, t.Service(request.Service)
 }
 
-// news takes what became of a choice.
+// handleUpdate processes an update on a choice.
 func (h *Homes) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
 	now := time.Now()
 	h.placementsMu.Lock()
@@ -76,7 +76,7 @@
 		if pl == nil {
 			h.addPlacement(update, now)
 		} else {
-			// Its end overtook it.
+			// The report of its end arrived first.
 			delete(h.placements, update.Name)
 		}
 		return struct{}{}, nil
@@ -96,7 +96,7 @@
 	return struct{}{}, nil
 }
 
-// put counts a choice that is sent. It is called with placedMu held.
+// addPlacement counts the load of a choice that is used. It is called with placementsMu held.
 func (h *Homes) addPlacement(update *placementUpdate, now time.Time) {
 	t := h.relay.options.Roster.Target(update.Response.Target)
 	p, svc := h.requestOf(update.Request)
@@ -115,7 +115,7 @@
 	h.relay.options.Placed()
 }
 
-// learn takes what came of the choice, and ends what is counted of it.
+// apply records the result of the choice and releases its load.
 func (pl *ownedPlacement) apply(update *placementUpdate, now time.Time) {
 	c := pl.choice
 	if update.ShuttingDown {
@@ -139,7 +139,7 @@
 	pl.releaseLoad(released)
 }
 
-// end takes back part of what is counted.
+// releaseLoad releases part of the counted load.
 func (pl *ownedPlacement) releaseLoad(l roster.Load) {
 	if pl.choice != nil {
 		pl.choice.target.End(l)
@@ -149,12 +149,12 @@
 	pl.load.Held -= l.Held
 }
 
-// Run gives up choices whose end was not told, until ctx ends.
+// Run removes placements whose end was not reported, until ctx ends.
 func (h *Homes) Run(ctx context.Context) {
 	wait.Every(ctx, expiryInterval, func() { h.removeExpired(time.Now()) })
 }
 
-// sweep gives up choices whose end was not told.
+// removeExpired removes placements whose end was not reported.
 func (h *Homes) removeExpired(now time.Time) {
 	h.placementsMu.Lock()
 	defer h.placementsMu.Unlock()
--- a/core/relay/regions.go
+++ b/core/relay/regions.go
@@ -6,11 +6,11 @@
 	"embertally.dev/core/table"
 )
 
-// regions are lists of regions that each bind a request: where it may run and its context
-// may be kept. Without a list it may be anywhere.
+// regions are lists of regions that all restrict where a request may run and its context may be
+// cached. Without a list there is no restriction.
 type regions [][]string
 
-// regionsOf returns those of a route and an organisation, which may be nil.
+// regionsOf returns the lists of a route and an organisation, which may be nil.
 func regionsOf(r *table.Route, o *table.Organisation) regions {
 	var out regions
 	if len(r.Regions) > 0 {
@@ -22,7 +22,7 @@
 	return out
 }
 
-// allow reports whether all lists name a region; one that is not known ("") none does.
+// allows reports whether all lists contain a region. An unknown region ("") is in none.
 func (rs regions) allows(region string) bool {
 	for _, list := range rs {
 		if region == "" || !slices.Contains(list, region) {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// allowed reports whether the request may run, and its context be kept, in a failure
+// domainAllowed reports whether the request may run, and its context be cached, in a failure
 // domain.
 func (p *proxiedRequest) domainAllowed(domain string) bool {
 	return len(p.regions) == 0 || p.regions.allows(p.relay.options.Regions[domain])
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -6,25 +6,25 @@
 	"embertally.dev/core/roster"
 )
 
-// share is the part of a service's targets that this daemon's requests go to.
+// targetShare holds those of a service's targets that this daemon uses.
 type targetShare struct {
-	// of are all targets of the service, and basis what they were shared out by.
+	// all are the targets of the service, and basis identifies the partition; see Options.Basis.
 	all   []*roster.Target
 	basis any
-	// own are those of this daemon, and part how many of all they are.
+	// own are the targets that this daemon uses, and fraction the fraction of all that these serve.
 	own      []*roster.Target
 	fraction float64
 }
 
-// shares remembers the shares of services, so that targets are not ranked anew for each request. The
-// zero value remembers none.
+// shareCache caches the shares by service, so that targets are not ranked for each request. The
+// zero value is ready for use.
 type shareCache struct {
 	sharesMu sync.Mutex
 	services map[string]*targetShare // guarded by sharesMu
 }
 
-// of returns the share of a service, worked out anew where its targets or what they are
-// shared out by have changed.
+// get returns the share of a service. It is computed again only if the targets or the basis have
+// changed.
 func (s *shareCache) get(service string, all []*roster.Target, o *Options) *targetShare {
 	var basis any
 	if o.Basis != nil {
@@ -49,7 +49,7 @@
 	return out
 }
 
-// shareOf works a share out.
+// computeShare computes the share of a service that is not sharded.
 func computeShare(all []*roster.Target, o *Options) *targetShare {
 	names := make([]string, len(all))
 	for i, t := range all {
@@ -68,8 +68,8 @@
 	return out
 }
 
-// dividedShare returns the targets that fall to this daemon's cell, which serve as large a part of
-// the requests as the cell has of the daemons.
+// shardedShare returns the targets that belong to this daemon's cell. They serve the same fraction
+// of the requests as the cell has of the daemons.
 func shardedShare(all []*roster.Target, o *Options) *targetShare {
 	out := &targetShare{all: all, fraction: float64(o.CellDaemons()) / float64(max(1, o.Daemons()))}
 	for _, t := range all {
@@ -80,7 +80,7 @@
 	return out
 }
 
-// sameList reports whether two lists are one and the same.
+// sameList reports whether two slices are the same list.
 func sameList(a, b []*roster.Target) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/core/relay/versions.go
+++ b/core/relay/versions.go
@@ -9,8 +9,9 @@
 	"embertally.dev/core/roster"
 )
 
-// versions returns the targets of a list that a request may go to where a version is on trial: of
-// that version only a few, so that each of them gets as many requests as if all did.
+// applyRollout returns the targets of a list that the request may go to during a rollout. While a
+// canary version is evaluated, only some of its targets are used, so that each of them gets as many
+// requests as in a completed rollout.
 func (p *proxiedRequest) applyRollout(list []*roster.Target) []*roster.Target {
 	canaryVersion := p.versions.Trial
 	if canaryVersion != "" && !slices.ContainsFunc(list, func(t *roster.Target) bool { return t.Entry().Version != canaryVersion }) {
@@ -38,8 +39,7 @@
 	return out
 }
 
-// preferred returns the options of the version that a request is to go to, or all where there are
-// none.
+// preferVersion returns the targets of the preferred version, or all if there are none.
 func (p *proxiedRequest) preferVersion(targets []eligibleTarget) []eligibleTarget {
 	if p.versions.Prefer == "" {
 		return targets
--- a/core/relay/waiters.go
+++ b/core/relay/waiters.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// waitAlone makes the request the one of this daemon that waits for a token of its service's targets,
-// and reports whether it is.
+// becomePermitWaiter makes the request the only one of this daemon that waits for a permit of its
+// service, and reports whether it is.
 func (p *proxiedRequest) becomePermitWaiter(isPermitWaiter *bool) bool {
 	*isPermitWaiter = *isPermitWaiter || p.relay.permitWaiters.enter(p.service)
 	return *isPermitWaiter
 }
 
-// waiters knows the services of which a request waits for a token. Of several that wait at one
-// daemon all but the first would wait for a time that none of them knows. The zero value knows none.
+// permitWaiters holds the services for which a request waits for a permit. Of several waiting
+// requests, all but the first would wait for an unknown time. The zero value is ready for use.
 type permitWaiters struct {
 	waitersMu sync.Mutex
 	services  map[string]bool // guarded by waitersMu
 }
 
-// enter reports whether no other request waits, and makes this one wait.
+// enter makes a request the waiter of a service, and reports false if there already is one.
 func (w *permitWaiters) enter(service string) bool {
 	w.waitersMu.Lock()
 	defer w.waitersMu.Unlock()
--- a/core/relay/without.go
+++ b/core/relay/without.go
@@ -1,7 +1,7 @@
 package relay
 
-// Without switches mechanisms off, so that what each is worth can be measured. The
-// zero value switches none off.
+// Without disables single mechanisms, to measure what each contributes. The zero value disables
+// none.
 type Without struct {
 	Times           bool `yaml:"times" doc:"Learning times to first answers: what is expected of targets stays as the settings say."`
 	Targets         bool `yaml:"targets" doc:"Learning which targets are slow or fail."`
