--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -141,10 +141,10 @@
 			out = append(out, copying)
 			continue
 		}
-		segments, found := segmentsOf[t.version]
+		segments, found := segmentsOf[t.weightVersion]
 		if !found {
-			segments = p.findSegments(t.version, now)
-			segmentsOf[t.version] = segments
+			segments = p.findSegments(t.weightVersion, now)
+			segmentsOf[t.weightVersion] = segments
 		}
 		copying.plan = p.planSegments(svc, t, segments, now)
 		prefill := copying
@@ -202,7 +202,7 @@
 		if !without.MemoryPressure {
 			c.Memory = svc.Engine.MemoryTokens
 		}
-		c.Old = t.version < p.relay.options.Named(p.meta.Model)
+		c.Old = t.weightVersion < p.relay.options.Named(p.meta.Model)
 	}
 	return c
 }
@@ -214,7 +214,7 @@
 	if svc.Engine == nil {
 		return
 	}
-	version := c.eligible.version
+	version := c.eligible.weightVersion
 	c.attemptMeta.Weights = version
 	c.load.Unread = c.factors.Own
 	c.load.Held = p.meta.Prompt
@@ -254,10 +254,10 @@
 		p.note("copied from %s", strings.Join(c.attemptMeta.Copy, ","))
 	}
 	if len(c.attemptMeta.Keep) > 0 {
-		p.note("sent to %s", strings.Join(c.attemptMeta.Keep, ","))
+		p.note("stored in %s", strings.Join(c.attemptMeta.Keep, ","))
 	}
 	candidate := &c.candidate
-	p.note("kept %d, copied %d of %d shared in %d tokens, before it %d, running %d, held %d, expected %s, in time %.2f, worth %.2f, version %d",
+	p.note("cached %d and copied %d of %d shared tokens, prompt %d tokens, queued %d tokens, running %d, in memory %d tokens, expected %s, on-time chance %.2f, utility %.2f, weights %d",
 		candidate.Kept, candidate.Copied, p.sharedTokens(), p.meta.Prompt, candidate.Unread, candidate.Running, candidate.Held, c.judgement.Expected.Round(time.Millisecond),
 		c.judgement.InTime, c.judgement.Worth, c.attemptMeta.Weights)
 }
--- a/core/relay/cold.go
+++ b/core/relay/cold.go
@@ -13,7 +13,7 @@
 // value is ready for use.
 type warmUpLimiter struct {
 	limiterMu sync.Mutex
-	paces     map[string]*route.Pace // by target ID; guarded by limiterMu
+	limiters  map[string]*route.Pace // by target ID; guarded by limiterMu
 }
 
 // allow reports whether a target may get one more of share requests per second. If consume is set,
@@ -21,7 +21,7 @@
 func (l *warmUpLimiter) allow(id string, share int, consume bool, now time.Time) bool {
 	l.limiterMu.Lock()
 	defer l.limiterMu.Unlock()
-	limiter := l.paces[id]
+	limiter := l.limiters[id]
 	if limiter == nil {
 		limiter = &route.Pace{}
 	}
@@ -37,18 +37,18 @@
 
 // add stores a target's limiter and removes idle ones. It is called with limiterMu held.
 func (l *warmUpLimiter) add(id string, limiter *route.Pace, now time.Time) {
-	if l.paces[id] == limiter {
+	if l.limiters[id] == limiter {
 		return
 	}
-	for other, p := range l.paces {
+	for other, p := range l.limiters {
 		if p.Idle(now) {
-			delete(l.paces, other)
+			delete(l.limiters, other)
 		}
 	}
-	if l.paces == nil {
-		l.paces = map[string]*route.Pace{}
+	if l.limiters == nil {
+		l.limiters = map[string]*route.Pace{}
 	}
-	l.paces[id] = limiter
+	l.limiters[id] = limiter
 }
 
 // warmUpAllows reports whether the warm-up rate limit of a target, if any, allows one more request.
--- a/core/relay/end.go
+++ b/core/relay/end.go
@@ -27,7 +27,7 @@
 		p.relay.options.Dialect.Refusal(p.w.Header(), p.meta.ID, refusal.RetryAfter)
 		p.note("%s", refusal.Error())
 		if err := refusal.Write(p.w, p.meta.ID); err != nil {
-			p.note("the caller has gone: %v", err)
+			p.note("the caller disconnected: %v", err)
 		}
 		p.writeLog(event.RequestRefused, took)
 	case p.aborted:
@@ -50,7 +50,7 @@
 // noteSkipped records the targets that a choice skipped for their self-reported state.
 func (p *proxiedRequest) noteSkipped() {
 	if len(p.skipped) > 0 {
-		p.note("passed over: %s", strings.Join(p.skipped, ", "))
+		p.note("skipped: %s", strings.Join(p.skipped, ", "))
 		p.skipped = nil
 	}
 }
@@ -80,7 +80,7 @@
 	if p.table != nil {
 		version = p.table.Version()
 	}
-	text := fmt.Sprintf("took %s%s, asks %s, configuration %d known %s ago, sends %d, runs %d; %s",
+	text := fmt.Sprintf("took %s%s, asks %s, configuration %d, view age %s, attempts %d, executions %d; %s",
 		took.Round(time.Millisecond), first, p.digest, version, p.relay.options.Age().Round(10*time.Millisecond), p.attempts, p.executions, strings.Join(p.notes, "; "))
 	if p.forecast != nil {
 		p.forecast.Sends = p.attempts
--- a/core/relay/hear.go
+++ b/core/relay/hear.go
@@ -10,7 +10,7 @@
 	}
 	if reply.Leaves {
 		p.relay.options.Stats.ReportedShutdown.Inc()
-		p.note("%s says that it leaves", c.target.ID())
+		p.note("%s reports that it is shutting down", c.target.ID())
 		c.report.recordShutdown()
 		if p.relay.options.Roster.Leaves(c.target.ID(), roster.ByAnswer) {
 			// Publish it at once: the next heartbeat may be a second away.
@@ -19,12 +19,12 @@
 	}
 	if reply.Rest > 0 || reply.Odd != "" {
 		p.relay.options.Stats.Pushbacks.Inc()
-		p.note("%s asks for %s of rest%s", c.target.ID(), reply.Rest, reply.Odd)
+		p.note("%s asks for pushback of %s%s", c.target.ID(), reply.Rest, reply.Odd)
 		p.relay.options.Roster.Turned(c.target.ID(), roster.Asked{Rest: reply.Rest, Odd: reply.Odd})
 	}
 	if l := reply.Limit; l.Named || l.Odd != "" {
 		p.relay.options.Stats.ReportedRateLimit.Inc()
-		p.note("%s names a limit of %g a second%s", c.target.ID(), l.PerSecond, l.Odd)
+		p.note("%s names a rate limit of %g per second%s", c.target.ID(), l.PerSecond, l.Odd)
 	}
 	if p.relay.options.Roster.HearLimit(c.target.ID(), reply.Limit, c.sentAt, reply.Sealed && !reply.NotRun) {
 		// Until other daemons receive this they send at the previous rate.
--- a/core/relay/hear_test.go
+++ b/core/relay/hear_test.go
@@ -208,7 +208,7 @@
 	r.roster.Leaves("a", roster.ByAnswer)
 	r.roster.Turned("b", roster.Asked{Rest: time.Minute})
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
-	r.g.Eventually(func() string { return r.lastLogLine(event.RequestDone) }, waitTimeout, pollInterval).Should(gomega.ContainSubstring("passed over: a leaves, b rests"))
+	r.g.Eventually(func() string { return r.lastLogLine(event.RequestDone) }, waitTimeout, pollInterval).Should(gomega.ContainSubstring("skipped: a leaves, b rests"))
 }
 
 // One daemon's answer tells its whole cell, within heartbeats.
--- a/core/relay/homes.go
+++ b/core/relay/homes.go
@@ -280,7 +280,7 @@
 			// It has no target for the request now.
 			return nil
 		case err != nil:
-			p.note("home %s: %v", peer, errors.Cause(err))
+			p.note("query to %s: %v", peer, errors.Cause(err))
 			continue
 		}
 		return p.choiceFromResponse(svc, peer, request, response)
--- a/core/relay/learned.go
+++ b/core/relay/learned.go
@@ -58,17 +58,17 @@
 // timingKey returns the key under which the times to first answers are learned, and their prior. It
 // contains the route, since the work of calls and the urgency of prompts depend on it.
 func (p *proxiedRequest) timingKey() (string, *learn.Prior) {
-	name := p.service + " " + p.route.Name
+	key := p.service + " " + p.route.Name
 	if svc := p.table.Service(p.service); svc != nil && svc.Engine != nil {
-		return name, &p.relay.options.Engines
+		return key, &p.relay.options.Engines
 	}
-	return name, &p.relay.options.Calls
+	return key, &p.relay.options.Calls
 }
 
 // estimate returns what has been learned of the times to first answers of such requests.
 func (p *proxiedRequest) estimate(now time.Time) *learn.Estimate {
-	kind, prior := p.timingKey()
-	return p.relay.options.Times.Estimate(kind, prior, now)
+	key, prior := p.timingKey()
+	return p.relay.options.Times.Estimate(key, prior, now)
 }
 
 // recordAnswer records an answer of a target, and whether it was good.
@@ -115,8 +115,8 @@
 // learnTime learns from the time to the first answer of a request for which nothing was copied.
 func (p *proxiedRequest) learnTime(c *choice, took time.Duration, now time.Time) {
 	if !p.relay.options.Without.Times {
-		kind, prior := p.timingKey()
-		p.relay.options.Times.Observe(kind, prior, c.factors, took, now)
+		key, prior := p.timingKey()
+		p.relay.options.Times.Observe(key, prior, c.factors, took, now)
 	}
 	if c.baseline > 0 && !p.relay.options.Without.Targets {
 		p.relay.options.Targets.Timed(c.target.ID(), p.service, float64(took)/float64(c.baseline), now)
@@ -166,7 +166,7 @@
 	factors := c.factors
 	factors.Own += tokens
 	prefillTime := e.Time(factors) - cachedTime
-	// Times vary by a share of themselves for other reasons.
+	// Times also vary for other reasons, in proportion to their length.
 	if tokens == 0 || prefillTime < cachedTime {
 		return
 	}
--- a/core/relay/options.go
+++ b/core/relay/options.go
@@ -22,12 +22,12 @@
 
 // eligibleTarget is a target that may get the request, with its state at the time of the decision.
 type eligibleTarget struct {
-	target  *roster.Target
-	entry   *roster.Entry
-	health  roster.Health
-	load    roster.Load
-	version int64
-	state   learn.TargetState
+	target        *roster.Target
+	entry         *roster.Entry
+	health        roster.Health
+	load          roster.Load
+	weightVersion int64
+	state         learn.TargetState
 }
 
 // ownEligibleTargets returns the eligible targets among those that this daemon uses, and the
@@ -36,14 +36,14 @@
 // only if none of its own answers.
 func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
 	all := p.relay.options.Roster.Of(p.service)
-	divided := p.relay.sharded(p.service)
-	if svc.Engine == nil && !divided {
+	sharded := p.relay.sharded(p.service)
+	if svc.Engine == nil && !sharded {
 		own, reason = p.eligibleTargets(svc, all, true, now)
 		return own, 1, reason
 	}
 	share := p.relay.shares.get(p.service, all, &p.relay.options)
 	own, reason = p.eligibleTargets(svc, share.own, true, now)
-	if divided || len(own) > 0 || reason == allFull || endsAtKnownTime(reason) {
+	if sharded || len(own) > 0 || reason == allFull || endsAtKnownTime(reason) {
 		// If all of its own are under pushback, what they turned away would overload the others.
 		// Sharded targets outside the cell are chosen by other cells.
 		return own, share.fraction, reason
@@ -89,13 +89,13 @@
 			rejected.full++
 			continue
 		}
-		candidate.version = candidate.entry.Weights[p.meta.Model]
-		if svc.Engine != nil && reloading[t.ID()] && candidate.version < p.relay.options.Named(p.meta.Model) {
+		candidate.weightVersion = candidate.entry.Weights[p.meta.Model]
+		if svc.Engine != nil && reloading[t.ID()] && candidate.weightVersion < p.relay.options.Named(p.meta.Model) {
 			rejected.full++
 			continue
 		}
 		candidate.state = p.relay.options.Targets.State(t.ID(), p.service, now)
-		if svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, candidate.version) {
+		if svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, candidate.weightVersion) {
 			rejected.outdated++
 			continue
 		}
--- a/core/relay/parts.go
+++ b/core/relay/parts.go
@@ -220,7 +220,7 @@
 
 // cacheUse returns the use of a worker's cache by the request.
 func (p *proxiedRequest) cacheUse(t eligibleTarget) cache.Use {
-	use := cache.Use{Target: t.target.ID(), Salt: p.cacheSalt(t.version).String(), Rest: p.meta.Prompt}
+	use := cache.Use{Target: t.target.ID(), Salt: p.cacheSalt(t.weightVersion).String(), Rest: p.meta.Prompt}
 	for _, segment := range p.sharedSegments() {
 		use.Parts = append(use.Parts, cache.UsedPart{ID: segment.ID, Tokens: segment.Tokens})
 		use.Rest -= segment.Tokens
--- a/core/relay/pass.go
+++ b/core/relay/pass.go
@@ -226,11 +226,11 @@
 	case p.attempts-p.executions > maxRefusals, p.relay.options.Without.Retries:
 		return false
 	case out == outcomeIncomplete && p.relay.options.Poison.Ends(p.digest) >= maxCrashes:
-		p.note("it may be what targets end of")
+		p.note("not retried: the request may crash targets")
 		return false
 	}
 	if !p.relay.spendRetry(p.service) {
-		p.note("retries are used up")
+		p.note("the retry budget is used up")
 		return false
 	}
 	p.relay.options.Stats.Retries.Inc()
--- a/core/relay/placed.go
+++ b/core/relay/placed.go
@@ -22,7 +22,7 @@
 	deadline time.Time
 }
 
-var errCannotPlace = errors.New("this daemon cannot decide about the prompt")
+var errCannotPlace = errors.New("this daemon cannot place the request")
 
 // handlePlace chooses a target for another daemon's request.
 func (h *Homes) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
@@ -104,8 +104,8 @@
 		return
 	}
 	c := update.Response.choice(t, update.Request.PromptTokens)
-	c.eligible = eligibleTarget{target: t, entry: t.Entry(), version: update.Response.WeightVersion}
-	c.plan = p.planSegments(svc, c.eligible, p.findSegments(c.eligible.version, now), now)
+	c.eligible = eligibleTarget{target: t, entry: t.Entry(), weightVersion: update.Response.WeightVersion}
+	c.plan = p.planSegments(svc, c.eligible, p.findSegments(c.eligible.weightVersion, now), now)
 	if len(update.Response.CopyFrom) == 0 {
 		c.plan.copyCount, c.plan.copyTime = 0, 0
 	}
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -23,8 +23,8 @@
 	body   []byte
 }
 
-// plain passes on an answer that is not a stream.
-func (p *proxiedRequest) plain(c *choice, in *target.Incoming, reply *Reply, sent time.Time) (outcome, *bufferedAnswer) {
+// passOnPlain passes on an answer that is not a stream.
+func (p *proxiedRequest) passOnPlain(c *choice, in *target.Incoming, reply *Reply, sent time.Time) (outcome, *bufferedAnswer) {
 	body, err := readAll(nil, io.LimitReader(in, maxBufferedBytes))
 	if err != nil {
 		return p.classifyTruncated(c, err), nil
@@ -112,6 +112,6 @@
 	}
 	a.writeHeader(p, int64(len(a.body)))
 	if _, err := p.w.Write(a.body); err != nil {
-		p.note("the caller has gone: %v", err)
+		p.note("the caller disconnected: %v", err)
 	}
 }
--- a/core/relay/send.go
+++ b/core/relay/send.go
@@ -68,14 +68,14 @@
 		p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
 	}
 	if p.route.Kind == table.Stream && in.Status == http.StatusOK {
-		out := p.stream(c, in, &reply, sent, onFirst)
+		out := p.passOnStream(c, in, &reply, sent, onFirst)
 		return out, nil
 	}
-	return p.plain(c, in, &reply, sent)
+	return p.passOnPlain(c, in, &reply, sent)
 }
 
 // errSlow ends the wait for a slow target if another one may be faster.
-var errSlow = errors.New("the target was slower than others are")
+var errSlow = errors.New("the target is too slow")
 
 // retryAdvantage is by how much the chance of an on-time answer must be higher at another target
 // before a slow one is abandoned: the second attempt takes a slot there.
@@ -162,7 +162,7 @@
 	switch {
 	case reply.ID != "" && reply.ID != p.meta.ID, reply.ID == "" && !reply.NotRun && !misdirected:
 		p.relay.options.Stats.MismatchedAnswers.Inc()
-		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer names request "+strconv.Quote(reply.ID))
+		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer is for request "+strconv.Quote(reply.ID))
 		in.Spoil()
 		p.attempts++
 		p.executions++
--- a/core/relay/stream.go
+++ b/core/relay/stream.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// stream passes on the events of an answer. If the stream breaks, another worker may resume the
+// passOnStream passes on the events of an answer. If the stream breaks, another worker may resume the
 // request after the last event that the caller has received.
-func (p *proxiedRequest) stream(c *choice, in *target.Incoming, reply *Reply, sent time.Time, onFirst func()) outcome {
+func (p *proxiedRequest) passOnStream(c *choice, in *target.Incoming, reply *Reply, sent time.Time, onFirst func()) outcome {
 	if !reply.Sealed || reply.Encoded {
 		in.Spoil()
 		p.recordAnswer(c, false)
@@ -75,7 +75,7 @@
 			p.recordAnswer(c, true)
 			p.recordFirstAnswer(c, sent)
 		}
-		if !newer(ev.id, p.lastEventID) {
+		if !isNewerEvent(ev.id, p.lastEventID) {
 			// The caller received this event from the previous worker.
 			continue
 		}
@@ -86,9 +86,9 @@
 	}
 }
 
-// newer reports whether an event comes after the last one passed on. IDs are rising decimal numbers
+// isNewerEvent reports whether an event comes after the last one passed on. IDs are rising decimal numbers
 // and are compared as digits.
-func newer(id, last string) bool {
+func isNewerEvent(id, last string) bool {
 	if id == "" || last == "" {
 		return true
 	}
--- a/core/relay/versions.go
+++ b/core/relay/versions.go
@@ -27,8 +27,8 @@
 		}
 	}
 	subset := map[string]bool{}
-	for _, name := range fleet.RankFirst(fleet.Key(p.versions.Prefer), ids, int(math.Ceil(p.versions.Few*float64(len(ids))))) {
-		subset[name] = true
+	for _, id := range fleet.RankFirst(fleet.Key(p.versions.Prefer), ids, int(math.Ceil(p.versions.Few*float64(len(ids))))) {
+		subset[id] = true
 	}
 	var out []*roster.Target
 	for _, t := range list {
