--- a/core/relay/awake_test.go
+++ b/core/relay/awake_test.go
@@ -12,8 +12,8 @@
 	"embertally.dev/core/clock"
 )
 
-// The machine is suspended while a target runs a request, which then breaks off: the second
-// target is handed what is left of the caller's time.
+// The box is suspended while a target runs a request whose answer then breaks off. The second
+// target must be given only what is left of the caller's time.
 func TestRetryAfterSystemSuspendGetsRemainingTime(t *testing.T) {
 	const slept = time.Second
 	r := newRig(t, nil)
--- a/core/relay/cold_test.go
+++ b/core/relay/cold_test.go
@@ -12,8 +12,8 @@
 	"embertally.dev/core/table"
 )
 
-// coldRig has a cold and a warm worker, and a cold plain target alone. A cold target
-// bears four requests a second.
+// warmUpRig returns a rig whose services allow targets that are warming up four requests per
+// second.
 func warmUpRig(t *testing.T) *rig {
 	r := newRig(t, nil)
 	old := r.relay.Table()
@@ -27,14 +27,14 @@
 	return r
 }
 
-// cool makes a target cold for a minute.
+// warmUp makes a target warm up for a minute.
 func (r *rig) warmUp(id string) {
 	e := *r.roster.Target(id).Entry()
 	e.Cold = time.Minute
 	r.roster.Put(e)
 }
 
-// askAll sends n requests at once and counts the answers by status.
+// countStatuses sends n requests at once and counts the answers by status.
 func (r *rig) countStatuses(n int, path string, headers ...string) map[int]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -130,7 +130,7 @@
 	}
 }
 
-// A stream that breaks when its domain is evacuated goes on elsewhere.
+// A stream that breaks when its domain is evacuated is resumed in another domain.
 func TestRetryAvoidsEvacuatedDomain(t *testing.T) {
 	r := newRig(t, nil)
 	breaks := stream(false, "id: 1\ndata: x\n\n")
--- a/core/relay/divided_test.go
+++ b/core/relay/divided_test.go
@@ -10,7 +10,8 @@
 	"embertally.dev/core/fleet"
 )
 
-// divide makes each daemon hold the workers of its own cell only, all but those that gone names.
+// shard makes the services sharded: each daemon keeps only the workers of its own cell. Workers of
+// the cells for which removed returns true are dropped everywhere.
 func (h *fleetRig) shard(removed func(cell int) bool) {
 	for i, f := range h.fleets {
 		r, view := h.rigs[i], f.View()
@@ -25,8 +26,8 @@
 	}
 }
 
-// Daemons that hold their cell's workers only serve each prompt, and its returns where its context
-// is kept.
+// Daemons that list only their cell's workers serve each prompt from the cell that owns its
+// context.
 func TestShardedPromptsAreServedByOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 12, always(stream(true, "id: 1\ndata: a\n\n")))
@@ -43,7 +44,7 @@
 	}
 }
 
-// A cell that has none of a service's targets left uses others.
+// A cell without targets of a service uses those of other cells.
 func TestCellWithoutTargetsUsesOtherCells(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 12, always(stream(true, "id: 1\ndata: a\n\n")))
@@ -58,7 +59,7 @@
 	}
 }
 
-// A target that only another cell's list holds is used by that list while it is fresh.
+// A target that is listed only in another cell is used while that cell's list is fresh.
 func TestOwnerWithStaleTargetListIsIgnored(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/core/relay/hear_test.go
+++ b/core/relay/hear_test.go
@@ -14,7 +14,7 @@
 	"embertally.dev/core/roster"
 )
 
-// says answers with a head of its own and no body.
+// respondHead answers with the given header lines and no body.
 func respondHead(status int, head string) handler {
 	return func(w *bufio.Writer, _ *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 %d X\r\nSeal: s\r\nContent-Length: 0\r\n%s\r\n", status, head)
@@ -22,13 +22,13 @@
 	}
 }
 
-// leaves reports whether a target is taken to leave.
+// shuttingDown reports whether the roster records a target as shutting down.
 func (r *rig) shuttingDown(id string) bool {
 	_, leaves := r.roster.Leaving(r.roster.Target(id))
 	return leaves
 }
 
-// Which heads are the word of the target that was asked.
+// A self-reported state counts only if the answer comes from the target that was asked.
 func TestSelfReportsAreAttributed(t *testing.T) {
 	tests := []struct {
 		name, path string
@@ -72,8 +72,8 @@
 	}
 }
 
-// A request that waits for a connection while another answer says that the target leaves is not
-// sent there.
+// A request waits for a connection while another answer reports that the target is shutting down.
+// It must not be sent there.
 func TestQueuedRequestIsNotSentToTargetShuttingDown(t *testing.T) {
 	r := newRig(t, nil)
 	arrived, release := make(chan struct{}), make(chan struct{})
@@ -86,7 +86,7 @@
 	first := make(chan callerAnswer)
 	go func() { first <- r.ask(http.MethodPost, "/once/", "x") }()
 	<-arrived
-	// It is chosen before the word comes, as by a race for the last connection.
+	// The target is chosen before the report arrives, as in a race for the last connection.
 	p := &proxiedRequest{relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second), tried: map[string]int{}}
 	p.r, _ = http.NewRequest(http.MethodPost, "/once/", http.NoBody)
 	p.r.RequestURI = "/once/"
@@ -102,14 +102,14 @@
 	r.g.Expect(r.roster.Target("a").Load()).To(gomega.Equal(roster.Load{}))
 }
 
-// A home in another cell that does not know that workers leave is told so with the question, and
-// chooses the one that stays.
+// The owner in another cell does not know that workers are shutting down. The query lists them, and
+// the owner chooses the remaining one.
 func TestOwnerIsSentExcludedWorkers(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, workers := h.ownerCell("context")
 	asker := h.outsideOf(cell)
-	// The asker alone knows that all workers of the home's cell but one leave.
+	// Only the querying daemon knows that all but one worker of the owner's cell are shutting down.
 	for _, id := range workers[1:] {
 		h.rigs[asker].roster.Leaves(id, roster.ByAnswer)
 	}
@@ -122,14 +122,14 @@
 	}
 }
 
-// Where all targets rest a request waits if the first rest ends soon enough for an answer in time;
-// else it is refused at once and told when that is.
+// If all targets are under pushback, a request waits if the first pushback ends early enough for an
+// answer on time. Otherwise it is refused at once, with the end of the pushback as Retry-After.
 func TestAllTargetsUnderPushback(t *testing.T) {
 	tests := []struct {
 		name  string
 		rests []time.Duration
-		// status is that of the first request that meets nothing but rests, and from when it is told
-		// to come back.
+		// status is that of the first request for which all targets are under pushback, and from
+		// the least Retry-After.
 		status int
 		from   time.Duration
 	}{
@@ -145,7 +145,8 @@
 				r.roster.Turned(id, roster.Asked{Rest: d})
 			}
 			start := time.Now()
-			// Of a route with an aim of ten seconds, so that a busy machine changes nothing.
+			// The route has a latency objective of ten seconds, so that a busy box does not change
+			// the result.
 			got := r.ask(http.MethodPost, "/again/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
@@ -161,8 +162,9 @@
 	}
 }
 
-// A burst meets four targets of which one rests: the others get no more at a time than before, so that
-// they are not driven to ask for rest in their turn, and the one that rests gets nothing.
+// A burst meets four targets, one of them under pushback. The others must get no more requests at a
+// time than their bound, so that they need no pushback themselves, and the one under pushback gets
+// none.
 func TestPushbackDoesNotOverloadOtherTargets(t *testing.T) {
 	const slots, callers = 4, 150
 	r := newRig(t, nil)
@@ -194,12 +196,12 @@
 	r.g.Expect(peak).NotTo(gomega.HaveKey("t-0"))
 	r.g.Expect(peak).To(gomega.HaveLen(3))
 	for id, n := range peak {
-		// Choices at one moment do not see each other's sends yet.
+		// Concurrent choices do not yet see each other's load.
 		r.g.Expect(n).To(gomega.BeNumerically("<=", 2*plainMaxLoad*slots), id)
 	}
 }
 
-// The line of a request names which targets were passed over by their own word.
+// The log line of a request names the targets that were skipped for their self-reported state.
 func TestLogLineNamesSkippedTargets(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("a", "plain", always(respond(200, "x")))
@@ -211,11 +213,11 @@
 	r.g.Eventually(func() string { return r.lastLogLine(event.RequestDone) }, waitTimeout, pollInterval).Should(gomega.ContainSubstring("skipped: a leaves, b rests"))
 }
 
-// One daemon's answer tells its whole cell, within heartbeats.
+// The answer to one daemon reaches its whole cell within some heartbeats.
 func TestShutdownReportReachesWholeCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(respondHead(200, "Id: try-1\r\nLeaves: 1\r\n")))
-	// Of no context, so that no home is asked.
+	// Without a shared segment, so that no owner is queried.
 	h.rigs[0].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
 	sends := h.rigs[0].received()
 	h.g.Expect(sends).NotTo(gomega.BeEmpty())
--- a/core/relay/homes_test.go
+++ b/core/relay/homes_test.go
@@ -18,24 +18,24 @@
 	"embertally.dev/core/roster"
 )
 
-// Bounds of waits: what is waited for takes milliseconds, a busy machine much longer.
+// Bounds of polling: events take milliseconds, but much longer on a busy box.
 const (
 	waitTimeout  = "60s"
 	pollInterval = "10ms"
 )
 
-// homesRig is a fleet of relays before the same workers.
+// fleetRig is a fleet of relays in front of the same workers.
 type fleetRig struct {
 	g      *gomega.WithT
 	rigs   []*rig
 	fleets []*fleet.Fleet
 	owners []*Homes
 	stop   []context.CancelFunc
-	// ids are the workers.
+	// workers are the IDs of the workers.
 	workers []string
 }
 
-// newHomesRig runs some daemons before some workers that answer as handle says.
+// newFleetRig starts daemons and workers that answer as handle says.
 func newFleetRig(t *testing.T, daemons, workers int, handle func(n int) handler) *fleetRig {
 	h := &fleetRig{g: gomega.NewWithT(t)}
 	var seeds []fleet.Peer
@@ -50,7 +50,7 @@
 	t.Cleanup(wg.Wait)
 	for i, seed := range seeds {
 		r := newRig(t, nil)
-		// The times of real engines, not of this rig's.
+		// Keep the times of real engines: this rig's are not to be learned.
 		r.relay.options.Without.Times, r.relay.options.Without.Targets = true, true
 		f := fleet.New(fleet.Options{
 			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: 250 * time.Millisecond, Suspect: 10 * time.Second, Log: &event.Log{},
@@ -61,7 +61,7 @@
 		r.relay.options.Daemons = func() int { return daemons }
 		r.relay.options.Placed = f.Kick
 		homes := NewHomes(r.relay, f)
-		// A busy machine takes longer than a home may.
+		// A busy box takes longer than an owner may.
 		homes.timeout = 10 * time.Second
 		h.owners = append(h.owners, homes)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -84,7 +84,7 @@
 	return h
 }
 
-// cell returns the cell of a context, and the workers that belong to it.
+// ownerCell returns the cell that owns a context, and the workers that this cell uses.
 func (h *fleetRig) ownerCell(context string) (cell int, workers []string) {
 	cell = h.fleets[0].View().WeighedCell(fleet.Key(context))
 	for _, f := range h.fleets {
@@ -95,7 +95,7 @@
 	return cell, nil
 }
 
-// outside returns a daemon of another cell.
+// outsideOf returns a daemon of another cell.
 func (h *fleetRig) outsideOf(cell int) int {
 	for i, f := range h.fleets {
 		if f.View().Cell() != cell {
@@ -106,12 +106,12 @@
 	return -1
 }
 
-// ask asks a daemon about a context of 6,000 tokens.
+// ask sends a request with a context of 6,000 tokens to a daemon.
 func (h *fleetRig) ask(daemon int, context string) callerAnswer {
 	return h.rigs[daemon].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", context+":6000 own:100")
 }
 
-// knowing reports whether some daemon of a cell knows that a worker holds a context.
+// cachedIn reports whether some daemon of a cell knows a worker that has a context cached.
 func (h *fleetRig) cachedIn(cell int, context string) func() bool {
 	return func() bool {
 		name := cache.PartName{Salt: cache.PartSalt{Model: "m", Version: 1}.String(), ID: context}
@@ -124,7 +124,7 @@
 	}
 }
 
-// counted returns the work that homes count for other daemons.
+// placements returns the number of choices that owners count for other daemons.
 func (h *fleetRig) placements() int {
 	n := 0
 	for _, o := range h.owners {
@@ -135,7 +135,7 @@
 	return n
 }
 
-// settle waits until no daemon counts any work, its own or what others told: a home whose
+// waitIdle waits until no daemon counts any load, its own or reported by others: an owner whose
 // workers are busy may be passed over.
 func (h *fleetRig) waitIdle() {
 	h.g.Eventually(h.placements, waitTimeout, pollInterval).Should(gomega.BeZero())
@@ -146,7 +146,8 @@
 	}
 }
 
-// A fleet of two cells kept each context in both, and found it in a worker half as often.
+// Without owners, a fleet of two cells cached each context in both, and half as many requests found
+// theirs cached.
 func TestContextStaysInOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
@@ -165,7 +166,7 @@
 	}
 }
 
-// Who cannot reach a home decides by itself.
+// A daemon that cannot reach the owner decides itself.
 func TestUnreachableOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
@@ -182,7 +183,7 @@
 	}
 }
 
-// A home that has no place is no reason to refuse while this cell has one.
+// If the owner has no free target, the request is served by its own cell.
 func TestFullOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
@@ -200,7 +201,7 @@
 			h.g.Expect(h.ask(i, "a1").status).To(gomega.Equal(http.StatusOK))
 		}
 	}
-	// Another context of the same home: the first is held elsewhere now.
+	// Another context of the same owner, since the first is now cached elsewhere.
 	other := "b0"
 	for n := 1; h.fleets[0].View().WeighedCell(fleet.Key(other)) != cell; n++ {
 		other = fmt.Sprintf("b%d", n)
@@ -214,7 +215,7 @@
 		}
 	}
 	h.waitIdle()
-	// It is asked again: that it had no place is no silence.
+	// The owner is queried again: having no free target does not put it into backoff.
 	for i, f := range h.fleets {
 		if f.View().Cell() != cell {
 			h.g.Expect(h.ask(i, other).status).To(gomega.Equal(http.StatusOK))
--- a/core/relay/limit_test.go
+++ b/core/relay/limit_test.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/roster"
 )
 
-// limits is the head of an answer that names a request rate.
+// limitHeader returns the header line that names a rate limit.
 func limitHeader(perSecond float64) string {
 	return "Limit: " + strconv.FormatFloat(perSecond, 'g', -1, 64) + "\r\n"
 }
@@ -41,8 +41,8 @@
 	}
 }
 
-// Where all targets are over their limits the time of the next token is told. One request waits for it
-// where that is soon enough; the others are refused at once.
+// If all targets are rate-limited, the refusal gives the time of the next permit. One request waits
+// for it if that is soon enough; the others are refused at once.
 func TestAllTargetsRateLimited(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -84,7 +84,7 @@
 	g.Expect(w.enter("a")).To(gomega.BeTrue())
 }
 
-// The token of a request that no connection was there for is given back.
+// The permit of a request that got no connection is returned.
 func TestUnusedPermitIsReturned(t *testing.T) {
 	r := newRig(t, nil)
 	unreachable := r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
@@ -103,21 +103,22 @@
 	r.g.Expect(may).To(gomega.BeTrue())
 }
 
-// waitForToken takes the next token of a target once its limit is higher.
+// waitForPermit raises the rate limit of a target and takes the next permit.
 func (r *rig) waitForPermit(target *roster.Target) (permit roster.Token) {
 	r.roster.MergeLimits(map[string]roster.LimitNews{target.ID(): {On: true, PerSecond: 20, Seq: 9}})
 	r.g.Eventually(func() (granted bool) { permit, granted = r.roster.Take(target); return granted }, waitTimeout, pollInterval).Should(gomega.BeTrue())
 	return permit
 }
 
-// A home is told of the limits that the asker knows. It takes the tokens of its workers, and without one
-// the asker does not send there.
+// The query tells the owner the rate limits that the sender knows. The owner takes the permits of
+// its workers; without a permit the sender does not send there.
 func TestOwnerTakesPermits(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, workers := h.ownerCell("context")
 	asker := h.outsideOf(cell)
-	// The asker alone knows that the workers of the home's cell take one request in 10 s.
+	// Only the querying daemon knows that the workers of the owner's cell accept one request in 10
+	// s.
 	reported := map[string]roster.LimitNews{}
 	for _, id := range workers {
 		reported[id] = roster.LimitNews{On: true, PerSecond: 0.1, Seq: 1}
@@ -134,7 +135,7 @@
 	for _, s := range h.rigs[0].received() {
 		h.g.Expect(strings.Join(workers, " ")).NotTo(gomega.ContainSubstring(s.target), "the home had no token")
 	}
-	// With tokens the home's choice is sent.
+	// With permits the owner's choice is used.
 	for i, f := range h.fleets {
 		if f.View().Cell() == cell {
 			h.rigs[i].roster.MergeLimits(raised(reported))
@@ -152,7 +153,7 @@
 	}, waitTimeout, pollInterval).Should(gomega.BeNumerically(">", 0))
 }
 
-// higher returns limits that leave something soon.
+// raised returns the limits with a rate that yields permits soon.
 func raised(limits map[string]roster.LimitNews) map[string]roster.LimitNews {
 	out := map[string]roster.LimitNews{}
 	for id, limit := range limits {
@@ -162,14 +163,14 @@
 	return out
 }
 
-// A daemon that does not use the limited targets has its request sent by the token of one that does.
+// A daemon that does not use the rate-limited target gets a permit from one that does.
 func TestDaemonWithoutPermitsQueriesPermitHolders(t *testing.T) {
 	h := newFleetRig(t, 6, 1, always(limitedStreamAnswer(20)))
 	reported := map[string]roster.LimitNews{h.workers[0]: {On: true, PerSecond: 20, Seq: 1}}
 	for i, r := range h.rigs {
 		view := h.fleets[i].View
 		r.roster.Place = func(*roster.Target) (int, int) {
-			// Of all but the last daemon.
+			// All daemons but the last one use the target.
 			if view().Self() == "entry-05" {
 				return 100, 100
 			}
@@ -183,7 +184,7 @@
 	h.g.Expect(h.rigs[5].roster.Limited()[0].Holds).To(gomega.BeFalse())
 }
 
-// An answer that the target did not sign may be anybody's: it ends no limit.
+// An answer that is not signed may come from any target, so it does not end a rate limit.
 func TestUnsignedAnswerKeepsRateLimit(t *testing.T) {
 	r := newRig(t, nil)
 	unsigned := func(w *bufio.Writer, req *http.Request) error {
@@ -197,7 +198,7 @@
 	}
 }
 
-// limitedStream is a stream whose head names a request rate.
+// limitedStreamAnswer returns a stream whose header names a rate limit.
 func limitedStreamAnswer(perSecond float64) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\n%sTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n", r.Header.Get("Id"), limitHeader(perSecond))
@@ -205,13 +206,14 @@
 	}
 }
 
-// Contexts have homes in either of two cells, and all workers name a limit: no way of choosing exceeds it.
+// Contexts are owned by two cells, and all workers name a rate limit. It must hold for local
+// choices, owners' choices and permits of other daemons together.
 func TestRateLimitHoldsAcrossCells(t *testing.T) {
 	const perSecond, convergence, duration, window = 3, time.Second, 6 * time.Second, 4 * time.Second
 	h := newFleetRig(t, 24, 4, always(limitedStreamAnswer(perSecond)))
 	for i, r := range h.rigs {
 		f := h.fleets[i]
-		// As View.Place, which goes by a list of boxes that these daemons do not have.
+		// As View.Place, which needs a list of boxes that these daemons do not have.
 		r.roster.Place = func(t *roster.Target) (int, int) {
 			cell := f.View().OnDuty()
 			return fleet.Place(fleet.Key(t.ID()), cell, f.View().Self()), len(cell)
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -13,8 +13,8 @@
 	tests := []struct {
 		name                string
 		route, organisation []string
-		// to are the workers that may run the request: w1 in the north, w2 in the
-		// south, w3 in a domain whose region is not known.
+		// to are the workers that may run the request: w1 in the north, w2 in the south, w3 in a
+		// domain without a known region.
 		to []string
 	}{
 		{"none", nil, nil, []string{"w1", "w2", "w3"}},
@@ -37,7 +37,7 @@
 				Version: old.Version() + 1, Routes: routes, Services: []table.Service{*old.Service("plain"), *old.Service("llm")},
 				Organisations: []table.Organisation{{Name: "org", Keys: []string{"secret"}, Regions: tc.organisation}},
 			}))
-			// The first two break each stream, so that a second try is made.
+			// All workers break off each stream, so that requests are retried.
 			for i := 1; i <= 3; i++ {
 				id := fmt.Sprintf("w%d", i)
 				r.target(id, "llm", always(hangUp))
@@ -61,7 +61,7 @@
 	}
 }
 
-// A home that does not know of a caller's regions, or has been told wrongly, is not obeyed.
+// The choice of an owner that does not know the caller's regions, or knows wrong ones, is rejected.
 func TestOwnerChoiceOutsideRegionsIsRejected(t *testing.T) {
 	r := newRig(t, nil)
 	r.relay.options.Regions = map[string]string{"d1": "north", "d2": "south"}
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// A route that is still there may lead elsewhere by now.
+// A route of a superseded configuration may lead to another service by now.
 func TestOverdueConfigurationIsRefused(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("t1", "plain", always(respond(200, "ok")))
@@ -130,8 +130,7 @@
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "y").status).To(gomega.Equal(200))
 }
 
-// Callers are told to come back when the cause is expected to have ended, within
-// a third of their time.
+// The Retry-After is when the cause is expected to have ended, within a third of the caller's time.
 func TestRetryAfterOfRefusals(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -217,7 +216,7 @@
 			r := newRig(t, nil)
 			r.target("t1", "llm", tc.first)
 			if tc.second != nil {
-				// The first one is chosen: the second is busy.
+				// The first one is chosen, since the second is busy.
 				r.target("t2", "llm", tc.second)
 				r.roster.Target("t2").Begin(roster.Load{Running: 3})
 			}
@@ -271,7 +270,7 @@
 	r.g.Expect(r.received()).To(gomega.HaveLen(13))
 }
 
-// keptPart makes the rig's stores hold one part under a salt.
+// storeSegment waits until the rig's KV-cache store is known to hold a segment under a salt.
 func storeSegment(r *rig, salt, id string) {
 	r.kept.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
 	name := cache.PartName{Salt: salt, ID: id}
@@ -310,8 +309,7 @@
 	}
 }
 
-// Parts of any size are kept and copied. Engines copy no part after one that no
-// place is named for.
+// Segments of any size are stored and copied. Engines copy no segment after one without a source.
 func TestSegmentsOfAnySizeAreStoredAndCopied(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	part := func(id string, tokens int) cache.PartChange {
@@ -343,8 +341,8 @@
 	}
 }
 
-// Of the places that hold a part, the one that is expected to hand it out first
-// is named; where none can within the time of a copy, the part is read.
+// Of several sources, the one with the earliest expected end of the copy is used. If none can
+// finish within the time limit of copies, the segment is prefilled.
 func TestFastestCopySourceIsChosen(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
@@ -391,14 +389,14 @@
 	}
 }
 
-// A part that the worker may have pushed out is copied as well, where that costs
-// less than the risk.
+// A segment that the worker may have evicted is copied if that costs less than the risk of
+// prefilling it again.
 func TestProbablyEvictedSegmentsAreCopied(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
 	tests := []struct {
 		name string
-		// used is what the worker got since, in tokens of its room of 20,000.
+		// used is how many tokens the worker has cached since, of its capacity of 20,000.
 		used int
 		copy string
 	}{
@@ -469,7 +467,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			// Workers that read any prompt in time, if they have the memory.
+			// Workers that prefill any prompt on time if they have the memory.
 			r.relay.options.Engines.Own = time.Millisecond / 10
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("t1").Begin(roster.Load{Running: 1, Held: tc.held})
@@ -480,8 +478,8 @@
 	}
 }
 
-// Other daemons hear of a prompt while it runs, with the work that it adds, so
-// that they do not all take the same worker.
+// Other daemons receive a prompt's load while it runs, so that they do not all choose the same
+// worker.
 func TestPromptsArePublishedAtOnce(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -540,14 +538,14 @@
 	r.g.Expect(len(a.body)).To(gomega.Equal(len(large)))
 }
 
-// A daemon of a large fleet expects of its cell's workers what its own callers bring as
-// often as there are daemons in the cell, not in the fleet: it took its callers to bring
-// 25 times what they do, and refused prompts wherever a short line stood.
+// A daemon of a large fleet must expect on its cell's workers its own request rate times the number
+// of daemons in the cell, not in the fleet. With the latter it expected 25 times the real rate and
+// refused prompts wherever a short queue was.
 func TestQueueCostCountsOnlyTheCellsDaemons(t *testing.T) {
 	const workers, share, daemons, callers = 150, 6, 300, 4
 	r := newRig(t, nil)
 	r.relay.options.Daemons = func() int { return daemons }
-	// The times of real engines, not of this rig's.
+	// Keep the times of real engines: this rig's are not to be learned.
 	r.relay.options.Without.Times, r.relay.options.Without.Targets = true, true
 	var own []string
 	r.relay.options.Share = func([]string) []string { return own }
@@ -555,7 +553,7 @@
 		id := "own-" + strconv.Itoa(i)
 		own = append(own, id)
 		r.target(id, "llm", always(stream(true, "id: 1\ndata: a\n\n")))
-		// A line of 0.3 s, where answers are in time within a second.
+		// A queue of 0.3 s; answers within a second are on time.
 		r.roster.Target(id).Begin(roster.Load{Running: 1, Unread: 15000, Held: 15000})
 	}
 	for i := range workers - share {
@@ -567,9 +565,9 @@
 	}
 }
 
-// While links are slow, copies for long prompts fill them. A short prompt reads in some
-// milliseconds what it would wait for behind these: on a day with half of the large
-// stores four times slower, one short answer in seven was late.
+// While links are slow, copies for long prompts fill them. A short prompt is prefilled in some
+// milliseconds, but its copy would wait behind these: with half of the large stores four times
+// slower, one short answer in seven missed its latency objective.
 func TestShortPromptIsPrefilledInsteadOfWaitingForCopy(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
@@ -588,7 +586,7 @@
 			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 400}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, "text")
-			// It was read lately: reading it again has its price.
+			// The segment was prefilled recently, so prefilling it again has a cost.
 			r.relay.options.Where.Note(cache.Use{Target: "gone", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 400}}}, time.Now())
 			if tc.behind > 0 {
 				r.relay.options.Links.Begin("store:1", "else", tc.behind, time.Now())
@@ -601,13 +599,13 @@
 	}
 }
 
-// A worker that changes its weights refuses what comes. Who gave the order tells its own
-// cell only; the others learn it from the first refusal, not from each.
+// A worker that is changing its weights refuses requests. The daemon that gave the order publishes
+// it only in its own cell; other cells must learn it from the first refusal, not from each.
 func TestReloadingWorkerIsSkipped(t *testing.T) {
 	tests := []struct {
 		name  string
 		named int64
-		// sends is how many it gets of five requests.
+		// sends matches the number of its requests, of five.
 		sends gomega.OmegaMatcher
 	}{
 		{"newer weights are named", 2, gomega.Equal(1)},
@@ -635,8 +633,8 @@
 	}
 }
 
-// A request that was given up since it was blocked gets an answer also where the block is taken
-// back at that moment.
+// A request that was given up because it was blocked gets a refusal even if the block is lifted at
+// that moment.
 func TestUnblockedRequestStillGetsARefusal(t *testing.T) {
 	r := newRig(t, nil)
 	req := httptest.NewRequest(http.MethodPost, "/once/", nil)
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -25,7 +25,7 @@
 	"embertally.dev/core/target"
 )
 
-// plainDialect is a dialect with names of its own.
+// testDialect is a dialect with header names of its own.
 type testDialect struct{}
 
 func (testDialect) Ask(h http.Header) (Ask, error) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// seen is one request as a target got it.
+// receivedRequest is a request as a target received it.
 type receivedRequest struct {
 	target string
 	method string
@@ -85,11 +85,10 @@
 	at     time.Time
 }
 
-// handler answers one request on a connection of a target; an error closes
-// the connection.
+// handler answers one request on a connection of a target; an error closes the connection.
 type handler func(w *bufio.Writer, r *http.Request) error
 
-// fakeTarget answers requests as a test wants.
+// fakeTarget is a target whose answers a test defines.
 type fakeTarget struct {
 	id     string
 	rig    *rig
@@ -136,7 +135,7 @@
 	}
 }
 
-// rig is a relay before fake targets.
+// rig is a relay in front of fake targets.
 type rig struct {
 	t          *testing.T
 	g          *gomega.WithT
@@ -148,7 +147,7 @@
 	desired    int64
 	minWeights int64
 	stale      bool
-	// lacks is for how long a newer configuration has been lacking.
+	// configOverdue is the result of Options.Lacks.
 	configOverdue time.Duration
 
 	mu       sync.Mutex
@@ -168,7 +167,7 @@
 	return append([]receivedRequest(nil), r.requests...)
 }
 
-// noStores is a watcher of stores that hold what a test says.
+// fakeStores is a watcher of KV-cache stores that hold the given segments.
 type fakeStores struct{ segments []cache.PartChange }
 
 func (n fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.PartEvents, error) {
@@ -194,8 +193,7 @@
 	{Name: "short", Host: "h", Prefix: "/short/", Kind: table.Once, Timeout: 150 * time.Millisecond, Attempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
 }
 
-// What is expected before anything was observed, and prices as those of the
-// settings.
+// Priors and prices, the latter as in the default settings.
 var (
 	enginePrior = learn.Prior{Fixed: 50 * time.Millisecond, Own: 20 * time.Millisecond, Before: 20 * time.Millisecond, Beside: 50 * time.Millisecond, Crowd: 300 * time.Millisecond, Waiting: time.Second, Spread: 0.5, Weight: 5}
 	callPrior   = learn.Prior{Fixed: 40 * time.Millisecond, Waiting: 40 * time.Millisecond, Spread: 0.5, Weight: 5}
@@ -241,12 +239,12 @@
 // always answers every request in the same way.
 func always(h handler) func(int) handler { return func(int) handler { return h } }
 
-// inTurn answers with one handler after the other, the last one for ever.
+// inSequence uses one handler after the other, and the last one from then on.
 func inSequence(hs ...handler) func(int) handler {
 	return func(n int) handler { return hs[min(n, len(hs)-1)] }
 }
 
-// answers is a whole answer with a body.
+// respond returns a complete answer with a body and extra header lines.
 func respond(status int, body string, extra ...string) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 %d X\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n%s\r\n%s",
@@ -255,16 +253,16 @@
 	}
 }
 
-// declines says that the request was not run.
+// refuse answers that the request was not executed.
 func refuse(w *bufio.Writer, _ *http.Request) error {
 	fmt.Fprint(w, "HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	return nil
 }
 
-// hangsUp closes the connection without an answer.
+// hangUp closes the connection without an answer.
 func hangUp(*bufio.Writer, *http.Request) error { return io.ErrClosedPipe }
 
-// streams answers with the given bytes in chunks; whole ends the stream.
+// stream answers with the given chunks. If whole is not set, the connection is closed after them.
 func stream(whole bool, chunks ...string) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -281,7 +279,7 @@
 	}
 }
 
-// got is an answer as the caller got it.
+// callerAnswer is an answer as the caller received it.
 type callerAnswer struct {
 	status int
 	header http.Header
@@ -289,7 +287,7 @@
 	err    error
 }
 
-// ask sends a request as a caller. Headers are name and value in turn.
+// ask sends a request as a caller. headers are alternating names and values.
 func (r *rig) ask(method, path, body string, headers ...string) callerAnswer {
 	req, err := http.NewRequest(method, r.front.URL+path, strings.NewReader(body))
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -308,7 +306,7 @@
 	return callerAnswer{resp.StatusCode, resp.Header, string(raw), err}
 }
 
-// line returns the text of the newest line of a kind, or "".
+// lastLogLine returns the text of the newest log line with a code, or "".
 func (r *rig) lastLogLine(code event.Code) string {
 	text := ""
 	for _, ev := range r.log.Since(0, 1<<20) {
--- a/core/relay/share_test.go
+++ b/core/relay/share_test.go
@@ -11,7 +11,7 @@
 	"embertally.dev/core/roster"
 )
 
-// listed returns a roster of some targets.
+// listedTargets returns a roster with n targets.
 func listedTargets(n int) *roster.Roster {
 	r := roster.New(&event.Log{}, nil)
 	for i := range n {
@@ -55,8 +55,8 @@
 	g.Expect(calls).To(gomega.Equal(5), "nothing says that it is the same")
 }
 
-// BenchmarkShare works the share of a daemon out of 3,000 targets for each request, and
-// takes the remembered one.
+// BenchmarkShare computes a daemon's share of 3,000 targets for each request, and takes the cached
+// one.
 func BenchmarkShare(b *testing.B) {
 	list := listedTargets(3000).Of("llm")
 	o := &Options{Share: func(names []string) []string { return fleet.Rank(7, names)[:120] }}
--- a/core/relay/versions_test.go
+++ b/core/relay/versions_test.go
@@ -11,7 +11,8 @@
 	"embertally.dev/core/canary"
 )
 
-// Which versions requests reach while a roll-out is on trial, moves, or was taken back.
+// Which versions requests reach during a rollout: while the canary is evaluated, while traffic
+// moves, and after a rollback.
 func TestRequestsFollowRollout(t *testing.T) {
 	const requests = 200
 	tests := []struct {
@@ -19,8 +20,8 @@
 		phase canary.Phase
 		// targets are the versions of the listed targets.
 		targets []string
-		// least and most bound the requests that reach v2; the others reach v1, or are refused
-		// where refused is set.
+		// least and most bound the requests that reach v2. The others reach v1, or are refused if
+		// refused is set.
 		least, most int
 		refused     bool
 	}{
