--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -257,7 +257,7 @@
 		p.note("stored in %s", strings.Join(c.attemptMeta.Keep, ","))
 	}
 	candidate := &c.candidate
-	p.note("cached %d and copied %d of %d shared tokens, prompt %d tokens, queued %d tokens, running %d, in memory %d tokens, expected %s, on-time chance %.2f, utility %.2f, weights %d",
+	p.note("cached %d and copied %d of %d shared tokens, prompt %d tokens, queued %d tokens, running %d, held %d tokens, expected %s, on-time chance %.2f, utility %.2f, weights %d",
 		candidate.Kept, candidate.Copied, p.sharedTokens(), p.meta.Prompt, candidate.Unread, candidate.Running, candidate.Held, c.judgement.Expected.Round(time.Millisecond),
 		c.judgement.InTime, c.judgement.Worth, c.attemptMeta.Weights)
 }
--- a/core/relay/divided_test.go
+++ b/core/relay/divided_test.go
@@ -33,14 +33,14 @@
 	h := newFleetRig(t, daemons, 12, always(stream(true, "id: 1\ndata: a\n\n")))
 	h.shard(func(int) bool { return false })
 	const context = "c1"
-	home := h.fleets[0].View().KeyCell(fleet.Key(context))
+	owner := h.fleets[0].View().KeyCell(fleet.Key(context))
 	for i := range daemons {
 		got := h.ask(i, context)
 		h.g.Expect(got.status).To(gomega.Equal(http.StatusOK), "daemon %d: %s", i, got.body)
 		h.waitIdle()
 	}
 	for _, s := range h.rigs[0].received() {
-		h.g.Expect(h.fleets[0].View().TargetCell(s.target, "")).To(gomega.Equal(home))
+		h.g.Expect(h.fleets[0].View().TargetCell(s.target, "")).To(gomega.Equal(owner))
 	}
 }
 
@@ -68,8 +68,8 @@
 		want    bool
 	}{
 		{"fresh", 100 * time.Millisecond, true, true},
-		{"old", maxExternalListAge + time.Millisecond, true, false},
-		{"of a service that is not divided", 0, false, false},
+		{"stale", maxExternalListAge + time.Millisecond, true, false},
+		{"service that is not sharded", 0, false, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/relay/hear_test.go
+++ b/core/relay/hear_test.go
@@ -24,8 +24,8 @@
 
 // shuttingDown reports whether the roster records a target as shutting down.
 func (r *rig) shuttingDown(id string) bool {
-	_, leaves := r.roster.Leaving(r.roster.Target(id))
-	return leaves
+	_, shuttingDown := r.roster.Leaving(r.roster.Target(id))
+	return shuttingDown
 }
 
 // A self-reported state counts only if the answer comes from the target that was asked.
@@ -35,28 +35,28 @@
 		answer     handler
 		want       bool
 	}{
-		{"a whole answer", "/once/", respondHead(200, "Id: try-1\r\nLeaves: 1\r\n"), true},
-		{"a failure", "/once/", respondHead(500, "Id: try-1\r\nLeaves: 1\r\n"), true},
+		{"a complete answer", "/once/", respondHead(200, "Id: try-1\r\nLeaves: 1\r\n"), true},
+		{"an error", "/once/", respondHead(500, "Id: try-1\r\nLeaves: 1\r\n"), true},
 		{"a refusal", "/once/", respondHead(503, "Id: try-1\r\nNot-Run: 1\r\nLeaves: 1\r\n"), true},
 		{"a refusal without ID", "/once/", respondHead(503, "Not-Run: 1\r\nLeaves: 1\r\n"), true},
 		{"an answer without a signature", "/again/", func(w *bufio.Writer, _ *http.Request) error {
 			fmt.Fprint(w, "HTTP/1.1 200 X\r\nId: try-1\r\nLeaves: 1\r\nContent-Length: 0\r\n\r\n")
 			return nil
 		}, true},
-		{"a stream's head", "/stream/", func(w *bufio.Writer, _ *http.Request) error {
+		{"the header of a stream", "/stream/", func(w *bufio.Writer, _ *http.Request) error {
 			fmt.Fprint(w, "HTTP/1.1 200 X\r\nId: try-1\r\nSeal: s\r\nLeaves: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 			return nil
 		}, true},
 		{"an answer to another request", "/once/", respondHead(200, "Id: try-9\r\nLeaves: 1\r\n"), false},
 		{"an answer without ID", "/once/", respondHead(200, "Leaves: 1\r\n"), false},
 		{"another target at the address", "/once/", respondHead(421, "Run: other\r\nLeaves: 1\r\n"), false},
-		{"some target at the address", "/once/", respondHead(421, "Leaves: 1\r\n"), false},
-		{"the target itself, of other weights", "/stream/", respondHead(421, "Run: a\r\nLeaves: 1\r\n"), true},
-		{"no answer in the protocol", "/once/", func(w *bufio.Writer, _ *http.Request) error {
+		{"an unnamed target at the address", "/once/", respondHead(421, "Leaves: 1\r\n"), false},
+		{"the target itself, with other weights", "/stream/", respondHead(421, "Run: a\r\nLeaves: 1\r\n"), true},
+		{"no HTTP answer", "/once/", func(w *bufio.Writer, _ *http.Request) error {
 			fmt.Fprint(w, "Leaves: 1\r\n\r\n")
 			return http.ErrAbortHandler
 		}, false},
-		{"one that says nothing", "/once/", respondHead(200, "Id: try-1\r\n"), false},
+		{"an answer without a report", "/once/", respondHead(200, "Id: try-1\r\n"), false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -108,14 +108,14 @@
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, workers := h.ownerCell("context")
-	asker := h.outsideOf(cell)
-	// Only the querying daemon knows that all but one worker of the owner's cell are shutting down.
+	sender := h.outsideOf(cell)
+	// Only the sender knows that all but one worker of the owner's cell are shutting down.
 	for _, id := range workers[1:] {
-		h.rigs[asker].roster.Leaves(id, roster.ByAnswer)
+		h.rigs[sender].roster.Leaves(id, roster.ByAnswer)
 	}
 	before := len(h.rigs[0].received())
 	for range 4 {
-		h.g.Expect(h.ask(asker, "context").status).To(gomega.Equal(200))
+		h.g.Expect(h.ask(sender, "context").status).To(gomega.Equal(200))
 	}
 	for _, s := range h.rigs[0].received()[before:] {
 		h.g.Expect(s.target).To(gomega.Equal(workers[0]))
@@ -126,20 +126,20 @@
 // answer on time. Otherwise it is refused at once, with the end of the pushback as Retry-After.
 func TestAllTargetsUnderPushback(t *testing.T) {
 	tests := []struct {
-		name  string
-		rests []time.Duration
+		name      string
+		pushbacks []time.Duration
 		// status is that of the first request for which all targets are under pushback, and from
 		// the least Retry-After.
 		status int
 		from   time.Duration
 	}{
-		{"one of them for a moment", []time.Duration{time.Minute, 200 * time.Millisecond}, 200, 0},
-		{"all for long", []time.Duration{40 * time.Second, 20 * time.Second}, 503, 19 * time.Second},
+		{"one of them for a short time", []time.Duration{time.Minute, 200 * time.Millisecond}, 200, 0},
+		{"all for a long time", []time.Duration{40 * time.Second, 20 * time.Second}, 503, 19 * time.Second},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			for i, d := range tc.rests {
+			for i, d := range tc.pushbacks {
 				id := fmt.Sprintf("t-%d", i)
 				r.target(id, "plain", always(respond(200, id)))
 				r.roster.Turned(id, roster.Asked{Rest: d})
@@ -152,7 +152,7 @@
 			if tc.status == 200 {
 				return
 			}
-			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "half of what its caller has")
+			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "half of the timeout")
 			back, err := time.ParseDuration(got.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
 			r.g.Expect(back).To(gomega.BeNumerically(">=", tc.from))
@@ -219,8 +219,8 @@
 	h := newFleetRig(t, daemons, 8, always(respondHead(200, "Id: try-1\r\nLeaves: 1\r\n")))
 	// Without a shared segment, so that no owner is queried.
 	h.rigs[0].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
-	sends := h.rigs[0].received()
-	h.g.Expect(sends).NotTo(gomega.BeEmpty())
+	received := h.rigs[0].received()
+	h.g.Expect(received).NotTo(gomega.BeEmpty())
 	cell := h.fleets[0].View().Cell()
 	notified := 0
 	for i, f := range h.fleets {
@@ -228,7 +228,7 @@
 			continue
 		}
 		notified++
-		h.g.Eventually(func() bool { return h.rigs[i].shuttingDown(sends[0].target) }, waitTimeout, pollInterval).Should(gomega.BeTrue())
+		h.g.Eventually(func() bool { return h.rigs[i].shuttingDown(received[0].target) }, waitTimeout, pollInterval).Should(gomega.BeTrue())
 	}
 	h.g.Expect(notified).To(gomega.BeNumerically(">", 1))
 }
--- a/core/relay/homes.go
+++ b/core/relay/homes.go
@@ -136,7 +136,7 @@
 	// The factors of the expected time; see learn.Factors.
 	PrefillTokens, QueuedTokens           int
 	Occupancy, QueueRatio, MemoryPressure float64
-	// The candidate's state; see route.Candidate.
+	// The candidate's state and what is expected of it; see route.Candidate and route.Judgement.
 	CachedTokens, CopiedTokens, Running, HeldTokens int
 	Expected, Baseline                              time.Duration
 	OnTimeChance, ServedChance, Gain, Utility       float64
--- a/core/relay/homes_test.go
+++ b/core/relay/homes_test.go
@@ -60,14 +60,14 @@
 		r.relay.options.Share = func(names []string) []string { return f.View().Share(names) }
 		r.relay.options.Daemons = func() int { return daemons }
 		r.relay.options.Placed = f.Kick
-		homes := NewHomes(r.relay, f)
+		owners := NewHomes(r.relay, f)
 		// A busy box takes longer than an owner may.
-		homes.timeout = 10 * time.Second
-		h.owners = append(h.owners, homes)
+		owners.timeout = 10 * time.Second
+		h.owners = append(h.owners, owners)
 		ctx, cancel := context.WithCancel(context.Background())
 		t.Cleanup(cancel)
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
-		wg.Go(func() { homes.Run(ctx) })
+		wg.Go(func() { owners.Run(ctx) })
 		h.rigs, h.fleets, h.stop = append(h.rigs, r), append(h.fleets, f), append(h.stop, cancel)
 	}
 	for i := range workers {
@@ -146,8 +146,8 @@
 	}
 }
 
-// Without owners, a fleet of two cells cached each context in both, and half as many requests found
-// theirs cached.
+// Without owners, a fleet of two cells caches each context in both, and only half as many requests
+// find theirs cached.
 func TestContextStaysInOwnerCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
--- a/core/relay/limit_test.go
+++ b/core/relay/limit_test.go
@@ -30,13 +30,13 @@
 			for range 40 {
 				r.g.Expect(r.ask(http.MethodPost, path, "x").status).To(gomega.Equal(200))
 			}
-			limited := 0
+			received := 0
 			for _, s := range r.received() {
 				if s.target == "a" {
-					limited++
+					received++
 				}
 			}
-			r.g.Expect(limited).To(gomega.BeNumerically("<=", 1))
+			r.g.Expect(received).To(gomega.BeNumerically("<=", 1))
 		})
 	}
 }
@@ -49,8 +49,8 @@
 		perSecond float64
 		status    int
 	}{
-		{"soon", 2, 200},
-		{"after its time", 0.1, 503},
+		{"permit before the deadline", 2, 200},
+		{"permit after the deadline", 0.1, 503},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -61,10 +61,10 @@
 			got := r.ask(http.MethodPost, "/again/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
-				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond), "it waited for the token")
+				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond), "it waited for the permit")
 				return
 			}
-			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "of two until its time limit")
+			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "half of the timeout")
 			back, err := time.ParseDuration(got.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
 			r.g.Expect(back).To(gomega.BeNumerically("~", 11*time.Second, 2*time.Second))
@@ -116,24 +116,23 @@
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, workers := h.ownerCell("context")
-	asker := h.outsideOf(cell)
-	// Only the querying daemon knows that the workers of the owner's cell accept one request in 10
-	// s.
+	sender := h.outsideOf(cell)
+	// Only the sender knows that the workers of the owner's cell accept one request in 10 s.
 	reported := map[string]roster.LimitNews{}
 	for _, id := range workers {
 		reported[id] = roster.LimitNews{On: true, PerSecond: 0.1, Seq: 1}
 	}
-	h.rigs[asker].roster.MergeLimits(reported)
-	h.g.Expect(h.ask(asker, "context").status).To(gomega.Equal(http.StatusOK))
+	h.rigs[sender].roster.MergeLimits(reported)
+	h.g.Expect(h.ask(sender, "context").status).To(gomega.Equal(http.StatusOK))
 	informed := 0
 	for i, f := range h.fleets {
 		if f.View().Cell() == cell && len(h.rigs[i].roster.Limited()) == len(workers) {
 			informed++
 		}
 	}
-	h.g.Expect(informed).To(gomega.BeNumerically(">", 0), "homes that were told")
+	h.g.Expect(informed).To(gomega.BeNumerically(">", 0), "owners that received the limits")
 	for _, s := range h.rigs[0].received() {
-		h.g.Expect(strings.Join(workers, " ")).NotTo(gomega.ContainSubstring(s.target), "the home had no token")
+		h.g.Expect(strings.Join(workers, " ")).NotTo(gomega.ContainSubstring(s.target), "the owner had no permit")
 	}
 	// With permits the owner's choice is used.
 	for i, f := range h.fleets {
@@ -142,7 +141,7 @@
 		}
 	}
 	h.g.Eventually(func() int {
-		h.ask(asker, "context")
+		h.ask(sender, "context")
 		n := 0
 		for _, s := range h.rigs[0].received() {
 			if strings.Contains(strings.Join(workers, " "), s.target) {
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -27,7 +27,7 @@
 func (p *proxiedRequest) passOnPlain(c *choice, in *target.Incoming, reply *Reply, sent time.Time) (outcome, *bufferedAnswer) {
 	body, err := readAll(nil, io.LimitReader(in, maxBufferedBytes))
 	if err != nil {
-		return p.classifyTruncated(c, err), nil
+		return p.classifyReadError(c, err), nil
 	}
 	answer := &bufferedAnswer{in.Status, in.Header, body}
 	good := in.Status < http.StatusInternalServerError
@@ -66,8 +66,8 @@
 	return outcomeDone
 }
 
-// classifyTruncated records an answer that ended early and returns the outcome.
-func (p *proxiedRequest) classifyTruncated(c *choice, err error) outcome {
+// classifyReadError records an answer that ended early and returns the outcome.
+func (p *proxiedRequest) classifyReadError(c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
 	now := time.Now()
 	p.recordAnswer(c, false)
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -21,8 +21,8 @@
 		{"of the route", []string{"north"}, nil, []string{"w1"}},
 		{"of the organisation", nil, []string{"south", "east"}, []string{"w2"}},
 		{"both", []string{"north", "south"}, []string{"south"}, []string{"w2"}},
-		{"without a region in common", []string{"north"}, []string{"south"}, nil},
-		{"without workers", []string{"east"}, nil, nil},
+		{"no common region", []string{"north"}, []string{"south"}, nil},
+		{"no workers in the region", []string{"east"}, nil, nil},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 			for range 6 {
 				got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 				if len(tc.to) == 0 {
-					r.g.Expect(got.status).To(gomega.Equal(503), "not run, and refused at once")
+					r.g.Expect(got.status).To(gomega.Equal(503), "refused at once, not executed")
 				}
 			}
 			if len(tc.to) > 0 {
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestAnswersOfPlainTargets(t *testing.T) {
-	foreign := func(w *bufio.Writer, _ *http.Request) error {
+	mismatched := func(w *bufio.Writer, _ *http.Request) error {
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\nId: another\r\nSeal: s\r\nContent-Length: 2\r\n\r\nno")
 		return nil
 	}
@@ -32,24 +32,24 @@
 		return fmt.Errorf("cut")
 	}
 	tests := []struct {
-		name   string
-		path   string
-		first  func(int) handler
-		second func(int) handler
-		status int
-		body   string
-		sends  int
+		name     string
+		path     string
+		first    func(int) handler
+		second   func(int) handler
+		status   int
+		body     string
+		attempts int
 	}{
-		{"whole", "/once/a?b=c", always(respond(200, "yes")), nil, 200, "yes", 1},
-		{"own failure is passed on", "/once/a", always(respond(500, "bad")), nil, 500, "bad", 1},
-		{"not run moves on", "/once/a", always(refuse), always(refuse), 503, "notRun", 2},
-		{"not run is served by the other", "/once/a", inSequence(refuse), always(respond(200, "yes")), 200, "yes", 0},
-		{"cut once is unknown", "/once/a", always(hangUp), always(respond(200, "yes")), 0, "", 1},
-		{"cut repeatable is sent again", "/again/a", inSequence(hangUp, respond(200, "yes")), always(respond(200, "yes")), 200, "yes", 0},
-		{"failure of repeatable is sent again", "/again/a", always(respond(500, "bad")), always(respond(500, "bad")), 500, "bad", 2},
-		{"foreign answer", "/once/a", always(foreign), nil, 502, "unknown", 1},
+		{"complete", "/once/a?b=c", always(respond(200, "yes")), nil, 200, "yes", 1},
+		{"error of a non-repeatable request is passed on", "/once/a", always(respond(500, "bad")), nil, 500, "bad", 1},
+		{"all targets refuse", "/once/a", always(refuse), always(refuse), 503, "notRun", 2},
+		{"refused request is served by the other", "/once/a", inSequence(refuse), always(respond(200, "yes")), 200, "yes", 0},
+		{"non-repeatable without answer is unknown", "/once/a", always(hangUp), always(respond(200, "yes")), 0, "", 1},
+		{"repeatable without answer is retried", "/again/a", inSequence(hangUp, respond(200, "yes")), always(respond(200, "yes")), 200, "yes", 0},
+		{"error of a repeatable request is retried", "/again/a", always(respond(500, "bad")), always(respond(500, "bad")), 500, "bad", 2},
+		{"answer to another request", "/once/a", always(mismatched), nil, 502, "unknown", 1},
 		{"unsigned answer", "/once/a", always(unsigned), nil, 502, "unknown", 1},
-		{"short answer", "/once/a", always(short), nil, 502, "unknown", 1},
+		{"truncated answer", "/once/a", always(short), nil, 502, "unknown", 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -63,8 +63,8 @@
 				r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			}
 			r.g.Expect(a.body).To(gomega.ContainSubstring(tc.body))
-			if tc.sends > 0 {
-				r.g.Expect(r.received()).To(gomega.HaveLen(tc.sends))
+			if tc.attempts > 0 {
+				r.g.Expect(r.received()).To(gomega.HaveLen(tc.attempts))
 			}
 			for _, s := range r.received() {
 				r.g.Expect(s.uri).To(gomega.Equal(tc.path))
@@ -96,9 +96,9 @@
 		status  int
 	}{
 		{"no route", "/none/", nil, false, 404},
-		{"no route, old configuration", "/none/", nil, true, 503},
+		{"no route, outdated configuration", "/none/", nil, true, 503},
 		{"bad key", "/once/", []string{"Key", "other"}, false, 401},
-		{"bad key, old configuration", "/once/", []string{"Key", "other"}, true, 503},
+		{"bad key, outdated configuration", "/once/", []string{"Key", "other"}, true, 503},
 		{"no target", "/once/", nil, false, 503},
 		{"public needs no key", "/public/", []string{"Key", ""}, false, 503},
 		{"bad deadline", "/once/", []string{"Deadline", "soon"}, false, 400},
@@ -139,15 +139,15 @@
 		least, most time.Duration
 	}{
 		{"started just now", func(r *rig) { r.relay.table.Store(nil) }, "6000", minRetryAfter / 2, 400 * time.Millisecond},
-		{"the store is out", func(r *rig) {
+		{"coordination store down", func(r *rig) {
 			r.relay.table.Store(nil)
 			r.relay.options.StoreDown = func() bool { return true }
 		}, "6000", 700 * time.Millisecond, 1300 * time.Millisecond},
-		{"no configuration for long", func(r *rig) {
+		{"no configuration for a minute", func(r *rig) {
 			r.relay.table.Store(nil)
 			r.relay.start = time.Now().Add(-time.Minute)
 		}, "6000", 1900 * time.Millisecond, 2 * time.Second},
-		{"little time is left", func(r *rig) {
+		{"little time remaining", func(r *rig) {
 			r.relay.table.Store(nil)
 			r.relay.start = time.Now().Add(-time.Minute)
 		}, "300", time.Millisecond, 100 * time.Millisecond},
@@ -187,29 +187,29 @@
 
 func TestStreams(t *testing.T) {
 	tests := []struct {
-		name     string
-		path     string
-		first    func(int) handler
-		second   func(int) handler
-		body     string
-		cut      bool
-		resumeAt string
+		name      string
+		path      string
+		first     func(int) handler
+		second    func(int) handler
+		body      string
+		truncated bool
+		resumeAt  string
 	}{
-		{"whole", "/stream/", always(stream(true, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n")), nil, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, ""},
+		{"complete", "/stream/", always(stream(true, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n")), nil, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, ""},
 		{
-			"broken inside an event, taken up elsewhere", "/stream/",
+			"broken within an event, resumed elsewhere", "/stream/",
 			always(stream(false, "id: 1\ndata: a\n\n", "id: 2\nda")),
 			always(stream(true, "id: 2\ndata: b\n\n")),
 			"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, "1",
 		},
 		{
-			"events that the caller has are left out", "/stream/",
+			"events that the caller has received are left out", "/stream/",
 			always(stream(false, "id: 9\ndata: a\n\n")),
 			always(stream(true, "id: 9\ndata: a\n\n", "id: 10\ndata: b\n\n")),
 			"id: 9\ndata: a\n\nid: 10\ndata: b\n\n", false, "9",
 		},
 		{"broken and not resumable", "/single/", always(stream(false, "id: 1\ndata: a\n\n")), always(stream(true, "id: 2\ndata: b\n\n")), "id: 1\ndata: a\n\n", true, ""},
-		{"ends inside an event", "/single/", always(stream(true, "id: 1\ndata: a\n\n", "id: 2\nda")), nil, "id: 1\ndata: a\n\n", true, ""},
+		{"ends within an event", "/single/", always(stream(true, "id: 1\ndata: a\n\n", "id: 2\nda")), nil, "id: 1\ndata: a\n\n", true, ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -222,7 +222,7 @@
 			}
 			a := r.ask(http.MethodPost, tc.path, "x", "Model", "m")
 			r.g.Expect(a.body).To(gomega.Equal(tc.body))
-			r.g.Expect(a.err != nil).To(gomega.Equal(tc.cut))
+			r.g.Expect(a.err != nil).To(gomega.Equal(tc.truncated))
 			r.g.Expect(a.header.Get("Seal")).To(gomega.Equal("s-t1"))
 			if tc.resumeAt != "" {
 				s := r.received()
@@ -270,7 +270,7 @@
 	r.g.Expect(r.received()).To(gomega.HaveLen(13))
 }
 
-// storeSegment waits until the rig's KV-cache store is known to hold a segment under a salt.
+// storeSegment adds the KV-cache store to the rig and waits until the segment is known to be there.
 func storeSegment(r *rig, salt, id string) {
 	r.kept.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
 	name := cache.PartName{Salt: salt, ID: id}
@@ -287,9 +287,9 @@
 
 func TestSegmentsAreCopiedOnlyForDesiredWeights(t *testing.T) {
 	tests := []struct {
-		name  string
-		named int64
-		copy  string
+		name    string
+		desired int64
+		copy    string
 	}{
 		{"newest", 1, "store:1,"},
 		{"superseded", 2, ""},
@@ -300,7 +300,7 @@
 			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: cache.PartName{Salt: salt, ID: "shared"}, Tokens: 5000}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, "shared")
-			r.desired = tc.named
+			r.desired = tc.desired
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "shared:5000 own:10")
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
@@ -312,7 +312,7 @@
 // Segments of any size are stored and copied. Engines copy no segment after one without a source.
 func TestSegmentsOfAnySizeAreStoredAndCopied(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
-	part := func(id string, tokens int) cache.PartChange {
+	segment := func(id string, tokens int) cache.PartChange {
 		return cache.PartChange{PartName: cache.PartName{Salt: salt, ID: id}, Tokens: tokens}
 	}
 	tests := []struct {
@@ -322,11 +322,11 @@
 		copy   string
 		keep   string
 	}{
-		{"both in the store", []cache.PartChange{part("first", 60), part("text", 5000)}, "first:60 text:5000 own:10", "store:1,store:1,", ""},
-		{"the small one not in the store", []cache.PartChange{part("text", 5000)}, "first:60 text:5000 own:10", "", "store:1,,"},
-		{"a small one after it", []cache.PartChange{part("text", 5000)}, "text:5000 last:60 own:10", "store:1,,", ",store:1,"},
-		{"none in the store", []cache.PartChange{part("else", 10)}, "first:60 text:5000 own:10", "", "store:1,store:1,"},
-		{"small ones only", []cache.PartChange{part("first", 60)}, "first:60 session:240 own:10", "store:1,,", ",store:1,"},
+		{"both in the store", []cache.PartChange{segment("first", 60), segment("text", 5000)}, "first:60 text:5000 own:10", "store:1,store:1,", ""},
+		{"the small one is not in the store", []cache.PartChange{segment("text", 5000)}, "first:60 text:5000 own:10", "", "store:1,,"},
+		{"a small one after it", []cache.PartChange{segment("text", 5000)}, "text:5000 last:60 own:10", "store:1,,", ",store:1,"},
+		{"none in the store", []cache.PartChange{segment("else", 10)}, "first:60 text:5000 own:10", "", "store:1,store:1,"},
+		{"small ones only", []cache.PartChange{segment("first", 60)}, "first:60 session:240 own:10", "store:1,,", ",store:1,"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -352,19 +352,19 @@
 		want string
 	}{
 		{"the store nearby", func(*rig) {}, "near:1,"},
-		{"copies wait at the nearer", func(r *rig) { r.relay.options.Links.Begin("near:1", "else", 800*time.Millisecond, time.Now()) }, "far:1,"},
+		{"copies queued at the nearer", func(r *rig) { r.relay.options.Links.Begin("near:1", "else", 800*time.Millisecond, time.Now()) }, "far:1,"},
 		{"the nearer is slow", func(r *rig) {
 			for range 8 {
 				r.relay.options.Links.Sample("near:1", "else", 8, 1, time.Now())
 			}
 		}, "far:1,"},
-		{"a worker holds it", func(r *rig) {
+		{"cached by a worker", func(r *rig) {
 			for _, store := range []string{"near:1", "far:1"} {
 				r.relay.options.Links.Begin(store, "else", 800*time.Millisecond, time.Now())
 			}
 			r.relay.options.Where.Note(cache.Use{Target: "t2", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, time.Now())
 		}, "t2,"},
-		{"nobody in time", func(r *rig) {
+		{"no source in time", func(r *rig) {
 			for _, store := range []string{"near:1", "far:1"} {
 				r.relay.options.Links.Begin(store, "else", 2*time.Second, time.Now())
 			}
@@ -401,8 +401,8 @@
 		copy string
 	}{
 		{"just used", 0, ""},
-		{"likely there", 1000, ""},
-		{"likely gone", 13000, "store:1,"},
+		{"probably cached", 1000, ""},
+		{"probably evicted", 13000, "store:1,"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -459,10 +459,10 @@
 		parts  string
 		status int
 	}{
-		{"room", 1 << 19, "a:3000 b:10", 200},
-		{"spoken for", 1 << 20, "a:3000 b:10", 503},
-		{"spoken for, short prompt", 1 << 20, "a:300 b:10", 200},
-		{"room, longer than the memory", 0, "a:3000000 b:10", 200},
+		{"free memory", 1 << 19, "a:3000 b:10", 200},
+		{"reserved memory", 1 << 20, "a:3000 b:10", 503},
+		{"reserved memory, short prompt", 1 << 20, "a:300 b:10", 200},
+		{"free memory, prompt longer than the memory", 0, "a:3000000 b:10", 200},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -504,10 +504,10 @@
 
 func TestFullShareDoesNotSpillOver(t *testing.T) {
 	tests := []struct {
-		name   string
-		make   func(t *roster.Target)
-		status int
-		sends  int
+		name     string
+		make     func(t *roster.Target)
+		status   int
+		attempts int
 	}{
 		{"own worker is free", func(*roster.Target) {}, 200, 1},
 		{"own worker is full", func(t *roster.Target) { t.Begin(roster.Load{Running: 1, Held: 1 << 20}) }, 503, 0},
@@ -522,7 +522,7 @@
 			tc.make(r.roster.Target("mine"))
 			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
-			r.g.Expect(r.received()).To(gomega.HaveLen(tc.sends))
+			r.g.Expect(r.received()).To(gomega.HaveLen(tc.attempts))
 		})
 	}
 }
@@ -539,8 +539,8 @@
 }
 
 // A daemon of a large fleet must expect on its cell's workers its own request rate times the number
-// of daemons in the cell, not in the fleet. With the latter it expected 25 times the real rate and
-// refused prompts wherever a short queue was.
+// of daemons in the cell, not in the fleet. With the latter it would expect 25 times the real rate
+// and refuse prompts wherever there is a short queue.
 func TestQueueCostCountsOnlyTheCellsDaemons(t *testing.T) {
 	const workers, share, daemons, callers = 150, 6, 300, 4
 	r := newRig(t, nil)
@@ -579,7 +579,7 @@
 	}{
 		{"an idle link", 0, "text:400 own:80", "store:1,"},
 		{"behind long copies", 950 * time.Millisecond, "text:400 own:80", ""},
-		{"a long part behind long copies", 450 * time.Millisecond, "text:20000 own:80", "store:1,"},
+		{"a long segment behind long copies", 450 * time.Millisecond, "text:20000 own:80", "store:1,"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -603,18 +603,18 @@
 // it only in its own cell; other cells must learn it from the first refusal, not from each.
 func TestReloadingWorkerIsSkipped(t *testing.T) {
 	tests := []struct {
-		name  string
-		named int64
-		// sends matches the number of its requests, of five.
-		sends gomega.OmegaMatcher
+		name    string
+		desired int64
+		// attempts matches the number of its requests, of five.
+		attempts gomega.OmegaMatcher
 	}{
-		{"newer weights are named", 2, gomega.Equal(1)},
+		{"newer weights are desired", 2, gomega.Equal(1)},
 		{"its weights are the newest", 1, gomega.BeNumerically(">", 1)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.desired = tc.named
+			r.desired = tc.desired
 			r.target("changing", "llm", always(refuse))
 			r.target("busy", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("busy").Begin(roster.Load{Running: 1, Unread: 20000, Held: 20000})
@@ -622,13 +622,13 @@
 				a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 				r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
 			}
-			refused := 0
+			received := 0
 			for _, s := range r.received() {
 				if s.target == "changing" {
-					refused++
+					received++
 				}
 			}
-			r.g.Expect(refused).To(tc.sends)
+			r.g.Expect(received).To(tc.attempts)
 		})
 	}
 }
--- a/core/relay/share_test.go
+++ b/core/relay/share_test.go
@@ -52,7 +52,7 @@
 	o.Basis = nil
 	own()
 	own()
-	g.Expect(calls).To(gomega.Equal(5), "nothing says that it is the same")
+	g.Expect(calls).To(gomega.Equal(5), "without a basis nothing is cached")
 }
 
 // BenchmarkShare computes a daemon's share of 3,000 targets for each request, and takes the cached
--- a/core/relay/stream.go
+++ b/core/relay/stream.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// passOnStream passes on the events of an answer. If the stream breaks, another worker may resume the
-// request after the last event that the caller has received.
+// passOnStream passes on the events of an answer. If the stream breaks, another worker may resume
+// the request after the last event that the caller has received.
 func (p *proxiedRequest) passOnStream(c *choice, in *target.Incoming, reply *Reply, sent time.Time, onFirst func()) outcome {
 	if !reply.Sealed || reply.Encoded {
 		in.Spoil()
@@ -86,8 +86,8 @@
 	}
 }
 
-// isNewerEvent reports whether an event comes after the last one passed on. IDs are rising decimal numbers
-// and are compared as digits.
+// isNewerEvent reports whether an event comes after the last one passed on. IDs are rising decimal
+// numbers and are compared as digits.
 func isNewerEvent(id, last string) bool {
 	if id == "" || last == "" {
 		return true
--- a/core/relay/versions_test.go
+++ b/core/relay/versions_test.go
@@ -25,13 +25,13 @@
 		least, most int
 		refused     bool
 	}{
-		{"on trial", canary.Trying, []string{"v1", "v2", "v2"}, 5, requests / 10, false},
-		{"on trial, no target of the version yet", canary.Trying, []string{"v1"}, 0, 0, false},
-		{"on trial, all targets have the version", canary.Trying, []string{"v2"}, requests, requests, false},
+		{"canary", canary.Trying, []string{"v1", "v2", "v2"}, 5, requests / 10, false},
+		{"canary, no target of the version yet", canary.Trying, []string{"v1"}, 0, 0, false},
+		{"canary, all targets have the version", canary.Trying, []string{"v2"}, requests, requests, false},
 		{"moving", canary.Moving, []string{"v1", "v2"}, requests, requests, false},
 		{"moving, no target of the version left", canary.Moving, []string{"v1"}, 0, 0, false},
-		{"taken back", canary.RolledBack, []string{"v1", "v2"}, 0, 0, false},
-		{"taken back, no other target left", canary.RolledBack, []string{"v2"}, 0, 0, true},
+		{"rolled back", canary.RolledBack, []string{"v1", "v2"}, 0, 0, false},
+		{"rolled back, no other target left", canary.RolledBack, []string{"v2"}, 0, 0, true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
