--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -21,6 +21,7 @@
 	"embertally.dev/core/wire"
 )
 
+// Kinds of messages between daemons: a placementRequest and a placementUpdate.
 const (
 	kindPlace           wire.Kind = "relay.place"
 	kindPlacementUpdate wire.Kind = "relay.placed"
@@ -31,14 +32,15 @@
 //
 // In a large fleet each cell uses a share of the workers and knows which contexts these have
 // cached. If each prompt were decided in the cell that its caller happens to reach, only one in as
-// many returns of a context as there are cells would find it cached. So the daemons of one cell,
+// many requests for a context as there are cells would find it cached. So the daemons of one cell,
 // the context's owners, decide for all its requests, and the daemon that received the request sends
 // it.
 type Homes struct {
 	relay *Relay
 	fleet *fleet.Fleet
 	// backoff holds the daemons that did not answer lately.
-	backoff  wait.Backoff[string]
+	backoff wait.Backoff[string]
+	// sequence numbers the names of placements.
 	sequence atomic.Int64
 	// timeout bounds a query to an owner.
 	timeout time.Duration
@@ -100,8 +102,10 @@
 	IsolatedOrganisation    string
 	Segments                []placementSegment
 	PromptTokens, BodyBytes int
-	OriginDomain            string
-	Elapsed, Remaining      time.Duration
+	// OriginDomain is the sender's failure domain.
+	OriginDomain string
+	// Elapsed and Remaining are the times since the request arrived and until its deadline.
+	Elapsed, Remaining time.Duration
 	// Excluded are the targets of earlier attempts, and those that are unavailable to the sender by
 	// their self-reported state: the owner may not know that and would choose them again.
 	Excluded []string
@@ -300,7 +304,7 @@
 // that time.
 const splitLoss = 0.01
 
-// worthQuerying reports whether a query costs less than prefilling the shared segments may.
+// worthQuerying reports whether prefilling the shared segments takes long enough to justify a query.
 func (p *proxiedRequest) worthQuerying(now time.Time) bool {
 	e := p.estimate(now)
 	return e.Time(learn.Factors{Own: p.sharedTokens()})-e.Time(learn.Factors{}) >= minPrefillTime
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -30,9 +30,11 @@
 	Dialect Dialect
 	Roster  *roster.Roster
 	Pool    *target.Pool
-	Kept    *cache.Kept
-	Where   *cache.Where
-	Links   *learn.Links
+	// Kept is the index of the segments in KV-cache stores, Where that of those cached by workers.
+	Kept  *cache.Kept
+	Where *cache.Where
+	// Links is the learned speed and load of the links of stores and workers.
+	Links *learn.Links
 	// Retention is the learned chance that a segment is still in a worker's KV cache.
 	Retention *learn.Retention
 	// Times and Targets are statistics of the targets' answers. Engines and Calls are the priors of
@@ -112,11 +114,12 @@
 type Relay struct {
 	options Options
 	table   atomic.Pointer[table.Table]
-	// choiceCount counts the decisions, for placements that take the workers in turn.
+	// choiceCount counts the local decisions, for placements that take the workers in turn.
 	choiceCount atomic.Uint64
 	// start is the origin of the monotonic time used by retryBudgets.
-	start            time.Time
-	running          atomic.Int64
+	start   time.Time
+	running atomic.Int64
+	// closeConnections is set by Close.
 	closeConnections atomic.Bool
 	// refusing is set when a planned stop is about to end: new requests are refused.
 	refusing atomic.Bool
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -25,6 +25,7 @@
 	deadline time.Time
 	suspends suspendDetector
 
+	// meta is the metadata sent by the caller.
 	meta         Ask
 	route        *table.Route
 	organisation *table.Organisation
@@ -60,7 +61,8 @@
 	headerSent bool
 	// lastEventID is the ID of the last stream event that the caller has received.
 	lastEventID string
-	firstAt     time.Time
+	// firstAt is when the first event or the header of an answer was passed on; zero before that.
+	firstAt time.Time
 	// skipped lists targets that the last choice skipped for their self-reported state, with the
 	// reasons.
 	skipped []string
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -182,8 +182,8 @@
 	return src.cachedChance == 0 || (gain > cost && !p.relay.options.Without.SpareCopies)
 }
 
-// applyTo adds to a candidate how many tokens are expected to be cached, copied and prefilled
-// again.
+// applyTo sets a candidate's copy time, and how many of its tokens are expected to be cached, copied
+// and prefilled again.
 func (pl *segmentPlan) applyTo(c *route.Candidate, segments []sharedSegment) {
 	c.CopyTime = pl.copyTime
 	prefixChance, cached, copied, recomputed := 1.0, 0.0, 0.0, 0.0
