--- /dev/null
+++ b/core/relay/attempt.go
@@ -0,0 +1,261 @@
+package relay
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"embertally.dev/core/clock"
+	"embertally.dev/core/entry"
+	"embertally.dev/core/event"
+	"embertally.dev/core/roster"
+	"embertally.dev/core/table"
+	"embertally.dev/core/target"
+)
+
+// attempt sends the request to one target and passes its answer on.
+func (p *proxiedRequest) attempt(ctx context.Context, c *choice) (outcome, *bufferedAnswer) {
+	c.addLoad()
+	version := c.target.Entry().Version
+	p.relay.options.Canary.Begin(p.service, version)
+	// If another cell made the choice, the context owner there publishes the load.
+	if p.meta.Prompt > 0 && c.report == nil && !p.relay.options.Without.Publishing {
+		p.relay.options.Placed()
+	}
+	prefilled := false
+	defer func() {
+		load := c.load
+		if prefilled {
+			load.Unread = 0
+		}
+		c.target.End(load)
+		p.relay.options.Canary.End(p.service, version)
+		c.report.reportEnd()
+	}()
+	// The prompt counts as not yet prefilled until the first event or answer.
+	onFirst := func() {
+		if !prefilled {
+			prefilled = true
+			c.target.End(roster.Load{Unread: c.load.Unread})
+		}
+	}
+	sent := time.Now()
+	c.sentAt = clock.Now()
+	p.relay.options.Stats.Attempts.Inc()
+	if c.permit.Held {
+		p.relay.options.Stats.RateLimitedAttempts.Inc()
+	}
+	ctx, cancel := p.waitBudget(ctx, c)
+	defer cancel()
+	in, err := p.relay.options.Pool.Send(ctx, c.target.Entry().Address, p.outgoing(c))
+	if err != nil {
+		return p.classifyNoAnswer(ctx, c, err), nil
+	}
+	defer in.Close()
+	reply := p.relay.options.Dialect.Reply(in.Status, in.Header)
+	if out, ok := p.checkAnswer(c, in, &reply); !ok {
+		return out, nil
+	}
+	p.attempts++
+	p.executions++
+	p.relay.options.Poison.Answers(c.target.ID())
+	if reply.Weights > 0 {
+		p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
+	}
+	if p.route.Kind == table.Stream && in.Status == http.StatusOK {
+		out := p.passOnStream(c, in, &reply, sent, onFirst)
+		return out, nil
+	}
+	return p.passOnPlain(c, in, &reply, sent)
+}
+
+// errSlow ends the wait for a slow target if another one may be faster.
+var errSlow = errors.New("the target is too slow")
+
+// retryAdvantage is by how much the chance of an on-time answer must be higher at another target
+// before a slow one is abandoned: the second attempt takes a slot there.
+const retryAdvantage = 0.1
+
+// waitBudget bounds the wait for an answer while another target may still answer on time.
+func (p *proxiedRequest) waitBudget(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
+	now := time.Now()
+	remaining := p.route.Aim - now.Sub(p.start)
+	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.Attempts || remaining <= 0 || c.onlyCandidate || p.relay.options.Without.WaitBudget {
+		return context.WithCancel(ctx)
+	}
+	budget := p.estimate(now).Patience(remaining, c.judgement.Expected, c.judgement.Expected, retryAdvantage)
+	if budget >= remaining {
+		return context.WithCancel(ctx)
+	}
+	return context.WithTimeoutCause(ctx, budget, errSlow)
+}
+
+// classifyNoAnswer records an attempt without an answer and returns its outcome.
+func (p *proxiedRequest) classifyNoAnswer(ctx context.Context, c *choice, err error) outcome {
+	p.note("%v", errors.Cause(err))
+	sent := target.WasSent(err)
+	if sent {
+		p.attempts++
+		p.executions++
+	} else {
+		p.relay.options.Roster.Return(c.target, c.permit)
+	}
+	var unavailable *unavailableError
+	switch {
+	case errors.As(err, &unavailable):
+		return outcomeUnavailable
+	case callerGone(p.r.Context()):
+		return outcomeCallerGone
+	case errors.Is(err, target.ErrFull):
+		return outcomeNotSent
+	case !time.Now().Before(p.deadline):
+		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+			p.recordAnswer(c, false)
+		}
+		return outcomeTimedOut
+	case errors.Is(context.Cause(ctx), errSlow):
+		p.recordAnswer(c, false)
+		return outcomeIncomplete
+	}
+	p.recordNoAnswer(c)
+	if !sent {
+		p.relay.options.Poison.Refused(c.target.ID(), err)
+		return outcomeNotSent
+	}
+	if !target.WasEarly(err) {
+		p.recordDisconnect(c)
+	}
+	return outcomeIncomplete
+}
+
+// recordDisconnect records that the connection to a target closed under the request. The request
+// may have crashed the target, and its caller may repeat it.
+func (p *proxiedRequest) recordDisconnect(c *choice) {
+	if _, shuttingDown := p.relay.options.Roster.Leaving(c.target); !shuttingDown {
+		p.relay.options.Poison.Lost(p.digest, p.organisationName(), c.target.ID(), c.target.Entry().Address)
+	}
+}
+
+// recordSuccess records that a target completed the request.
+func (p *proxiedRequest) recordSuccess(c *choice) {
+	p.relay.options.Poison.Good(p.digest, p.organisationName(), c.target.ID())
+}
+
+// organisationName returns the name of the caller's organisation, or "".
+func (p *proxiedRequest) organisationName() string {
+	if p.organisation == nil {
+		return ""
+	}
+	return p.organisation.Name
+}
+
+// checkAnswer reports whether a response is the target's answer to this request; if not it returns
+// the outcome of the attempt.
+func (p *proxiedRequest) checkAnswer(c *choice, in *target.Incoming, reply *Reply) (outcome, bool) {
+	misdirected := in.Status == http.StatusMisdirectedRequest
+	p.recordSelfReport(c, misdirected, reply)
+	switch {
+	case reply.ID != "" && reply.ID != p.meta.ID, reply.ID == "" && !reply.NotRun && !misdirected:
+		p.relay.options.Stats.MismatchedAnswers.Inc()
+		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer is for request "+strconv.Quote(reply.ID))
+		in.Spoil()
+		p.attempts++
+		p.executions++
+		p.recordAnswer(c, false)
+		return outcomeIncomplete, false
+	case misdirected:
+		p.relay.options.Stats.Misdirected.Inc()
+		if reply.Weights > 0 {
+			p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
+		}
+		if reply.Target != "" && reply.Target != c.target.Entry().Name {
+			// The address now belongs to another target.
+			p.recordNoAnswer(c)
+		}
+	case reply.NotRun:
+		p.relay.options.Stats.NotExecuted.Inc()
+		p.recordReload(c)
+	default:
+		return outcomeDone, true
+	}
+	// If this fails, only the connection is not reused; the refusal is already known.
+	_, _ = io.Copy(io.Discard, io.LimitReader(in, maxDrainBytes))
+	p.attempts++
+	return outcomeRefused, false
+}
+
+// reloadTime is how long all daemons of the cell skip a worker that refused a request while its
+// weights were older than desired. Weight-update orders are published only in the cell of the
+// daemon that gives them, which may be another one.
+const reloadTime = 700 * time.Millisecond
+
+// recordReload skips a worker that appears to be changing its weights.
+func (p *proxiedRequest) recordReload(c *choice) {
+	if c.attemptMeta.Weights == 0 || c.attemptMeta.Weights >= p.relay.options.Named(p.meta.Model) {
+		return
+	}
+	c.report.recordReload()
+	p.relay.options.Roster.Reloads(c.target.ID(), time.Now().Add(reloadTime))
+	p.relay.options.Placed()
+}
+
+// maxDrainBytes bounds how much of a refusal's body is read so that its connection can be reused.
+const maxDrainBytes = 16 << 10
+
+// outgoing returns the request as it is sent to the target.
+func (p *proxiedRequest) outgoing(c *choice) *target.Outgoing {
+	h := make(http.Header, len(p.r.Header)+8)
+	hopByHop := strings.Split(p.r.Header.Get("Connection"), ",")
+	for name, values := range p.r.Header {
+		if !entry.HopHeader(name) && !containsName(hopByHop, name) && name != "Content-Length" && name != "Expect" {
+			h[name] = values
+		}
+	}
+	p.adjustForSuspend()
+	s := c.attemptMeta
+	s.Deadline = time.Until(p.deadline)
+	s.After = p.lastEventID
+	s.Organisation = p.organisationName()
+	p.relay.options.Dialect.Sending(h, &s)
+	out := &target.Outgoing{Method: p.r.Method, URI: p.r.RequestURI, Host: p.r.Host, Header: h, Body: p.body, May: p.availabilityCheck(c)}
+	if !p.route.MayRepeat() {
+		out.Fresh = maxIdleForOnce
+	}
+	return out
+}
+
+// unavailableError reports why an attempt was not sent.
+type unavailableError struct{ reason roster.Stop }
+
+// Error implements error.
+func (e *unavailableError) Error() string { return "the target " + e.reason.String() }
+
+// availabilityCheck returns the check that runs once there is a connection, before the request is
+// written.
+func (p *proxiedRequest) availabilityCheck(c *choice) func() error {
+	return func() error {
+		if stop := p.relay.options.Roster.Enter(c.target, c.permit); stop != roster.Open {
+			return &unavailableError{stop}
+		}
+		return nil
+	}
+}
+
+// maxIdleForOnce is the idle time after which a connection is not used for a request that may be
+// executed only once: targets may close idle connections without notice.
+const maxIdleForOnce = 1500 * time.Millisecond
+
+// containsName reports whether a list of header names contains a name.
+func containsName(list []string, name string) bool {
+	for _, s := range list {
+		if strings.EqualFold(strings.TrimSpace(s), name) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/core/relay/eligible.go
@@ -0,0 +1,232 @@
+package relay
+
+import (
+	"time"
+
+	"embertally.dev/core/learn"
+	"embertally.dev/core/roster"
+	"embertally.dev/core/table"
+)
+
+// Bounds on the load and connections of a target.
+const (
+	// plainMaxLoad is how many requests a plain target may have in flight, as a multiple of its
+	// slots; more would only queue there.
+	plainMaxLoad = 4
+	// engineMaxLoad is the same for model workers.
+	engineMaxLoad = 3
+	// connectionShare is the fraction of a target's connections that the daemons divide among
+	// themselves; the rest is for daemons that are missing from the view of one of them.
+	connectionShare = 0.9
+)
+
+// eligibleTarget is a target that may get the request, with its state at the time of the decision.
+type eligibleTarget struct {
+	target        *roster.Target
+	entry         *roster.Entry
+	health        roster.Health
+	load          roster.Load
+	weightVersion int64
+	state         learn.TargetState
+}
+
+// ownEligibleTargets returns the eligible targets among those that this daemon uses, and the
+// fraction of the service's targets that it uses. If those are full, the request waits or is
+// refused, since this daemon does not know the load of other workers. It falls back to all targets
+// only if none of its own answers.
+func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
+	all := p.relay.options.Roster.Of(p.service)
+	sharded := p.relay.sharded(p.service)
+	if svc.Engine == nil && !sharded {
+		own, reason = p.eligibleTargets(svc, all, true, now)
+		return own, 1, reason
+	}
+	share := p.relay.shares.get(p.service, all, &p.relay.options)
+	own, reason = p.eligibleTargets(svc, share.own, true, now)
+	if sharded || len(own) > 0 || reason == allFull || endsAtKnownTime(reason) {
+		// If all of its own are under pushback, what they turned away would overload the others.
+		// Sharded targets outside the cell are chosen by other cells.
+		return own, share.fraction, reason
+	}
+	own, reason = p.eligibleTargets(svc, all, false, now)
+	return own, 1, reason
+}
+
+// eligibleTargets returns the targets of a list that may get the request, or why there are none.
+// shared is set if this daemon is one of those that use these targets.
+func (p *proxiedRequest) eligibleTargets(svc *table.Service, list []*roster.Target, shared bool, now time.Time) ([]eligibleTarget, string) {
+	var out []eligibleTarget
+	availability, reloading := p.relay.options.Roster.Gate(now), p.relay.options.Roster.Reloading(now)
+	var rejected unavailability
+	list = p.applyRollout(list)
+	for _, t := range list {
+		if p.tried[t.ID()] > 0 {
+			continue
+		}
+		candidate := eligibleTarget{target: t, entry: t.Entry(), health: t.Health(now), load: t.Load()}
+		if !p.domainAllowed(candidate.entry.Domain) {
+			rejected.outsideRegions++
+			continue
+		}
+		if !p.versions.Allows(candidate.entry.Version) {
+			rejected.excludedVersions++
+			continue
+		}
+		stop, duration := availability.Stop(t)
+		if stop == roster.Open && !shared && availability.Limits(t) {
+			// Its rate limit is divided among other daemons.
+			stop = roster.Limited
+		}
+		if stop != roster.Open {
+			rejected.count(t.ID(), stop, duration)
+			if stop == roster.Limited {
+				rejected.rateLimitedTarget = t
+			}
+			continue
+		}
+		p.limitConnections(svc, candidate.entry.Address, false)
+		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) || p.relay.options.Pool.Room(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
+			rejected.full++
+			continue
+		}
+		candidate.weightVersion = candidate.entry.Weights[p.meta.Model]
+		if svc.Engine != nil && reloading[t.ID()] && candidate.weightVersion < p.relay.options.Named(p.meta.Model) {
+			rejected.full++
+			continue
+		}
+		candidate.state = p.relay.options.Targets.State(t.ID(), p.service, now)
+		if svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, candidate.weightVersion) {
+			rejected.outdated++
+			continue
+		}
+		out = append(out, candidate)
+	}
+	out = p.preferVersion(out)
+	reason := rejected.reason()
+	p.skipped, p.rateLimited = rejected.skipped, rejected.rateLimitedTarget
+	switch {
+	case len(out) > 0:
+	case reason == allEvacuated:
+		p.expectedWait = rejected.evacuationAge
+	case endsAtKnownTime(reason):
+		p.expectedWait = rejected.untilAvailable
+	}
+	return out, reason
+}
+
+// Reasons why no target may get a request.
+const (
+	// allFull: targets are available, but have no free capacity.
+	allFull      = "all targets are full"
+	allEvacuated = "all failure domains of the service are evacuated"
+	// allUnderPushback: each target asked this daemon for pushback. It is known when the first
+	// pushback ends.
+	allUnderPushback = "all targets rest"
+	// allRateLimited: as allUnderPushback, but some targets named a rate limit and are
+	// rate-limited.
+	allRateLimited = "all targets rest or are over the limits that they named"
+)
+
+// endsAtKnownTime reports whether it is known when a reason ends.
+func endsAtKnownTime(reason string) bool {
+	return reason == allUnderPushback || reason == allRateLimited
+}
+
+// unavailability counts the targets that may not get a request, by reason.
+type unavailability struct {
+	full, suspects, outdated, evacuated, outsideRegions, shuttingDown, underPushback, rateLimited, excludedVersions int
+	// skipped lists the first few targets that are skipped for their self-reported state, for the
+	// log.
+	skipped []string
+	// evacuationAge is the age of the oldest evacuation, untilAvailable the time until the first
+	// pushback ends or the first permit is due.
+	evacuationAge, untilAvailable time.Duration
+	// rateLimitedTarget is one of the rate-limited targets.
+	rateLimitedTarget *roster.Target
+}
+
+// maxSkippedNoted bounds how many skipped targets a log line names.
+const maxSkippedNoted = 4
+
+// count counts a target that is unavailable to this daemon. duration is what is known of how long
+// that lasts; see roster.Gate.Stop.
+func (u *unavailability) count(id string, reason roster.Stop, duration time.Duration) {
+	if (reason == roster.Leaves || reason == roster.Rests || reason == roster.Limited) && len(u.skipped) < maxSkippedNoted {
+		u.skipped = append(u.skipped, id+" "+reason.String())
+	}
+	switch reason {
+	case roster.Suspect:
+		u.suspects++
+	case roster.Evacuated:
+		u.evacuated++
+		u.evacuationAge = max(u.evacuationAge, duration)
+	case roster.Leaves:
+		u.shuttingDown++
+	case roster.Rests, roster.Limited:
+		if u.underPushback+u.rateLimited == 0 || duration < u.untilAvailable {
+			u.untilAvailable = duration
+		}
+		if reason == roster.Rests {
+			u.underPushback++
+		} else {
+			u.rateLimited++
+		}
+	default:
+	}
+}
+
+// reason returns why no target may get the request.
+func (u *unavailability) reason() string {
+	switch {
+	case u.full > 0:
+		return allFull
+	case u.rateLimited > 0:
+		return allRateLimited
+	case u.underPushback > 0:
+		return allUnderPushback
+	case u.outdated > 0:
+		return "all targets hold weights that were replaced too long ago"
+	case u.suspects > 0:
+		return "no target answers"
+	case u.evacuated > 0:
+		return allEvacuated
+	case u.outsideRegions > 0:
+		return "no target is in a region where the request may run"
+	case u.shuttingDown > 0:
+		return "all targets leave"
+	case u.excludedVersions > 0:
+		return "all targets are of versions that a roll-out keeps back"
+	}
+	return "no target is listed"
+}
+
+// maxRunning is how many requests a target may have in flight.
+func (p *proxiedRequest) maxRunning(svc *table.Service, e *roster.Entry) int {
+	slots := max(1, e.Slots)
+	if svc.Engine != nil {
+		return engineMaxLoad * slots
+	}
+	return plainMaxLoad * slots
+}
+
+// cellConnectionShare is the fraction of a sharded target's connections that the daemons of its
+// cell divide; the rest is for daemons that other cells' placements direct there.
+const cellConnectionShare = 0.5
+
+// limitConnections sets this daemon's share of the connections to a target. external is set if the
+// target belongs to another cell.
+func (p *proxiedRequest) limitConnections(svc *table.Service, address string, external bool) {
+	if svc.MaxConns <= 0 {
+		return
+	}
+	limit, daemons := connectionShare*float64(svc.MaxConns), p.relay.options.Daemons()
+	switch {
+	case !p.relay.sharded(p.service):
+	case external:
+		limit *= 1 - cellConnectionShare
+	default:
+		limit *= cellConnectionShare
+		daemons = p.relay.options.CellDaemons()
+	}
+	p.relay.options.Pool.SetMost(address, max(1, int(limit/float64(max(1, daemons)))))
+}
--- /dev/null
+++ b/core/relay/finish.go
@@ -0,0 +1,100 @@
+package relay
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"embertally.dev/core/entry"
+	"embertally.dev/core/event"
+)
+
+// finish answers the request if that has not been done, and writes the log line.
+func (p *proxiedRequest) finish(refusal *entry.Refusal) {
+	stats := p.relay.options.Stats
+	took := time.Since(p.start)
+	switch {
+	case callerGone(p.r.Context()):
+		stats.CallersGone.Inc()
+		p.writeLog(event.CallerGone, took)
+	case refusal != nil:
+		if refusal.Ran == entry.NotRun {
+			stats.Refused.Inc()
+		} else {
+			stats.Failed.Inc()
+		}
+		p.relay.options.Dialect.Refusal(p.w.Header(), p.meta.ID, refusal.RetryAfter)
+		p.note("%s", refusal.Error())
+		if err := refusal.Write(p.w, p.meta.ID); err != nil {
+			p.note("the caller disconnected: %v", err)
+		}
+		p.writeLog(event.RequestRefused, took)
+	case p.aborted:
+		stats.AnswersCut.Inc()
+		p.writeLog(event.StreamBroken, took)
+		// The connection is reset, so that the answer does not look complete.
+		panic(http.ErrAbortHandler)
+	default:
+		stats.Done.Inc()
+		stats.TotalSeconds.Update(took.Seconds())
+		p.writeLog(event.RequestDone, took)
+	}
+}
+
+// note records a decision for the log line.
+func (p *proxiedRequest) note(format string, args ...any) {
+	p.notes = append(p.notes, fmt.Sprintf(format, args...))
+}
+
+// noteSkipped records the targets that a choice skipped for their self-reported state.
+func (p *proxiedRequest) noteSkipped() {
+	if len(p.skipped) > 0 {
+		p.note("skipped: %s", strings.Join(p.skipped, ", "))
+		p.skipped = nil
+	}
+}
+
+// ref returns the references of the request's log lines.
+func (p *proxiedRequest) ref() event.Ref {
+	ref := event.Ref{Request: p.meta.ID}
+	if p.lastTarget != nil {
+		ref.Target = p.lastTarget.ID()
+	}
+	if p.organisation != nil {
+		ref.Organisation = p.organisation.Name
+	}
+	if p.route != nil {
+		ref.Resource = p.route.Name
+	}
+	return ref
+}
+
+// writeLog writes the log line of a request. took is its total time.
+func (p *proxiedRequest) writeLog(code event.Code, took time.Duration) {
+	first := ""
+	if !p.firstAt.IsZero() {
+		first = " first " + p.firstAt.Sub(p.start).Round(time.Millisecond).String()
+	}
+	var version int64
+	if p.table != nil {
+		version = p.table.Version()
+	}
+	text := fmt.Sprintf("took %s%s, asks %s, configuration %d, view age %s, attempts %d, executions %d; %s",
+		took.Round(time.Millisecond), first, p.digest, version, p.relay.options.Age().Round(10*time.Millisecond), p.attempts, p.executions, strings.Join(p.notes, "; "))
+	if p.forecast != nil {
+		p.forecast.Sends = p.attempts
+	}
+	p.relay.options.Log.EmitForecast(code, p.ref(), text, p.forecast)
+}
+
+// recordForecast records what is expected of the first attempt.
+func (p *proxiedRequest) recordForecast(c *choice) {
+	if p.forecast != nil {
+		return
+	}
+	p.forecast = &event.Forecast{
+		Service: p.service, Target: c.target.ID(), ExpectedMillis: event.Millis(c.judgement.Expected),
+		InTime: c.judgement.InTime, Served: c.judgement.Served, AimMillis: event.Millis(p.route.Aim - time.Since(p.start)),
+	}
+}
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -1,31 +1,32 @@
 package relay
 
-// outcome says how one send ended.
+// outcome is how one attempt ended.
 type outcome int
 
 const (
-	// done: the caller has the whole answer.
-	done outcome = iota
-	// notSent: no byte reached the target.
-	notSent
-	// stopped: no byte went out, since the target may get nothing any more.
-	stopped
-	// refused: the target says that it did not run the request.
-	refused
-	// broken: there is no answer, or not a whole one; it may have run.
-	broken
-	// bad: the target answered with a failure that a repeatable request may
-	// try again elsewhere; the answer is kept.
-	bad
-	// left: the caller has gone.
-	left
-	// late: the time is up.
-	late
-	// cut: part of the answer was passed on and it cannot be completed.
-	cut
+	// outcomeDone: the caller has the complete answer.
+	outcomeDone outcome = iota
+	// outcomeNotSent: no byte reached the target.
+	outcomeNotSent
+	// outcomeUnavailable: no byte was sent, since the target became unavailable after it was
+	// chosen.
+	outcomeUnavailable
+	// outcomeRefused: the target reports that it did not execute the request.
+	outcomeRefused
+	// outcomeIncomplete: there is no answer or a truncated one; the request may have been executed.
+	outcomeIncomplete
+	// outcomeFailed: the target answered with an error, and the request may be retried elsewhere;
+	// the answer is kept.
+	outcomeFailed
+	// outcomeCallerGone: the caller disconnected.
+	outcomeCallerGone
+	// outcomeTimedOut: the deadline has passed.
+	outcomeTimedOut
+	// outcomeTruncated: part of the answer was passed on and it cannot be completed.
+	outcomeTruncated
 )
 
 var outcomeNames = [...]string{"done", "notSent", "stopped", "refused", "broken", "bad", "left", "late", "cut"}
 
-// String returns the outcome as it stands in log lines.
+// String returns the outcome as written in log lines.
 func (o outcome) String() string { return outcomeNames[o] }
--- /dev/null
+++ b/core/relay/owners_test.go
@@ -0,0 +1,228 @@
+package relay
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/onsi/gomega"
+
+	"embertally.dev/core/cache"
+	"embertally.dev/core/event"
+	"embertally.dev/core/fleet"
+	"embertally.dev/core/roster"
+)
+
+// Bounds of polling: events take milliseconds, but much longer on a busy box.
+const (
+	waitTimeout  = "60s"
+	pollInterval = "10ms"
+)
+
+// fleetRig is a fleet of relays in front of the same workers.
+type fleetRig struct {
+	g      *gomega.WithT
+	rigs   []*rig
+	fleets []*fleet.Fleet
+	owners []*Homes
+	stop   []context.CancelFunc
+	// workers are the IDs of the workers.
+	workers []string
+}
+
+// newFleetRig starts daemons and workers that answer as handle says.
+func newFleetRig(t *testing.T, daemons, workers int, handle func(n int) handler) *fleetRig {
+	h := &fleetRig{g: gomega.NewWithT(t)}
+	var seeds []fleet.Peer
+	var listeners []net.Listener
+	for i := range daemons {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		h.g.Expect(err).NotTo(gomega.HaveOccurred())
+		listeners = append(listeners, l)
+		seeds = append(seeds, fleet.Peer{Name: fmt.Sprintf("entry-%02d", i), Address: l.Addr().String()})
+	}
+	var wg sync.WaitGroup
+	t.Cleanup(wg.Wait)
+	for i, seed := range seeds {
+		r := newRig(t, nil)
+		// Keep the times of real engines: this rig's are not to be learned.
+		r.relay.options.Without.Times, r.relay.options.Without.Targets = true, true
+		f := fleet.New(fleet.Options{
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: 250 * time.Millisecond, Suspect: 10 * time.Second, Log: &event.Log{},
+		})
+		f.Attach("roster", roster.Share{Roster: r.roster})
+		f.Attach("where", r.relay.options.Where)
+		r.relay.options.Share = func(names []string) []string { return f.View().Share(names) }
+		r.relay.options.Daemons = func() int { return daemons }
+		r.relay.options.Placed = f.Kick
+		owners := NewHomes(r.relay, f)
+		// A busy box takes longer than an owner may.
+		owners.timeout = 10 * time.Second
+		h.owners = append(h.owners, owners)
+		ctx, cancel := context.WithCancel(context.Background())
+		t.Cleanup(cancel)
+		wg.Go(func() { f.Run(ctx, listeners[i]) })
+		wg.Go(func() { owners.Run(ctx) })
+		h.rigs, h.fleets, h.stop = append(h.rigs, r), append(h.fleets, f), append(h.stop, cancel)
+	}
+	for i := range workers {
+		id := fmt.Sprintf("w-%02d", i)
+		h.workers = append(h.workers, id)
+		h.rigs[0].target(id, "llm", handle)
+		for _, r := range h.rigs[1:] {
+			r.roster.Put(*h.rigs[0].roster.Target(id).Entry())
+		}
+	}
+	for _, f := range h.fleets {
+		h.g.Eventually(func() int { return len(f.View().OnDuty()) }, waitTimeout, pollInterval).Should(gomega.BeNumerically(">", 1))
+	}
+	return h
+}
+
+// ownerCell returns the cell that owns a context, and the workers that this cell uses.
+func (h *fleetRig) ownerCell(context string) (cell int, workers []string) {
+	cell = h.fleets[0].View().WeighedCell(fleet.Key(context))
+	for _, f := range h.fleets {
+		if f.View().Cell() == cell {
+			return cell, f.View().Share(h.workers)
+		}
+	}
+	return cell, nil
+}
+
+// outsideOf returns a daemon of another cell.
+func (h *fleetRig) outsideOf(cell int) int {
+	for i, f := range h.fleets {
+		if f.View().Cell() != cell {
+			return i
+		}
+	}
+	h.g.Expect(true).To(gomega.BeFalse(), "all daemons are in one cell")
+	return -1
+}
+
+// ask sends a request with a context of 6,000 tokens to a daemon.
+func (h *fleetRig) ask(daemon int, context string) callerAnswer {
+	return h.rigs[daemon].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", context+":6000 own:100")
+}
+
+// cachedIn reports whether some daemon of a cell knows a worker that has a context cached.
+func (h *fleetRig) cachedIn(cell int, context string) func() bool {
+	return func() bool {
+		name := cache.PartName{Salt: cache.PartSalt{Model: "m", Version: 1}.String(), ID: context}
+		for i, f := range h.fleets {
+			if holders, _ := h.rigs[i].relay.options.Where.Find(name, time.Now()); f.View().Cell() == cell && len(holders) > 0 {
+				return true
+			}
+		}
+		return false
+	}
+}
+
+// placements returns the number of choices that owners count for other daemons.
+func (h *fleetRig) placements() int {
+	n := 0
+	for _, o := range h.owners {
+		o.placementsMu.Lock()
+		n += len(o.placements)
+		o.placementsMu.Unlock()
+	}
+	return n
+}
+
+// waitIdle waits until no daemon counts any load, its own or reported by others: an owner whose
+// workers are busy may be passed over.
+func (h *fleetRig) waitIdle() {
+	h.g.Eventually(h.placements, waitTimeout, pollInterval).Should(gomega.BeZero())
+	for _, id := range h.workers {
+		for _, r := range h.rigs {
+			h.g.Eventually(func() roster.Load { return r.roster.Target(id).Load() }, waitTimeout, pollInterval).Should(gomega.Equal(roster.Load{}))
+		}
+	}
+}
+
+// Without owners, a fleet of two cells caches each context in both, and only half as many requests
+// find theirs cached.
+func TestContextStaysInOwnerCell(t *testing.T) {
+	const daemons = 24
+	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
+	for _, context := range []string{"a1", "b2", "c3", "d4"} {
+		before := len(h.rigs[0].received())
+		cell, workers := h.ownerCell(context)
+		h.g.Expect(workers).NotTo(gomega.BeEmpty())
+		for daemon := range daemons {
+			h.g.Expect(h.ask(daemon, context).status).To(gomega.Equal(http.StatusOK))
+			h.waitIdle()
+		}
+		h.g.Expect(h.cachedIn(cell, context)()).To(gomega.BeTrue())
+		for _, s := range h.rigs[0].received()[before:] {
+			h.g.Expect(slices.Contains(workers, s.target)).To(gomega.BeTrue(), "%s went to %s of %v", context, s.target, workers)
+		}
+	}
+}
+
+// A daemon that cannot reach the owner decides itself.
+func TestUnreachableOwnerCell(t *testing.T) {
+	const daemons = 24
+	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
+	cell, _ := h.ownerCell("a1")
+	for i, f := range h.fleets {
+		if f.View().Cell() == cell {
+			h.stop[i]()
+		}
+	}
+	for i, f := range h.fleets {
+		if f.View().Cell() != cell {
+			h.g.Expect(h.ask(i, "a1").status).To(gomega.Equal(http.StatusOK))
+		}
+	}
+}
+
+// If the owner has no free target, the request is served by its own cell.
+func TestFullOwnerCell(t *testing.T) {
+	const daemons = 24
+	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
+	cell, workers := h.ownerCell("a1")
+	full := roster.Load{Running: 1, Unread: 1 << 20, Held: 1 << 20}
+	for i, f := range h.fleets {
+		if f.View().Cell() == cell {
+			for _, id := range workers {
+				h.rigs[i].roster.Target(id).Begin(full)
+			}
+		}
+	}
+	for i, f := range h.fleets {
+		if f.View().Cell() != cell {
+			h.g.Expect(h.ask(i, "a1").status).To(gomega.Equal(http.StatusOK))
+		}
+	}
+	// Another context of the same owner, since the first is now cached elsewhere.
+	other := "b0"
+	for n := 1; h.fleets[0].View().WeighedCell(fleet.Key(other)) != cell; n++ {
+		other = fmt.Sprintf("b%d", n)
+	}
+	before := len(h.rigs[0].received())
+	for i, f := range h.fleets {
+		for _, id := range workers {
+			if f.View().Cell() == cell {
+				h.rigs[i].roster.Target(id).End(full)
+			}
+		}
+	}
+	h.waitIdle()
+	// The owner is queried again: having no free target does not put it into backoff.
+	for i, f := range h.fleets {
+		if f.View().Cell() != cell {
+			h.g.Expect(h.ask(i, other).status).To(gomega.Equal(http.StatusOK))
+			h.waitIdle()
+		}
+	}
+	for _, s := range h.rigs[0].received()[before:] {
+		h.g.Expect(slices.Contains(workers, s.target)).To(gomega.BeTrue(), "%s is none of %v", s.target, workers)
+	}
+}
--- /dev/null
+++ b/core/relay/placements.go
@@ -0,0 +1,167 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"embertally.dev/core/cache"
+	"embertally.dev/core/roster"
+	"embertally.dev/core/table"
+	"embertally.dev/core/wait"
+)
+
+// ownedPlacement is a choice of this daemon that another daemon sends.
+type ownedPlacement struct {
+	request *proxiedRequest
+	// choice is nil if the end was reported before the start.
+	choice *choice
+	// load is the load still counted for it, and deadline when it may be removed.
+	load     roster.Load
+	deadline time.Time
+}
+
+var errCannotPlace = errors.New("this daemon cannot place the request")
+
+// handlePlace chooses a target for another daemon's request.
+func (h *Homes) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
+	p, svc := h.requestOf(request)
+	if svc == nil || (svc.Engine == nil && !h.relay.sharded(request.Service) && !request.NeedsPermit) {
+		return nil, errors.WithStack(errCannotPlace)
+	}
+	h.relay.options.Roster.MergeLimits(request.RateLimits)
+	for {
+		c, reason := p.chooseLocal(svc, time.Now())
+		// The other daemon reports if it uses the choice.
+		c.releaseLoad()
+		if c == nil || c.judgement.Gain <= 0 {
+			return nil, errors.Wrap(errCannotPlace, reason)
+		}
+		if p.acquire(c, time.Now()) {
+			return newPlacementResponse(c, h.relay.options.Age()), nil
+		}
+	}
+}
+
+// requestOf returns another daemon's request in the form that decisions use.
+func (h *Homes) requestOf(request *placementRequest) (*proxiedRequest, *table.Service) {
+	now, t := time.Now(), h.relay.Table()
+	if t == nil {
+		return nil, nil
+	}
+	p := &proxiedRequest{
+		relay: h.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining), table: t, service: request.Service, tried: map[string]int{},
+		meta: Ask{Model: request.Model, Prompt: request.PromptTokens}, route: &table.Route{Name: request.Route, Aim: request.LatencyObjective}, bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true, regions: request.Regions, versions: request.Versions,
+	}
+	if request.IsolatedOrganisation != "" {
+		p.organisation = &table.Organisation{Name: request.IsolatedOrganisation, Isolated: true}
+	}
+	for _, segment := range request.Segments {
+		p.meta.Parts = append(p.meta.Parts, cache.Part{ID: segment.ID, Tokens: segment.Tokens})
+	}
+	for _, id := range request.Excluded {
+		p.tried[id]++
+	}
+	return p, t.Service(request.Service)
+}
+
+// handleUpdate processes an update on a choice.
+func (h *Homes) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
+	now := time.Now()
+	h.placementsMu.Lock()
+	defer h.placementsMu.Unlock()
+	pl := h.placements[update.Name]
+	if update.Request != nil && update.Response != nil {
+		if pl == nil {
+			h.addPlacement(update, now)
+		} else {
+			// The report of its end arrived first.
+			delete(h.placements, update.Name)
+		}
+		return struct{}{}, nil
+	}
+	if pl == nil {
+		if update.Ended {
+			h.placements[update.Name] = &ownedPlacement{deadline: now.Add(expiryInterval)}
+		}
+		return struct{}{}, nil
+	}
+	if pl.choice != nil {
+		pl.apply(update, now)
+	}
+	if update.Ended {
+		delete(h.placements, update.Name)
+	}
+	return struct{}{}, nil
+}
+
+// addPlacement counts the load of a choice that is used. It is called with placementsMu held.
+func (h *Homes) addPlacement(update *placementUpdate, now time.Time) {
+	t := h.relay.options.Roster.Target(update.Response.Target)
+	p, svc := h.requestOf(update.Request)
+	if t == nil || svc == nil || svc.Engine == nil {
+		return
+	}
+	c := update.Response.choice(t, update.Request.PromptTokens)
+	c.eligible = eligibleTarget{target: t, entry: t.Entry(), weightVersion: update.Response.WeightVersion}
+	c.plan = p.planSegments(svc, c.eligible, p.findSegments(c.eligible.weightVersion, now), now)
+	if len(update.Response.CopyFrom) == 0 {
+		c.plan.copyCount, c.plan.copyTime = 0, 0
+	}
+	p.recordUse(c, now)
+	t.Begin(c.load)
+	h.placements[update.Name] = &ownedPlacement{request: p, choice: c, load: c.load, deadline: p.deadline}
+	h.relay.options.Placed()
+}
+
+// apply records the result of the choice and releases its load.
+func (pl *ownedPlacement) apply(update *placementUpdate, now time.Time) {
+	c := pl.choice
+	if update.ShuttingDown {
+		pl.request.relay.options.Roster.Leaves(c.target.ID(), roster.ByPeer)
+	}
+	switch {
+	case update.Reloading:
+		pl.request.recordReload(c)
+	case update.NoAnswer:
+		pl.request.recordNoAnswer(c)
+	case update.Bad:
+		pl.request.recordAnswer(c, false)
+	case update.FirstEvent > 0:
+		pl.request.recordAnswer(c, true)
+		pl.request.learnFromFirstAnswer(c, update.FirstEvent, now)
+	}
+	released := roster.Load{Unread: pl.load.Unread}
+	if update.Ended {
+		released = pl.load
+	}
+	pl.releaseLoad(released)
+}
+
+// releaseLoad releases part of the counted load.
+func (pl *ownedPlacement) releaseLoad(l roster.Load) {
+	if pl.choice != nil {
+		pl.choice.target.End(l)
+	}
+	pl.load.Running -= l.Running
+	pl.load.Unread -= l.Unread
+	pl.load.Held -= l.Held
+}
+
+// Run removes placements whose end was not reported, until ctx ends.
+func (h *Homes) Run(ctx context.Context) {
+	wait.Every(ctx, expiryInterval, func() { h.removeExpired(time.Now()) })
+}
+
+// removeExpired removes placements whose end was not reported.
+func (h *Homes) removeExpired(now time.Time) {
+	h.placementsMu.Lock()
+	defer h.placementsMu.Unlock()
+	for name, pl := range h.placements {
+		if now.After(pl.deadline.Add(expiryInterval)) {
+			pl.releaseLoad(pl.load)
+			delete(h.placements, name)
+		}
+	}
+}
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -9,25 +9,25 @@
 	"embertally.dev/core/table"
 )
 
-func TestRegionsOfRouteAndOrganisationBothBind(t *testing.T) {
+func TestRouteAndOrganisationRegionsBothApply(t *testing.T) {
 	tests := []struct {
 		name                string
 		route, organisation []string
-		// to are the workers that may run the request: w1 in the north, w2 in the
-		// south, w3 in a domain whose region is not known.
+		// to are the workers that may run the request: w1 in the north, w2 in the south, w3 in a
+		// domain without a known region.
 		to []string
 	}{
 		{"none", nil, nil, []string{"w1", "w2", "w3"}},
 		{"of the route", []string{"north"}, nil, []string{"w1"}},
 		{"of the organisation", nil, []string{"south", "east"}, []string{"w2"}},
 		{"both", []string{"north", "south"}, []string{"south"}, []string{"w2"}},
-		{"without a region in common", []string{"north"}, []string{"south"}, nil},
-		{"without workers", []string{"east"}, nil, nil},
+		{"no common region", []string{"north"}, []string{"south"}, nil},
+		{"no workers in the region", []string{"east"}, nil, nil},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.o.Regions = map[string]string{"d1": "north", "d2": "south"}
+			r.relay.options.Regions = map[string]string{"d1": "north", "d2": "south"}
 			old := r.relay.Table()
 			routes := append([]table.Route(nil), testRoutes...)
 			for i := range routes {
@@ -37,10 +37,10 @@
 				Version: old.Version() + 1, Routes: routes, Services: []table.Service{*old.Service("plain"), *old.Service("llm")},
 				Organisations: []table.Organisation{{Name: "org", Keys: []string{"secret"}, Regions: tc.organisation}},
 			}))
-			// The first two break each stream, so that a second try is made.
+			// All workers break off each stream, so that requests are retried.
 			for i := 1; i <= 3; i++ {
 				id := fmt.Sprintf("w%d", i)
-				r.target(id, "llm", always(hangsUp))
+				r.target(id, "llm", always(hangUp))
 				e := *r.roster.Target(id).Entry()
 				e.Domain = fmt.Sprintf("d%d", i)
 				r.roster.Put(e)
@@ -48,34 +48,34 @@
 			for range 6 {
 				got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 				if len(tc.to) == 0 {
-					r.g.Expect(got.status).To(gomega.Equal(503), "not run, and refused at once")
+					r.g.Expect(got.status).To(gomega.Equal(503), "refused at once, not executed")
 				}
 			}
 			if len(tc.to) > 0 {
-				r.g.Expect(r.sends()).NotTo(gomega.BeEmpty())
+				r.g.Expect(r.received()).NotTo(gomega.BeEmpty())
 			}
-			for _, s := range r.sends() {
+			for _, s := range r.received() {
 				r.g.Expect(tc.to).To(gomega.ContainElement(s.target))
 			}
 		})
 	}
 }
 
-// A home that does not know of a caller's regions, or has been told wrongly, is not obeyed.
-func TestAHomeOutsideTheRegionsIsNotObeyed(t *testing.T) {
+// The choice of an owner that does not know the caller's regions, or knows wrong ones, is rejected.
+func TestOwnerChoiceOutsideRegionsIsRejected(t *testing.T) {
 	r := newRig(t, nil)
-	r.relay.o.Regions = map[string]string{"d1": "north", "d2": "south"}
-	r.target("w1", "llm", always(hangsUp))
+	r.relay.options.Regions = map[string]string{"d1": "north", "d2": "south"}
+	r.target("w1", "llm", always(hangUp))
 	e := *r.roster.Target("w1").Entry()
 	e.Domain = "d2"
 	r.roster.Put(e)
-	p := &pass{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}, regions: regions{{"north"}}}
-	r.relay.homes = &Homes{}
-	answer := &placeAnswer{Target: "w1", Weights: 1}
-	r.g.Expect(p.orderOf(r.relay.Table().Service("llm"), "peer", &placeAsk{}, answer)).To(gomega.BeNil())
-	ask := p.placeAsk(p.began)
-	r.g.Expect(ask.Regions).To(gomega.Equal(regions{{"north"}}))
-	far, _ := (&Homes{relay: r.relay}).passOf(ask)
-	r.g.Expect(far.allowed("d1")).To(gomega.BeTrue())
-	r.g.Expect(far.allowed("d2")).To(gomega.BeFalse())
+	p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}, regions: regions{{"north"}}}
+	r.relay.owners = &Homes{}
+	response := &placementResponse{Target: "w1", WeightVersion: 1}
+	r.g.Expect(p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, response)).To(gomega.BeNil())
+	request := p.newPlacementRequest(p.start)
+	r.g.Expect(request.Regions).To(gomega.Equal(regions{{"north"}}))
+	remote, _ := (&Homes{relay: r.relay}).requestOf(request)
+	r.g.Expect(remote.domainAllowed("d1")).To(gomega.BeTrue())
+	r.g.Expect(remote.domainAllowed("d2")).To(gomega.BeFalse())
 }
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestAnswersOfPlainTargets(t *testing.T) {
-	foreign := func(w *bufio.Writer, _ *http.Request) error {
+	mismatched := func(w *bufio.Writer, _ *http.Request) error {
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\nId: another\r\nSeal: s\r\nContent-Length: 2\r\n\r\nno")
 		return nil
 	}
@@ -32,24 +32,24 @@
 		return fmt.Errorf("cut")
 	}
 	tests := []struct {
-		name   string
-		path   string
-		first  func(int) handler
-		second func(int) handler
-		status int
-		body   string
-		sends  int
+		name     string
+		path     string
+		first    func(int) handler
+		second   func(int) handler
+		status   int
+		body     string
+		attempts int
 	}{
-		{"whole", "/once/a?b=c", always(answers(200, "yes")), nil, 200, "yes", 1},
-		{"own failure is passed on", "/once/a", always(answers(500, "bad")), nil, 500, "bad", 1},
-		{"not run moves on", "/once/a", always(declines), always(declines), 503, "notRun", 2},
-		{"not run is served by the other", "/once/a", inTurn(declines), always(answers(200, "yes")), 200, "yes", 0},
-		{"cut once is unknown", "/once/a", always(hangsUp), always(answers(200, "yes")), 0, "", 1},
-		{"cut repeatable is sent again", "/again/a", inTurn(hangsUp, answers(200, "yes")), always(answers(200, "yes")), 200, "yes", 0},
-		{"failure of repeatable is sent again", "/again/a", always(answers(500, "bad")), always(answers(500, "bad")), 500, "bad", 2},
-		{"foreign answer", "/once/a", always(foreign), nil, 502, "unknown", 1},
+		{"complete", "/once/a?b=c", always(respond(200, "yes")), nil, 200, "yes", 1},
+		{"error of a non-repeatable request is passed on", "/once/a", always(respond(500, "bad")), nil, 500, "bad", 1},
+		{"all targets refuse", "/once/a", always(refuse), always(refuse), 503, "notRun", 2},
+		{"refused request is served by the other", "/once/a", inSequence(refuse), always(respond(200, "yes")), 200, "yes", 0},
+		{"non-repeatable without answer is unknown", "/once/a", always(hangUp), always(respond(200, "yes")), 0, "", 1},
+		{"repeatable without answer is retried", "/again/a", inSequence(hangUp, respond(200, "yes")), always(respond(200, "yes")), 200, "yes", 0},
+		{"error of a repeatable request is retried", "/again/a", always(respond(500, "bad")), always(respond(500, "bad")), 500, "bad", 2},
+		{"answer to another request", "/once/a", always(mismatched), nil, 502, "unknown", 1},
 		{"unsigned answer", "/once/a", always(unsigned), nil, 502, "unknown", 1},
-		{"short answer", "/once/a", always(short), nil, 502, "unknown", 1},
+		{"truncated answer", "/once/a", always(short), nil, 502, "unknown", 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -63,10 +63,10 @@
 				r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			}
 			r.g.Expect(a.body).To(gomega.ContainSubstring(tc.body))
-			if tc.sends > 0 {
-				r.g.Expect(r.sends()).To(gomega.HaveLen(tc.sends))
+			if tc.attempts > 0 {
+				r.g.Expect(r.received()).To(gomega.HaveLen(tc.attempts))
 			}
-			for _, s := range r.sends() {
+			for _, s := range r.received() {
 				r.g.Expect(s.uri).To(gomega.Equal(tc.path))
 				r.g.Expect(s.body).To(gomega.Equal("hello"))
 				r.g.Expect(s.header.Get("Organisation")).To(gomega.Equal("org"))
@@ -77,17 +77,17 @@
 	}
 }
 
-func TestCutOfWhatMayRunOnceIsNeverCalledNotRun(t *testing.T) {
+func TestDisconnectOfNonRepeatableIsNotReportedAsNotRun(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "plain", always(hangsUp))
-	r.target("t2", "plain", always(hangsUp))
+	r.target("t1", "plain", always(hangUp))
+	r.target("t2", "plain", always(hangUp))
 	a := r.ask(http.MethodPost, "/once/a", "x")
 	r.g.Expect(a.status).To(gomega.Equal(http.StatusBadGateway))
 	r.g.Expect(a.header.Get("Come-Back")).To(gomega.BeEmpty())
-	r.g.Expect(r.sends()).To(gomega.HaveLen(1))
+	r.g.Expect(r.received()).To(gomega.HaveLen(1))
 }
 
-func TestRefusalsWithoutASend(t *testing.T) {
+func TestRefusalsBeforeAnyAttempt(t *testing.T) {
 	tests := []struct {
 		name    string
 		path    string
@@ -96,9 +96,9 @@
 		status  int
 	}{
 		{"no route", "/none/", nil, false, 404},
-		{"no route, old configuration", "/none/", nil, true, 503},
+		{"no route, outdated configuration", "/none/", nil, true, 503},
 		{"bad key", "/once/", []string{"Key", "other"}, false, 401},
-		{"bad key, old configuration", "/once/", []string{"Key", "other"}, true, 503},
+		{"bad key, outdated configuration", "/once/", []string{"Key", "other"}, true, 503},
 		{"no target", "/once/", nil, false, 503},
 		{"public needs no key", "/public/", []string{"Key", ""}, false, 503},
 		{"bad deadline", "/once/", []string{"Deadline", "soon"}, false, 400},
@@ -111,48 +111,47 @@
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"notRun"`))
 			r.g.Expect(a.header.Get("Come-Back") != "").To(gomega.Equal(tc.status == 503))
-			r.g.Expect(r.sends()).To(gomega.BeEmpty())
+			r.g.Expect(r.received()).To(gomega.BeEmpty())
 		})
 	}
 }
 
-// A route that is still there may lead elsewhere by now.
-func TestNothingIsSentUnderAConfigurationThatIsReplacedForTooLong(t *testing.T) {
+// A route of a superseded configuration may lead to another service by now.
+func TestOverdueConfigurationIsRefused(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "plain", always(answers(200, "ok")))
-	r.lacks = time.Second
+	r.target("t1", "plain", always(respond(200, "ok")))
+	r.configOverdue = time.Second
 	a := r.ask(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(503))
 	r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"notRun"`))
 	r.g.Expect(a.header.Get("Come-Back")).NotTo(gomega.BeEmpty())
-	r.g.Expect(r.sends()).To(gomega.BeEmpty())
-	r.lacks = 0
+	r.g.Expect(r.received()).To(gomega.BeEmpty())
+	r.configOverdue = 0
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "y").status).To(gomega.Equal(200))
 }
 
-// Callers are told to come back when the cause is expected to have ended, within
-// a third of their time.
-func TestCallersAreToldWhenToComeBack(t *testing.T) {
+// The Retry-After is when the cause is expected to have ended, within a third of the caller's time.
+func TestRetryAfterOfRefusals(t *testing.T) {
 	tests := []struct {
 		name        string
 		make        func(r *rig)
 		deadline    string
 		least, most time.Duration
 	}{
-		{"started just now", func(r *rig) { r.relay.table.Store(nil) }, "6000", soonest / 2, 400 * time.Millisecond},
-		{"the store is out", func(r *rig) {
+		{"started just now", func(r *rig) { r.relay.table.Store(nil) }, "6000", minRetryAfter / 2, 400 * time.Millisecond},
+		{"coordination store down", func(r *rig) {
 			r.relay.table.Store(nil)
-			r.relay.o.StoreDown = func() bool { return true }
+			r.relay.options.StoreDown = func() bool { return true }
 		}, "6000", 700 * time.Millisecond, 1300 * time.Millisecond},
-		{"no configuration for long", func(r *rig) {
+		{"no configuration for a minute", func(r *rig) {
 			r.relay.table.Store(nil)
-			r.relay.began = time.Now().Add(-time.Minute)
+			r.relay.start = time.Now().Add(-time.Minute)
 		}, "6000", 1900 * time.Millisecond, 2 * time.Second},
-		{"little time is left", func(r *rig) {
+		{"little time remaining", func(r *rig) {
 			r.relay.table.Store(nil)
-			r.relay.began = time.Now().Add(-time.Minute)
+			r.relay.start = time.Now().Add(-time.Minute)
 		}, "300", time.Millisecond, 100 * time.Millisecond},
-		{"about to stop", func(r *rig) { r.relay.Refuse() }, "6000", soonest / 2, 2 * soonest},
+		{"about to stop", func(r *rig) { r.relay.Refuse() }, "6000", minRetryAfter / 2, 2 * minRetryAfter},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -178,55 +177,55 @@
 	r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"unknown"`))
 }
 
-func TestLeavingTargetsGetNothing(t *testing.T) {
+func TestTargetsShuttingDownGetNoRequests(t *testing.T) {
 	r := newRig(t, nil)
-	f := r.target("t1", "plain", always(answers(200, "yes")))
+	f := r.target("t1", "plain", always(respond(200, "yes")))
 	r.roster.Put(roster.Entry{ID: "t1", Service: "plain", Address: f.l.Addr().String(), Leaving: true})
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(http.StatusServiceUnavailable))
-	r.g.Expect(r.sends()).To(gomega.BeEmpty())
+	r.g.Expect(r.received()).To(gomega.BeEmpty())
 }
 
 func TestStreams(t *testing.T) {
 	tests := []struct {
-		name     string
-		path     string
-		first    func(int) handler
-		second   func(int) handler
-		body     string
-		cut      bool
-		resumeAt string
+		name      string
+		path      string
+		first     func(int) handler
+		second    func(int) handler
+		body      string
+		truncated bool
+		resumeAt  string
 	}{
-		{"whole", "/stream/", always(streams(true, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n")), nil, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, ""},
+		{"complete", "/stream/", always(stream(true, "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n")), nil, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, ""},
 		{
-			"broken inside an event, taken up elsewhere", "/stream/",
-			always(streams(false, "id: 1\ndata: a\n\n", "id: 2\nda")),
-			always(streams(true, "id: 2\ndata: b\n\n")),
+			"broken within an event, resumed elsewhere", "/stream/",
+			always(stream(false, "id: 1\ndata: a\n\n", "id: 2\nda")),
+			always(stream(true, "id: 2\ndata: b\n\n")),
 			"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", false, "1",
 		},
 		{
-			"events that the caller has are left out", "/stream/",
-			always(streams(false, "id: 9\ndata: a\n\n")),
-			always(streams(true, "id: 9\ndata: a\n\n", "id: 10\ndata: b\n\n")),
+			"events that the caller has received are left out", "/stream/",
+			always(stream(false, "id: 9\ndata: a\n\n")),
+			always(stream(true, "id: 9\ndata: a\n\n", "id: 10\ndata: b\n\n")),
 			"id: 9\ndata: a\n\nid: 10\ndata: b\n\n", false, "9",
 		},
-		{"broken and not resumable", "/single/", always(streams(false, "id: 1\ndata: a\n\n")), always(streams(true, "id: 2\ndata: b\n\n")), "id: 1\ndata: a\n\n", true, ""},
-		{"ends inside an event", "/single/", always(streams(true, "id: 1\ndata: a\n\n", "id: 2\nda")), nil, "id: 1\ndata: a\n\n", true, ""},
+		{"broken and not resumable", "/single/", always(stream(false, "id: 1\ndata: a\n\n")), always(stream(true, "id: 2\ndata: b\n\n")), "id: 1\ndata: a\n\n", true, ""},
+		{"ends within an event", "/single/", always(stream(true, "id: 1\ndata: a\n\n", "id: 2\nda")), nil, "id: 1\ndata: a\n\n", true, ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.target("t1", "llm", tc.first)
 			if tc.second != nil {
-				// The first one is chosen: the second is busy.
+				// The first one is chosen, since the second is busy.
 				r.target("t2", "llm", tc.second)
 				r.roster.Target("t2").Begin(roster.Load{Running: 3})
 			}
 			a := r.ask(http.MethodPost, tc.path, "x", "Model", "m")
 			r.g.Expect(a.body).To(gomega.Equal(tc.body))
-			r.g.Expect(a.err != nil).To(gomega.Equal(tc.cut))
+			r.g.Expect(a.err != nil).To(gomega.Equal(tc.truncated))
 			r.g.Expect(a.header.Get("Seal")).To(gomega.Equal("s-t1"))
 			if tc.resumeAt != "" {
-				s := r.sends()
+				s := r.received()
 				r.g.Expect(s).To(gomega.HaveLen(2))
 				r.g.Expect(s[1].target).To(gomega.Equal("t2"))
 				r.g.Expect(s[1].header.Get("After")).To(gomega.Equal(tc.resumeAt))
@@ -235,11 +234,11 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheSend(t *testing.T) {
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	r := newRig(t, nil)
-	began, ended := make(chan struct{}), make(chan struct{})
+	started, ended := make(chan struct{}), make(chan struct{})
 	r.target("t1", "plain", always(func(_ *bufio.Writer, req *http.Request) error {
-		close(began)
+		close(started)
 		<-req.Context().Done()
 		return nil
 	}))
@@ -253,44 +252,44 @@
 		defer close(ended)
 		http.DefaultClient.Do(req)
 	}()
-	<-began
+	<-started
 	cancel()
 	<-ended
 	r.g.Eventually(r.relay.Running, "10s", "5ms").Should(gomega.BeZero())
 	r.g.Expect(r.roster.Target("t1").Own()).To(gomega.Equal(roster.Load{}))
 }
 
-func TestRetriesStayWithinWhatIsAllowed(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	r := newRig(t, nil)
-	r.relay.o.RetryShare, r.relay.o.RetryExtra = 0, 3.5/allowedShare
-	r.target("t1", "plain", always(answers(500, "bad")))
-	r.target("t2", "plain", always(answers(500, "bad")))
+	r.relay.options.RetryShare, r.relay.options.RetryExtra = 0, 3.5/retryBudgetUse
+	r.target("t1", "plain", always(respond(500, "bad")))
+	r.target("t2", "plain", always(respond(500, "bad")))
 	for range 10 {
 		r.ask(http.MethodPost, "/again/", "x")
 	}
-	r.g.Expect(r.sends()).To(gomega.HaveLen(13))
+	r.g.Expect(r.received()).To(gomega.HaveLen(13))
 }
 
-// keptPart makes the rig's stores hold one part under a salt.
-func keptPart(r *rig, salt, id string) {
-	r.kept.Set(t0(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
+// storeSegment adds the KV-cache store to the rig and waits until the segment is known to be there.
+func storeSegment(r *rig, salt, id string) {
+	r.kept.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
 	name := cache.PartName{Salt: salt, ID: id}
 	r.g.Eventually(func() bool {
 		return len(r.kept.Find(name, clock.Now())) > 0
 	}, "10s", "5ms").Should(gomega.BeTrue())
 }
 
-func t0(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func TestPartsAreCopiedOnlyUnderTheNewestWeights(t *testing.T) {
+func TestSegmentsAreCopiedOnlyForDesiredWeights(t *testing.T) {
 	tests := []struct {
-		name  string
-		named int64
-		copy  string
+		name    string
+		desired int64
+		copy    string
 	}{
 		{"newest", 1, "store:1,"},
 		{"superseded", 2, ""},
@@ -298,23 +297,22 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			salt := cache.PartSalt{Model: "m", Version: 1}.String()
-			r := newRig(t, noStores{[]cache.PartChange{{PartName: cache.PartName{Salt: salt, ID: "shared"}, Tokens: 5000}}})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			keptPart(r, salt, "shared")
-			r.named = tc.named
+			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: cache.PartName{Salt: salt, ID: "shared"}, Tokens: 5000}}})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			storeSegment(r, salt, "shared")
+			r.desired = tc.desired
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "shared:5000 own:10")
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
-			r.g.Expect(r.sends()[0].header.Get("Salt")).To(gomega.Equal(salt))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
+			r.g.Expect(r.received()[0].header.Get("Salt")).To(gomega.Equal(salt))
 		})
 	}
 }
 
-// Parts of any size are kept and copied. Engines copy no part after one that no
-// place is named for.
-func TestPartsOfAnySizeAreKeptAndCopied(t *testing.T) {
+// Segments of any size are stored and copied. Engines copy no segment after one without a source.
+func TestSegmentsOfAnySizeAreStoredAndCopied(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
-	part := func(id string, tokens int) cache.PartChange {
+	segment := func(id string, tokens int) cache.PartChange {
 		return cache.PartChange{PartName: cache.PartName{Salt: salt, ID: id}, Tokens: tokens}
 	}
 	tests := []struct {
@@ -324,28 +322,28 @@
 		copy   string
 		keep   string
 	}{
-		{"both in the store", []cache.PartChange{part("first", 60), part("text", 5000)}, "first:60 text:5000 own:10", "store:1,store:1,", ""},
-		{"the small one not in the store", []cache.PartChange{part("text", 5000)}, "first:60 text:5000 own:10", "", "store:1,,"},
-		{"a small one after it", []cache.PartChange{part("text", 5000)}, "text:5000 last:60 own:10", "store:1,,", ",store:1,"},
-		{"none in the store", []cache.PartChange{part("else", 10)}, "first:60 text:5000 own:10", "", "store:1,store:1,"},
-		{"small ones only", []cache.PartChange{part("first", 60)}, "first:60 session:240 own:10", "store:1,,", ",store:1,"},
+		{"both in the store", []cache.PartChange{segment("first", 60), segment("text", 5000)}, "first:60 text:5000 own:10", "store:1,store:1,", ""},
+		{"the small one is not in the store", []cache.PartChange{segment("text", 5000)}, "first:60 text:5000 own:10", "", "store:1,,"},
+		{"a small one after it", []cache.PartChange{segment("text", 5000)}, "text:5000 last:60 own:10", "store:1,,", ",store:1,"},
+		{"none in the store", []cache.PartChange{segment("else", 10)}, "first:60 text:5000 own:10", "", "store:1,store:1,"},
+		{"small ones only", []cache.PartChange{segment("first", 60)}, "first:60 session:240 own:10", "store:1,,", ",store:1,"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, noStores{tc.stored})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			keptPart(r, salt, tc.stored[0].ID)
+			r := newRig(t, fakeStores{tc.stored})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			storeSegment(r, salt, tc.stored[0].ID)
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
-			r.g.Expect(r.sends()[0].header.Get("Keep")).To(gomega.Equal(tc.keep))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
+			r.g.Expect(r.received()[0].header.Get("Keep")).To(gomega.Equal(tc.keep))
 		})
 	}
 }
 
-// Of the places that hold a part, the one that is expected to hand it out first
-// is named; where none can within the time of a copy, the part is read.
-func TestPartsAreCopiedFromWhereTheyComeSoonest(t *testing.T) {
+// Of several sources, the one with the earliest expected end of the copy is used. If none can
+// finish within the time limit of copies, the segment is prefilled.
+func TestFastestCopySourceIsChosen(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
 	tests := []struct {
@@ -354,104 +352,104 @@
 		want string
 	}{
 		{"the store nearby", func(*rig) {}, "near:1,"},
-		{"copies wait at the nearer", func(r *rig) { r.relay.o.Links.Begin("near:1", "else", 800*time.Millisecond, time.Now()) }, "far:1,"},
+		{"copies queued at the nearer", func(r *rig) { r.relay.options.Links.Begin("near:1", "else", 800*time.Millisecond, time.Now()) }, "far:1,"},
 		{"the nearer is slow", func(r *rig) {
 			for range 8 {
-				r.relay.o.Links.Sample("near:1", "else", 8, 1, time.Now())
+				r.relay.options.Links.Sample("near:1", "else", 8, 1, time.Now())
 			}
 		}, "far:1,"},
-		{"a worker holds it", func(r *rig) {
+		{"cached by a worker", func(r *rig) {
 			for _, store := range []string{"near:1", "far:1"} {
-				r.relay.o.Links.Begin(store, "else", 800*time.Millisecond, time.Now())
+				r.relay.options.Links.Begin(store, "else", 800*time.Millisecond, time.Now())
 			}
-			r.relay.o.Where.Note(cache.Use{Target: "t2", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, time.Now())
+			r.relay.options.Where.Note(cache.Use{Target: "t2", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, time.Now())
 		}, "t2,"},
-		{"nobody in time", func(r *rig) {
+		{"no source in time", func(r *rig) {
 			for _, store := range []string{"near:1", "far:1"} {
-				r.relay.o.Links.Begin(store, "else", 2*time.Second, time.Now())
+				r.relay.options.Links.Begin(store, "else", 2*time.Second, time.Now())
 			}
 		}, ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, noStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			r.kept.Set(t0(r.t), []cache.StoreInfo{
+			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			r.kept.Set(testContext(r.t), []cache.StoreInfo{
 				{Address: "near:1", Room: 1 << 20, TokenTime: 10 * time.Microsecond}, {Address: "far:1", Room: 1 << 20, TokenTime: 20 * time.Microsecond},
 			})
 			r.g.Eventually(func() int { return len(r.kept.Find(name, clock.Now())) }, "10s", "5ms").Should(gomega.Equal(2))
-			t2 := r.target("t2", "llm", always(streams(true)))
+			t2 := r.target("t2", "llm", always(stream(true)))
 			r.roster.Target("t2").Begin(roster.Load{Running: 100})
 			tc.make(r)
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			want := strings.Replace(tc.want, "t2", t2.l.Addr().String(), 1)
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(want))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(want))
 		})
 	}
 }
 
-// A part that the worker may have pushed out is copied as well, where that costs
-// less than the risk.
-func TestPartsThatMayBeGoneAreCopied(t *testing.T) {
+// A segment that the worker may have evicted is copied if that costs less than the risk of
+// prefilling it again.
+func TestProbablyEvictedSegmentsAreCopied(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
 	tests := []struct {
 		name string
-		// used is what the worker got since, in tokens of its room of 20,000.
+		// used is how many tokens the worker has cached since, of its capacity of 20,000.
 		used int
 		copy string
 	}{
 		{"just used", 0, ""},
-		{"likely there", 1000, ""},
-		{"likely gone", 13000, "store:1,"},
+		{"probably cached", 1000, ""},
+		{"probably evicted", 13000, "store:1,"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, noStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			keptPart(r, salt, "text")
-			r.relay.o.Where.Room = func(string) int { return 20000 }
+			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			storeSegment(r, salt, "text")
+			r.relay.options.Where.Room = func(string) int { return 20000 }
 			now := time.Now()
-			r.relay.o.Where.Note(cache.Use{Target: "t1", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, now)
-			r.relay.o.Where.Note(cache.Use{Target: "t1", Salt: salt, Rest: tc.used}, now)
+			r.relay.options.Where.Note(cache.Use{Target: "t1", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, now)
+			r.relay.options.Where.Note(cache.Use{Target: "t1", Salt: salt, Rest: tc.used}, now)
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
 		})
 	}
 }
 
-func TestIsolatedOrganisationsHaveASaltOfTheirOwn(t *testing.T) {
+func TestIsolatedOrganisationsHaveTheirOwnSalt(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 	r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10")
 	r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10", "Key", "walled")
-	s := r.sends()
+	s := r.received()
 	r.g.Expect(s[0].header.Get("Salt")).To(gomega.Equal("v1/m/"))
 	r.g.Expect(s[1].header.Get("Salt")).To(gomega.Equal("v1/m/walled"))
 }
 
 func TestPlannedStop(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "plain", always(answers(200, "yes")))
+	r.target("t1", "plain", always(respond(200, "yes")))
 	r.relay.Close()
 	a := r.ask(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(200))
 	r.relay.Refuse()
 	a = r.ask(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(503))
-	r.g.Expect(r.sends()).To(gomega.HaveLen(1))
+	r.g.Expect(r.received()).To(gomega.HaveLen(1))
 }
 
-func TestNothingBeginsOnWeightsReplacedLongAgo(t *testing.T) {
+func TestOutdatedWeightsAreRefused(t *testing.T) {
 	r := newRig(t, nil)
-	r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-	r.named, r.least = 2, 2
+	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+	r.desired, r.minWeights = 2, 2
 	a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m")
 	r.g.Expect(a.status).To(gomega.Equal(http.StatusServiceUnavailable))
 	r.g.Expect(a.body).To(gomega.ContainSubstring("notRun"))
-	r.g.Expect(r.sends()).To(gomega.BeEmpty())
+	r.g.Expect(r.received()).To(gomega.BeEmpty())
 }
 
 func TestLongPromptsWaitForMemory(t *testing.T) {
@@ -461,17 +459,17 @@
 		parts  string
 		status int
 	}{
-		{"room", 1 << 19, "a:3000 b:10", 200},
-		{"spoken for", 1 << 20, "a:3000 b:10", 503},
-		{"spoken for, short prompt", 1 << 20, "a:300 b:10", 200},
-		{"room, longer than the memory", 0, "a:3000000 b:10", 200},
+		{"free memory", 1 << 19, "a:3000 b:10", 200},
+		{"reserved memory", 1 << 20, "a:3000 b:10", 503},
+		{"reserved memory, short prompt", 1 << 20, "a:300 b:10", 200},
+		{"free memory, prompt longer than the memory", 0, "a:3000000 b:10", 200},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			// Workers that read any prompt in time, if they have the memory.
-			r.relay.o.Engines.Own = time.Millisecond / 10
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+			// Workers that prefill any prompt on time if they have the memory.
+			r.relay.options.Engines.Own = time.Millisecond / 10
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("t1").Begin(roster.Load{Running: 1, Held: tc.held})
 			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
@@ -480,9 +478,9 @@
 	}
 }
 
-// Other daemons hear of a prompt while it runs, with the work that it adds, so
-// that they do not all take the same worker.
-func TestPromptsAreToldAtOnce(t *testing.T) {
+// Other daemons receive a prompt's load while it runs, so that they do not all choose the same
+// worker.
+func TestPromptsArePublishedAtOnce(t *testing.T) {
 	tests := []struct {
 		name  string
 		parts string
@@ -495,21 +493,21 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			var told []int
-			r.relay.o.Placed = func() { told = append(told, r.roster.Target("t1").Own().Held) }
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			var published []int
+			r.relay.options.Placed = func() { published = append(published, r.roster.Target("t1").Own().Held) }
 			r.g.Expect(r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts).status).To(gomega.Equal(http.StatusOK))
-			r.g.Expect(told).To(gomega.Equal(tc.want))
+			r.g.Expect(published).To(gomega.Equal(tc.want))
 		})
 	}
 }
 
-func TestAFullShareOfWorkersIsNotLeftForOthers(t *testing.T) {
+func TestFullShareDoesNotSpillOver(t *testing.T) {
 	tests := []struct {
-		name   string
-		make   func(t *roster.Target)
-		status int
-		sends  int
+		name     string
+		make     func(t *roster.Target)
+		status   int
+		attempts int
 	}{
 		{"own worker is free", func(*roster.Target) {}, 200, 1},
 		{"own worker is full", func(t *roster.Target) { t.Begin(roster.Load{Running: 1, Held: 1 << 20}) }, 503, 0},
@@ -518,44 +516,44 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.o.Share = func([]string) []string { return []string{"mine"} }
-			r.target("mine", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			r.target("other", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+			r.relay.options.Share = func([]string) []string { return []string{"mine"} }
+			r.target("mine", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			r.target("other", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			tc.make(r.roster.Target("mine"))
 			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
-			r.g.Expect(r.sends()).To(gomega.HaveLen(tc.sends))
+			r.g.Expect(r.received()).To(gomega.HaveLen(tc.attempts))
 		})
 	}
 }
 
-func TestLargeFailuresArePassedOnWhole(t *testing.T) {
+func TestLargeFailuresArePassedOnCompletely(t *testing.T) {
 	r := newRig(t, nil)
-	large := strings.Repeat("x", plainMost+1000)
-	r.target("t1", "plain", always(answers(500, large)))
-	r.target("t2", "plain", always(answers(500, large)))
+	large := strings.Repeat("x", maxBufferedBytes+1000)
+	r.target("t1", "plain", always(respond(500, large)))
+	r.target("t2", "plain", always(respond(500, large)))
 	a := r.ask(http.MethodPost, "/again/", "x")
 	r.g.Expect(a.err).NotTo(gomega.HaveOccurred())
 	r.g.Expect(a.status).To(gomega.Equal(500))
 	r.g.Expect(len(a.body)).To(gomega.Equal(len(large)))
 }
 
-// A daemon of a large fleet expects of its cell's workers what its own callers bring as
-// often as there are daemons in the cell, not in the fleet: it took its callers to bring
-// 25 times what they do, and refused prompts wherever a short line stood.
-func TestALineBeforeAShareOfWorkersIsWeighedByWhatItsDaemonsBring(t *testing.T) {
+// A daemon of a large fleet must expect on its cell's workers its own request rate times the number
+// of daemons in the cell, not in the fleet. With the latter it would expect 25 times the real rate
+// and refuse prompts wherever there is a short queue.
+func TestQueueCostCountsOnlyTheCellsDaemons(t *testing.T) {
 	const workers, share, daemons, callers = 150, 6, 300, 4
 	r := newRig(t, nil)
-	r.relay.o.Daemons = func() int { return daemons }
-	// The times of real engines, not of this rig's.
-	r.relay.o.Without.Times, r.relay.o.Without.Targets = true, true
+	r.relay.options.Daemons = func() int { return daemons }
+	// Keep the times of real engines: this rig's are not to be learned.
+	r.relay.options.Without.Times, r.relay.options.Without.Targets = true, true
 	var own []string
-	r.relay.o.Share = func([]string) []string { return own }
+	r.relay.options.Share = func([]string) []string { return own }
 	for i := range share {
 		id := "own-" + strconv.Itoa(i)
 		own = append(own, id)
-		r.target(id, "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-		// A line of 0.3 s, where answers are in time within a second.
+		r.target(id, "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+		// A queue of 0.3 s; answers within a second are on time.
 		r.roster.Target(id).Begin(roster.Load{Running: 1, Unread: 15000, Held: 15000})
 	}
 	for i := range workers - share {
@@ -567,10 +565,10 @@
 	}
 }
 
-// While links are slow, copies for long prompts fill them. A short prompt reads in some
-// milliseconds what it would wait for behind these: on a day with half of the large
-// stores four times slower, one short answer in seven was late.
-func TestAShortPromptDoesNotWaitForItsCopyBehindLongOnes(t *testing.T) {
+// While links are slow, copies for long prompts fill them. A short prompt is prefilled in some
+// milliseconds, but its copy would wait behind these: with half of the large stores four times
+// slower, one short answer in seven missed its latency objective.
+func TestShortPromptIsPrefilledInsteadOfWaitingForCopy(t *testing.T) {
 	salt := cache.PartSalt{Model: "m", Version: 1}.String()
 	name := cache.PartName{Salt: salt, ID: "text"}
 	tests := []struct {
@@ -581,67 +579,67 @@
 	}{
 		{"an idle link", 0, "text:400 own:80", "store:1,"},
 		{"behind long copies", 950 * time.Millisecond, "text:400 own:80", ""},
-		{"a long part behind long copies", 450 * time.Millisecond, "text:20000 own:80", "store:1,"},
+		{"a long segment behind long copies", 450 * time.Millisecond, "text:20000 own:80", "store:1,"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, noStores{[]cache.PartChange{{PartName: name, Tokens: 400}}})
-			r.target("t1", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
-			keptPart(r, salt, "text")
-			// It was read lately: reading it again has its price.
-			r.relay.o.Where.Note(cache.Use{Target: "gone", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 400}}}, time.Now())
+			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 400}}})
+			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			storeSegment(r, salt, "text")
+			// The segment was prefilled recently, so prefilling it again has a cost.
+			r.relay.options.Where.Note(cache.Use{Target: "gone", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 400}}}, time.Now())
 			if tc.behind > 0 {
-				r.relay.o.Links.Begin("store:1", "else", tc.behind, time.Now())
+				r.relay.options.Links.Begin("store:1", "else", tc.behind, time.Now())
 			}
 			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
 			r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
-			r.g.Expect(r.sends()).To(gomega.HaveLen(1))
-			r.g.Expect(r.sends()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
+			r.g.Expect(r.received()).To(gomega.HaveLen(1))
+			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
 		})
 	}
 }
 
-// A worker that changes its weights refuses what comes. Who gave the order tells its own
-// cell only; the others learn it from the first refusal, not from each.
-func TestAWorkerThatRefusesWhileItsWeightsAreOldIsPassedOver(t *testing.T) {
+// A worker that is changing its weights refuses requests. The daemon that gave the order publishes
+// it only in its own cell; other cells must learn it from the first refusal, not from each.
+func TestReloadingWorkerIsSkipped(t *testing.T) {
 	tests := []struct {
-		name  string
-		named int64
-		// sends is how many it gets of five requests.
-		sends gomega.OmegaMatcher
+		name    string
+		desired int64
+		// attempts matches the number of its requests, of five.
+		attempts gomega.OmegaMatcher
 	}{
-		{"newer weights are named", 2, gomega.Equal(1)},
+		{"newer weights are desired", 2, gomega.Equal(1)},
 		{"its weights are the newest", 1, gomega.BeNumerically(">", 1)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.named = tc.named
-			r.target("changing", "llm", always(declines))
-			r.target("busy", "llm", always(streams(true, "id: 1\ndata: a\n\n")))
+			r.desired = tc.desired
+			r.target("changing", "llm", always(refuse))
+			r.target("busy", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("busy").Begin(roster.Load{Running: 1, Unread: 20000, Held: 20000})
 			for range 5 {
 				a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 				r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
 			}
-			refused := 0
-			for _, s := range r.sends() {
+			received := 0
+			for _, s := range r.received() {
 				if s.target == "changing" {
-					refused++
+					received++
 				}
 			}
-			r.g.Expect(refused).To(tc.sends)
+			r.g.Expect(received).To(tc.attempts)
 		})
 	}
 }
 
-// A request that was given up since it was blocked gets an answer also where the block is taken
-// back at that moment.
-func TestARequestThatIsNoLongerBlockedIsRefused(t *testing.T) {
+// A request that was given up because it was blocked gets a refusal even if the block is lifted at
+// that moment.
+func TestUnblockedRequestStillGetsARefusal(t *testing.T) {
 	r := newRig(t, nil)
 	req := httptest.NewRequest(http.MethodPost, "/once/", nil)
-	p := &pass{relay: r.relay, r: req, w: httptest.NewRecorder(), began: time.Now(), until: time.Now().Add(time.Second)}
-	refusal := p.giveUp(nil, endsTargets)
+	p := &proxiedRequest{relay: r.relay, r: req, w: httptest.NewRecorder(), start: time.Now(), deadline: time.Now().Add(time.Second)}
+	refusal := p.giveUp(nil, crashesTargets)
 	r.g.Expect(refusal).NotTo(gomega.BeNil())
 	r.g.Expect(refusal.Status).To(gomega.Equal(http.StatusServiceUnavailable))
 }
--- /dev/null
+++ b/core/relay/request.go
@@ -0,0 +1,276 @@
+package relay
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"embertally.dev/core/cache"
+	"embertally.dev/core/canary"
+	"embertally.dev/core/entry"
+	"embertally.dev/core/event"
+	"embertally.dev/core/learn"
+	"embertally.dev/core/poison"
+	"embertally.dev/core/roster"
+	"embertally.dev/core/table"
+	"embertally.dev/core/wait"
+)
+
+// proxiedRequest is the state of one request while it is relayed. It is used by one goroutine.
+type proxiedRequest struct {
+	relay    *Relay
+	w        http.ResponseWriter
+	r        *http.Request
+	start    time.Time
+	deadline time.Time
+	suspends suspendDetector
+
+	// meta is the metadata sent by the caller.
+	meta         Ask
+	route        *table.Route
+	organisation *table.Organisation
+	table        *table.Table
+	regions      regions
+	body         []byte
+	// digest is the request digest; zero until the body is read.
+	digest  poison.Fingerprint
+	service string
+	// bodyBytes is the size of the body, and originDomain the failure domain of the daemon that
+	// received the request.
+	bodyBytes    int
+	originDomain string
+	// versions restricts the target versions that the request may go to.
+	versions canary.Side
+	// remote is set if another daemon sends the request and this one only chooses the target.
+	remote bool
+	// ownerQueried is when another daemon was last queried for a choice.
+	ownerQueried time.Time
+	// cellsQueried is when other cells were last queried for a target.
+	cellsQueried time.Time
+	// permitQueried is when other daemons were last queried for a permit.
+	permitQueried time.Time
+
+	// tried counts the attempts at each target, by ID.
+	tried map[string]int
+	// attempts counts the attempts that reached a target or may have, executions those of them that
+	// the target may have executed.
+	attempts, executions int
+	// lastTarget is the target of the last attempt.
+	lastTarget *roster.Target
+	// headerSent is set once the header of an answer has been passed on.
+	headerSent bool
+	// lastEventID is the ID of the last stream event that the caller has received.
+	lastEventID string
+	// firstAt is when the first event or the header of an answer was passed on; zero before that.
+	firstAt time.Time
+	// skipped lists targets that the last choice skipped for their self-reported state, with the
+	// reasons.
+	skipped []string
+	// rateLimited is a target that the last choice skipped for its rate limit, or nil.
+	rateLimited *roster.Target
+	// expectedWait is the expected time to an answer from the last choice. Without a choice it is
+	// the time until a target becomes available.
+	expectedWait time.Duration
+	// forecast is the expectation recorded for the first attempt; nil before it.
+	forecast *event.Forecast
+	// aborted is set if the answer was cut off after its header was sent.
+	aborted bool
+	// notes are the decisions so far, for the log line.
+	notes []string
+}
+
+// deadlineMargin is how long after the deadline a target's own final answer is still accepted. The
+// caller contract allows half a second.
+const deadlineMargin = 60 * time.Millisecond
+
+// run sends the request until it is answered, or returns the refusal.
+func (p *proxiedRequest) run() *entry.Refusal {
+	p.service = p.route.Service(randomFraction())
+	p.versions = p.relay.options.Canary.Choose(p.service)
+	p.relay.recordArrival(p.service, p.relay.options.Prices.Worth(p.meta.Prompt), p.start)
+	p.lastEventID = p.meta.After
+	ctx, cancel := context.WithDeadline(p.r.Context(), p.deadline.Add(deadlineMargin))
+	defer cancel()
+	var failed *bufferedAnswer
+	unreachable := 0
+	for {
+		c, reason := p.waitForChoice(ctx)
+		if c == nil {
+			return p.giveUp(failed, reason)
+		}
+		p.lastTarget = c.target
+		p.recordForecast(c)
+		p.tried[c.target.ID()]++
+		out, answer := p.attempt(ctx, c)
+		p.note("%s=%s", c.target.ID(), out)
+		if answer != nil {
+			failed = answer
+		}
+		switch out {
+		case outcomeDone, outcomeCallerGone, outcomeTruncated:
+			return nil
+		case outcomeTimedOut:
+			return p.giveUp(failed, "the time is up")
+		case outcomeUnavailable:
+			// While the target is unavailable it is not eligible anyway.
+			p.uncountAttempt(c.target.ID())
+		case outcomeNotSent:
+			// The target received nothing, so another one may serve the request.
+			if unreachable++; unreachable >= maxUnreachable {
+				return p.giveUp(failed, "no target can be reached")
+			}
+		case outcomeRefused, outcomeIncomplete, outcomeFailed:
+			if !p.mayRetry(out) {
+				return p.giveUp(failed, "it may not be sent again")
+			}
+			p.versions = p.versions.Aside()
+		}
+	}
+}
+
+// uncountAttempt takes back one attempt at a target.
+func (p *proxiedRequest) uncountAttempt(id string) {
+	if p.tried[id]--; p.tried[id] <= 0 {
+		delete(p.tried, id)
+	}
+}
+
+// crashesTargets is the reason for refusing a request that crashes targets.
+const crashesTargets = "targets end of it"
+
+// choiceInterval is the pause between two choices of a waiting request.
+const choiceInterval = 15 * time.Millisecond
+
+// waitForChoice chooses a target. If none is worth using now, the request waits as long as it may
+// still be answered on time.
+func (p *proxiedRequest) waitForChoice(ctx context.Context) (*choice, string) {
+	isPermitWaiter := false
+	defer func() {
+		if isPermitWaiter {
+			p.relay.permitWaiters.leave(p.service)
+		}
+	}()
+	for {
+		p.adjustForSuspend()
+		if _, blocked := p.relay.options.Poison.Blocked(p.digest); blocked {
+			// It became blocked while it waited, or by the crash that it has just caused.
+			return nil, crashesTargets
+		}
+		c, reason := p.choose(ctx)
+		if c != nil {
+			p.expectedWait = c.judgement.Expected
+		}
+		if c != nil && (c.judgement.Gain > 0 || p.relay.options.Without.Refusals) {
+			if !p.acquire(c, time.Now()) {
+				c.releaseLoad()
+				continue
+			}
+			p.noteSkipped()
+			p.recordChoice(c, time.Now())
+			return c, reason
+		}
+		c.releaseLoad()
+		switch {
+		case c == nil && reason == allUnderPushback && p.likelyOnTime(p.expectedWait):
+			// The first pushback ends soon enough.
+		case c == nil && reason == allRateLimited && p.likelyOnTime(p.expectedWait) && p.becomePermitWaiter(&isPermitWaiter):
+			// The first permit comes soon enough, and no other request waits for it.
+		case c == nil && reason != allFull:
+			return nil, reason
+		case p.relay.options.Without.Waiting, !p.likelyOnTime(0):
+			return nil, allFull
+		}
+		if !wait.For(ctx, choiceInterval) {
+			return nil, reason
+		}
+	}
+}
+
+// minOnTimeChance is the chance of an answer within the latency objective below which a request
+// stops waiting for a target.
+const minOnTimeChance = 0.5
+
+// likelyOnTime reports whether the answer is likely to meet the latency objective if a target takes
+// the request after a delay.
+func (p *proxiedRequest) likelyOnTime(delay time.Duration) bool {
+	now := time.Now().Add(delay)
+	e := p.estimate(now)
+	expected := e.Time(learn.Factors{Own: p.meta.Prompt - p.sharedTokens()})
+	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeChance
+}
+
+// Bounds on the attempts of one request.
+const (
+	// maxRefusals is how many targets may refuse a request before it is given up: more attempts
+	// would only add to an overload.
+	maxRefusals = 2
+	// maxUnreachable is how many attempts may fail before the request is sent.
+	maxUnreachable = 4
+	// minAttemptTime is the least remaining time for an attempt: with less, a target would only
+	// discard the request.
+	minAttemptTime = 20 * time.Millisecond
+	// maxCrashes is how many target incarnations may have crashed under a request before the
+	// daemons stop retrying it. Its caller may retry it once.
+	maxCrashes = 2
+)
+
+// mayRetry reports whether the request may be sent again, and if so takes the retry from the
+// budget.
+func (p *proxiedRequest) mayRetry(out outcome) bool {
+	p.adjustForSuspend()
+	switch {
+	case time.Until(p.deadline) < minAttemptTime:
+		return false
+	case out != outcomeRefused && !p.route.MayRepeat():
+		return false
+	case p.executions >= p.route.Attempts:
+		return false
+	case p.attempts-p.executions > maxRefusals, p.relay.options.Without.Retries:
+		return false
+	case out == outcomeIncomplete && p.relay.options.Poison.Ends(p.digest) >= maxCrashes:
+		p.note("not retried: the request may crash targets")
+		return false
+	}
+	if !p.relay.spendRetry(p.service) {
+		p.note("the retry budget is used up")
+		return false
+	}
+	p.relay.options.Stats.Retries.Inc()
+	return true
+}
+
+// giveUp ends a request that got no answer worth passing on. failed is the kept answer of a failed
+// attempt, or nil.
+func (p *proxiedRequest) giveUp(failed *bufferedAnswer, reason string) *entry.Refusal {
+	p.noteSkipped()
+	p.note("given up: %s", reason)
+	switch {
+	case p.headerSent:
+		p.aborted = true
+		return nil
+	case failed != nil:
+		failed.write(p)
+		return nil
+	case p.executions == 0:
+		if refusal := p.refuseBlocked(); refusal != nil {
+			return refusal
+		}
+		// A block that has been lifted since the choice leaves no refusal.
+		if endsAtKnownTime(reason) {
+			return p.refuseUntil(entry.CodeNoTarget, "no target takes the request now: "+reason, p.expectedWait)
+		}
+		return p.refuseFor(entry.CodeNoTarget, "no target takes the request now: "+reason, p.expectedWait)
+	case !time.Now().Before(p.deadline):
+		return entry.NewRefusal(http.StatusGatewayTimeout, entry.CodeTimeout, entry.Unknown, "no answer came in time", 0)
+	}
+	return entry.NewRefusal(http.StatusBadGateway, entry.CodeOutcomeUnknown, entry.Unknown, "the target gave no answer; whether it ran is not known", 0)
+}
+
+// cacheSalt returns the cache salt of the request's segments for a version of the weights.
+func (p *proxiedRequest) cacheSalt(version int64) cache.PartSalt {
+	s := cache.PartSalt{Model: p.meta.Model, Version: version}
+	if p.organisation != nil && p.organisation.Isolated {
+		s.Wall = p.organisation.Name
+	}
+	return s
+}
--- /dev/null
+++ b/core/relay/segments.go
@@ -0,0 +1,281 @@
+package relay
+
+import (
+	"time"
+
+	"embertally.dev/core/cache"
+	"embertally.dev/core/clock"
+	"embertally.dev/core/learn"
+	"embertally.dev/core/roster"
+	"embertally.dev/core/route"
+	"embertally.dev/core/table"
+)
+
+// sharedSegments returns the segments that other requests have in common: all but the last.
+func (p *proxiedRequest) sharedSegments() []cache.Part {
+	if len(p.meta.Parts) < 2 {
+		return nil
+	}
+	return p.meta.Parts[:len(p.meta.Parts)-1]
+}
+
+// sharedTokens returns the number of tokens in the shared segments.
+func (p *proxiedRequest) sharedTokens() int {
+	n := 0
+	for _, segment := range p.sharedSegments() {
+		n += segment.Tokens
+	}
+	return n
+}
+
+// sharedSegment is what is known of a shared segment for one version of the weights.
+type sharedSegment struct {
+	cache.Part
+	name cache.PartName
+	// stores are the KV-cache stores that hold the segment and may hand it out.
+	stores []cache.Place
+	// holders are the workers expected to have it cached.
+	holders []holder
+	// prefilledRecently is set if some worker has prefilled it recently.
+	prefilledRecently bool
+}
+
+// holder is a worker that is expected to have a segment cached.
+type holder struct {
+	target *roster.Target
+	// depth is how much of its cache the worker has used since, and chance how likely the segment
+	// is still there.
+	depth, chance float64
+}
+
+// findSegments looks up the shared segments for a version of the weights.
+func (p *proxiedRequest) findSegments(version int64, now time.Time) []sharedSegment {
+	// Segments of superseded weights are about to be freed in the stores.
+	copyable := version >= p.relay.options.Named(p.meta.Model) && p.relay.options.CopyMay() && !p.relay.options.Without.StoreCopies
+	salt := p.cacheSalt(version).String()
+	var out []sharedSegment
+	storeNow := clock.Now()
+	for _, segment := range p.sharedSegments() {
+		shared := sharedSegment{Part: segment, name: cache.PartName{Salt: salt, ID: segment.ID}}
+		if copyable {
+			shared.stores = p.relay.options.Kept.Find(shared.name, storeNow)
+		}
+		found, prefilled := p.relay.options.Where.Find(shared.name, now)
+		shared.prefilledRecently = prefilled
+		for _, f := range found {
+			t := p.relay.options.Roster.Target(f.Target)
+			if t == nil || t.Entry().Weights[p.meta.Model] != version {
+				continue
+			}
+			shared.holders = append(shared.holders, holder{t, f.Depth, p.relay.options.Retention.Chance(p.service, f.Depth, now)})
+		}
+		out = append(out, shared)
+	}
+	return out
+}
+
+// source is where a worker gets a segment from.
+type source struct {
+	// cachedChance is the chance that the worker has the segment cached, and depth how much of its
+	// cache it has used since.
+	cachedChance, depth float64
+	// stored is set if a KV-cache store holds the segment.
+	stored bool
+	// address is the store or worker to copy the segment from, or "", and chance how likely the
+	// segment is still there.
+	address string
+	chance  float64
+	// copyTime is the learned time of the copy, and queueTime how long it first waits for the link.
+	copyTime, queueTime time.Duration
+	// deadline is when the copy must be discarded, on the targets' clock; 0 for copies from
+	// workers, which free nothing while they hand it out.
+	deadline time.Duration
+}
+
+// workerCopyLatency is the time to the first byte of a copy between workers.
+const workerCopyLatency = 61 * time.Millisecond
+
+// bestSource returns the best source of a segment for a worker.
+func (p *proxiedRequest) bestSource(svc *table.Service, t eligibleTarget, segment *sharedSegment, now time.Time) source {
+	best := source{stored: len(segment.stores) > 0}
+	destination := p.relay.options.Links.State(t.entry.Address, now)
+	for _, place := range segment.stores {
+		p.considerSource(&best, destination, segment, source{address: place.Address, chance: 1, copyTime: place.Time(t.entry.Domain), deadline: place.Until}, now)
+	}
+	for _, h := range segment.holders {
+		if h.target == t.target {
+			best.cachedChance, best.depth = h.chance, h.depth
+			continue
+		}
+		if h.target.Health(now).Suspect || p.relay.options.Without.WorkerCopies {
+			continue
+		}
+		took := workerCopyLatency + table.LinkTime(segment.Tokens*svc.Engine.TokenBytes, svc.Engine.LinkBits)
+		p.considerSource(&best, destination, segment, source{address: h.target.Entry().Address, chance: h.chance, copyTime: took}, now)
+	}
+	return best
+}
+
+// considerSource makes a candidate the best source if the time of its copy and the risk of having
+// to prefill the segment after all cost least. destination is the state of the worker's own link.
+func (p *proxiedRequest) considerSource(best *source, destination learn.LinkState, segment *sharedSegment, candidate source, now time.Time) {
+	origin := p.relay.options.Links.State(candidate.address, now)
+	candidate.copyTime = time.Duration(float64(candidate.copyTime) * origin.Slow * destination.Slow)
+	candidate.queueTime = max(origin.Wait, destination.Wait)
+	if best.address != "" && p.copyCost(&candidate, segment) >= p.copyCost(best, segment) {
+		return
+	}
+	best.address, best.chance, best.copyTime, best.queueTime, best.deadline = candidate.address, candidate.chance, candidate.copyTime, candidate.queueTime, candidate.deadline
+}
+
+// copyCost returns the cost of a copy if the answer waits for nothing else.
+func (p *proxiedRequest) copyCost(src *source, segment *sharedSegment) float64 {
+	prices := &p.relay.options.Prices
+	cost := (1 - src.chance) * prices.Again * float64(segment.Tokens)
+	if p.route.Aim > 0 {
+		cost += prices.Worth(p.meta.Prompt) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
+	}
+	return cost
+}
+
+// segmentPlan is how a worker gets the shared segments of a prompt.
+type segmentPlan struct {
+	// sources are the sources of the segments, in prompt order.
+	sources []source
+	// copyCount is how many of the first segments are copied. Engines copy no segment after one
+	// without a source.
+	copyCount int
+	// copyTime is the time until the last copy has arrived.
+	copyTime time.Duration
+}
+
+// planSegments plans how a worker gets the shared segments. They are copied as long as each copy
+// can finish within the time limit of copies.
+func (p *proxiedRequest) planSegments(svc *table.Service, t eligibleTarget, segments []sharedSegment, now time.Time) segmentPlan {
+	var out segmentPlan
+	var queueTime, copyTime time.Duration
+	contiguous := true
+	for i := range segments {
+		segment := &segments[i]
+		src := p.bestSource(svc, t, segment, now)
+		out.sources = append(out.sources, src)
+		queueTime, copyTime = max(queueTime, src.queueTime), copyTime+src.copyTime
+		if src.address == "" || (src.deadline > 0 && queueTime+copyTime > cache.CopyLimit()) {
+			contiguous = false
+		}
+		if contiguous && p.copyWorthwhile(&src, segment) {
+			out.copyCount, out.copyTime = i+1, queueTime+copyTime
+		}
+	}
+	return out
+}
+
+// copyWorthwhile reports whether copying a segment costs less than the risk that the worker does
+// not have it cached. Engines copy what they are told to, even what they have cached.
+func (p *proxiedRequest) copyWorthwhile(src *source, segment *sharedSegment) bool {
+	prices := &p.relay.options.Prices
+	gain := (1 - src.cachedChance) * src.chance * prices.Again * float64(segment.Tokens)
+	cost := prices.Copied * float64(segment.Tokens)
+	if p.route.Aim > 0 {
+		cost += prices.Worth(p.meta.Prompt) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
+	}
+	return src.cachedChance == 0 || (gain > cost && !p.relay.options.Without.SpareCopies)
+}
+
+// applyTo sets a candidate's copy time, and how many of its tokens are expected to be cached, copied
+// and prefilled again.
+func (pl *segmentPlan) applyTo(c *route.Candidate, segments []sharedSegment) {
+	c.CopyTime = pl.copyTime
+	prefixChance, cached, copied, recomputed := 1.0, 0.0, 0.0, 0.0
+	for i, segment := range segments {
+		src, tokens := &pl.sources[i], float64(segment.Tokens)
+		// Segments after one that is prefilled are prefilled as well.
+		cachedChance, availableChance := prefixChance*src.cachedChance, prefixChance*src.cachedChance
+		if i < pl.copyCount {
+			availableChance += (prefixChance - cachedChance) * src.chance
+		}
+		cached += cachedChance * tokens
+		copied += (availableChance - cachedChance) * tokens
+		if segment.prefilledRecently || src.address != "" {
+			// A segment that can be copied was prefilled for some daemon's request.
+			recomputed += (1 - availableChance) * tokens
+		}
+		prefixChance = availableChance
+	}
+	c.Kept, c.Copied, c.Again = int(cached), int(copied), int(recomputed)
+}
+
+// recordUse records the load of a choice on links and its use of the worker's cache.
+func (p *proxiedRequest) recordUse(c *choice, now time.Time) {
+	if c.attemptMeta.Weights == 0 || !p.relay.options.Placement.Exports() {
+		return
+	}
+	if !p.relay.options.Without.LinkQueues {
+		for _, src := range c.plan.sources[:c.plan.copyCount] {
+			p.relay.options.Links.Begin(src.address, c.eligible.entry.Address, src.copyTime, now)
+		}
+	}
+	p.relay.options.Where.Note(p.cacheUse(c.eligible), now)
+}
+
+// cacheUse returns the use of a worker's cache by the request.
+func (p *proxiedRequest) cacheUse(t eligibleTarget) cache.Use {
+	use := cache.Use{Target: t.target.ID(), Salt: p.cacheSalt(t.weightVersion).String(), Rest: p.meta.Prompt}
+	for _, segment := range p.sharedSegments() {
+		use.Parts = append(use.Parts, cache.UsedPart{ID: segment.ID, Tokens: segment.Tokens})
+		use.Rest -= segment.Tokens
+	}
+	return use
+}
+
+// setCopySources sets the addresses that the first segments are copied from, and the deadline of
+// the copies.
+func (p *proxiedRequest) setCopySources(to *Sending, sources []source) {
+	if len(sources) == 0 {
+		return
+	}
+	to.Copy = make([]string, len(p.meta.Parts))
+	for i, src := range sources {
+		to.Copy[i] = src.address
+		if src.deadline > 0 && (to.CopyUntil == 0 || src.deadline < to.CopyUntil) {
+			to.CopyUntil = src.deadline
+		}
+	}
+}
+
+// setStoreTargets sets the KV-cache store that each segment is to be written to: for segments that
+// no store holds, one with free capacity.
+func (p *proxiedRequest) setStoreTargets(to *Sending, sources []source, version int64, now clock.Time) {
+	stores := make([]string, len(p.meta.Parts))
+	found := false
+	salt := p.cacheSalt(version).String()
+	for i, src := range sources {
+		if src.stored {
+			continue
+		}
+		segment := p.meta.Parts[i]
+		stores[i] = p.relay.options.Kept.Room(cache.PartName{Salt: salt, ID: segment.ID}, segment.Tokens, p.domainAllowed, now)
+		found = found || stores[i] != ""
+	}
+	if found {
+		to.Keep = stores
+	}
+}
+
+// learnCopies learns the speed of the links that segments were copied over from the time to the
+// first event. Where the prompt waited for its prefill as long as for its copies, this tells
+// little.
+func (p *proxiedRequest) learnCopies(c *choice, took time.Duration, now time.Time) {
+	if c.plan.copyCount == 0 || p.relay.options.Without.LinkSpeeds {
+		return
+	}
+	queue, prefill := p.estimate(now).Parts(c.factors)
+	share := float64(c.plan.copyTime) / float64(c.plan.copyTime+queue+copyNoise)
+	ratio := float64(max(took-prefill, copyNoise/10)) / float64(c.plan.copyTime)
+	from := c.plan.sources[c.plan.copyCount-1].address
+	p.relay.options.Links.Sample(from, c.target.Entry().Address, ratio, share, now)
+}
+
+// copyNoise is how much first events vary for other reasons than copies: about one step of an
+// engine.
+const copyNoise = 30 * time.Millisecond
--- a/core/relay/share_test.go
+++ b/core/relay/share_test.go
@@ -11,8 +11,8 @@
 	"embertally.dev/core/roster"
 )
 
-// listed returns a roster of some targets.
-func listed(n int) *roster.Roster {
+// listedTargets returns a roster with n targets.
+func listedTargets(n int) *roster.Roster {
 	r := roster.New(&event.Log{}, nil)
 	for i := range n {
 		r.Put(roster.Entry{ID: fmt.Sprintf("w-%04d", i), Service: "llm"})
@@ -20,56 +20,56 @@
 	return r
 }
 
-func TestSharesFollowTheTargetsAndTheFleet(t *testing.T) {
+func TestShareCacheFollowsTargetsAndFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := listed(4)
-	half, basis, asked := 0, any("one"), 0
+	r := listedTargets(4)
+	offset, basis, calls := 0, any("one"), 0
 	o := &Options{
-		Share: func(names []string) []string { asked++; return names[half : half+len(names)/2] },
+		Share: func(names []string) []string { calls++; return names[offset : offset+len(names)/2] },
 		Basis: func() any { return basis },
 	}
-	var s shares
+	var s shareCache
 	own := func() []string {
-		sh := s.of("llm", r.Of("llm"), o)
+		sh := s.get("llm", r.Of("llm"), o)
 		var names []string
 		for _, t := range sh.own {
 			names = append(names, t.ID())
 		}
-		g.Expect(sh.part).To(gomega.Equal(0.5))
+		g.Expect(sh.fraction).To(gomega.Equal(0.5))
 		return names
 	}
 	g.Expect(own()).To(gomega.Equal([]string{"w-0000", "w-0001"}))
 	g.Expect(own()).To(gomega.Equal([]string{"w-0000", "w-0001"}))
-	g.Expect(asked).To(gomega.Equal(1))
-	half, basis = 2, "other"
+	g.Expect(calls).To(gomega.Equal(1))
+	offset, basis = 2, "other"
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0003"}), "the fleet has changed")
 	r.Unlist("w-0003")
 	r.Put(roster.Entry{ID: "w-0009", Service: "llm"})
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0009"}), "the targets have changed")
 	r.Put(roster.Entry{ID: "w-0009", Service: "llm", Leaving: true})
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0009"}))
-	g.Expect(asked).To(gomega.Equal(3))
+	g.Expect(calls).To(gomega.Equal(3))
 	o.Basis = nil
 	own()
 	own()
-	g.Expect(asked).To(gomega.Equal(5), "nothing says that it is the same")
+	g.Expect(calls).To(gomega.Equal(5), "without a basis nothing is cached")
 }
 
-// BenchmarkShare works the share of a daemon out of 3,000 targets for each request, and
-// takes the remembered one.
+// BenchmarkShare computes a daemon's share of 3,000 targets for each request, and takes the cached
+// one.
 func BenchmarkShare(b *testing.B) {
-	list := listed(3000).Of("llm")
+	list := listedTargets(3000).Of("llm")
 	o := &Options{Share: func(names []string) []string { return fleet.Rank(7, names)[:120] }}
 	b.Run("each time", func(b *testing.B) {
 		for range b.N {
-			shareOf(list, o)
+			computeShare(list, o)
 		}
 	})
 	o.Basis = func() any { return "same" }
-	var s shares
+	var s shareCache
 	b.Run("remembered", func(b *testing.B) {
 		for range b.N {
-			s.of("llm", list, o)
+			s.get("llm", list, o)
 		}
 	})
 }
--- a/core/relay/versions.go
+++ b/core/relay/versions.go
@@ -9,49 +9,49 @@
 	"embertally.dev/core/roster"
 )
 
-// versions returns the targets of a list that a request may go to where a version is on trial: of
-// that version only a few, so that each of them gets as many requests as if all did.
-func (p *pass) versions(list []*roster.Target) []*roster.Target {
-	trial := p.side.Trial
-	if trial != "" && !slices.ContainsFunc(list, func(t *roster.Target) bool { return t.Entry().Version != trial }) {
-		p.side = canary.Side{Not: slices.DeleteFunc(p.side.Not, func(v string) bool { return v == trial })}
-	}
-	if p.side.Few <= 0 {
+// applyRollout returns the targets of a list that the request may go to during a rollout. While a
+// canary version is evaluated, only some of its targets are used, so that each of them gets as many
+// requests as in a completed rollout.
+func (p *proxiedRequest) applyRollout(list []*roster.Target) []*roster.Target {
+	canaryVersion := p.versions.Trial
+	if canaryVersion != "" && !slices.ContainsFunc(list, func(t *roster.Target) bool { return t.Entry().Version != canaryVersion }) {
+		p.versions = canary.Side{Not: slices.DeleteFunc(p.versions.Not, func(v string) bool { return v == canaryVersion })}
+	}
+	if p.versions.Few <= 0 {
 		return list
 	}
-	var names []string
+	var ids []string
 	for _, t := range list {
-		if t.Entry().Version == p.side.Prefer {
-			names = append(names, t.ID())
+		if t.Entry().Version == p.versions.Prefer {
+			ids = append(ids, t.ID())
 		}
 	}
-	few := map[string]bool{}
-	for _, name := range fleet.RankFirst(fleet.Key(p.side.Prefer), names, int(math.Ceil(p.side.Few*float64(len(names))))) {
-		few[name] = true
+	subset := map[string]bool{}
+	for _, id := range fleet.RankFirst(fleet.Key(p.versions.Prefer), ids, int(math.Ceil(p.versions.Few*float64(len(ids))))) {
+		subset[id] = true
 	}
 	var out []*roster.Target
 	for _, t := range list {
-		if t.Entry().Version != p.side.Prefer || few[t.ID()] {
+		if t.Entry().Version != p.versions.Prefer || subset[t.ID()] {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// preferred returns the options of the version that a request is to go to, or all where there are
-// none.
-func (p *pass) preferred(options []option) []option {
-	if p.side.Prefer == "" {
-		return options
-	}
-	var out []option
-	for _, o := range options {
-		if o.entry.Version == p.side.Prefer {
-			out = append(out, o)
+// preferVersion returns the targets of the preferred version, or all if there are none.
+func (p *proxiedRequest) preferVersion(targets []eligibleTarget) []eligibleTarget {
+	if p.versions.Prefer == "" {
+		return targets
+	}
+	var out []eligibleTarget
+	for _, t := range targets {
+		if t.entry.Version == p.versions.Prefer {
+			out = append(out, t)
 		}
 	}
 	if len(out) == 0 {
-		return options
+		return targets
 	}
 	return out
 }
--- /dev/null
+++ b/core/relay/warmup.go
@@ -0,0 +1,86 @@
+package relay
+
+import (
+	"sync"
+	"time"
+
+	"embertally.dev/core/roster"
+	"embertally.dev/core/route"
+	"embertally.dev/core/table"
+)
+
+// warmUpLimiter limits the rate of this daemon's attempts at targets that are warming up. The zero
+// value is ready for use.
+type warmUpLimiter struct {
+	limiterMu sync.Mutex
+	limiters  map[string]*route.Pace // by target ID; guarded by limiterMu
+}
+
+// allow reports whether a target may get one more of share requests per second. If consume is set,
+// it counts the request.
+func (l *warmUpLimiter) allow(id string, share int, consume bool, now time.Time) bool {
+	l.limiterMu.Lock()
+	defer l.limiterMu.Unlock()
+	limiter := l.limiters[id]
+	if limiter == nil {
+		limiter = &route.Pace{}
+	}
+	if !limiter.May(share, now) {
+		return false
+	}
+	if consume {
+		l.add(id, limiter, now)
+		limiter.Sent(now)
+	}
+	return true
+}
+
+// add stores a target's limiter and removes idle ones. It is called with limiterMu held.
+func (l *warmUpLimiter) add(id string, limiter *route.Pace, now time.Time) {
+	if l.limiters[id] == limiter {
+		return
+	}
+	for other, p := range l.limiters {
+		if p.Idle(now) {
+			delete(l.limiters, other)
+		}
+	}
+	if l.limiters == nil {
+		l.limiters = map[string]*route.Pace{}
+	}
+	l.limiters[id] = limiter
+}
+
+// warmUpAllows reports whether the warm-up rate limit of a target, if any, allows one more request.
+// If consume is set, it counts the request. Only daemons that use the target may send to it while
+// it warms up.
+func (rl *Relay) warmUpAllows(svc *table.Service, t *roster.Target, shared, consume bool, now time.Time) bool {
+	if svc.Cold.PerSecond <= 0 || !rl.options.Roster.Cold(t, svc.Cold.Start, now) {
+		return true
+	}
+	if !shared {
+		return false
+	}
+	rank, total := rl.options.Place(t.ID(), svc.Engine != nil)
+	perSecond := svc.Cold.PerSecond*rl.options.ColdOver + rl.options.ColdExtra
+	return rl.warmUp.allow(t.ID(), route.ColdShare(perSecond, total, rank), consume, now)
+}
+
+// acquire counts a choice under the warm-up limit of its target and takes a permit if the target has
+// a rate limit. It reports whether the choice may be sent: another request may have taken the last
+// place since.
+func (p *proxiedRequest) acquire(c *choice, now time.Time) bool {
+	if c.report != nil {
+		// The daemon that made the choice has done this.
+		return true
+	}
+	if !p.relay.warmUpAllows(p.table.Service(p.service), c.target, true, true, now) {
+		return false
+	}
+	if c.permit.Far {
+		return true
+	}
+	permit, granted := p.relay.options.Roster.Take(c.target)
+	c.permit = permit
+	return granted
+}
