--- a/core/admin/admin.go
+++ b/core/admin/admin.go
@@ -25,9 +25,9 @@
 type Options struct {
 	Conf   *conf.Store
 	Writer *conf.Writer
-	Spread *spread.Spread
+	Spread *spread.ConfigReplicator
 	Fleet  *fleet.Fleet
-	Home   *home.Home
+	Home   *home.Owner
 	Poison *poison.Guard
 	Log    *event.Log
 	// Duties are the names of the duties that the status shows.
--- a/core/admin/resources.go
+++ b/core/admin/resources.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	out.Status = statusFor(s.o.Spread.NotYet(c.Request().Context(), r.Version()))
+	out.Status = statusFor(s.o.Spread.Lagging(c.Request().Context(), r.Version()))
 	return c.JSON(http.StatusOK, out)
 }
 
@@ -268,7 +268,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), acceptLimit)
 	defer cancel()
-	missing := s.o.Spread.Await(ctx, change.Seq)
+	missing := s.o.Spread.AwaitApplied(ctx, change.Seq)
 	out := Resource{
 		Kind: change.Kind, Name: change.Name, ResourceVersion: strconv.FormatUint(change.Seq, 10),
 		Spec: change.Spec, Status: statusFor(missing),
--- a/core/admin/status.go
+++ b/core/admin/status.go
@@ -86,7 +86,7 @@
 
 func (s *Server) status(c echo.Context) error {
 	snap, view := s.o.Conf.Snapshot(), s.o.Fleet.View()
-	missing := s.o.Spread.NotYet(c.Request().Context(), snap.Seq())
+	missing := s.o.Spread.Lagging(c.Request().Context(), snap.Seq())
 	body := struct {
 		Daemon    string         `json:"daemon"`
 		NotReady  string         `json:"notReady,omitempty"`
@@ -127,7 +127,7 @@
 	}}
 	for _, p := range view.Peers() {
 		out = append(out, daemonStatus{
-			p.Name, p.Cell, p.Domain, p.Alive, p.Listed, p.Draining, s.o.Spread.Seq(p.Name),
+			p.Name, p.Cell, p.Domain, p.Alive, p.Listed, p.Draining, s.o.Spread.PeerSeq(p.Name),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
@@ -135,7 +135,7 @@
 }
 
 func (s *Server) load(worker string) string {
-	w, ok := s.o.Home.Worker(worker)
+	w, ok := s.o.Home.WorkerStatus(worker)
 	if !ok {
 		return ""
 	}
--- a/core/cache/bench_test.go
+++ b/core/cache/bench_test.go
@@ -13,8 +13,8 @@
 	var x Index
 	chain := chainOf(160, 0)
 	for i := range uint64(indexedContexts) {
-		x.Held(i, chain, "w", 160, time.Unix(1, 0))
-		x.Kept(i, chain, "s", 160, time.Unix(1, 0))
+		x.SetWorkerBlocks(i, chain, "w", 160, time.Unix(1, 0))
+		x.SetStoreBlocks(i, chain, "s", 160, time.Unix(1, 0))
 	}
 	b.ReportAllocs()
 	for n := uint64(0); b.Loop(); n++ {
--- a/core/cache/cache_test.go
+++ b/core/cache/cache_test.go
@@ -74,34 +74,34 @@
 	g := gomega.NewWithT(t)
 	var x Index
 	now := time.Unix(1, 0)
-	x.Held(7, chainOf(10, 0), "w", 10, now)
-	x.Kept(7, chainOf(10, 0), "s", 8, now)
-	g.Expect(x.Find(7, chainOf(6, 0)).Holdings).To(gomega.Equal([]WorkerBlocks{{"w", 6}}))
-	g.Expect(x.Find(7, chainOf(6, 99)).Holdings).To(gomega.Equal([]WorkerBlocks{{"w", 5}}))
-	g.Expect(x.Find(7, chainOf(6, 99)).Keepings).To(gomega.Equal([]Keeping{{"s", 5}}))
-	g.Expect(x.Find(8, chainOf(6, 0))).To(gomega.Equal(Position{}))
-	x.Held(7, chainOf(6, 99), "v", 6, now)
-	g.Expect(x.Find(7, chainOf(10, 0)).Holdings).To(gomega.ConsistOf(WorkerBlocks{"w", 5}, WorkerBlocks{"v", 5}))
+	x.SetWorkerBlocks(7, chainOf(10, 0), "w", 10, now)
+	x.SetStoreBlocks(7, chainOf(10, 0), "s", 8, now)
+	g.Expect(x.Find(7, chainOf(6, 0)).Workers).To(gomega.Equal([]WorkerBlocks{{"w", 6}}))
+	g.Expect(x.Find(7, chainOf(6, 99)).Workers).To(gomega.Equal([]WorkerBlocks{{"w", 5}}))
+	g.Expect(x.Find(7, chainOf(6, 99)).Stores).To(gomega.Equal([]StoreBlocks{{"s", 5}}))
+	g.Expect(x.Find(8, chainOf(6, 0))).To(gomega.Equal(ContextState{}))
+	x.SetWorkerBlocks(7, chainOf(6, 99), "v", 6, now)
+	g.Expect(x.Find(7, chainOf(10, 0)).Workers).To(gomega.ConsistOf(WorkerBlocks{"w", 5}, WorkerBlocks{"v", 5}))
 }
 
 func TestIndexLose(t *testing.T) {
 	tests := []struct {
 		name  string
-		block Mark
+		block BlockRef
 		want  []WorkerBlocks
 	}{
-		{"inner block", Mark{7, 4, 4}, []WorkerBlocks{{"w", 3}}},
-		{"first block", Mark{7, 1, 1}, nil},
-		{"block of another chain", Mark{7, 99, 4}, []WorkerBlocks{{"w", 10}}},
-		{"another context", Mark{8, 4, 4}, []WorkerBlocks{{"w", 10}}},
-		{"depth out of range", Mark{7, 4, 40}, []WorkerBlocks{{"w", 10}}},
+		{"inner block", BlockRef{7, 4, 4}, []WorkerBlocks{{"w", 3}}},
+		{"first block", BlockRef{7, 1, 1}, nil},
+		{"block of another chain", BlockRef{7, 99, 4}, []WorkerBlocks{{"w", 10}}},
+		{"another context", BlockRef{8, 4, 4}, []WorkerBlocks{{"w", 10}}},
+		{"depth out of range", BlockRef{7, 4, 40}, []WorkerBlocks{{"w", 10}}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			var x Index
-			x.Held(7, chainOf(10, 0), "w", 10, time.Unix(1, 0))
-			x.Lose("w", []Mark{tc.block})
-			gomega.NewWithT(t).Expect(x.Find(7, chainOf(10, 0)).Holdings).To(gomega.Equal(tc.want))
+			x.SetWorkerBlocks(7, chainOf(10, 0), "w", 10, time.Unix(1, 0))
+			x.RemoveWorkerBlocks("w", []BlockRef{tc.block})
+			gomega.NewWithT(t).Expect(x.Find(7, chainOf(10, 0)).Workers).To(gomega.Equal(tc.want))
 		})
 	}
 }
@@ -110,22 +110,22 @@
 	g := gomega.NewWithT(t)
 	x := Index{MaxContexts: 3}
 	for i := range uint64(10) {
-		x.Held(i, chainOf(4, 0), "w", 4, time.Unix(int64(i), 0))
+		x.SetWorkerBlocks(i, chainOf(4, 0), "w", 4, time.Unix(int64(i), 0))
 	}
 	g.Expect(x.Len()).To(gomega.Equal(3))
-	g.Expect(x.Find(9, chainOf(4, 0)).Known).To(gomega.BeTrue())
-	g.Expect(x.Find(0, chainOf(4, 0)).Known).To(gomega.BeFalse())
+	g.Expect(x.Find(9, chainOf(4, 0)).Recorded).To(gomega.BeTrue())
+	g.Expect(x.Find(0, chainOf(4, 0)).Recorded).To(gomega.BeFalse())
 }
 
 // scriptedFeed returns the events and contents that a test sets.
 type scriptedFeed struct {
-	events   []Note
+	events   []CacheEvent
 	contents Contents
 	reads    int
 }
 
-func (f *scriptedFeed) CacheNotes(_ context.Context, seq uint64) ([]Note, error) {
-	var out []Note
+func (f *scriptedFeed) CacheNotes(_ context.Context, seq uint64) ([]CacheEvent, error) {
+	var out []CacheEvent
 	for _, n := range f.events {
 		if n.Seq > seq {
 			out = append(out, n)
@@ -140,10 +140,10 @@
 }
 
 // recordingListener records all lost blocks and the tips of the latest resync.
-type recordingListener struct{ lost, tips []Mark }
+type recordingListener struct{ lost, tips []BlockRef }
 
-func (l *recordingListener) Lost(_ string, blocks []Mark)     { l.lost = append(l.lost, blocks...) }
-func (l *recordingListener) Resynced(_ string, blocks []Mark) { l.tips = blocks }
+func (l *recordingListener) Lost(_ string, blocks []BlockRef)     { l.lost = append(l.lost, blocks...) }
+func (l *recordingListener) Resynced(_ string, blocks []BlockRef) { l.tips = blocks }
 
 func TestFollowerReportsFirstBlockLostOfEachContext(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -151,14 +151,14 @@
 	feed, listener := &scriptedFeed{}, &recordingListener{}
 	f := NewFollower("w", feed, 2, listener, &event.Log{})
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	feed.events = []Note{
-		{Seq: 1, Stored: &Run{Blocks: Shorts(chain[:5])}},
-		{Seq: 2, Stored: &Run{Parent: chain[4].Short(), Blocks: Shorts(chain[5:])}},
-		{Seq: 2, Stored: &Run{Parent: chain[4].Short(), Blocks: Shorts(chain[5:])}},
+	feed.events = []CacheEvent{
+		{Seq: 1, Stored: &BlockRun{Blocks: Shorts(chain[:5])}},
+		{Seq: 2, Stored: &BlockRun{Parent: chain[4].Short(), Blocks: Shorts(chain[5:])}},
+		{Seq: 2, Stored: &BlockRun{Parent: chain[4].Short(), Blocks: Shorts(chain[5:])}},
 		{Seq: 3, Removed: Shorts([]Hash{chain[7], chain[6], chain[5]})},
 	}
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	g.Expect(listener.lost).To(gomega.Equal([]Mark{{Root: chain[1].Short(), Short: chain[5].Short(), Depth: 6}}))
+	g.Expect(listener.lost).To(gomega.Equal([]BlockRef{{Root: chain[1].Short(), Short: chain[5].Short(), Depth: 6}}))
 	g.Expect(f.Blocks()).To(gomega.Equal(5))
 }
 
@@ -174,12 +174,12 @@
 	feed, listener := &scriptedFeed{}, &recordingListener{}
 	f := NewFollower("w", feed, rootBlocks, listener, &event.Log{})
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	feed.events = []Note{{Seq: 1, Stored: &Run{Blocks: Shorts(chain)}}, {Seq: 2, Removed: removed}}
+	feed.events = []CacheEvent{{Seq: 1, Stored: &BlockRun{Blocks: Shorts(chain)}}, {Seq: 2, Removed: removed}}
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
 	var x Index
-	x.Held(root, Shorts(chain), "w", 8, time.Unix(1, 0))
-	x.Lose("w", listener.lost)
-	g.Expect(x.Find(root, Shorts(chain)).Holdings).To(gomega.BeEmpty())
+	x.SetWorkerBlocks(root, Shorts(chain), "w", 8, time.Unix(1, 0))
+	x.RemoveWorkerBlocks("w", listener.lost)
+	g.Expect(x.Find(root, Shorts(chain)).Workers).To(gomega.BeEmpty())
 }
 
 func TestFollowerResyncsAfterGap(t *testing.T) {
@@ -188,16 +188,16 @@
 	feed, listener := &scriptedFeed{}, &recordingListener{}
 	f := NewFollower("w", feed, 2, listener, &event.Log{})
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	feed.events = []Note{{Seq: 1, Stored: &Run{Blocks: Shorts(chain)}}, {Seq: 3, Removed: Shorts(chain[5:6])}}
-	feed.contents = Contents{Seq: 3, Runs: []Run{{Blocks: Shorts(chain[:4])}}}
+	feed.events = []CacheEvent{{Seq: 1, Stored: &BlockRun{Blocks: Shorts(chain)}}, {Seq: 3, Removed: Shorts(chain[5:6])}}
+	feed.contents = Contents{Seq: 3, BlockRuns: []BlockRun{{Blocks: Shorts(chain[:4])}}}
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
 	g.Expect(feed.reads).To(gomega.Equal(2))
 	g.Expect(listener.lost).To(gomega.BeEmpty(), "events after the gap are not applied")
-	g.Expect(listener.tips).To(gomega.Equal([]Mark{{Root: chain[1].Short(), Short: chain[3].Short(), Depth: 4}}))
+	g.Expect(listener.tips).To(gomega.Equal([]BlockRef{{Root: chain[1].Short(), Short: chain[3].Short(), Depth: 4}}))
 	var x Index
-	x.Held(chain[1].Short(), Shorts(chain), "w", 6, time.Unix(1, 0))
-	x.Resync("w", listener.tips)
-	g.Expect(x.Find(chain[1].Short(), Shorts(chain)).Holdings).To(gomega.Equal([]WorkerBlocks{{"w", 4}}))
+	x.SetWorkerBlocks(chain[1].Short(), Shorts(chain), "w", 6, time.Unix(1, 0))
+	x.ReplaceWorkerBlocks("w", listener.tips)
+	g.Expect(x.Find(chain[1].Short(), Shorts(chain)).Workers).To(gomega.Equal([]WorkerBlocks{{"w", 4}}))
 }
 
 // Whatever events are lost, after a resync the follower records exactly what the worker
@@ -205,12 +205,12 @@
 func TestFollowerMatchesWorkerAfterResync(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := map[Hash]bool{}
-		var events []Note
+		var events []CacheEvent
 		var chains [][]Hash
 		for i := range rapid.IntRange(1, 4).Draw(t, "chains") {
 			c := Chain(Salt{Organisation: string(rune('a' + i))}.Seed(), strings.Repeat("z", BlockBytes*rapid.IntRange(1, 6).Draw(t, "blocks")))
 			chains = append(chains, c)
-			events = append(events, Note{Stored: &Run{Blocks: Shorts(c)}})
+			events = append(events, CacheEvent{Stored: &BlockRun{Blocks: Shorts(c)}})
 			for _, h := range c {
 				worker[h] = true
 			}
@@ -218,7 +218,7 @@
 		for _, c := range chains {
 			keep := rapid.IntRange(0, len(c)).Draw(t, "keep")
 			if keep < len(c) {
-				events = append(events, Note{Removed: Shorts(c[keep:])})
+				events = append(events, CacheEvent{Removed: Shorts(c[keep:])})
 				for _, h := range c[keep:] {
 					delete(worker, h)
 				}
@@ -244,13 +244,13 @@
 			for n < len(c) && worker[c[n]] {
 				n++
 			}
-			feed.contents.Runs = append(feed.contents.Runs, Run{Blocks: Shorts(c[:n])})
+			feed.contents.BlockRuns = append(feed.contents.BlockRuns, BlockRun{Blocks: Shorts(c[:n])})
 		}
 		if err := f.step(context.Background()); err != nil && !errors.Is(err, context.Canceled) {
 			t.Fatal(err)
 		}
 		// The last event may be among those dropped; only the next one reveals the gap.
-		feed.events = append(feed.events, Note{Seq: uint64(len(events) + 1)})
+		feed.events = append(feed.events, CacheEvent{Seq: uint64(len(events) + 1)})
 		feed.contents.Seq++
 		if err := f.step(context.Background()); err != nil {
 			t.Fatal(err)
--- a/core/cache/follow.go
+++ b/core/cache/follow.go
@@ -11,7 +11,7 @@
 )
 
 // Run is a sequence of blocks of one chain in a cache event, each the parent of the next.
-type Run struct {
+type BlockRun struct {
 	// Parent is the short hash of the block before the first of Blocks; zero at the start of
 	// a chain.
 	Parent uint64 `json:"parent"`
@@ -19,23 +19,23 @@
 }
 
 // Note is one cache event of a worker.
-type Note struct {
+type CacheEvent struct {
 	// Seq increases by one with each event; a larger step means that events were lost.
-	Seq     uint64 `json:"seq"`
-	Stored  *Run   `json:"stored,omitempty"`
-	Removed Packed `json:"removed,omitempty"`
+	Seq     uint64    `json:"seq"`
+	Stored  *BlockRun `json:"stored,omitempty"`
+	Removed Packed    `json:"removed,omitempty"`
 }
 
 // Contents lists all blocks that a worker holds after event Seq.
 type Contents struct {
-	Seq  uint64 `json:"seq"`
-	Runs []Run  `json:"runs"`
+	Seq       uint64     `json:"seq"`
+	BlockRuns []BlockRun `json:"runs"`
 }
 
 // feed provides the cache events and contents of one worker.
 type feed interface {
 	// CacheNotes waits for events after seq and returns them in order.
-	CacheNotes(ctx context.Context, seq uint64) ([]Note, error)
+	CacheNotes(ctx context.Context, seq uint64) ([]CacheEvent, error)
 	// CacheContents returns all blocks that the worker holds.
 	CacheContents(ctx context.Context) (Contents, error)
 }
@@ -68,10 +68,10 @@
 type listener interface {
 	// Lost reports that the worker no longer holds the given blocks, nor any block after
 	// them.
-	Lost(worker string, blocks []Mark)
+	Lost(worker string, blocks []BlockRef)
 	// Resynced replaces all earlier information about the worker: it holds the chains whose
 	// last blocks are tips.
-	Resynced(worker string, tips []Mark)
+	Resynced(worker string, tips []BlockRef)
 }
 
 // NewFollower returns a follower of a worker's feed. rootBlocks is the number of first
@@ -120,7 +120,7 @@
 }
 
 // apply applies events in order. At a gap it stops and returns ok false.
-func (f *Follower) apply(events []Note) (lost []Mark, ok bool) {
+func (f *Follower) apply(events []CacheEvent) (lost []BlockRef, ok bool) {
 	f.nodesMu.Lock()
 	defer f.nodesMu.Unlock()
 	for _, n := range events {
@@ -141,7 +141,7 @@
 }
 
 // add records the blocks of r; the caller holds nodesMu.
-func (f *Follower) add(r Run) {
+func (f *Follower) add(r BlockRun) {
 	parent := r.Parent
 	parentNode := f.nodes[parent]
 	for _, short := range r.Blocks {
@@ -156,8 +156,8 @@
 
 // remove deletes blocks and returns the first one removed of each context; the caller holds
 // nodesMu.
-func (f *Follower) remove(shorts []uint64) []Mark {
-	first := map[uint64]Mark{}
+func (f *Follower) remove(shorts []uint64) []BlockRef {
+	first := map[uint64]BlockRef{}
 	for _, short := range shorts {
 		n, ok := f.nodes[short]
 		if !ok {
@@ -166,22 +166,22 @@
 		delete(f.nodes, short)
 		m, seen := first[n.root]
 		if n.root != 0 && (!seen || int(n.depth) < m.Depth) {
-			first[n.root] = Mark{Root: n.root, Short: short, Depth: int(n.depth)}
+			first[n.root] = BlockRef{Root: n.root, Short: short, Depth: int(n.depth)}
 		}
 	}
 	return slices.Collect(maps.Values(first))
 }
 
 // leaves returns the last block of each chain held; the caller holds nodesMu.
-func (f *Follower) leaves() []Mark {
+func (f *Follower) leaves() []BlockRef {
 	hasChild := make(map[uint64]bool, len(f.nodes))
 	for _, n := range f.nodes {
 		hasChild[n.parent] = true
 	}
-	var out []Mark
+	var out []BlockRef
 	for short, n := range f.nodes {
 		if n.root != 0 && !hasChild[short] {
-			out = append(out, Mark{Root: n.root, Short: short, Depth: int(n.depth)})
+			out = append(out, BlockRef{Root: n.root, Short: short, Depth: int(n.depth)})
 		}
 	}
 	return out
@@ -195,7 +195,7 @@
 	}
 	f.nodesMu.Lock()
 	f.nodes = make(map[uint64]node, len(f.nodes))
-	for _, r := range contents.Runs {
+	for _, r := range contents.BlockRuns {
 		f.add(r)
 	}
 	f.seq, f.synced = contents.Seq, true
--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -14,20 +14,20 @@
 }
 
 // Keeping is the number of first blocks of a chain that a store holds.
-type Keeping struct {
+type StoreBlocks struct {
 	Store  string
 	Blocks int
 }
 
 // Position is what an Index has recorded about one context.
-type Position struct {
+type ContextState struct {
 	// Known is set if the context is in the index.
-	Known bool
+	Recorded bool
 	// Holdings and Keepings list the workers and stores that hold blocks of the chain.
-	Holdings []WorkerBlocks
-	Keepings []Keeping
+	Workers []WorkerBlocks
+	Stores  []StoreBlocks
 	// Looked is set if the stores have been queried for the context.
-	Looked bool
+	StoresQueried bool
 }
 
 // record is the entry of one context in the index of its owner.
@@ -37,7 +37,7 @@
 	chain []uint64
 	// workers and stores count first blocks of chain.
 	workers       []WorkerBlocks
-	stores        []Keeping
+	stores        []StoreBlocks
 	storesQueried bool
 	lastUsed      time.Time
 	// exporting is set while an export of the context is running or queued.
@@ -64,23 +64,23 @@
 
 // Find returns what is recorded about a context, cut to the blocks that chain shares with
 // the recorded chain.
-func (x *Index) Find(root uint64, chain []uint64) Position {
+func (x *Index) Find(root uint64, chain []uint64) ContextState {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
 	r := x.record(root)
 	if r == nil {
-		return Position{}
+		return ContextState{}
 	}
 	shared := commonPrefix(r.chain, chain)
-	p := Position{Known: true, Looked: r.storesQueried}
+	p := ContextState{Recorded: true, StoresQueried: r.storesQueried}
 	for _, h := range r.workers {
 		if n := min(h.Blocks, shared); n > 0 {
-			p.Holdings = append(p.Holdings, WorkerBlocks{h.Worker, n})
+			p.Workers = append(p.Workers, WorkerBlocks{h.Worker, n})
 		}
 	}
 	for _, s := range r.stores {
 		if n := min(s.Blocks, shared); n > 0 {
-			p.Keepings = append(p.Keepings, Keeping{s.Store, n})
+			p.Stores = append(p.Stores, StoreBlocks{s.Store, n})
 		}
 	}
 	return p
@@ -157,7 +157,7 @@
 }
 
 // Held records that a worker holds the first n blocks of chain.
-func (x *Index) Held(root uint64, chain []uint64, worker string, n int, now time.Time) {
+func (x *Index) SetWorkerBlocks(root uint64, chain []uint64, worker string, n int, now time.Time) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
 	r := x.touch(root, chain, now)
@@ -176,7 +176,7 @@
 }
 
 // Kept records that a store holds the first n blocks of chain; n may be zero.
-func (x *Index) Kept(root uint64, chain []uint64, store string, n int, now time.Time) {
+func (x *Index) SetStoreBlocks(root uint64, chain []uint64, store string, n int, now time.Time) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
 	r := x.touch(root, chain, now)
@@ -188,7 +188,7 @@
 			return
 		}
 	}
-	r.stores = append(r.stores, Keeping{store, n})
+	r.stores = append(r.stores, StoreBlocks{store, n})
 }
 
 // SetStoresQueried records that the stores have been queried for the context.
@@ -200,14 +200,14 @@
 
 // Mark refers to one block: by the context Root, the block's short hash, and its position in
 // the chain, counted from one.
-type Mark struct {
+type BlockRef struct {
 	Root  uint64 `msgpack:"r"`
 	Short uint64 `msgpack:"s"`
 	Depth int    `msgpack:"d"`
 }
 
 // matches reports whether the block is in the record's chain.
-func (m Mark) matches(r *record) bool {
+func (m BlockRef) matches(r *record) bool {
 	return r != nil && m.Depth >= 1 && m.Depth <= len(r.chain) && r.chain[m.Depth-1] == m.Short
 }
 
@@ -215,7 +215,7 @@
 // one. The blocks before the one that identifies the context belong to many contexts, so no
 // Mark reports their removal: without the identifying block the worker counts as holding
 // nothing.
-func (m Mark) retained() int {
+func (m BlockRef) retained() int {
 	if m.Short == m.Root {
 		return 0
 	}
@@ -223,7 +223,7 @@
 }
 
 // Lose records that a worker no longer holds the given blocks, nor those after them.
-func (x *Index) Lose(worker string, blocks []Mark) {
+func (x *Index) RemoveWorkerBlocks(worker string, blocks []BlockRef) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
 	for _, m := range blocks {
@@ -241,7 +241,7 @@
 
 // Resync replaces everything recorded about a worker by the chains whose last blocks are
 // tips.
-func (x *Index) Resync(worker string, tips []Mark) {
+func (x *Index) ReplaceWorkerBlocks(worker string, tips []BlockRef) {
 	x.ForgetWorker(worker)
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
--- a/core/cache/segments.go
+++ b/core/cache/segments.go
@@ -9,14 +9,14 @@
 
 // Part is one segment of a prompt, in prompt order. Requests may share their leading
 // segments.
-type Part struct {
+type Segment struct {
 	ID     string
 	Tokens int
 }
 
 // PartSalt forms the cache salt under which segments are stored. Segments of other weights,
 // and those of an isolated organisation, have a different salt.
-type PartSalt struct {
+type SegmentSalt struct {
 	Model   string
 	Version int64
 	// Wall is the isolated organisation, or "" if the segment may be shared.
@@ -24,7 +24,7 @@
 }
 
 // String returns the salt in the form that engines and stores receive.
-func (s PartSalt) String() string {
+func (s SegmentSalt) String() string {
 	return "v" + strconv.FormatInt(s.Version, 10) + "/" + s.Model + "/" + s.Wall
 }
 
@@ -40,24 +40,24 @@
 }
 
 // PartName identifies a cached segment.
-type PartName struct{ Salt, ID string }
+type SegmentName struct{ Salt, ID string }
 
 // PartChange is one change of the segments that a store holds.
-type PartChange struct {
-	PartName
+type SegmentChange struct {
+	SegmentName
 	// Tokens is the number of tokens held now; 0 if the segment was removed.
 	Tokens int
 }
 
 // PartEvents is a list of changes that a store reported.
-type PartEvents struct {
+type SegmentEvents struct {
 	// Epoch changes when the store restarts.
 	Epoch int64
 	// Next is the position from which the next query continues.
 	Next int64
 	// Gap is set if changes before Changes were lost.
 	Gap     bool
-	Changes []PartChange
+	Changes []SegmentChange
 	// Clock is the targets' clock at the time of the report; 0 if it was not reported.
 	Clock time.Duration
 	// Age is the time since the store made the report.
@@ -65,14 +65,14 @@
 }
 
 // Watcher is a client of the KV-cache stores.
-type Watcher interface {
+type StoreClient interface {
 	// Events returns the changes after since and waits up to wait for the first.
-	Events(ctx context.Context, address string, since int64, wait time.Duration) (PartEvents, error)
+	Events(ctx context.Context, address string, since int64, wait time.Duration) (SegmentEvents, error)
 	// Contents returns everything the store holds, which may take long. It gives up if the
 	// store stops sending.
-	Contents(ctx context.Context, address string) (PartEvents, error)
+	Contents(ctx context.Context, address string) (SegmentEvents, error)
 	// Free frees segments of a store in the given epoch.
-	Free(ctx context.Context, address string, epoch int64, segments []PartName) error
+	Free(ctx context.Context, address string, epoch int64, segments []SegmentName) error
 }
 
 // StoreInfo is the configuration of a store.
--- a/core/cache/storefollower.go
+++ b/core/cache/storefollower.go
@@ -28,7 +28,7 @@
 
 // storeFollower keeps the index of one store up to date.
 type storeFollower struct {
-	indexes *Kept
+	indexes *StoreIndexes
 	address string
 }
 
@@ -83,7 +83,7 @@
 
 // position returns where the next query to a store continues, and whether its index is in
 // sync.
-func (s *Kept) position(address string) (int64, bool) {
+func (s *StoreIndexes) position(address string) (int64, bool) {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	ix := s.indexes[address]
@@ -94,7 +94,7 @@
 }
 
 // clockUnknown reports whether a followed store has not yet reported its clock.
-func (s *Kept) clockUnknown(address string) bool {
+func (s *StoreIndexes) clockUnknown(address string) bool {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	ix := s.indexes[address]
@@ -102,7 +102,7 @@
 }
 
 // replace sets the index of a store to its whole contents.
-func (s *Kept) replace(address string, contents PartEvents) {
+func (s *StoreIndexes) replace(address string, contents SegmentEvents) {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	ix := s.indexes[address]
@@ -117,7 +117,7 @@
 }
 
 // apply applies changes to the index of a store. A gap or a new epoch empties it.
-func (s *Kept) apply(address string, ev PartEvents) {
+func (s *StoreIndexes) apply(address string, ev SegmentEvents) {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	ix := s.indexes[address]
@@ -136,7 +136,7 @@
 }
 
 // markDown records that a query to a store failed.
-func (s *Kept) markDown(address string, err error) {
+func (s *StoreIndexes) markDown(address string, err error) {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	ix := s.indexes[address]
--- a/core/cache/storeindex.go
+++ b/core/cache/storeindex.go
@@ -21,7 +21,7 @@
 	// next is the position in the store's events from which the next query continues.
 	next int64
 	// segments maps each segment held to its tokens, and usedTokens is their sum.
-	segments   map[PartName]int
+	segments   map[SegmentName]int
 	usedTokens int
 	// salts counts the segments of each salt. There are few salts.
 	salts map[string]int
@@ -41,7 +41,7 @@
 // changeBatch is the changes in one response of a store. next is the position after them.
 type changeBatch struct {
 	next    int64
-	changes []PartChange
+	changes []SegmentChange
 }
 
 // maxBatches is the number of responses kept for peers.
@@ -57,9 +57,9 @@
 
 // apply applies changes to the recorded contents, records the store's clock if it was
 // reported, and wakes those who wait.
-func (ix *storeIndex) apply(ev PartEvents) {
+func (ix *storeIndex) apply(ev SegmentEvents) {
 	for _, c := range ev.Changes {
-		ix.set(c.PartName, c.Tokens)
+		ix.set(c.SegmentName, c.Tokens)
 	}
 	ix.down = false
 	if ev.Clock > 0 {
@@ -69,7 +69,7 @@
 }
 
 // set records how many tokens of a segment the store holds.
-func (ix *storeIndex) set(name PartName, tokens int) {
+func (ix *storeIndex) set(name SegmentName, tokens int) {
 	before := ix.segments[name]
 	ix.usedTokens += tokens - before
 	switch {
@@ -88,7 +88,7 @@
 
 // clear removes all segments.
 func (ix *storeIndex) clear() {
-	ix.segments, ix.salts, ix.usedTokens = map[PartName]int{}, map[string]int{}, 0
+	ix.segments, ix.salts, ix.usedTokens = map[SegmentName]int{}, map[string]int{}, 0
 }
 
 // notify wakes everyone who waits for a change.
@@ -99,7 +99,7 @@
 
 // addHistory keeps the changes of one response for peers, and drops the oldest beyond
 // maxBatches.
-func (ix *storeIndex) addHistory(ev PartEvents) {
+func (ix *storeIndex) addHistory(ev SegmentEvents) {
 	if len(ev.Changes) > 0 {
 		ix.history = append(ix.history, changeBatch{ev.Next, ev.Changes})
 	}
@@ -111,13 +111,13 @@
 
 // eventsSince returns the changes that the store reported after since, or the whole contents
 // if all is set.
-func (ix *storeIndex) eventsSince(since int64, all bool, now clock.Time) PartEvents {
+func (ix *storeIndex) eventsSince(since int64, all bool, now clock.Time) SegmentEvents {
 	age := now.Sub(ix.reportedAt)
-	out := PartEvents{Epoch: ix.epoch, Next: ix.next, Clock: ix.storeClock + age, Age: age}
+	out := SegmentEvents{Epoch: ix.epoch, Next: ix.next, Clock: ix.storeClock + age, Age: age}
 	switch {
 	case all:
 		for name, tokens := range ix.segments {
-			out.Changes = append(out.Changes, PartChange{name, tokens})
+			out.Changes = append(out.Changes, SegmentChange{name, tokens})
 		}
 	case since < ix.historyStart:
 		out.Gap = true
@@ -133,7 +133,7 @@
 
 // score ranks the store for a segment by weighted rendezvous hashing, with the capacity as
 // the weight. The highest score wins.
-func (ix *storeIndex) score(name PartName) float64 {
+func (ix *storeIndex) score(name SegmentName) float64 {
 	var d xxhash.Digest
 	d.Reset()
 	d.WriteString(name.Salt)
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -18,8 +18,8 @@
 // value is not usable; see NewKept.
 //
 // Lock order: indexesMu is never held together with another lock of this package.
-type Kept struct {
-	watcher Watcher
+type StoreIndexes struct {
+	watcher StoreClient
 	log     *event.Log
 
 	indexesMu sync.Mutex
@@ -27,13 +27,13 @@
 }
 
 // NewKept returns a Kept that follows no stores until Set is called.
-func NewKept(watcher Watcher, log *event.Log) *Kept {
-	return &Kept{watcher: watcher, log: log, indexes: map[string]*storeIndex{}}
+func NewStoreIndexes(watcher StoreClient, log *event.Log) *StoreIndexes {
+	return &StoreIndexes{watcher: watcher, log: log, indexes: map[string]*storeIndex{}}
 }
 
 // Set starts following the given stores and stops following all others. Following ends with
 // ctx.
-func (s *Kept) Set(ctx context.Context, stores []StoreInfo) {
+func (s *StoreIndexes) Set(ctx context.Context, stores []StoreInfo) {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	wanted := map[string]bool{}
@@ -66,24 +66,24 @@
 const maxFill = 0.985
 
 // CopyLimit returns the maximum duration of a transfer that is decided now.
-func CopyLimit() time.Duration { return transferTimeout }
+func TransferTimeout() time.Duration { return transferTimeout }
 
 // Told returns the changes that a store reported after since, or its whole contents if all
 // is set, for a peer that does not query the store itself. It returns false if this daemon's
 // view of the store is not current.
-func (s *Kept) Told(address string, since int64, all bool, now clock.Time) (PartEvents, bool) {
+func (s *StoreIndexes) EventsSince(address string, since int64, all bool, now clock.Time) (SegmentEvents, bool) {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	ix := s.indexes[address]
 	if ix == nil || !ix.fresh(now) {
-		return PartEvents{}, false
+		return SegmentEvents{}, false
 	}
 	return ix.eventsSince(since, all, now), true
 }
 
 // News returns a channel that is closed when the store next reports or stops answering, or
 // nil if the store is not followed.
-func (s *Kept) News(address string) <-chan struct{} {
+func (s *StoreIndexes) Changed(address string) <-chan struct{} {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	if ix := s.indexes[address]; ix != nil {
@@ -93,7 +93,7 @@
 }
 
 // Age returns the time since the store last reported its clock, directly or through a peer.
-func (s *Kept) Age(address string, now clock.Time) time.Duration {
+func (s *StoreIndexes) Age(address string, now clock.Time) time.Duration {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	if ix := s.indexes[address]; ix != nil {
@@ -104,7 +104,7 @@
 
 // Watchers returns how many daemons may follow a store at a time, or 0 if that is not
 // configured.
-func (s *Kept) Watchers(address string) int {
+func (s *StoreIndexes) MaxWatchers(address string) int {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	if ix := s.indexes[address]; ix != nil {
@@ -114,7 +114,7 @@
 }
 
 // Place is a store that holds a segment.
-type Place struct {
+type StoredSegment struct {
 	Address string
 	// Tokens is the number of tokens held.
 	Tokens int
@@ -126,20 +126,22 @@
 
 // Time returns the expected duration of the transfer to a failure domain, from the
 // configured speed of the store's link.
-func (p Place) Time(domain string) time.Duration { return p.info.transferTime(p.Tokens, domain) }
+func (p StoredSegment) TransferTime(domain string) time.Duration {
+	return p.info.transferTime(p.Tokens, domain)
+}
 
 // Find returns the stores that hold a segment.
-func (s *Kept) Find(name PartName, now clock.Time) []Place {
+func (s *StoreIndexes) Find(name SegmentName, now clock.Time) []StoredSegment {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
-	var out []Place
+	var out []StoredSegment
 	for _, ix := range s.indexes {
 		tokens := ix.segments[name]
 		if tokens == 0 || !ix.fresh(now) {
 			continue
 		}
 		info := ix.info
-		out = append(out, Place{Address: info.Address, Tokens: tokens, Until: ix.storeClock + now.Sub(ix.reportedAt) + transferTimeout, info: &info})
+		out = append(out, StoredSegment{Address: info.Address, Tokens: tokens, Until: ix.storeClock + now.Sub(ix.reportedAt) + transferTimeout, info: &info})
 	}
 	return out
 }
@@ -147,7 +149,7 @@
 // Room returns the address of the store that should hold a segment, or "" if a store holds
 // it already or none has free capacity. It considers only stores in failure domains that
 // allowed accepts. Daemons with the same view choose the same store.
-func (s *Kept) Room(name PartName, tokens int, allowed func(domain string) bool, now clock.Time) string {
+func (s *StoreIndexes) ChooseStore(name SegmentName, tokens int, allowed func(domain string) bool, now clock.Time) string {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	best, bestScore := "", 0.0
@@ -169,7 +171,7 @@
 // Outdated returns up to limit segments of a store whose salt keep rejects, and the epoch
 // they were seen in. It calls keep once per salt: calling it for each of 13,000 segments
 // four times a second took more of a daemon's processor time than its heartbeats.
-func (s *Kept) Outdated(address string, limit int, keep func(salt string) bool) ([]PartName, int64) {
+func (s *StoreIndexes) Outdated(address string, limit int, keep func(salt string) bool) ([]SegmentName, int64) {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	ix := s.indexes[address]
@@ -185,7 +187,7 @@
 	if len(rejected) == 0 {
 		return nil, 0
 	}
-	var out []PartName
+	var out []SegmentName
 	for name := range ix.segments {
 		if rejected[name.Salt] {
 			out = append(out, name)
@@ -194,12 +196,12 @@
 			break
 		}
 	}
-	slices.SortFunc(out, func(a, b PartName) int { return strings.Compare(a.Salt+a.ID, b.Salt+b.ID) })
+	slices.SortFunc(out, func(a, b SegmentName) int { return strings.Compare(a.Salt+a.ID, b.Salt+b.ID) })
 	return out, ix.epoch
 }
 
 // Free frees segments of a store that were seen in the given epoch.
-func (s *Kept) Free(ctx context.Context, address string, epoch int64, segments []PartName) error {
+func (s *StoreIndexes) Free(ctx context.Context, address string, epoch int64, segments []SegmentName) error {
 	if err := s.watcher.Free(ctx, address, epoch, segments); err != nil {
 		return errors.Wrap(err, address)
 	}
@@ -217,7 +219,7 @@
 }
 
 // Stores returns the addresses of the followed stores, sorted.
-func (s *Kept) Stores() []string {
+func (s *StoreIndexes) Stores() []string {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	var out []string
@@ -229,7 +231,7 @@
 }
 
 // Tokens returns the number of tokens that all followed stores hold.
-func (s *Kept) Tokens() int {
+func (s *StoreIndexes) Tokens() int {
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	n := 0
--- a/core/cache/stores_bench_test.go
+++ b/core/cache/stores_bench_test.go
@@ -12,13 +12,13 @@
 // outdated, as each daemon does four times a second. Checking per salt takes 0.12 µs,
 // checking per segment 410 µs (one run each on a busy machine, 8 cores).
 func BenchmarkOutdated(b *testing.B) {
-	k := NewKept(newFakeStore(), &event.Log{})
+	k := NewStoreIndexes(newFakeStore(), &event.Log{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	k.Set(ctx, []StoreInfo{{Address: "a", Room: 1 << 30}})
-	contents := PartEvents{Epoch: 1, Next: 1}
+	contents := SegmentEvents{Epoch: 1, Next: 1}
 	for i := range 13000 {
-		contents.Changes = append(contents.Changes, PartChange{PartName{Salt: "v1/m/", ID: fmt.Sprintf("%08x", i)}, 100})
+		contents.Changes = append(contents.Changes, SegmentChange{SegmentName{Salt: "v1/m/", ID: fmt.Sprintf("%08x", i)}, 100})
 	}
 	k.replace("a", contents)
 	for b.Loop() {
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -17,17 +17,17 @@
 type fakeStore struct {
 	mu       sync.Mutex
 	epoch    int64
-	contents []PartChange
-	events   []PartEvents
+	contents []SegmentChange
+	events   []SegmentEvents
 	wake     chan struct{}
-	freed    []PartName
+	freed    []SegmentName
 	down     bool
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{epoch: 1, wake: make(chan struct{}, 16)} }
 
 // report adds the response to a later query for events.
-func (s *fakeStore) report(ev PartEvents) {
+func (s *fakeStore) report(ev SegmentEvents) {
 	s.mu.Lock()
 	s.events = append(s.events, ev)
 	s.mu.Unlock()
@@ -40,7 +40,7 @@
 	s.down = down
 }
 
-func (s *fakeStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (PartEvents, error) {
+func (s *fakeStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (SegmentEvents, error) {
 	select {
 	case <-ctx.Done():
 	case <-s.wake:
@@ -49,26 +49,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return PartEvents{}, errors.New("down")
+		return SegmentEvents{}, errors.New("down")
 	}
 	if len(s.events) == 0 {
-		return PartEvents{Epoch: s.epoch, Next: since, Clock: time.Hour}, nil
+		return SegmentEvents{Epoch: s.epoch, Next: since, Clock: time.Hour}, nil
 	}
 	ev := s.events[0]
 	s.events = s.events[1:]
 	return ev, nil
 }
 
-func (s *fakeStore) Contents(context.Context, string) (PartEvents, error) {
+func (s *fakeStore) Contents(context.Context, string) (SegmentEvents, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return PartEvents{}, errors.New("down")
+		return SegmentEvents{}, errors.New("down")
 	}
-	return PartEvents{Epoch: s.epoch, Next: 1, Changes: s.contents}, nil
+	return SegmentEvents{Epoch: s.epoch, Next: 1, Changes: s.contents}, nil
 }
 
-func (s *fakeStore) Free(_ context.Context, _ string, epoch int64, segments []PartName) error {
+func (s *fakeStore) Free(_ context.Context, _ string, epoch int64, segments []SegmentName) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if epoch != s.epoch {
@@ -79,14 +79,14 @@
 }
 
 // change returns the change of one segment under the salt "v1/m/".
-func change(id string, tokens int) PartChange {
-	return PartChange{PartName: PartName{Salt: "v1/m/", ID: id}, Tokens: tokens}
+func change(id string, tokens int) SegmentChange {
+	return SegmentChange{SegmentName: SegmentName{Salt: "v1/m/", ID: id}, Tokens: tokens}
 }
 
 // newFollowing returns a Kept that follows stores with the given capacities, at the
 // addresses "a", "b" and so on.
-func newFollowing(t *testing.T, s *fakeStore, capacities ...int) *Kept {
-	k := NewKept(s, &event.Log{})
+func newFollowing(t *testing.T, s *fakeStore, capacities ...int) *StoreIndexes {
+	k := NewStoreIndexes(s, &event.Log{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var infos []StoreInfo
@@ -98,47 +98,47 @@
 }
 
 // found returns a function that reports whether any store holds the segment.
-func found(k *Kept, id string) func() bool {
+func found(k *StoreIndexes, id string) func() bool {
 	return func() bool {
-		return len(k.Find(PartName{"v1/m/", id}, clock.Now())) > 0
+		return len(k.Find(SegmentName{"v1/m/", id}, clock.Now())) > 0
 	}
 }
 
 func TestFindFollowsStoreEvents(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	s.contents = []PartChange{change("1", 100)}
+	s.contents = []SegmentChange{change("1", 100)}
 	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
-	s.report(PartEvents{Epoch: 1, Next: 2, Clock: time.Hour, Changes: []PartChange{change("2", 50), change("1", 0)}})
+	s.report(SegmentEvents{Epoch: 1, Next: 2, Clock: time.Hour, Changes: []SegmentChange{change("2", 50), change("1", 0)}})
 	g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
 	g.Expect(found(k, "1")()).To(gomega.BeFalse())
 	g.Expect(k.Tokens()).To(gomega.Equal(50))
-	places := k.Find(PartName{"v1/m/", "2"}, clock.Now())
+	places := k.Find(SegmentName{"v1/m/", "2"}, clock.Now())
 	g.Expect(places).To(gomega.HaveLen(1))
 	place := places[0]
-	g.Expect(place.Time("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
-	g.Expect(place.Time("d")).To(gomega.Equal(50 * time.Microsecond))
+	g.Expect(place.TransferTime("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
+	g.Expect(place.TransferTime("d")).To(gomega.Equal(50 * time.Microsecond))
 	g.Expect(place.Until).To(gomega.BeNumerically(">", time.Hour))
 }
 
 func TestGapOrNewEpochResyncs(t *testing.T) {
 	tests := []struct {
 		name string
-		ev   PartEvents
+		ev   SegmentEvents
 	}{
-		{"gap", PartEvents{Epoch: 1, Next: 9, Gap: true, Clock: time.Hour}},
-		{"new epoch", PartEvents{Epoch: 2, Next: 9, Clock: time.Hour}},
+		{"gap", SegmentEvents{Epoch: 1, Next: 9, Gap: true, Clock: time.Hour}},
+		{"new epoch", SegmentEvents{Epoch: 2, Next: 9, Clock: time.Hour}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			s := newFakeStore()
-			s.contents = []PartChange{change("1", 100)}
+			s.contents = []SegmentChange{change("1", 100)}
 			k := newFollowing(t, s, 1000)
 			g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 			s.mu.Lock()
-			s.contents, s.epoch = []PartChange{change("2", 100)}, tc.ev.Epoch
+			s.contents, s.epoch = []SegmentChange{change("2", 100)}, tc.ev.Epoch
 			s.mu.Unlock()
 			s.report(tc.ev)
 			g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
@@ -150,12 +150,12 @@
 func TestUnreachableStoreIsNotUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	s.contents = []PartChange{change("1", 100)}
+	s.contents = []SegmentChange{change("1", 100)}
 	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	s.setDown(true)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeFalse())
-	g.Expect(k.Room(PartName{"v1/m/", "9"}, 10, anyDomain, clock.Now())).To(gomega.BeEmpty())
+	g.Expect(k.ChooseStore(SegmentName{"v1/m/", "9"}, 10, anyDomain, clock.Now())).To(gomega.BeEmpty())
 	s.setDown(false)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 }
@@ -165,37 +165,37 @@
 	s := newFakeStore()
 	k := newFollowing(t, s, 100, 1000)
 	choose := func(tokens int) func() string {
-		return func() string { return k.Room(PartName{"v1/m/", "9"}, tokens, anyDomain, clock.Now()) }
+		return func() string { return k.ChooseStore(SegmentName{"v1/m/", "9"}, tokens, anyDomain, clock.Now()) }
 	}
 	g.Eventually(choose(500), "10s", "5ms").Should(gomega.Equal("b"))
 	g.Expect(choose(5000)()).To(gomega.BeEmpty())
 	g.Expect(choose(10)()).To(gomega.Equal(choose(10)()))
 	none := func(string) bool { return false }
-	g.Expect(k.Room(PartName{"v1/m/", "9"}, 10, none, clock.Now())).To(gomega.BeEmpty(), "no store is in an accepted failure domain")
+	g.Expect(k.ChooseStore(SegmentName{"v1/m/", "9"}, 10, none, clock.Now())).To(gomega.BeEmpty(), "no store is in an accepted failure domain")
 	k.Set(context.Background(), nil)
 	g.Expect(choose(10)()).To(gomega.BeEmpty())
 }
 
 func TestSaltVersionParsesPartSalt(t *testing.T) {
 	g := gomega.NewWithT(t)
-	model, version, ok := SaltVersion(PartSalt{Model: "m", Version: 12, Wall: "org"}.String())
+	model, version, ok := SaltVersion(SegmentSalt{Model: "m", Version: 12, Wall: "org"}.String())
 	g.Expect([]any{model, version, ok}).To(gomega.Equal([]any{"m", int64(12), true}))
 	for _, bad := range []string{"", "v1", "x1/m/", "vx/m/", "v1/m"} {
 		_, _, ok := SaltVersion(bad)
 		g.Expect(ok).To(gomega.BeFalse(), bad)
 	}
-	g.Expect(PartSalt{Model: "m", Version: 1}.String()).NotTo(gomega.Equal(PartSalt{Model: "m", Version: 1, Wall: "o"}.String()))
+	g.Expect(SegmentSalt{Model: "m", Version: 1}.String()).NotTo(gomega.Equal(SegmentSalt{Model: "m", Version: 1, Wall: "o"}.String()))
 }
 
 func TestSweeperFreesSupersededSegmentsAfterDelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	s.contents = []PartChange{change("1", 100), {PartName: PartName{"v2/m/", "1"}, Tokens: 7}}
+	s.contents = []SegmentChange{change("1", 100), {SegmentName: SegmentName{"v2/m/", "1"}, Tokens: 7}}
 	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	since := clock.Now()
 	w := NewSweeper(SweepOptions{
-		Kept: k, Log: &event.Log{}, Rank: func(string) int { return 1 },
+		Stores: k, Log: &event.Log{}, Rank: func(string) int { return 1 },
 		Superseded: func(salt string) (clock.Time, bool) { return since, salt == "v1/m/" },
 	})
 	w.sweep(context.Background(), "a")
@@ -205,11 +205,11 @@
 	g.Expect(s.freed).To(gomega.BeEmpty(), "the daemon of rank 0 frees first")
 	since = since.Add(-sweepRankDelay)
 	w.sweep(context.Background(), "a")
-	g.Expect(s.freed).To(gomega.Equal([]PartName{{"v1/m/", "1"}}))
+	g.Expect(s.freed).To(gomega.Equal([]SegmentName{{"v1/m/", "1"}}))
 	g.Expect(k.Tokens()).To(gomega.Equal(7))
 	// A transfer decided by a daemon that had not yet received the newer weights must be
 	// discarded before the segment is freed.
-	g.Expect(sweepDelay).To(gomega.BeNumerically(">", CopyFresh+CopyLimit()))
+	g.Expect(sweepDelay).To(gomega.BeNumerically(">", MaxDesiredAge+TransferTimeout()))
 }
 
 // anyDomain accepts all failure domains.
@@ -219,7 +219,7 @@
 func TestSegmentsAreNotFoundAfterSuspend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	s.contents = []PartChange{change("1", 100)}
+	s.contents = []SegmentChange{change("1", 100)}
 	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	clock.Suspend(maxViewAge)
--- a/core/cache/sweep.go
+++ b/core/cache/sweep.go
@@ -11,7 +11,7 @@
 
 // SweepOptions configures a Sweeper.
 type SweepOptions struct {
-	Kept *Kept
+	Stores *StoreIndexes
 	// Rank returns how many daemons free segments of a store before this one, which does so
 	// only if they have not.
 	Rank func(address string) int
@@ -38,7 +38,7 @@
 	// sweepDelay is the time from newer weights becoming desired until segments of the older
 	// ones are freed: CopyFresh for daemons that have not yet received the change,
 	// transferTimeout for their last transfers, and a margin for network delay.
-	sweepDelay = CopyFresh + transferTimeout + 800*time.Millisecond
+	sweepDelay = MaxDesiredAge + transferTimeout + 800*time.Millisecond
 	// sweepRankDelay is the extra delay per rank of the daemons that free segments of one
 	// store. The event that reports the freeing takes about 0.2 s to arrive.
 	sweepRankDelay = 700 * time.Millisecond
@@ -50,13 +50,13 @@
 
 // CopyFresh is the age of a daemon's view of the desired weights up to which it copies
 // segments from stores.
-const CopyFresh = 2200 * time.Millisecond
+const MaxDesiredAge = 2200 * time.Millisecond
 
 // Run frees superseded segments until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, sweepInterval)
-		for _, address := range s.o.Kept.Stores() {
+		for _, address := range s.o.Stores.Stores() {
 			s.sweep(ctx, address)
 		}
 	}
@@ -66,7 +66,7 @@
 func (s *Sweeper) sweep(ctx context.Context, address string) {
 	now := clock.Now()
 	after := sweepDelay + time.Duration(s.o.Rank(address))*sweepRankDelay
-	segments, epoch := s.o.Kept.Outdated(address, sweepBatch, func(salt string) bool {
+	segments, epoch := s.o.Stores.Outdated(address, sweepBatch, func(salt string) bool {
 		since, superseded := s.o.Superseded(salt)
 		return !superseded || now.Sub(since) < after
 	})
@@ -75,7 +75,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
-	if err := s.o.Kept.Free(ctx, address, epoch, segments); err != nil {
+	if err := s.o.Stores.Free(ctx, address, epoch, segments); err != nil {
 		s.o.Log.Emit(event.TargetSuspect, event.Ref{Target: address}, "freeing segments failed: "+err.Error())
 	}
 }
--- a/core/cache/workercache.go
+++ b/core/cache/workercache.go
@@ -9,7 +9,7 @@
 // The zero value is empty.
 type workerCache struct {
 	lru      list.List // of *cacheEntry
-	segments map[PartName]*list.Element
+	segments map[SegmentName]*list.Element
 	// tokens is the sum over lru.
 	tokens int
 	// clock counts the tokens of all uses. Its advance since the last use of a segment is
@@ -24,14 +24,14 @@
 // cacheEntry is one entry of a workerCache. The unshared remainder of a request, which no
 // other request uses, has a salt but no ID.
 type cacheEntry struct {
-	name   PartName
+	name   SegmentName
 	tokens int
 	// lastUsed is the cache's clock after the last use.
 	lastUsed int
 }
 
 // put records the use of a segment. It reports whether the segment has an ID and was added.
-func (c *workerCache) put(name PartName, tokens int) bool {
+func (c *workerCache) put(name SegmentName, tokens int) bool {
 	if e := c.segments[name]; e != nil {
 		entry := e.Value.(*cacheEntry)
 		c.clock += entry.tokens
@@ -49,7 +49,7 @@
 		return false
 	}
 	if c.segments == nil {
-		c.segments = map[PartName]*list.Element{}
+		c.segments = map[SegmentName]*list.Element{}
 	}
 	c.segments[name] = e
 	return true
@@ -57,7 +57,7 @@
 
 // depth returns the number of tokens used since the start of the last use of a segment, as a
 // fraction of the capacity. From 1 on, the segment has probably been evicted.
-func (c *workerCache) depth(name PartName, capacity int) float64 {
+func (c *workerCache) depth(name SegmentName, capacity int) float64 {
 	e := c.segments[name]
 	if e == nil || capacity <= 0 {
 		return 0
@@ -68,8 +68,8 @@
 
 // fit evicts the least recently used entries until the others fit the capacity, and returns
 // the segments evicted. A capacity of 0 means unknown and evicts nothing.
-func (c *workerCache) fit(capacity int) []PartName {
-	var out []PartName
+func (c *workerCache) fit(capacity int) []SegmentName {
+	var out []SegmentName
 	for capacity > 0 && c.tokens > capacity && c.lru.Len() > 0 {
 		out = c.remove(c.lru.Back(), out)
 	}
@@ -78,7 +78,7 @@
 
 // renew removes the segments of older weights when a request runs on newer ones, and returns
 // them.
-func (c *workerCache) renew(salt string) []PartName {
+func (c *workerCache) renew(salt string) []SegmentName {
 	model, version, ok := SaltVersion(salt)
 	if !ok || c.versions[model] >= version {
 		return nil
@@ -87,7 +87,7 @@
 		c.versions = map[string]int64{}
 	}
 	c.versions[model] = version
-	var out []PartName
+	var out []SegmentName
 	for e := c.lru.Front(); e != nil; {
 		next := e.Next()
 		if other, v, ok := SaltVersion(e.Value.(*cacheEntry).name.Salt); ok && other == model && v < version {
@@ -99,8 +99,8 @@
 }
 
 // clear removes all entries and returns their segments.
-func (c *workerCache) clear() []PartName {
-	var out []PartName
+func (c *workerCache) clear() []SegmentName {
+	var out []SegmentName
 	for c.lru.Len() > 0 {
 		out = c.remove(c.lru.Back(), out)
 	}
@@ -108,7 +108,7 @@
 }
 
 // remove removes an entry and appends the name of its segment, if it has one.
-func (c *workerCache) remove(e *list.Element, names []PartName) []PartName {
+func (c *workerCache) remove(e *list.Element, names []SegmentName) []SegmentName {
 	entry := c.lru.Remove(e).(*cacheEntry)
 	c.tokens -= entry.tokens
 	if entry.name.ID == "" {
--- a/core/cache/workercaches.go
+++ b/core/cache/workercaches.go
@@ -14,23 +14,23 @@
 // following all of them costs more than it gains. The zero value is ready.
 //
 // Lock order: cachesMu is never held together with another lock of this package.
-type Where struct {
+type WorkerCaches struct {
 	// Room returns the capacity of a worker's KV cache in tokens, or 0 if unknown. It is
 	// called with cachesMu held. Set before use; nil means that all are unknown.
-	Room func(target string) int
+	Capacity func(target string) int
 	// ReadLife is how long after its last use a segment counts as recently read, and how
 	// long a worker without requests is remembered; 0 stands for defaultReadWindow. Set
 	// before use.
-	ReadLife time.Duration
+	ReadWindow time.Duration
 
 	cachesMu sync.Mutex
 	// caches models the cache of each worker. Guarded by cachesMu.
 	caches map[string]*workerCache
 	// holders lists the workers estimated to hold a segment. No list is empty. Guarded by
 	// cachesMu.
-	holders map[PartName][]string
+	holders map[SegmentName][]string
 	// lastUsed is when any worker last received a segment. Guarded by cachesMu.
-	lastUsed map[PartName]time.Time
+	lastUsed map[SegmentName]time.Time
 	// unsent are the uses not yet sent to peers, and sending is how many of them, from the
 	// front, are in the heartbeat being sent. Guarded by cachesMu.
 	unsent    []Use
@@ -46,13 +46,13 @@
 	Target   string
 	Salt     string
 	// Parts are the segments that other requests share, in prompt order.
-	Parts []UsedPart
+	Segments []UsedSegment
 	// Rest is the number of further tokens, which no other request shares.
-	Rest int
+	Unshared int
 }
 
 // UsedPart is one segment of a Use.
-type UsedPart struct {
+type UsedSegment struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
@@ -69,7 +69,7 @@
 )
 
 // Note records that a request is sent to a worker.
-func (w *Where) Note(u Use, now time.Time) {
+func (w *WorkerCaches) RecordUse(u Use, now time.Time) {
 	w.cachesMu.Lock()
 	defer w.cachesMu.Unlock()
 	w.record(u, now)
@@ -79,9 +79,9 @@
 }
 
 // record applies a use. It is called with cachesMu held.
-func (w *Where) record(u Use, now time.Time) {
+func (w *WorkerCaches) record(u Use, now time.Time) {
 	if w.caches == nil {
-		w.caches, w.holders, w.lastUsed = map[string]*workerCache{}, map[PartName][]string{}, map[PartName]time.Time{}
+		w.caches, w.holders, w.lastUsed = map[string]*workerCache{}, map[SegmentName][]string{}, map[SegmentName]time.Time{}
 	}
 	c := w.caches[u.Target]
 	if c == nil {
@@ -90,24 +90,24 @@
 	}
 	c.lastUsed = now
 	w.removeHolder(u.Target, c.renew(u.Salt))
-	c.put(PartName{Salt: u.Salt}, u.Rest)
+	c.put(SegmentName{Salt: u.Salt}, u.Unshared)
 	// A worker evicts the end of a prompt before its beginning.
-	for _, p := range slices.Backward(u.Parts) {
-		name := PartName{Salt: u.Salt, ID: p.ID}
+	for _, p := range slices.Backward(u.Segments) {
+		name := SegmentName{Salt: u.Salt, ID: p.ID}
 		if c.put(name, p.Tokens) {
 			w.holders[name] = append(w.holders[name], u.Target)
 		}
 		w.lastUsed[name] = now
 	}
-	if w.Room != nil {
-		w.removeHolder(u.Target, c.fit(w.Room(u.Target)))
+	if w.Capacity != nil {
+		w.removeHolder(u.Target, c.fit(w.Capacity(u.Target)))
 	}
 	w.removeStale(now)
 }
 
 // removeHolder records that a worker no longer holds some segments. It is called with
 // cachesMu held.
-func (w *Where) removeHolder(target string, names []PartName) {
+func (w *WorkerCaches) removeHolder(target string, names []SegmentName) {
 	for _, name := range names {
 		list := slices.DeleteFunc(w.holders[name], func(t string) bool { return t == target })
 		if w.holders[name] = list; len(list) == 0 {
@@ -118,7 +118,7 @@
 
 // removeStale removes segments and workers not used within the read window. It is called
 // with cachesMu held.
-func (w *Where) removeStale(now time.Time) {
+func (w *WorkerCaches) removeStale(now time.Time) {
 	if now.Sub(w.lastSweep) < staleCheckInterval {
 		return
 	}
@@ -138,9 +138,9 @@
 }
 
 // readWindow returns how long a segment counts as recently read.
-func (w *Where) readWindow() time.Duration {
-	if w.ReadLife > 0 {
-		return w.ReadLife
+func (w *WorkerCaches) readWindow() time.Duration {
+	if w.ReadWindow > 0 {
+		return w.ReadWindow
 	}
 	return defaultReadWindow
 }
@@ -156,13 +156,13 @@
 
 // Find returns the workers estimated to hold a segment, and whether any worker read it
 // recently.
-func (w *Where) Find(name PartName, now time.Time) (holders []Holder, read bool) {
+func (w *WorkerCaches) Find(name SegmentName, now time.Time) (holders []Holder, read bool) {
 	w.cachesMu.Lock()
 	defer w.cachesMu.Unlock()
 	for _, target := range w.holders[name] {
 		h := Holder{Target: target}
-		if w.Room != nil {
-			h.Depth = w.caches[target].depth(name, w.Room(target))
+		if w.Capacity != nil {
+			h.Depth = w.caches[target].depth(name, w.Capacity(target))
 		}
 		holders = append(holders, h)
 	}
@@ -171,7 +171,7 @@
 }
 
 // Collect returns the uses not yet sent to peers.
-func (w *Where) Collect(bool) any {
+func (w *WorkerCaches) Collect(bool) any {
 	w.cachesMu.Lock()
 	defer w.cachesMu.Unlock()
 	w.sending = len(w.unsent)
@@ -183,14 +183,14 @@
 
 // Told removes the uses that the last Collect returned, once a round of heartbeats has sent
 // them.
-func (w *Where) Told() {
+func (w *WorkerCaches) Told() {
 	w.cachesMu.Lock()
 	defer w.cachesMu.Unlock()
 	w.unsent, w.sending = w.unsent[w.sending:], 0
 }
 
 // Receive applies the uses that a peer sent.
-func (w *Where) Receive(_ string, raw []byte) {
+func (w *WorkerCaches) Receive(_ string, raw []byte) {
 	var uses []Use
 	if err := msgpack.Unmarshal(raw, &uses); err != nil {
 		// The peer runs another version; its uses are ignored.
--- a/core/cache/workercaches_test.go
+++ b/core/cache/workercaches_test.go
@@ -12,16 +12,16 @@
 
 // use returns a request with one shared segment and some unshared tokens.
 func use(target, id string, tokens, unshared int) Use {
-	return Use{Target: target, Salt: "v1/m/", Parts: []UsedPart{{ID: id, Tokens: tokens}}, Rest: unshared}
+	return Use{Target: target, Salt: "v1/m/", Segments: []UsedSegment{{ID: id, Tokens: tokens}}, Unshared: unshared}
 }
 
 // holders returns the workers estimated to hold a segment.
-func holders(w *Where, id string) []string {
-	return targetsOf(w, PartName{"v1/m/", id}, time.Now())
+func holders(w *WorkerCaches, id string) []string {
+	return targetsOf(w, SegmentName{"v1/m/", id}, time.Now())
 }
 
 // targetsOf returns the workers estimated to hold a segment at a given time.
-func targetsOf(w *Where, name PartName, now time.Time) []string {
+func targetsOf(w *WorkerCaches, name SegmentName, now time.Time) []string {
 	found, _ := w.Find(name, now)
 	var out []string
 	for _, h := range found {
@@ -35,12 +35,12 @@
 
 func TestUsesAreSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var local, other Where
+	var local, other WorkerCaches
 	now := time.Now()
-	local.Note(use("w1", "1", 10, 5), now)
+	local.RecordUse(use("w1", "1", 10, 5), now)
 	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	local.Note(use("w2", "2", 10, 5), now)
+	local.RecordUse(use("w2", "2", 10, 5), now)
 	local.Told()
 	g.Expect(local.Collect(false)).To(gomega.Equal([]Use{use("w2", "2", 10, 5)}), "recorded while the first was being sent")
 	local.Told()
@@ -52,14 +52,14 @@
 
 func TestReadWindowExpires(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := Where{ReadLife: time.Minute}
-	name, now := PartName{"v1/m/", "1"}, time.Now()
-	w.Note(use("w1", "1", 10, 5), now)
+	w := WorkerCaches{ReadWindow: time.Minute}
+	name, now := SegmentName{"v1/m/", "1"}, time.Now()
+	w.RecordUse(use("w1", "1", 10, 5), now)
 	_, read := w.Find(name, now.Add(59*time.Second))
 	g.Expect(read).To(gomega.BeTrue())
 	_, read = w.Find(name, now.Add(61*time.Second))
 	g.Expect(read).To(gomega.BeFalse())
-	w.Note(use("w2", "2", 10, 5), now.Add(61*time.Second))
+	w.RecordUse(use("w2", "2", 10, 5), now.Add(61*time.Second))
 	g.Expect(targetsOf(&w, name, now.Add(61*time.Second))).To(gomega.BeEmpty(), "a worker without requests for the read window is removed")
 }
 
@@ -78,9 +78,9 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w := Where{Room: capacity(100)}
+			w := WorkerCaches{Capacity: capacity(100)}
 			for _, u := range tc.uses {
-				w.Note(u, time.Now())
+				w.RecordUse(u, time.Now())
 			}
 			for id, held := range tc.want {
 				g.Expect(len(holders(&w, id)) > 0).To(gomega.Equal(held), id)
@@ -91,42 +91,42 @@
 
 func TestDepthCountsTokensUsedSince(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := Where{Room: capacity(1000)}
+	w := WorkerCaches{Capacity: capacity(1000)}
 	now := time.Now()
-	w.Note(use("w", "a", 100, 50), now)
-	found, _ := w.Find(PartName{"v1/m/", "a"}, now)
+	w.RecordUse(use("w", "a", 100, 50), now)
+	found, _ := w.Find(SegmentName{"v1/m/", "a"}, now)
 	g.Expect(found).To(gomega.Equal([]Holder{{Target: "w", Depth: 0.1}}))
-	w.Note(use("w", "b", 300, 100), now)
-	found, _ = w.Find(PartName{"v1/m/", "a"}, now)
+	w.RecordUse(use("w", "b", 300, 100), now)
+	found, _ = w.Find(SegmentName{"v1/m/", "a"}, now)
 	g.Expect(found).To(gomega.Equal([]Holder{{Target: "w", Depth: 0.5}}))
 }
 
 // A worker that loads new weights drops the segments of the old ones.
 func TestNewWeightsRemoveOldSegments(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := Where{Room: capacity(100)}
-	other := Use{Target: "w", Salt: "v1/other/", Parts: []UsedPart{{ID: "o", Tokens: 20}}}
-	newer := Use{Target: "w", Salt: "v2/m/", Parts: []UsedPart{{ID: "b", Tokens: 60}}}
+	w := WorkerCaches{Capacity: capacity(100)}
+	other := Use{Target: "w", Salt: "v1/other/", Segments: []UsedSegment{{ID: "o", Tokens: 20}}}
+	newer := Use{Target: "w", Salt: "v2/m/", Segments: []UsedSegment{{ID: "b", Tokens: 60}}}
 	for _, u := range []Use{use("w", "a", 40, 20), other, newer} {
-		w.Note(u, time.Now())
+		w.RecordUse(u, time.Now())
 	}
 	g.Expect(holders(&w, "a")).To(gomega.BeEmpty())
-	g.Expect(targetsOf(&w, PartName{"v2/m/", "b"}, time.Now())).To(gomega.Equal([]string{"w"}))
-	g.Expect(targetsOf(&w, PartName{"v1/other/", "o"}, time.Now())).To(gomega.Equal([]string{"w"}), "another model's segments stay")
+	g.Expect(targetsOf(&w, SegmentName{"v2/m/", "b"}, time.Now())).To(gomega.Equal([]string{"w"}))
+	g.Expect(targetsOf(&w, SegmentName{"v1/other/", "o"}, time.Now())).To(gomega.Equal([]string{"w"}), "another model's segments stay")
 }
 
 // Whatever uses are recorded, no cache is modelled beyond its capacity, and the holders of
 // each segment match the caches.
 func TestCachesStayWithinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Where{Room: capacity(500)}
+		w := WorkerCaches{Capacity: capacity(500)}
 		now := time.Now()
 		for range rapid.IntRange(1, 60).Draw(t, "uses") {
 			u := use("w"+strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "worker")), strconv.Itoa(rapid.IntRange(0, 9).Draw(t, "segment")),
 				rapid.IntRange(0, 300).Draw(t, "tokens"), rapid.IntRange(-5, 300).Draw(t, "rest"))
-			u.Salt = PartSalt{Model: "m", Version: int64(rapid.IntRange(1, 3).Draw(t, "version"))}.String()
+			u.Salt = SegmentSalt{Model: "m", Version: int64(rapid.IntRange(1, 3).Draw(t, "version"))}.String()
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond)
-			w.Note(u, now)
+			w.RecordUse(u, now)
 		}
 		found := 0
 		for target, c := range w.caches {
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -284,11 +284,11 @@
 // peersFunc are peers that only this test's syncer knows.
 type lonePeers struct{ wake chan struct{} }
 
-func (lonePeers) Ahead(uint64) string { return "" }
+func (lonePeers) PeerAhead(uint64) string { return "" }
 func (lonePeers) ConfSince(context.Context, string, uint64) (Delta, error) {
 	return Delta{}, errors.New("no peer")
 }
-func (lonePeers) WatchHolder() bool       { return true }
+func (lonePeers) HoldsWatch() bool        { return true }
 func (p lonePeers) Wake() <-chan struct{} { return p.wake }
 
 func TestSyncerFollowsThroughOutage(t *testing.T) {
--- a/core/conf/sync.go
+++ b/core/conf/sync.go
@@ -17,12 +17,12 @@
 type Peers interface {
 	// Ahead returns the peer that has the highest sequence above seq in force,
 	// or "" if none has.
-	Ahead(seq uint64) string
+	PeerAhead(seq uint64) string
 	// ConfSince asks a peer for what follows seq. That may be large and take long;
 	// it gives up where nothing comes any more.
 	ConfSince(ctx context.Context, peer string, seq uint64) (Delta, error)
 	// WatchHolder reports whether this daemon watches the service for its cell.
-	WatchHolder() bool
+	HoldsWatch() bool
 	// Wake returns a channel that receives when a peer may be ahead.
 	Wake() <-chan struct{}
 }
@@ -119,7 +119,7 @@
 	if err := s.catchUp(ctx); err != nil {
 		return err
 	}
-	if s.peers.WatchHolder() {
+	if s.peers.HoldsWatch() {
 		return s.watch(ctx)
 	}
 	return nil
@@ -225,7 +225,7 @@
 		return errors.New("the watch left out a change")
 	}
 	s.store.Confirm(s.store.Snapshot().seq, clock.Now())
-	if !s.peers.WatchHolder() {
+	if !s.peers.HoldsWatch() {
 		return errNotHolder
 	}
 	return nil
@@ -251,7 +251,7 @@
 
 func (s *Syncer) pull(ctx context.Context) {
 	seq := s.store.Snapshot().seq
-	peer := s.peers.Ahead(seq)
+	peer := s.peers.PeerAhead(seq)
 	if peer == "" && s.store.Loaded() {
 		return
 	}
--- a/core/entry/bench_test.go
+++ b/core/entry/bench_test.go
@@ -22,7 +22,7 @@
 func BenchmarkToken(b *testing.B) {
 	s := New(Options{Log: &event.Log{}})
 	p := &run{s: s, q: &request{id: "r"}, body: &common{Model: "m", Stream: true}, form: completionForm{}, deployment: &conf.Deployment{}}
-	p.ask = home.Ask{Request: "r"}
+	p.ask = home.PlacementRequest{Request: "r"}
 	p.ask.Salt.WeightVersion = "v1"
 	p.out = writer{c: echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), discard{header: http.Header{}}), run: p}
 	a := &attempt{run: p, id: "r-0"}
--- a/core/entry/prompt.go
+++ b/core/entry/prompt.go
@@ -160,7 +160,7 @@
 	deployment *conf.Deployment
 	name       string // of the deployment
 	prompt     string
-	ask        home.Ask
+	ask        home.PlacementRequest
 	out        writer
 
 	// text is the answer so far and tokens its length.
@@ -172,7 +172,7 @@
 	first   time.Time
 	waiting bool
 	// last is how the worker in use was chosen.
-	last home.Answer
+	last home.PlacementResult
 }
 
 type usage struct {
@@ -224,12 +224,12 @@
 	}
 	salt.WeightVersion = p.version(salt)
 	w := p.policy.Weights
-	p.ask = home.Ask{
-		Request: p.q.id, Deployment: name, Salt: salt, Roots: p.deployment.Roots(),
+	p.ask = home.PlacementRequest{
+		Request: p.q.id, Deployment: name, Salt: salt, RootBlocks: p.deployment.Roots(),
 		Chain: cache.Chain(salt.Seed(), p.prompt), Tokens: cache.Tokens(len(p.prompt)),
 		Priority: p.policy.Priority, Targets: p.policy.Targets,
-		Prices: route.Policy{
-			FirstToken: orOne(w.FirstToken), Token: w.RecomputedSeconds / 1000, Byte: w.LinkSeconds / 1e6,
+		Costs: route.CostWeights{
+			FirstToken: orOne(w.FirstToken), SecondsPerToken: w.RecomputedSeconds / 1000, SecondsPerByte: w.LinkSeconds / 1e6,
 		},
 	}
 	return nil
@@ -253,7 +253,7 @@
 	head := p.prompt[:min(len(p.prompt), p.deployment.Roots()*cache.BlockBytes)]
 	const scale = 1 << 20
 	fraction := float64(fleet.Key(salt.Organisation+"/"+head)%scale) / scale
-	if route.Version(fraction, ready, total) {
+	if route.UseDesiredVersion(fraction, ready, total) {
 		return salt.WeightVersion
 	}
 	for _, v := range p.s.o.Home.Versions(p.q.snap, p.q.view, p.name, salt.Model) {
@@ -435,11 +435,11 @@
 }
 
 // explain writes why a request goes where it goes.
-func explain(a *home.Ask, ans *home.Answer) string {
+func explain(a *home.PlacementRequest, ans *home.PlacementResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "decided by %s; %d tokens in %d blocks, weights %s; held %d, imported %d blocks; expected first token %v; weighed:",
-		ans.Home, a.Tokens, len(a.Chain), home.Weights(a.Salt), ans.Held, ans.Imported, ans.Expected.Round(100*time.Microsecond))
-	for _, o := range ans.Weighed {
+		ans.Owner, a.Tokens, len(a.Chain), home.WeightsName(a.Salt), ans.HeldBlocks, ans.ImportedBlocks, ans.Expected.Round(100*time.Microsecond))
+	for _, o := range ans.Options {
 		fmt.Fprintf(&b, " [%s queue %v import %d blocks in %v prefill %d tokens in %v cost %.4f]",
 			o.Worker, o.Queue.Round(100*time.Microsecond), o.Import.Blocks(), o.Transfer.Round(100*time.Microsecond),
 			o.Recomputed, o.Prefill.Round(100*time.Microsecond), o.Cost)
@@ -449,22 +449,22 @@
 
 // tell tells the home of the context how the attempt went.
 func (p *run) tell(prefilled, failed bool) {
-	d := &home.Done{
-		Request: p.q.id, Salt: p.ask.Salt, Roots: p.ask.Roots, Chain: p.ask.Chain, Worker: p.last.Worker,
+	d := &home.Outcome{
+		Request: p.q.id, Salt: p.ask.Salt, RootBlocks: p.ask.RootBlocks, Chain: p.ask.Chain, Worker: p.last.Worker,
 		Prefilled: prefilled, ExportFrom: p.deployment.ExportFrom(), Failed: failed,
 	}
-	go teller{p.s.o.Home, p.q.view, p.last.Home, d}.run()
+	go teller{p.s.o.Home, p.q.view, p.last.Owner, d}.run()
 }
 
 // teller tells a home how a request went, beside the request.
 type teller struct {
-	from *home.Home
+	from *home.Owner
 	view *fleet.View
 	home string
-	done *home.Done
+	done *home.Outcome
 }
 
-func (t teller) run() { t.from.Finish(t.view, t.home, t.done) }
+func (t teller) run() { t.from.ReportOutcome(t.view, t.home, t.done) }
 
 // attempt relays the answer of the chosen worker. After an error the request
 // may go on elsewhere.
@@ -483,8 +483,8 @@
 		return errors.New("the worker rests")
 	}
 	err := a.relay(ctx)
-	if rest := target.Rest(err); rest > 0 {
-		p.s.turned(p.q, p.last.Worker, p.s.o.Home.RunOf(p.last.Worker), rest)
+	if rest := target.Pushback(err); rest > 0 {
+		p.s.turned(p.q, p.last.Worker, p.s.o.Home.Incarnation(p.last.Worker), rest)
 	}
 	if err != nil && a.sent {
 		a.cancel()
@@ -500,7 +500,7 @@
 // finishUp ends an answer that is whole.
 func (p *run) finishUp() *Refusal {
 	p.s.took(p.q, p.last.Worker)
-	p.s.o.Poison.Good(p.q.asks, p.q.organisation, p.last.Run())
+	p.s.o.Poison.Good(p.q.asks, p.q.organisation, p.last.Incarnation())
 	p.usage.CompletionTokens = p.tokens
 	p.usage.TotalTokens = p.usage.PromptTokens + p.tokens
 	st := &p.s.stats
--- a/core/entry/relay.go
+++ b/core/entry/relay.go
@@ -88,7 +88,7 @@
 // ended records that the connection to the engine ended, or that it takes none: the engine may
 // have ended of the prompt.
 func (a *attempt) ended(ctx context.Context, err error) {
-	guard, run := a.s.o.Poison, a.last.Run()
+	guard, run := a.s.o.Poison, a.last.Incarnation()
 	switch {
 	case err == nil, ctx.Err() != nil, target.Status(err) != 0:
 	case errors.Is(err, errGone), errors.Is(err, errForeign), errors.Is(err, errStalled):
--- a/core/entry/server.go
+++ b/core/entry/server.go
@@ -30,7 +30,7 @@
 type Options struct {
 	Conf  *conf.Store
 	Fleet *fleet.Fleet
-	Home  *home.Home
+	Home  *home.Owner
 	Once  *once.Once
 	// Poison keeps prompts from engines that end of them; nil stands for none.
 	Poison *poison.Guard
@@ -61,10 +61,10 @@
 	// perOrg counts the running requests of each organisation. Guarded by
 	// limitMu.
 	perOrg  map[string]int
-	retries route.Budget // guarded by limitMu
+	retries route.RetryThrottle // guarded by limitMu
 	calls   inflight
 	// rests are what engines and targets of plain services asked this daemon for.
-	rests roster.RestList
+	rests roster.PushbackList
 }
 
 // Stats counts what a server did since it started.
@@ -179,7 +179,7 @@
 	}
 	s.limitMu.Lock()
 	defer s.limitMu.Unlock()
-	s.retries.Earn()
+	s.retries.RecordRequest()
 	if s.perOrg[q.organisation] >= limit {
 		return refuse(http.StatusTooManyRequests, CodeQueueFull, NotRun, "the organisation has too many requests running here").after(queuePause)
 	}
@@ -203,7 +203,7 @@
 func (s *Server) mayRetry() bool {
 	s.limitMu.Lock()
 	defer s.limitMu.Unlock()
-	if !s.retries.Spend() {
+	if !s.retries.TryRetry() {
 		return false
 	}
 	s.stats.Retried.Add(1)
--- a/core/entry/service.go
+++ b/core/entry/service.go
@@ -460,7 +460,7 @@
 		return nil, true, errors.New("the answer is too large")
 	}
 	k.s.stats.RelayedBytes.Add(int64(len(body)))
-	if rest, _ := target.AskedRest(resp.StatusCode, resp.Header); rest > 0 {
+	if rest, _ := target.ParsePushback(resp.StatusCode, resp.Header); rest > 0 {
 		k.s.turned(k.q, name, "", rest)
 	} else {
 		k.s.took(k.q, name)
--- a/core/home/assignments.go
+++ b/core/home/assignments.go
@@ -13,7 +13,7 @@
 
 // assignments follows the workers that are assigned to this daemon.
 type assignments struct {
-	home *Home
+	home *Owner
 	// running are the followers started for snap and view. Only run uses these fields.
 	running map[string]runningFollower
 	snap    *conf.Snapshot
@@ -91,14 +91,14 @@
 
 // feed provides the cache events of one worker and records its load.
 type feed struct {
-	home   *Home
+	home   *Owner
 	worker string
 	engine *target.Engine
 }
 
 // CacheNotes returns cache events and records the load that comes with them.
-func (f *feed) CacheNotes(ctx context.Context, seq uint64) ([]cache.Note, error) {
-	n, err := f.engine.News(ctx, seq, f.home.o.LoadPause)
+func (f *feed) CacheNotes(ctx context.Context, seq uint64) ([]cache.CacheEvent, error) {
+	n, err := f.engine.PollEvents(ctx, seq, f.home.o.LoadInterval)
 	if err != nil {
 		return nil, err
 	}
@@ -116,28 +116,28 @@
 	w := workerLoad{
 		Holds:  []string{},
 		Worker: f.worker, Queued: l.QueuedTokens, Running: l.Running, Free: l.FreeBlocks, Total: l.TotalBlocks,
-		Speed: float32(l.PrefillTokensPerSecond), BlockBytes: l.BlockBytes, Loading: l.Loading, Boot: l.Boot,
+		Speed: float32(l.PrefillTokensPerSecond), BlockBytes: l.BlockBytes, Loading: l.Loading, Boot: l.Incarnation,
 	}
 	for _, v := range l.Weights {
 		base := cache.Salt{Model: v.Model, WeightVersion: v.Version}
-		w.Holds = append(w.Holds, Weights(base))
+		w.Holds = append(w.Holds, WeightsName(base))
 		for _, a := range v.Adapters {
 			base.Adapter = a
-			w.Holds = append(w.Holds, Weights(base))
+			w.Holds = append(w.Holds, WeightsName(base))
 		}
 	}
 	return w
 }
 
 // Lost notifies the owners of contexts that a worker no longer holds blocks of them.
-func (h *Home) Lost(worker string, list []cache.Mark) {
+func (h *Owner) Lost(worker string, list []cache.BlockRef) {
 	for owner, refs := range h.byOwner(list) {
 		h.notifyBlocks(owner, kindLost, &blockNotice{worker, refs})
 	}
 }
 
 // Resynced notifies every daemon of the cell which chains a worker holds now.
-func (h *Home) Resynced(worker string, tips []cache.Mark) {
+func (h *Owner) Resynced(worker string, tips []cache.BlockRef) {
 	byOwner := h.byOwner(tips)
 	for _, name := range h.o.Fleet.View().OnDuty() {
 		h.notifyBlocks(name, kindResynced, &blockNotice{worker, byOwner[name]})
@@ -145,9 +145,9 @@
 }
 
 // byOwner groups block references by the owner of their context.
-func (h *Home) byOwner(list []cache.Mark) map[string][]cache.Mark {
+func (h *Owner) byOwner(list []cache.BlockRef) map[string][]cache.BlockRef {
 	view := h.o.Fleet.View()
-	out := map[string][]cache.Mark{}
+	out := map[string][]cache.BlockRef{}
 	for _, m := range list {
 		owner := view.Home(m.Root)
 		out[owner] = append(out[owner], m)
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -38,14 +38,14 @@
 	// Client reaches engines and stores.
 	Client *http.Client
 	// LoadPause is the interval at which a worker's load is read.
-	LoadPause time.Duration
+	LoadInterval time.Duration
 	// Ended, if set, is called with the name of a worker incarnation when a report shows
 	// that another one has replaced it. It must not block.
-	Ended func(incarnation string)
+	IncarnationReplaced func(incarnation string)
 }
 
 // Home does the assigned work of one daemon.
-type Home struct {
+type Owner struct {
 	o           Options
 	index       cache.Index
 	loads       loads
@@ -80,8 +80,8 @@
 const maxExports = 256
 
 // New returns a Home and registers its messages with the fleet.
-func New(o Options) *Home {
-	h := &Home{o: o, loads: loads{onReplaced: o.Ended}, exports: make(chan export, maxExports), downUntil: map[string]time.Time{}}
+func New(o Options) *Owner {
+	h := &Owner{o: o, loads: loads{onReplaced: o.IncarnationReplaced}, exports: make(chan export, maxExports), downUntil: map[string]time.Time{}}
 	h.assignments.home = h
 	m := o.Fleet.Mux()
 	m.Register(kindPlace, wire.Handle(h.place))
@@ -101,13 +101,13 @@
 }
 
 // Stats returns the live counters.
-func (h *Home) Stats() *Stats { return &h.stats }
+func (h *Owner) Stats() *Stats { return &h.stats }
 
 // Contexts returns the number of contexts recorded here.
-func (h *Home) Contexts() int { return h.index.Len() }
+func (h *Owner) Contexts() int { return h.index.Len() }
 
 // Run does the assigned work until ctx ends.
-func (h *Home) Run(ctx context.Context) {
+func (h *Owner) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for range exporters {
 		wg.Go(func() { exporter{h}.run(ctx) })
@@ -122,9 +122,9 @@
 
 // Place finds a worker for a request by querying the context owner. If the context's cell
 // has no worker for it, the next cell is tried.
-func (h *Home) Place(ctx context.Context, view *fleet.View, req *Ask) (Answer, error) {
+func (h *Owner) Place(ctx context.Context, view *fleet.View, req *PlacementRequest) (PlacementResult, error) {
 	root := req.Root().Short()
-	noWorker, lastErr := Answer{}, errors.New("no daemon placed the request")
+	noWorker, lastErr := PlacementResult{}, errors.New("no daemon placed the request")
 	for _, cell := range view.HomeCells(root) {
 		ans, err := h.placeInCell(ctx, view, cell, root, req)
 		if err != nil {
@@ -140,7 +140,7 @@
 }
 
 // placeInCell queries the daemons of one cell until one decides.
-func (h *Home) placeInCell(ctx context.Context, view *fleet.View, cell int, root uint64, req *Ask) (ans Answer, err error) {
+func (h *Owner) placeInCell(ctx context.Context, view *fleet.View, cell int, root uint64, req *PlacementRequest) (ans PlacementResult, err error) {
 	err = errors.Errorf("cell %d has no daemon", cell)
 	for _, name := range view.Homes(cell, root, maxOwnersQueried) {
 		if ctx.Err() != nil {
@@ -167,14 +167,14 @@
 
 // callOwner sends the request to a remote daemon. It waits for up to half of the time that
 // remains until the deadline, within the bounds above.
-func (h *Home) callOwner(ctx context.Context, name string, req *Ask) (Answer, error) {
+func (h *Owner) callOwner(ctx context.Context, name string, req *PlacementRequest) (PlacementResult, error) {
 	limit := ownerTimeout
 	if req.Deadline > 0 {
 		limit = min(limit, max(minOwnerTimeout, req.Deadline/2))
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	var ans Answer
+	var ans PlacementResult
 	return ans, h.o.Fleet.Call(ctx, name, kindPlace, req, &ans)
 }
 
@@ -182,7 +182,7 @@
 const notifyTimeout = 2 * time.Second
 
 // Finish reports the outcome of a request to the context owner.
-func (h *Home) Finish(view *fleet.View, owner string, d *Done) {
+func (h *Owner) ReportOutcome(view *fleet.View, owner string, d *Outcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	if owner == view.Self() || owner == "" {
@@ -196,13 +196,13 @@
 var errNotWarm = errors.New("the daemon has not received the load of all workers yet")
 
 // place decides about a request whose context is owned here.
-func (h *Home) place(ctx context.Context, _ string, req *Ask) (Answer, error) {
+func (h *Owner) place(ctx context.Context, _ string, req *PlacementRequest) (PlacementResult, error) {
 	switch {
 	case len(req.Chain) > maxChain:
-		return Answer{}, errors.New("prompt has too many blocks")
-	case !h.Warm():
+		return PlacementResult{}, errors.New("prompt has too many blocks")
+	case !h.WarmedUp():
 		// The sender tries the next daemon, which may have the load of the workers.
-		return Answer{}, errNotWarm
+		return PlacementResult{}, errNotWarm
 	}
 	snap, view, now := h.o.Conf.Snapshot(), h.o.Fleet.View(), time.Now()
 	root, shorts := req.Root(), cache.Shorts(req.Chain)
@@ -210,9 +210,9 @@
 	found := h.queryStores(ctx, snap, view, req, root, &pos)
 	workers, blockBytes := h.candidates(snap, view, req, pos, now)
 	d := route.Place(h.o.Placement, h.request(req, root), workers, h.importSources(snap, pos, blockBytes))
-	ans := Answer{
+	ans := PlacementResult{
 		Verdict: d.Verdict, Worker: d.Chosen.Worker, Expected: d.Chosen.Expected,
-		RetryAfter: d.RetryAfter, Weighed: d.Weighed, Home: view.Self(),
+		RetryAfter: d.RetryAfter, Options: d.Cheapest, Owner: view.Self(),
 	}
 	if d.Verdict != route.Placed {
 		return ans, nil
@@ -224,7 +224,7 @@
 	})
 	for _, w := range workers {
 		if w.Name == ans.Worker {
-			ans.Held = w.Held
+			ans.HeldBlocks = w.CachedBlocks
 		}
 	}
 	if d.Chosen.Import.Blocks() > 0 {
@@ -237,11 +237,11 @@
 const maxChain = 1 << 16
 
 // request returns req in the form that route.Place expects.
-func (h *Home) request(req *Ask, root cache.Hash) route.Request {
+func (h *Owner) request(req *PlacementRequest, root cache.Hash) route.Request {
 	return route.Request{
 		Tokens: req.Tokens, Blocks: len(req.Chain), BlockTokens: cache.BlockTokens,
-		Deadline: req.Deadline, Prices: req.Prices, Context: fleet.Key(root.String()),
-		Turn: h.roundRobin.Add(1), Chance: rand.Float64(),
+		Deadline: req.Deadline, Weights: req.Costs, ContextHash: fleet.Key(root.String()),
+		Turn: h.roundRobin.Add(1), Random: rand.Float64(),
 	}
 }
 
@@ -256,10 +256,10 @@
 
 // candidates returns the workers that may serve the request, and the size of a block in
 // bytes.
-func (h *Home) candidates(snap *conf.Snapshot, view *fleet.View, req *Ask, pos cache.Position, now time.Time) ([]route.Worker, int64) {
+func (h *Owner) candidates(snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, pos cache.ContextState, now time.Time) ([]route.Worker, int64) {
 	var out []route.Worker
 	blockBytes := int64(0)
-	weights := Weights(req.Salt)
+	weights := WeightsName(req.Salt)
 	for _, name := range h.engines(snap, view, req) {
 		load, ok := h.loads.load(name, req.Priority, now)
 		if !ok || !slices.Contains(load.Holds, weights) {
@@ -267,15 +267,15 @@
 		}
 		t := snap.Target(name)
 		w := route.Worker{
-			Name: name, QueuedTokens: load.tokensAhead, Room: max(1, load.availableBlocks), Running: load.Running, Speed: float64(load.Speed),
-			Distance: distance(t.Domain == h.o.Domain),
+			Name: name, QueuedTokens: load.tokensAhead, FreeBlocks: max(1, load.availableBlocks), Running: load.Running, PrefillPerSecond: float64(load.Speed),
+			OneWayLatency: distance(t.Domain == h.o.Domain),
 		}
-		if w.Speed == 0 {
-			w.Speed = t.Prefill()
+		if w.PrefillPerSecond == 0 {
+			w.PrefillPerSecond = t.Prefill()
 		}
-		for _, held := range pos.Holdings {
+		for _, held := range pos.Workers {
 			if held.Worker == name {
-				w.Held = held.Blocks
+				w.CachedBlocks = held.Blocks
 			}
 		}
 		blockBytes = max(blockBytes, int64(load.BlockBytes))
@@ -286,7 +286,7 @@
 
 // Weights returns the name of loaded weights as used in load reports: "model@version", with
 // "+adapter" if there is one.
-func Weights(s cache.Salt) string {
+func WeightsName(s cache.Salt) string {
 	name := s.Model + "@" + s.WeightVersion
 	if s.Adapter != "" {
 		name += "+" + s.Adapter
@@ -295,7 +295,7 @@
 }
 
 // engines returns the names of the cell's workers that the request may use.
-func (h *Home) engines(snap *conf.Snapshot, view *fleet.View, req *Ask) []string {
+func (h *Owner) engines(snap *conf.Snapshot, view *fleet.View, req *PlacementRequest) []string {
 	all := h.targets(snap, view).usable[req.Deployment]
 	if len(req.Exclude)+len(req.Targets) == 0 {
 		return all
@@ -311,16 +311,16 @@
 
 // Ready returns how many live workers of a deployment in this cell have the weights loaded,
 // and how many there are in total.
-func (h *Home) Ready(snap *conf.Snapshot, view *fleet.View, deployment string, s cache.Salt) (ready, total int) {
-	names := h.engines(snap, view, &Ask{Deployment: deployment})
-	return h.loads.ready(names, Weights(s), time.Now())
+func (h *Owner) Ready(snap *conf.Snapshot, view *fleet.View, deployment string, s cache.Salt) (ready, total int) {
+	names := h.engines(snap, view, &PlacementRequest{Deployment: deployment})
+	return h.loads.ready(names, WeightsName(s), time.Now())
 }
 
 // Versions returns the weight versions of a model that live workers have loaded.
-func (h *Home) Versions(snap *conf.Snapshot, view *fleet.View, deployment, model string) []string {
+func (h *Owner) Versions(snap *conf.Snapshot, view *fleet.View, deployment, model string) []string {
 	var out []string
 	now := time.Now()
-	for _, name := range h.engines(snap, view, &Ask{Deployment: deployment}) {
+	for _, name := range h.engines(snap, view, &PlacementRequest{Deployment: deployment}) {
 		load, ok := h.loads.load(name, 0, now)
 		if !ok {
 			continue
@@ -350,7 +350,7 @@
 }
 
 // done handles the outcome of a request.
-func (h *Home) done(_ context.Context, _ string, d *Done) (struct{}, error) {
+func (h *Owner) done(_ context.Context, _ string, d *Outcome) (struct{}, error) {
 	now := time.Now()
 	h.loads.removePending(d.Worker, d.Request)
 	if d.Failed {
@@ -360,8 +360,8 @@
 	if !d.Prefilled || len(d.Chain) == 0 || len(d.Chain) > maxChain {
 		return struct{}{}, nil
 	}
-	root, shorts := cache.Root(d.Salt.Seed(), d.Chain, d.Roots), cache.Shorts(d.Chain)
-	h.index.Held(root.Short(), shorts, d.Worker, len(d.Chain), now)
+	root, shorts := cache.Root(d.Salt.Seed(), d.Chain, d.RootBlocks), cache.Shorts(d.Chain)
+	h.index.SetWorkerBlocks(root.Short(), shorts, d.Worker, len(d.Chain), now)
 	if h.o.Placement.Exports() && len(d.Chain) >= d.ExportFrom {
 		h.enqueueExport(export{root: root, salt: d.Salt, chain: d.Chain, worker: d.Worker})
 	}
@@ -369,24 +369,24 @@
 }
 
 // lost handles blocks that a worker no longer holds.
-func (h *Home) lost(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
-	h.index.Lose(n.Worker, n.Blocks)
+func (h *Owner) lost(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
+	h.index.RemoveWorkerBlocks(n.Worker, n.Blocks)
 	h.stats.CacheLosses.Add(int64(len(n.Blocks)))
 	return struct{}{}, nil
 }
 
 // resynced handles the full contents that a worker holds after a gap in its events.
-func (h *Home) resynced(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
-	h.index.Resync(n.Worker, n.Blocks)
+func (h *Owner) resynced(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
+	h.index.ReplaceWorkerBlocks(n.Worker, n.Blocks)
 	return struct{}{}, nil
 }
 
-func (h *Home) engine(t *conf.Target) *target.Engine { return target.NewEngine(t.URL, h.o.Client) }
-func (h *Home) store(t *conf.Target) *target.Store   { return target.NewStore(t.URL, h.o.Client) }
+func (h *Owner) engine(t *conf.Target) *target.Engine { return target.NewEngine(t.URL, h.o.Client) }
+func (h *Owner) store(t *conf.Target) *target.Store   { return target.NewStore(t.URL, h.o.Client) }
 
 // notifyBlocks sends a block notice to a daemon. If the notice is lost, the recorded blocks
 // stay wrong until a request finds out.
-func (h *Home) notifyBlocks(name string, kind wire.Kind, n *blockNotice) {
+func (h *Owner) notifyBlocks(name string, kind wire.Kind, n *blockNotice) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	switch {
@@ -405,7 +405,7 @@
 
 // Warm reports whether the load of enough workers is known to place requests: every usable
 // worker has reported, or warmupLimit has passed.
-func (h *Home) Warm() bool {
+func (h *Owner) WarmedUp() bool {
 	if h.warm.Load() {
 		return true
 	}
@@ -439,13 +439,13 @@
 }
 
 // Worker returns the state of a worker, or false if there is no recent report.
-func (h *Home) Worker(name string) (WorkerStatus, bool) {
+func (h *Owner) WorkerStatus(name string) (WorkerStatus, bool) {
 	l, ok := h.loads.load(name, 0, time.Now())
 	return WorkerStatus{l.tokensAhead, l.Running, l.Free, l.Total, l.Holds, l.Loading}, ok
 }
 
 // LinkStatus returns the backlog of a store's link in bytes and its rate in bytes per
 // second.
-func (h *Home) LinkStatus(store string, t *conf.Target) (backlog int64, rate float64) {
+func (h *Owner) LinkStatus(store string, t *conf.Target) (backlog int64, rate float64) {
 	return h.links.state(store, t.Link())
 }
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -145,7 +145,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			got := matchingBlocks(tc.manifest, &Ask{Salt: salt, Chain: chain})
+			got := matchingBlocks(tc.manifest, &PlacementRequest{Salt: salt, Chain: chain})
 			gomega.NewWithT(t).Expect(got).To(gomega.Equal(tc.want))
 		})
 	}
@@ -196,8 +196,8 @@
 		{Seq: 1, Kind: conf.KindDeployment, Name: "d", Spec: spec(`{"model":"m","weightVersion":"v1"}`)},
 		{Seq: 2, Kind: conf.KindTarget, Name: "w", Spec: spec(`{"type":"engine","url":"http://127.0.0.1:1","deployments":["d"]}`)},
 	}})
-	h := New(Options{Placement: route.Returning, Conf: store, Fleet: f, Log: &event.Log{}})
-	req := &Ask{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
+	h := New(Options{Placement: route.LowestCost, Conf: store, Fleet: f, Log: &event.Log{}})
+	req := &PlacementRequest{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
 	_, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).To(gomega.MatchError(errNotWarm))
 	h.loads.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}, Speed: 8000}, time.Now())
@@ -211,9 +211,9 @@
 func TestUnconfiguredDaemonDoesNotPlaceRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := New(Options{
-		Placement: route.Returning, Conf: conf.NewStore(&event.Log{}), Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
+		Placement: route.LowestCost, Conf: conf.NewStore(&event.Log{}), Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
 	})
-	_, err := h.place(context.Background(), "peer", &Ask{Chain: []cache.Hash{{1}}})
+	_, err := h.place(context.Background(), "peer", &PlacementRequest{Chain: []cache.Hash{{1}}})
 	g.Expect(err).To(gomega.MatchError(errNotWarm))
-	g.Expect(h.Warm()).To(gomega.BeFalse())
+	g.Expect(h.WarmedUp()).To(gomega.BeFalse())
 }
--- a/core/home/links.go
+++ b/core/home/links.go
@@ -62,8 +62,8 @@
 	defer l.linksMu.Unlock()
 	s := l.scheduler(req.Store)
 	l.lastID++
-	t := route.Transfer{ID: l.lastID, Organisation: req.Organisation, Bytes: req.Bytes, Waiting: req.Waiting}
-	if !s.link.Ask(t) {
+	t := route.Transfer{ID: l.lastID, Organisation: req.Organisation, Bytes: req.Bytes, CallerWaits: req.Waiting}
+	if !s.link.Enqueue(t) {
 		return 0, nil, false
 	}
 	granted := make(chan struct{})
@@ -117,7 +117,7 @@
 	if d.Bytes >= minMeasuredBytes && d.Took > 0 {
 		s.measure(float64(d.Bytes) / d.Took.Seconds())
 	}
-	s.link.Done(d.ID)
+	s.link.Remove(d.ID)
 	s.startNext()
 }
 
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -19,20 +19,20 @@
 )
 
 // Ask is a request for a worker, sent to the context owner.
-type Ask struct {
+type PlacementRequest struct {
 	Request    string     `msgpack:"i"`
 	Deployment string     `msgpack:"d"`
 	Salt       cache.Salt `msgpack:"s"`
 	// Roots is the number of first blocks that identify the context.
-	Roots int          `msgpack:"r"`
-	Chain []cache.Hash `msgpack:"c"`
+	RootBlocks int          `msgpack:"r"`
+	Chain      []cache.Hash `msgpack:"c"`
 	// Tokens is the length of the prompt.
 	Tokens int `msgpack:"t"`
 	// Deadline is the time remaining until the first token is due; zero if it has been sent
 	// already.
-	Deadline time.Duration `msgpack:"l"`
-	Priority int           `msgpack:"p"`
-	Prices   route.Policy  `msgpack:"w"`
+	Deadline time.Duration     `msgpack:"l"`
+	Priority int               `msgpack:"p"`
+	Costs    route.CostWeights `msgpack:"w"`
 	// Targets restricts the choice of workers; empty allows all of the deployment.
 	Targets []string `msgpack:"a,omitempty"`
 	// Exclude are the workers that failed this request or are under pushback.
@@ -40,36 +40,38 @@
 }
 
 // seed returns the hash that starts the chain.
-func (req *Ask) seed() cache.Hash { return req.Salt.Seed() }
+func (req *PlacementRequest) seed() cache.Hash { return req.Salt.Seed() }
 
 // Root returns the hash that identifies the context.
-func (req *Ask) Root() cache.Hash { return cache.Root(req.seed(), req.Chain, req.Roots) }
+func (req *PlacementRequest) Root() cache.Hash {
+	return cache.Root(req.seed(), req.Chain, req.RootBlocks)
+}
 
 // Answer is the decision where a request goes, with its reasons.
-type Answer struct {
+type PlacementResult struct {
 	Verdict    route.Verdict  `msgpack:"v"`
 	Worker     string         `msgpack:"w"`
 	Expected   time.Duration  `msgpack:"e"`
 	RetryAfter time.Duration  `msgpack:"r,omitempty"`
-	Weighed    []route.Option `msgpack:"o,omitempty"`
+	Options    []route.Option `msgpack:"o,omitempty"`
 	// Held is how many first blocks of the prompt the worker was recorded as holding.
-	Held int `msgpack:"h"`
+	HeldBlocks int `msgpack:"h"`
 	// Imported is the number of blocks read from a store for the request, and LinkBytes the
 	// bytes moved for that.
-	Imported  int   `msgpack:"m"`
-	LinkBytes int64 `msgpack:"b,omitempty"`
+	ImportedBlocks int   `msgpack:"m"`
+	LinkBytes      int64 `msgpack:"b,omitempty"`
 	// Home is the daemon that decided.
-	Home string `msgpack:"n"`
+	Owner string `msgpack:"n"`
 	// Boot identifies the incarnation of the worker, if the owner has it.
 	Boot string `msgpack:"z,omitempty"`
 }
 
 // Run returns the name of the chosen worker's incarnation.
-func (ans *Answer) Run() string { return incarnationName(ans.Worker, ans.Boot) }
+func (ans *PlacementResult) Incarnation() string { return incarnationName(ans.Worker, ans.Boot) }
 
 // RunOf returns the name of a worker's incarnation, or "" if this daemon has no report of
 // it.
-func (h *Home) RunOf(worker string) string {
+func (h *Owner) Incarnation(worker string) string {
 	boot := h.loads.boot(worker)
 	if boot == "" {
 		return ""
@@ -82,12 +84,12 @@
 func incarnationName(worker, boot string) string { return worker + "@" + boot }
 
 // Done reports the outcome of a request to the context owner.
-type Done struct {
-	Request string       `msgpack:"i"`
-	Salt    cache.Salt   `msgpack:"s"`
-	Roots   int          `msgpack:"r"`
-	Chain   []cache.Hash `msgpack:"c"`
-	Worker  string       `msgpack:"w"`
+type Outcome struct {
+	Request    string       `msgpack:"i"`
+	Salt       cache.Salt   `msgpack:"s"`
+	RootBlocks int          `msgpack:"r"`
+	Chain      []cache.Hash `msgpack:"c"`
+	Worker     string       `msgpack:"w"`
 	// Prefilled is set if the worker computed the whole prompt, so that it holds its blocks.
 	Prefilled bool `msgpack:"p"`
 	// ExportFrom is the minimum length of a context to export, in blocks.
@@ -98,8 +100,8 @@
 
 // blockNotice notifies the owner of contexts which blocks a worker lost or holds.
 type blockNotice struct {
-	Worker string       `msgpack:"w"`
-	Blocks []cache.Mark `msgpack:"m"`
+	Worker string           `msgpack:"w"`
+	Blocks []cache.BlockRef `msgpack:"m"`
 }
 
 // linkRequest requests permission for a transfer from the scheduler of a store's link.
--- a/core/home/targets.go
+++ b/core/home/targets.go
@@ -20,7 +20,7 @@
 }
 
 // targets returns the targets for a snapshot and a view.
-func (h *Home) targets(snap *conf.Snapshot, view *fleet.View) *cellTargets {
+func (h *Owner) targets(snap *conf.Snapshot, view *fleet.View) *cellTargets {
 	if c := h.cachedTargets.Load(); c != nil && c.snap == snap && c.view == view {
 		return c
 	}
@@ -52,6 +52,6 @@
 }
 
 // Workers returns the names of the engines of this cell.
-func (h *Home) Workers(snap *conf.Snapshot, view *fleet.View) []string {
+func (h *Owner) Workers(snap *conf.Snapshot, view *fleet.View) []string {
 	return h.targets(snap, view).workers
 }
--- a/core/home/transfer.go
+++ b/core/home/transfer.go
@@ -22,7 +22,7 @@
 
 // stores returns the stores of the cell in the order in which a context is placed on them.
 // Every daemon computes the same order, so a stored context is found without an index.
-func (h *Home) stores(snap *conf.Snapshot, view *fleet.View, root cache.Hash) []string {
+func (h *Owner) stores(snap *conf.Snapshot, view *fleet.View, root cache.Hash) []string {
 	return fleet.Rank(root.Short(), h.targets(snap, view).stores)
 }
 
@@ -31,9 +31,9 @@
 
 // queryStores queries the stores for a context, unless they have been queried already. It
 // adds what they hold to pos.
-func (h *Home) queryStores(ctx context.Context, snap *conf.Snapshot, view *fleet.View, req *Ask, root cache.Hash, pos *cache.Position) manifests {
+func (h *Owner) queryStores(ctx context.Context, snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, root cache.Hash, pos *cache.ContextState) manifests {
 	d := snap.Deployment(req.Deployment)
-	if pos.Looked || !h.o.Placement.Exports() || d == nil || len(req.Chain) < d.ExportFrom() {
+	if pos.StoresQueried || !h.o.Placement.Exports() || d == nil || len(req.Chain) < d.ExportFrom() {
 		return nil
 	}
 	names := h.stores(snap, view, root)
@@ -61,10 +61,10 @@
 			continue
 		}
 		n := matchingBlocks(m, req)
-		h.index.Kept(root.Short(), shorts, names[i], n, now)
+		h.index.SetStoreBlocks(root.Short(), shorts, names[i], n, now)
 		if n > 0 {
 			out[names[i]] = m
-			pos.Keepings = append(pos.Keepings, cache.Keeping{Store: names[i], Blocks: n})
+			pos.Stores = append(pos.Stores, cache.StoreBlocks{Store: names[i], Blocks: n})
 		}
 	}
 	return out
@@ -72,7 +72,7 @@
 
 // matchingBlocks returns how many first blocks of the chain a manifest lists. It is zero for
 // a manifest of another organisation, model, weight version or adapter.
-func matchingBlocks(m *target.Manifest, req *Ask) int {
+func matchingBlocks(m *target.Manifest, req *PlacementRequest) int {
 	if m == nil || m.Salt != req.Salt {
 		return 0
 	}
@@ -89,14 +89,14 @@
 const storeRetryPause = 2 * time.Second
 
 // markDown records that a store failed.
-func (h *Home) markDown(store string) {
+func (h *Owner) markDown(store string) {
 	h.storeMu.Lock()
 	defer h.storeMu.Unlock()
 	h.downUntil[store] = time.Now().Add(storeRetryPause)
 }
 
 // isDown reports whether a store failed within storeRetryPause.
-func (h *Home) isDown(store string) bool {
+func (h *Owner) isDown(store string) bool {
 	h.storeMu.Lock()
 	defer h.storeMu.Unlock()
 	return time.Now().Before(h.downUntil[store])
@@ -107,17 +107,17 @@
 
 // importSources returns the stores that hold blocks of the context, in the form that
 // route.Place expects.
-func (h *Home) importSources(snap *conf.Snapshot, pos cache.Position, blockBytes int64) []route.Kept {
-	var out []route.Kept
-	for _, k := range pos.Keepings {
+func (h *Owner) importSources(snap *conf.Snapshot, pos cache.ContextState, blockBytes int64) []route.StoredContext {
+	var out []route.StoredContext
+	for _, k := range pos.Stores {
 		t := snap.Target(k.Store)
 		if t == nil || h.isDown(k.Store) {
 			continue
 		}
 		backlog, rate := h.links.state(k.Store, t.Link())
-		out = append(out, route.Kept{
+		out = append(out, route.StoredContext{
 			Store: k.Store, Blocks: k.Blocks, BlockBytes: blockBytes,
-			Rate: rate, Backlog: backlog, Latency: storeLatency,
+			LinkBytesPerSecond: rate, BacklogBytes: backlog, Latency: storeLatency,
 		})
 	}
 	return out
@@ -125,7 +125,7 @@
 
 // importContext makes the chosen worker read blocks from a store and records the result.
 // After a failure the worker computes the blocks again.
-func (h *Home) importContext(ctx context.Context, snap *conf.Snapshot, req *Ask, root cache.Hash, found manifests, imp route.Import, ans *Answer) {
+func (h *Owner) importContext(ctx context.Context, snap *conf.Snapshot, req *PlacementRequest, root cache.Hash, found manifests, imp route.Import, ans *PlacementResult) {
 	ref := event.Ref{Request: req.Request, Context: root.String(), Organisation: req.Salt.Organisation, Target: ans.Worker}
 	n, bytes, err := h.importBlocks(ctx, snap, req, root, found[imp.Store], imp, ans.Worker)
 	h.stats.LinkBytes.Add(bytes)
@@ -137,16 +137,16 @@
 	if n == 0 {
 		return
 	}
-	ans.Imported = n
+	ans.ImportedBlocks = n
 	h.stats.Imports.Add(1)
 	h.stats.ImportedBlocks.Add(int64(n))
-	h.index.Held(root.Short(), cache.Shorts(req.Chain), ans.Worker, imp.From+n, time.Now())
+	h.index.SetWorkerBlocks(root.Short(), cache.Shorts(req.Chain), ans.Worker, imp.From+n, time.Now())
 	h.o.Log.Emit(event.ContextImported, ref, fmt.Sprintf("%d blocks, %d bytes from %s", n, bytes, imp.Store))
 }
 
 // importBlocks makes a worker read blocks from a store and returns how many were committed
 // and how many bytes were moved.
-func (h *Home) importBlocks(ctx context.Context, snap *conf.Snapshot, req *Ask, root cache.Hash, m *target.Manifest, imp route.Import, worker string) (int, int64, error) {
+func (h *Owner) importBlocks(ctx context.Context, snap *conf.Snapshot, req *PlacementRequest, root cache.Hash, m *target.Manifest, imp route.Import, worker string) (int, int64, error) {
 	st := snap.Target(imp.Store)
 	if m == nil {
 		var err error
@@ -158,7 +158,7 @@
 	}
 	to := min(imp.To, matchingBlocks(m, req))
 	if to <= imp.From {
-		h.index.Kept(root.Short(), cache.Shorts(req.Chain), imp.Store, to, time.Now())
+		h.index.SetStoreBlocks(root.Short(), cache.Shorts(req.Chain), imp.Store, to, time.Now())
 		return 0, 0, errors.New("the store no longer holds the context")
 	}
 	parent := req.seed()
@@ -183,7 +183,7 @@
 
 // commit compares the blocks that the worker read with the manifest and commits those before
 // the first mismatch.
-func (h *Home) commit(ctx context.Context, e *target.Engine, req *Ask, root cache.Hash, imp route.Import, want []target.Block, staged target.Staged) (int, int64, error) {
+func (h *Owner) commit(ctx context.Context, e *target.Engine, req *PlacementRequest, root cache.Hash, imp route.Import, want []target.Block, staged target.ImportResult) (int, int64, error) {
 	verified := 0
 	for verified < min(len(staged.Blocks), len(want)) && staged.Blocks[verified] == want[verified] {
 		verified++
@@ -193,14 +193,14 @@
 		return 0, staged.Bytes, err
 	}
 	if verified < len(want) {
-		h.index.Kept(root.Short(), cache.Shorts(req.Chain), imp.Store, imp.From+verified, time.Now())
+		h.index.SetStoreBlocks(root.Short(), cache.Shorts(req.Chain), imp.Store, imp.From+verified, time.Now())
 		err = errors.Errorf("%d of %d blocks differ from the manifest", len(want)-verified, len(want))
 	}
 	return verified, staged.Bytes, err
 }
 
 // blockBytes returns the size of a block on a worker, or 0 if there is no recent report.
-func (h *Home) blockBytes(worker string) int {
+func (h *Owner) blockBytes(worker string) int {
 	load, _ := h.loads.load(worker, 0, time.Now())
 	return load.BlockBytes
 }
@@ -214,7 +214,7 @@
 // acquireLink waits for a link and returns the function that releases it. waiting tells that
 // a caller waits for the transfer: it goes ahead if the link's scheduler does not answer,
 // while an export does not.
-func (h *Home) acquireLink(ctx context.Context, store, organisation string, bytes int64, waiting bool) (release func(int64, time.Duration), err error) {
+func (h *Owner) acquireLink(ctx context.Context, store, organisation string, bytes int64, waiting bool) (release func(int64, time.Duration), err error) {
 	limit := exportLinkTimeout
 	if waiting {
 		limit = importLinkTimeout
@@ -261,7 +261,7 @@
 
 // enqueueExport queues an export, unless one of the context is running or queued, a store
 // holds the context already, or the queue is full.
-func (h *Home) enqueueExport(x export) {
+func (h *Owner) enqueueExport(x export) {
 	if !h.index.BeginExport(x.root.Short(), len(x.chain)) {
 		return
 	}
@@ -273,7 +273,7 @@
 }
 
 // exporter writes contexts to stores, one at a time.
-type exporter struct{ *Home }
+type exporter struct{ *Owner }
 
 // run handles queued exports until ctx ends.
 func (e exporter) run(ctx context.Context) {
@@ -335,10 +335,10 @@
 		e.markDown(name)
 		return 0, err
 	}
-	req := &Ask{Salt: x.salt, Chain: x.chain}
+	req := &PlacementRequest{Salt: x.salt, Chain: x.chain}
 	stored := matchingBlocks(manifest, req)
 	if stored == len(x.chain) {
-		e.index.Kept(x.root.Short(), cache.Shorts(x.chain), name, stored, time.Now())
+		e.index.SetStoreBlocks(x.root.Short(), cache.Shorts(x.chain), name, stored, time.Now())
 		return 0, nil
 	}
 	missing := x.chain[stored:]
@@ -359,18 +359,18 @@
 	if err := st.PutManifest(ctx, m); err != nil {
 		return 0, err
 	}
-	e.index.Kept(x.root.Short(), cache.Shorts(x.chain), name, n, time.Now())
+	e.index.SetStoreBlocks(x.root.Short(), cache.Shorts(x.chain), name, n, time.Now())
 	return n - stored, nil
 }
 
 // exportBlocks acquires the link and copies blocks to a store. If the store is full, it
 // removes other contexts there and tries once more.
-func (e exporter) exportBlocks(ctx context.Context, x export, name string, st *target.Store, eng *target.Engine, missing []cache.Hash) (target.Exported, error) {
+func (e exporter) exportBlocks(ctx context.Context, x export, name string, st *target.Store, eng *target.Engine, missing []cache.Hash) (target.ExportResult, error) {
 	bytes := int64(len(missing) * e.blockBytes(x.worker))
 	for attempt := 0; ; attempt++ {
 		release, err := e.acquireLink(ctx, name, x.salt.Organisation, bytes, false)
 		if err != nil {
-			return target.Exported{}, err
+			return target.ExportResult{}, err
 		}
 		start := time.Now()
 		out, err := eng.Export(ctx, st.URL(), missing)
@@ -380,7 +380,7 @@
 			return out, err
 		}
 		if err := e.reclaim(ctx, name, st, len(missing)); err != nil {
-			return target.Exported{}, err
+			return target.ExportResult{}, err
 		}
 	}
 }
@@ -391,12 +391,12 @@
 	if err != nil {
 		return err
 	}
-	list := make([]route.Shed, len(u.Contexts))
+	list := make([]route.EvictionCandidate, len(u.Contexts))
 	for i, c := range u.Contexts {
-		list[i] = route.Shed{Index: i, Blocks: c.Blocks, IdleSeconds: c.IdleSeconds, Reads: c.Reads}
+		list[i] = route.EvictionCandidate{Index: i, Blocks: c.Blocks, IdleSeconds: c.IdleSeconds, Reads: c.Reads}
 	}
 	need := blocks - (u.TotalBlocks - u.UsedBlocks) + u.TotalBlocks/reclaimDivisor
-	removed := route.GiveUp(list, need)
+	removed := route.ChooseEvictions(list, need)
 	for _, i := range removed {
 		if err := st.Remove(ctx, u.Contexts[i].Root); err != nil {
 			return err
--- a/core/learn/links.go
+++ b/core/learn/links.go
@@ -86,7 +86,7 @@
 // LinkState is the estimated state of a link.
 type LinkState struct {
 	// Slow is the estimated time of a copy divided by the configured one.
-	Slow float64
+	Slowdown float64
 	// Wait is how long a new copy waits for the copies before it.
 	Wait time.Duration
 }
@@ -97,11 +97,11 @@
 	defer l.linksMu.Unlock()
 	m := l.links[address]
 	if m == nil {
-		return LinkState{Slow: 1}
+		return LinkState{Slowdown: 1}
 	}
 	return LinkState{
-		Slow: math.Exp(m.logSlowdown.Value(0, slowdownPriorWeight, now, slowdownHalfLife)),
-		Wait: max(0, m.busyUntil.Sub(now)),
+		Slowdown: math.Exp(m.logSlowdown.Value(0, slowdownPriorWeight, now, slowdownHalfLife)),
+		Wait:     max(0, m.busyUntil.Sub(now)),
 	}
 }
 
--- a/core/learn/links_test.go
+++ b/core/learn/links_test.go
@@ -13,18 +13,18 @@
 	g := gomega.NewWithT(t)
 	var l Links
 	now := time.Now()
-	g.Expect(l.State("store", now).Slow).To(gomega.Equal(1.0))
+	g.Expect(l.State("store", now).Slowdown).To(gomega.Equal(1.0))
 	// All copies from the store take four times as long as configured.
 	for i := range 40 {
 		to := []string{"w1", "w2", "w3", "w4"}[i%4]
-		expected := l.State("store", now).Slow * l.State(to, now).Slow
+		expected := l.State("store", now).Slowdown * l.State(to, now).Slowdown
 		l.Sample("store", to, 4/expected, 1, now)
 		now = now.Add(30 * time.Millisecond)
 	}
-	g.Expect(l.State("store", now).Slow).To(gomega.BeNumerically(">", 2.5))
-	g.Expect(l.State("w1", now).Slow).To(gomega.BeNumerically("<", 2))
-	g.Expect(l.State("other", now).Slow).To(gomega.Equal(1.0))
-	g.Expect(l.State("store", now.Add(10*time.Second)).Slow).To(gomega.BeNumerically("<", 1.25))
+	g.Expect(l.State("store", now).Slowdown).To(gomega.BeNumerically(">", 2.5))
+	g.Expect(l.State("w1", now).Slowdown).To(gomega.BeNumerically("<", 2))
+	g.Expect(l.State("other", now).Slowdown).To(gomega.Equal(1.0))
+	g.Expect(l.State("store", now.Add(10*time.Second)).Slowdown).To(gomega.BeNumerically("<", 1.25))
 }
 
 func TestCopiesWaitForEarlierCopies(t *testing.T) {
@@ -55,7 +55,7 @@
 	local.Told()
 	remote.Receive("local", raw)
 	g.Expect(remote.State("store", now).Wait).To(gomega.BeNumerically("~", time.Second, 100*time.Millisecond))
-	g.Expect(remote.State("store", now).Slow).To(gomega.BeNumerically("~", local.State("store", now).Slow, 0.01))
+	g.Expect(remote.State("store", now).Slowdown).To(gomega.BeNumerically("~", local.State("store", now).Slowdown, 0.01))
 	report, ok := local.Collect(false).(*linkReport)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(report.Copies).To(gomega.HaveLen(1))
@@ -85,7 +85,7 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			l.Receive("faulty", raw)
 			st := l.State("store", time.Now())
-			g.Expect(st.Slow).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", maxSlowdown)))
+			g.Expect(st.Slowdown).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", maxSlowdown)))
 			g.Expect(st.Wait).To(gomega.BeNumerically("<=", maxBusy))
 			g.Expect(l.Rejected()).To(gomega.Equal(tc.rejected))
 		})
@@ -96,7 +96,7 @@
 		l.Sample("store", "w", ratio, 1, time.Now())
 	}
 	l.Receive("faulty", []byte("no msgpack"))
-	g.Expect(l.State("store", time.Now())).To(gomega.Equal(LinkState{Slow: 1}))
+	g.Expect(l.State("store", time.Now())).To(gomega.Equal(LinkState{Slowdown: 1}))
 }
 
 func TestMeanDecays(t *testing.T) {
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -76,9 +76,9 @@
 type TargetState struct {
 	// Pace is the target's speed factor: its time to the first answer divided by that
 	// expected of its service. Above 1 the target is slower.
-	Pace float64
+	Slowdown float64
 	// Faults is the share of the target's answers that are failures, 0 to 1.
-	Faults float64
+	FailureShare float64
 }
 
 // State returns the estimated state of a target of a service. The prior is the speed of
@@ -92,17 +92,17 @@
 	}
 	m := t.targets[id]
 	if m == nil {
-		return TargetState{Pace: 1, Faults: serviceFailures}
+		return TargetState{Slowdown: 1, FailureShare: serviceFailures}
 	}
 	return TargetState{
-		Pace:   math.Exp(m.logSlowdown.Value(0, targetPriorWeight, now, targetHalfLife)),
-		Faults: m.failures.Value(serviceFailures, targetPriorWeight, now, targetHalfLife),
+		Slowdown:     math.Exp(m.logSlowdown.Value(0, targetPriorWeight, now, targetHalfLife)),
+		FailureShare: m.failures.Value(serviceFailures, targetPriorWeight, now, targetHalfLife),
 	}
 }
 
 // Timed records a target's time to the first answer, divided by that expected of its
 // service. A ratio that is not positive and finite is ignored.
-func (t *Targets) Timed(id, service string, ratio float64, now time.Time) {
+func (t *Targets) ObserveTime(id, service string, ratio float64, now time.Time) {
 	if !(ratio > 0) || !finite(ratio) {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // Answered records the outcome of an attempt at a target: good is false for failures.
-func (t *Targets) Answered(id, service string, good bool, now time.Time) {
+func (t *Targets) ObserveAnswer(id, service string, good bool, now time.Time) {
 	r := targetReport{Service: service, Answers: 1}
 	if !good {
 		r.Failures = 1
--- a/core/learn/targets_test.go
+++ b/core/learn/targets_test.go
@@ -13,23 +13,23 @@
 	g := gomega.NewWithT(t)
 	var l Targets
 	now := time.Now()
-	g.Expect(l.State("a", "s", now)).To(gomega.Equal(TargetState{Pace: 1, Faults: priorFailures}))
+	g.Expect(l.State("a", "s", now)).To(gomega.Equal(TargetState{Slowdown: 1, FailureShare: priorFailures}))
 	for range 20 {
-		l.Answered("a", "s", false, now)
-		l.Timed("a", "s", 6, now)
+		l.ObserveAnswer("a", "s", false, now)
+		l.ObserveTime("a", "s", 6, now)
 		for range 5 {
-			l.Answered("b", "s", true, now)
-			l.Timed("b", "s", 1, now)
+			l.ObserveAnswer("b", "s", true, now)
+			l.ObserveTime("b", "s", 1, now)
 		}
 	}
 	a, b := l.State("a", "s", now), l.State("b", "s", now)
-	g.Expect(a.Faults).To(gomega.BeNumerically(">", 0.85))
-	g.Expect(a.Pace).To(gomega.BeNumerically(">", 4))
-	g.Expect(b.Faults).To(gomega.BeNumerically("<", 0.05))
-	g.Expect(b.Pace).To(gomega.BeNumerically("~", 1, 0.01))
+	g.Expect(a.FailureShare).To(gomega.BeNumerically(">", 0.85))
+	g.Expect(a.Slowdown).To(gomega.BeNumerically(">", 4))
+	g.Expect(b.FailureShare).To(gomega.BeNumerically("<", 0.05))
+	g.Expect(b.Slowdown).To(gomega.BeNumerically("~", 1, 0.01))
 	later := l.State("a", "s", now.Add(15*time.Second))
-	g.Expect(later.Faults).To(gomega.BeNumerically("<", 0.2))
-	g.Expect(later.Pace).To(gomega.BeNumerically("<", 1.2))
+	g.Expect(later.FailureShare).To(gomega.BeNumerically("<", 0.2))
+	g.Expect(later.Slowdown).To(gomega.BeNumerically("<", 1.2))
 }
 
 // If all targets of a service fail equally often, they have similar shares of failures,
@@ -39,10 +39,10 @@
 	var l Targets
 	now := time.Now()
 	for i := range 200 {
-		l.Answered([]string{"a", "b"}[i%2], "s", i%10 != 0 && i%10 != 1, now)
+		l.ObserveAnswer([]string{"a", "b"}[i%2], "s", i%10 != 0 && i%10 != 1, now)
 	}
-	g.Expect(l.State("new", "s", now).Faults).To(gomega.BeNumerically("~", 0.2, 0.05))
-	g.Expect(l.State("a", "s", now).Faults).To(gomega.BeNumerically("~", l.State("b", "s", now).Faults, 0.1))
+	g.Expect(l.State("new", "s", now).FailureShare).To(gomega.BeNumerically("~", 0.2, 0.05))
+	g.Expect(l.State("a", "s", now).FailureShare).To(gomega.BeNumerically("~", l.State("b", "s", now).FailureShare, 0.1))
 }
 
 func TestOneSlowAnswerHardlyChangesPace(t *testing.T) {
@@ -50,10 +50,10 @@
 	var l Targets
 	now := time.Now()
 	for range 4 {
-		l.Timed("a", "s", 1, now)
+		l.ObserveTime("a", "s", 1, now)
 	}
-	l.Timed("a", "s", 40, now)
-	g.Expect(l.State("a", "s", now).Pace).To(gomega.BeNumerically("<", 1.6))
+	l.ObserveTime("a", "s", 40, now)
+	g.Expect(l.State("a", "s", now).Slowdown).To(gomega.BeNumerically("<", 1.6))
 }
 
 func TestTargetObservationsAreReportedOnce(t *testing.T) {
@@ -61,16 +61,16 @@
 	var local, remote Targets
 	now := time.Now()
 	for range 10 {
-		local.Answered("a", "s", false, now)
-		local.Timed("a", "s", 4, now)
+		local.ObserveAnswer("a", "s", false, now)
+		local.ObserveTime("a", "s", 4, now)
 	}
 	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	local.Answered("b", "s", true, now)
+	local.ObserveAnswer("b", "s", true, now)
 	remote.Receive("local", raw)
 	got, want := remote.State("a", "s", time.Now()), local.State("a", "s", time.Now())
-	g.Expect(got.Pace).To(gomega.BeNumerically("~", want.Pace, 0.2))
-	g.Expect(got.Faults).To(gomega.BeNumerically("~", want.Faults, 0.1))
+	g.Expect(got.Slowdown).To(gomega.BeNumerically("~", want.Slowdown, 0.2))
+	g.Expect(got.FailureShare).To(gomega.BeNumerically("~", want.FailureShare, 0.1))
 	local.Told()
 	g.Expect(local.Collect(false)).To(gomega.HaveKey("b"))
 	local.Told()
@@ -96,16 +96,16 @@
 			raw, err := msgpack.Marshal(map[string]targetReport{"a": tc.report})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			l.Receive("faulty", raw)
-			g.Expect(l.State("a", "s", time.Now())).To(gomega.Equal(TargetState{Pace: 1, Faults: priorFailures}))
+			g.Expect(l.State("a", "s", time.Now())).To(gomega.Equal(TargetState{Slowdown: 1, FailureShare: priorFailures}))
 			g.Expect(l.Rejected()).To(gomega.Equal(1))
 		})
 	}
 	var l Targets
 	l.Receive("faulty", []byte("no msgpack"))
 	for _, ratio := range []float64{0, -3, math.NaN(), math.Inf(1)} {
-		l.Timed("a", "s", ratio, time.Now())
+		l.ObserveTime("a", "s", ratio, time.Now())
 	}
-	gomega.NewWithT(t).Expect(l.State("a", "s", time.Now()).Pace).To(gomega.Equal(1.0))
+	gomega.NewWithT(t).Expect(l.State("a", "s", time.Now()).Slowdown).To(gomega.Equal(1.0))
 }
 
 func TestRateFollowsRecentArrivals(t *testing.T) {
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -15,18 +15,18 @@
 // request without prompt tokens at an idle target.
 type Factors struct {
 	// Own is the number of prompt tokens of the request that are prefilled.
-	Own int
+	OwnTokens int
 	// Before is the number of tokens of other requests that are prefilled first.
-	Before int
+	QueuedTokens int
 	// Beside is the number of requests that run at the target, divided by the number
 	// that it runs concurrently; at most 1.
-	Beside float64
+	Utilisation float64
 	// Waiting is the number of requests that are queued at the target, divided by the
 	// number that it runs concurrently.
-	Waiting float64
+	QueuedPerSlot float64
 	// Crowd is the probability that the target's memory is full when the request's turn
 	// comes, 0 to 1; above 1 the requests there do not fit.
-	Crowd float64
+	MemoryPressure float64
 }
 
 // numFactors is the number of coefficients of the model: the fixed time and one for each
@@ -40,7 +40,7 @@
 // vector returns the values that the coefficients are multiplied by.
 func (f Factors) vector() [numFactors]float64 {
 	return [numFactors]float64{
-		1, float64(f.Own) / tokenUnit, float64(f.Before) / tokenUnit, f.Beside, f.Waiting, f.Crowd,
+		1, float64(f.OwnTokens) / tokenUnit, float64(f.QueuedTokens) / tokenUnit, f.Utilisation, f.QueuedPerSlot, f.MemoryPressure,
 	}
 }
 
@@ -51,23 +51,23 @@
 	Fixed time.Duration
 	// Own and Before are the times to prefill a thousand tokens of the request and of
 	// the requests before it.
-	Own, Before time.Duration
+	PerThousandOwn, PerThousandQueued time.Duration
 	// Beside is the time added if the target runs as many requests as it can, and
 	// Waiting the time added for each multiple of that number in its queue.
-	Beside, Waiting time.Duration
+	Utilisation, QueuedPerSlot time.Duration
 	// Crowd is the time that a request waits for memory if it is full.
-	Crowd time.Duration
+	MemoryPressure time.Duration
 	// Spread is the standard deviation of the logarithm of observed over expected
 	// times.
-	Spread float64
+	LogStdDev float64
 	// Weight is the number of observations that the prior counts for.
-	Weight float64
+	Observations float64
 }
 
 // vector returns the coefficients of the prior in seconds.
 func (p *Prior) vector() [numFactors]float64 {
 	return [numFactors]float64{
-		p.Fixed.Seconds(), p.Own.Seconds(), p.Before.Seconds(), p.Beside.Seconds(), p.Waiting.Seconds(), p.Crowd.Seconds(),
+		p.Fixed.Seconds(), p.PerThousandOwn.Seconds(), p.PerThousandQueued.Seconds(), p.Utilisation.Seconds(), p.QueuedPerSlot.Seconds(), p.MemoryPressure.Seconds(),
 	}
 }
 
@@ -102,8 +102,8 @@
 
 // Parts returns the two components of the expected time: that before the request's turn,
 // by Before, Waiting and Crowd, and that from its turn to the first answer.
-func (e *Estimate) Parts(f Factors) (queueing, service time.Duration) {
-	service = e.Time(Factors{Own: f.Own, Beside: f.Beside})
+func (e *Estimate) Components(f Factors) (queueing, service time.Duration) {
+	service = e.Time(Factors{OwnTokens: f.OwnTokens, Utilisation: f.Utilisation})
 	return e.Time(f) - service, service
 }
 
@@ -328,7 +328,7 @@
 	xtx := mat.NewSymDense(numFactors, nil)
 	xty := mat.NewVecDense(numFactors, nil)
 	for i := range numFactors {
-		ridge := m.prior.Weight * typicalFactors[i] * typicalFactors[i] / (typicalTime * typicalTime)
+		ridge := m.prior.Observations * typicalFactors[i] * typicalFactors[i] / (typicalTime * typicalTime)
 		for j := i; j < numFactors; j++ {
 			xtx.SetSym(i, j, n.xtx[i*numFactors+j])
 		}
@@ -357,7 +357,7 @@
 	for i := range priorRatios {
 		// Evenly spaced quantiles of a log-normal distribution.
 		share := (float64(i) + 0.5) / priorRatios
-		_ = all.AddWeighted(math.Exp(m.prior.Spread*math.Sqrt2*math.Erfinv(2*share-1)), 1)
+		_ = all.AddWeighted(math.Exp(m.prior.LogStdDev*math.Sqrt2*math.Erfinv(2*share-1)), 1)
 	}
 	for _, d := range []*tdigest.TDigest{m.digest, m.previous} {
 		if d != nil && d.Count() > 0 {
@@ -389,7 +389,7 @@
 // the other target within limit is more probable, by more than margin, than one of this
 // target is then; limit if there is none. expected and next are the expected times to the
 // first answer of this and the other target.
-func (e *Estimate) Patience(limit, expected, next time.Duration, margin float64) time.Duration {
+func (e *Estimate) WaitBudget(limit, expected, next time.Duration, margin float64) time.Duration {
 	inTime := e.Chance(limit.Seconds() / expected.Seconds())
 	for i := 1; i < ratioSteps; i++ {
 		waited := seconds(e.ratios[i] * expected.Seconds())
--- a/core/learn/times_test.go
+++ b/core/learn/times_test.go
@@ -13,8 +13,8 @@
 // prior returns the prior of the tests.
 func prior() *Prior {
 	return &Prior{
-		Fixed: 50 * time.Millisecond, Own: 20 * time.Millisecond, Before: 20 * time.Millisecond, Beside: 50 * time.Millisecond,
-		Waiting: time.Second, Crowd: 300 * time.Millisecond, Spread: 0.5, Weight: 5,
+		Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond,
+		QueuedPerSlot: time.Second, MemoryPressure: 300 * time.Millisecond, LogStdDev: 0.5, Observations: 5,
 	}
 }
 
@@ -23,8 +23,8 @@
 	e := NewTimes().Estimate("k", prior(), time.Now())
 	g.Expect(e.Count()).To(gomega.BeZero())
 	g.Expect(e.Time(Factors{})).To(gomega.BeNumerically("~", 50*time.Millisecond, time.Millisecond))
-	g.Expect(e.Time(Factors{Own: 1000, Before: 2000})).To(gomega.BeNumerically("~", 110*time.Millisecond, time.Millisecond))
-	queueing, service := e.Parts(Factors{Own: 1000, Before: 2000, Beside: 1})
+	g.Expect(e.Time(Factors{OwnTokens: 1000, QueuedTokens: 2000})).To(gomega.BeNumerically("~", 110*time.Millisecond, time.Millisecond))
+	queueing, service := e.Components(Factors{OwnTokens: 1000, QueuedTokens: 2000, Utilisation: 1})
 	g.Expect(queueing).To(gomega.BeNumerically("~", 40*time.Millisecond, time.Millisecond))
 	g.Expect(service).To(gomega.BeNumerically("~", 120*time.Millisecond, time.Millisecond))
 	g.Expect(e.Chance(1)).To(gomega.BeNumerically("~", 0.5, 0.05))
@@ -49,10 +49,10 @@
 			r := rand.New(rand.NewPCG(1, 2))
 			l, now := NewTimes(), time.Now()
 			truth := func(f Factors) time.Duration {
-				return tc.fixed + time.Duration(f.Own+f.Before)*tc.tokens/1000
+				return tc.fixed + time.Duration(f.OwnTokens+f.QueuedTokens)*tc.tokens/1000
 			}
 			for range 150 {
-				f := Factors{Own: r.IntN(12000), Before: r.IntN(8000)}
+				f := Factors{OwnTokens: r.IntN(12000), QueuedTokens: r.IntN(8000)}
 				took := time.Duration(float64(truth(f)) * math.Exp(0.2*r.NormFloat64()))
 				if r.IntN(10) == 0 {
 					took *= 3
@@ -62,7 +62,7 @@
 			}
 			e := l.Estimate("k", prior(), now.Add(time.Second))
 			g.Expect(e.Count()).To(gomega.BeNumerically(">", 100))
-			for _, f := range []Factors{{Own: 1000}, {Own: 10000}, {Own: 3000, Before: 6000}} {
+			for _, f := range []Factors{{OwnTokens: 1000}, {OwnTokens: 10000}, {OwnTokens: 3000, QueuedTokens: 6000}} {
 				g.Expect(float64(e.Time(f)) / float64(truth(f))).To(gomega.BeNumerically("~", 1.1, 0.3))
 			}
 			g.Expect(e.Quantile(0.99)).To(gomega.BeNumerically(">", 2), "slow answers are in the distribution")
@@ -91,8 +91,8 @@
 		l, now := NewTimes(), time.Now()
 		for range rapid.IntRange(0, 60).Draw(t, "observations") {
 			f := Factors{
-				Own: rapid.IntRange(0, 1<<24).Draw(t, "own"), Before: rapid.IntRange(0, 1<<26).Draw(t, "before"),
-				Beside: rapid.Float64Range(0, 1).Draw(t, "beside"), Waiting: rapid.Float64Range(0, 50).Draw(t, "waiting"), Crowd: rapid.Float64Range(0, 2).Draw(t, "crowd"),
+				OwnTokens: rapid.IntRange(0, 1<<24).Draw(t, "own"), QueuedTokens: rapid.IntRange(0, 1<<26).Draw(t, "before"),
+				Utilisation: rapid.Float64Range(0, 1).Draw(t, "beside"), QueuedPerSlot: rapid.Float64Range(0, 50).Draw(t, "waiting"), MemoryPressure: rapid.Float64Range(0, 2).Draw(t, "crowd"),
 			}
 			took := time.Duration(rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "took"))
 			// The clock may stand still or go back.
@@ -100,7 +100,7 @@
 			l.Observe("k", prior(), f, took, now)
 		}
 		e := l.Estimate("k", prior(), now.Add(time.Second))
-		for _, f := range []Factors{{}, {Own: 1 << 24}, {Before: 12000, Crowd: 1}} {
+		for _, f := range []Factors{{}, {OwnTokens: 1 << 24}, {QueuedTokens: 12000, MemoryPressure: 1}} {
 			if e.Time(f) <= 0 || e.Time(f) > 1000*time.Hour {
 				t.Fatalf("%v for %+v", e.Time(f), f)
 			}
@@ -140,9 +140,9 @@
 	}
 	e := l.Estimate("k", prior(), now.Add(time.Second))
 	expected := e.Time(Factors{})
-	budget := e.Patience(140*time.Millisecond, expected, expected, 0.1)
+	budget := e.WaitBudget(140*time.Millisecond, expected, expected, 0.1)
 	g.Expect(budget).To(gomega.BeNumerically(">", 25*time.Millisecond))
 	g.Expect(budget).To(gomega.BeNumerically("<", 110*time.Millisecond))
-	g.Expect(e.Patience(35*time.Millisecond, expected, expected, 0.1)).To(gomega.Equal(35*time.Millisecond), "too little time remains for another target")
-	g.Expect(e.Patience(time.Second, expected, 3*time.Second, 0.1)).To(gomega.Equal(time.Second), "the other target is not more likely")
+	g.Expect(e.WaitBudget(35*time.Millisecond, expected, expected, 0.1)).To(gomega.Equal(35*time.Millisecond), "too little time remains for another target")
+	g.Expect(e.WaitBudget(time.Second, expected, 3*time.Second, 0.1)).To(gomega.Equal(time.Second), "the other target is not more likely")
 }
--- a/core/order/job.go
+++ b/core/order/job.go
@@ -65,11 +65,11 @@
 	ctx, cancel := context.WithTimeout(ctx, jobLimit)
 	defer cancel()
 	s, id := j.s, j.target.ID()
-	s.o.Roster.Order(id, time.Now().Add(firstOrdered))
+	s.o.Roster.BeginUpdate(id, time.Now().Add(firstOrdered))
 	s.o.Changed()
 	j.goesOn()
 	err := j.swap(ctx)
-	s.o.Roster.Done(id)
+	s.o.Roster.EndUpdate(id)
 	defer s.o.Changed()
 	s.swapMu.Lock()
 	defer s.swapMu.Unlock()
@@ -80,9 +80,9 @@
 		return
 	}
 	delete(s.rest, id)
-	s.o.Roster.Learn(id, j.model, j.version)
+	s.o.Roster.RecordVersion(id, j.model, j.version)
 	if s.o.Audience != nil {
-		s.o.Audience.Ended(j.target, j.model, j.version)
+		s.o.Audience.UpdateEnded(j.target, j.model, j.version)
 	}
 }
 
@@ -92,7 +92,7 @@
 		return
 	}
 	j.told = time.Now()
-	j.s.o.Audience.Began(j.target, j.model, toldOrdered)
+	j.s.o.Audience.UpdateStarted(j.target, j.model, toldOrdered)
 }
 
 // Reasons why a swap failed.
@@ -121,7 +121,7 @@
 		if err := j.look(ctx); err != nil && ctx.Err() == nil {
 			return err
 		}
-		j.s.o.Roster.Order(j.target.ID(), time.Now().Add(stillOrdered))
+		j.s.o.Roster.BeginUpdate(j.target.ID(), time.Now().Add(stillOrdered))
 		j.goesOn()
 	}
 	return nil
@@ -141,7 +141,7 @@
 		st, err = j.s.o.Commander.State(own, j.target.Entry().Address, j.target.ID())
 		cancel()
 		if err == nil && st.Run != "" && st.Run != j.target.ID() {
-			j.s.o.Roster.Ended(j.target.ID())
+			j.s.o.Roster.RecordReplaced(j.target.ID())
 			return errAnother
 		}
 		if err == nil {
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -42,7 +42,7 @@
 
 // workers is what orders need to know of workers.
 type workers interface {
-	Worker(name string) (home.WorkerStatus, bool)
+	WorkerStatus(name string) (home.WorkerStatus, bool)
 	// Workers returns the engines of this cell.
 	Workers(snap *conf.Snapshot, view *fleet.View) []string
 }
@@ -149,7 +149,7 @@
 	var out []want
 	for _, worker := range h.o.Workers.Workers(snap, view) {
 		t := snap.Target(worker)
-		st, ok := h.o.Workers.Worker(worker)
+		st, ok := h.o.Workers.WorkerStatus(worker)
 		if !ok || !view.Usable(worker, t) {
 			continue
 		}
@@ -168,7 +168,7 @@
 	salt := cache.Salt{Model: d.Model, WeightVersion: d.WeightVersion}
 	for _, a := range append([]string{""}, d.Adapters...) {
 		salt.Adapter = a
-		if !slices.Contains(st.Holds, home.Weights(salt)) {
+		if !slices.Contains(st.Holds, home.WeightsName(salt)) {
 			return false
 		}
 	}
@@ -210,7 +210,7 @@
 	var rest []slot
 	for _, s := range slots {
 		wanted := slices.ContainsFunc(wants, func(w want) bool { return w.worker == s.Worker && w.deployment == s.Deployment })
-		st, known := h.o.Workers.Worker(s.Worker)
+		st, known := h.o.Workers.WorkerStatus(s.Worker)
 		mine := view.CellOf(s.Worker) == view.Cell()
 		if !mine || wanted || (known && st.Loading) {
 			rest = append(rest, s)
@@ -266,7 +266,7 @@
 
 // again sends an order once more where the worker does not show that it loads.
 func (h *Holder) again(ctx context.Context, w want, s slot) {
-	st, known := h.o.Workers.Worker(w.worker)
+	st, known := h.o.Workers.WorkerStatus(w.worker)
 	if !known || st.Loading || time.Since(h.sent[w.worker]) < sendAgain || !h.mayOrder(w) {
 		return
 	}
--- a/core/order/swap.go
+++ b/core/order/swap.go
@@ -43,9 +43,9 @@
 // Audience hears of swaps for daemons that this one's heartbeats do not reach.
 type Audience interface {
 	// Began tells that a worker is about to change its weights, for about some more time.
-	Began(t *roster.Target, model string, lasts time.Duration)
+	UpdateStarted(t *roster.Target, model string, lasts time.Duration)
 	// Ended tells that a worker holds a version of the weights.
-	Ended(t *roster.Target, model string, version int64)
+	UpdateEnded(t *roster.Target, model string, version int64)
 }
 
 // Swapper brings the workers to the newest weights, some at a time and idle
@@ -137,7 +137,7 @@
 		}
 		for _, model := range svc.Engine.Models {
 			version := s.o.Named(model)
-			for _, w := range s.o.Roster.Of(svc.Name) {
+			for _, w := range s.o.Roster.ByService(svc.Name) {
 				if w.Entry().Weights[model] < version && meant(w) {
 					return true
 				}
@@ -208,10 +208,10 @@
 // progress returns how far the swaps of a model to a version are. It is called
 // with swapMu held.
 func (s *Swapper) progress(service, model string, version int64, now time.Time) progress {
-	workers := s.o.Roster.Of(service)
+	workers := s.o.Roster.ByService(service)
 	pr := progress{behind: map[Right][]*roster.Target{}, running: map[Right]int{}}
 	// Other daemons' swaps are told in heartbeats.
-	ordered, divided := s.o.Roster.Ordered(now), s.divided(service)
+	ordered, divided := s.o.Roster.Updating(now), s.divided(service)
 	for _, t := range workers {
 		right := s.right(t, divided)
 		if right == nil {
@@ -233,7 +233,7 @@
 
 // leaves reports whether a worker leaves: the load of weights would end with it.
 func (s *Swapper) leaves(t *roster.Target) bool {
-	_, leaves := s.o.Roster.Leaving(t)
+	_, leaves := s.o.Roster.ShuttingDown(t)
 	return leaves
 }
 
@@ -284,5 +284,5 @@
 // weight orders workers by what a swap interrupts.
 func weight(t *roster.Target) int {
 	l := t.Load()
-	return l.Held + l.Running
+	return l.OccupiedTokens + l.Running
 }
--- a/core/order/swap_test.go
+++ b/core/order/swap_test.go
@@ -97,9 +97,11 @@
 	heard []string
 }
 
-func (a *fakeAudience) Began(t *roster.Target, _ string, _ time.Duration) { a.hear("began " + t.ID()) }
+func (a *fakeAudience) UpdateStarted(t *roster.Target, _ string, _ time.Duration) {
+	a.hear("began " + t.ID())
+}
 
-func (a *fakeAudience) Ended(t *roster.Target, _ string, version int64) {
+func (a *fakeAudience) UpdateEnded(t *roster.Target, _ string, version int64) {
 	a.hear(fmt.Sprintf("ended %s %d", t.ID(), version))
 }
 
@@ -156,7 +158,7 @@
 
 func (r *swapRig) behind() int {
 	n := 0
-	for _, t := range r.roster.Of("llm") {
+	for _, t := range r.roster.ByService("llm") {
 		if t.Entry().Weights["m"] < r.named.Load() {
 			n++
 		}
@@ -256,7 +258,7 @@
 		o.Cell = func() Right { return cell }
 	})
 	behind := func() (mine, others int) {
-		for _, t := range r.roster.Of("llm") {
+		for _, t := range r.roster.ByService("llm") {
 			switch {
 			case t.Entry().Weights["m"] >= r.named.Load():
 			case own(t.ID(), ""):
--- a/core/relay/admit.go
+++ b/core/relay/admit.go
@@ -36,8 +36,8 @@
 	after := time.Duration(float64(max(expected, minRetryAfter)) * jitter)
 	if p.deadline.IsZero() {
 		p.deadline = p.start.Add(defaultTimeout)
-		if p.meta.Deadline > 0 {
-			p.deadline = p.start.Add(p.meta.Deadline)
+		if p.meta.Timeout > 0 {
+			p.deadline = p.start.Add(p.meta.Timeout)
 		}
 	}
 	limit := time.Duration(maxRetryAfterShare * float64(time.Until(p.deadline)))
@@ -46,7 +46,7 @@
 
 // admit parses the request, finds its route and organisation, and reads its body.
 func (p *proxiedRequest) admit() *entry.Refusal {
-	meta, err := p.relay.options.Dialect.Ask(p.r.Header)
+	meta, err := p.relay.options.Dialect.ParseRequest(p.r.Header)
 	p.meta = meta
 	if err != nil {
 		return entry.NewRefusal(http.StatusBadRequest, entry.CodeBadRequest, entry.NotRun, err.Error(), 0)
@@ -67,7 +67,7 @@
 	if p.route = t.Match(p.r.Host, path); p.route == nil {
 		return p.refuseUnknown(http.StatusNotFound, entry.CodeNotFound, "there is no route for this host and path")
 	}
-	p.organisation = t.Organisation(meta.Key)
+	p.organisation = t.Organisation(meta.APIKey)
 	if p.organisation == nil && t.Keyed() && !p.route.Public {
 		return p.refuseUnknown(http.StatusUnauthorized, entry.CodeBadKey, "the key is not known")
 	}
@@ -79,8 +79,8 @@
 // refuseUnknown refuses a request for a route or key that the configuration does not contain. If
 // the daemon may have missed a change, it refuses as not ready instead.
 func (p *proxiedRequest) refuseUnknown(status int, code entry.Code, text string) *entry.Refusal {
-	if !p.relay.options.Current() {
-		return p.refuseFor(entry.CodeNotReady, "the daemon does not know whether its configuration is current: "+text, p.relay.options.Age())
+	if !p.relay.options.ConfigCurrent() {
+		return p.refuseFor(entry.CodeNotReady, "the daemon does not know whether its configuration is current: "+text, p.relay.options.ViewAge())
 	}
 	return entry.NewRefusal(status, code, entry.NotRun, text, 0)
 }
@@ -102,8 +102,8 @@
 // setDeadline sets the deadline from the caller's deadline and the route's timeout.
 func (p *proxiedRequest) setDeadline() {
 	timeout := defaultTimeout
-	if p.meta.Deadline > 0 {
-		timeout = p.meta.Deadline
+	if p.meta.Timeout > 0 {
+		timeout = p.meta.Timeout
 	}
 	if p.route.Timeout > 0 {
 		timeout = min(timeout, p.route.Timeout)
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -24,16 +24,16 @@
 	version := c.target.Entry().Version
 	p.relay.options.Canary.Begin(p.service, version)
 	// If another cell made the choice, the context owner there publishes the load.
-	if p.meta.Prompt > 0 && c.report == nil && !p.relay.options.Without.Publishing {
-		p.relay.options.Placed()
+	if p.meta.PromptTokens > 0 && c.report == nil && !p.relay.options.Disabled.Publishing {
+		p.relay.options.PublishState()
 	}
 	prefilled := false
 	defer func() {
 		load := c.load
 		if prefilled {
-			load.Unread = 0
+			load.QueuedTokens = 0
 		}
-		c.target.End(load)
+		c.target.RemoveLoad(load)
 		p.relay.options.Canary.End(p.service, version)
 		c.report.reportEnd()
 	}()
@@ -41,13 +41,13 @@
 	onFirst := func() {
 		if !prefilled {
 			prefilled = true
-			c.target.End(roster.Load{Unread: c.load.Unread})
+			c.target.RemoveLoad(roster.Load{QueuedTokens: c.load.QueuedTokens})
 		}
 	}
 	sent := time.Now()
 	c.sentAt = clock.Now()
 	p.relay.options.Stats.Attempts.Inc()
-	if c.permit.Held {
+	if c.permit.Taken {
 		p.relay.options.Stats.RateLimitedAttempts.Inc()
 	}
 	ctx, cancel := p.waitBudget(ctx, c)
@@ -57,15 +57,15 @@
 		return p.classifyNoAnswer(ctx, c, err), nil
 	}
 	defer in.Close()
-	reply := p.relay.options.Dialect.Reply(in.Status, in.Header)
+	reply := p.relay.options.Dialect.ParseResponse(in.Status, in.Header)
 	if out, ok := p.checkAnswer(c, in, &reply); !ok {
 		return out, nil
 	}
 	p.attempts++
 	p.executions++
 	p.relay.options.Poison.Answers(c.target.ID())
-	if reply.Weights > 0 {
-		p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
+	if reply.WeightVersion > 0 {
+		p.relay.options.Roster.RecordVersion(c.target.ID(), p.meta.Model, reply.WeightVersion)
 	}
 	if p.route.Kind == table.Stream && in.Status == http.StatusOK {
 		out := p.passOnStream(c, in, &reply, sent, onFirst)
@@ -85,10 +85,10 @@
 func (p *proxiedRequest) waitBudget(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
 	now := time.Now()
 	remaining := p.route.Aim - now.Sub(p.start)
-	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.Attempts || remaining <= 0 || c.onlyCandidate || p.relay.options.Without.WaitBudget {
+	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.Attempts || remaining <= 0 || c.onlyCandidate || p.relay.options.Disabled.WaitBudget {
 		return context.WithCancel(ctx)
 	}
-	budget := p.estimate(now).Patience(remaining, c.judgement.Expected, c.judgement.Expected, retryAdvantage)
+	budget := p.estimate(now).WaitBudget(remaining, c.judgement.Expected, c.judgement.Expected, retryAdvantage)
 	if budget >= remaining {
 		return context.WithCancel(ctx)
 	}
@@ -98,12 +98,12 @@
 // classifyNoAnswer records an attempt without an answer and returns its outcome.
 func (p *proxiedRequest) classifyNoAnswer(ctx context.Context, c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
-	sent := target.WasSent(err)
+	sent := target.MayHaveArrived(err)
 	if sent {
 		p.attempts++
 		p.executions++
 	} else {
-		p.relay.options.Roster.Return(c.target, c.permit)
+		p.relay.options.Roster.ReturnPermit(c.target, c.permit)
 	}
 	var unavailable *unavailableError
 	switch {
@@ -127,7 +127,7 @@
 		p.relay.options.Poison.Refused(c.target.ID(), err)
 		return outcomeNotSent
 	}
-	if !target.WasEarly(err) {
+	if !target.ClosedEarly(err) {
 		p.recordDisconnect(c)
 	}
 	return outcomeIncomplete
@@ -136,7 +136,7 @@
 // recordDisconnect records that the connection to a target closed under the request. The request
 // may have crashed the target, and its caller may repeat it.
 func (p *proxiedRequest) recordDisconnect(c *choice) {
-	if _, shuttingDown := p.relay.options.Roster.Leaving(c.target); !shuttingDown {
+	if _, shuttingDown := p.relay.options.Roster.ShuttingDown(c.target); !shuttingDown {
 		p.relay.options.Poison.Lost(p.digest, p.organisationName(), c.target.ID(), c.target.Entry().Address)
 	}
 }
@@ -156,28 +156,28 @@
 
 // checkAnswer reports whether a response is the target's answer to this request; if not it returns
 // the outcome of the attempt.
-func (p *proxiedRequest) checkAnswer(c *choice, in *target.Incoming, reply *Reply) (outcome, bool) {
+func (p *proxiedRequest) checkAnswer(c *choice, in *target.Response, reply *ResponseMeta) (outcome, bool) {
 	misdirected := in.Status == http.StatusMisdirectedRequest
 	p.recordSelfReport(c, misdirected, reply)
 	switch {
-	case reply.ID != "" && reply.ID != p.meta.ID, reply.ID == "" && !reply.NotRun && !misdirected:
+	case reply.AttemptID != "" && reply.AttemptID != p.meta.AttemptID, reply.AttemptID == "" && !reply.NotExecuted && !misdirected:
 		p.relay.options.Stats.MismatchedAnswers.Inc()
-		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer is for request "+strconv.Quote(reply.ID))
-		in.Spoil()
+		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer is for request "+strconv.Quote(reply.AttemptID))
+		in.Discard()
 		p.attempts++
 		p.executions++
 		p.recordAnswer(c, false)
 		return outcomeIncomplete, false
 	case misdirected:
 		p.relay.options.Stats.Misdirected.Inc()
-		if reply.Weights > 0 {
-			p.relay.options.Roster.Learn(c.target.ID(), p.meta.Model, reply.Weights)
+		if reply.WeightVersion > 0 {
+			p.relay.options.Roster.RecordVersion(c.target.ID(), p.meta.Model, reply.WeightVersion)
 		}
 		if reply.Target != "" && reply.Target != c.target.Entry().Name {
 			// The address now belongs to another target.
 			p.recordNoAnswer(c)
 		}
-	case reply.NotRun:
+	case reply.NotExecuted:
 		p.relay.options.Stats.NotExecuted.Inc()
 		p.recordReload(c)
 	default:
@@ -196,19 +196,19 @@
 
 // recordReload skips a worker that appears to be changing its weights.
 func (p *proxiedRequest) recordReload(c *choice) {
-	if c.attemptMeta.Weights == 0 || c.attemptMeta.Weights >= p.relay.options.Named(p.meta.Model) {
+	if c.attemptMeta.WeightVersion == 0 || c.attemptMeta.WeightVersion >= p.relay.options.DesiredWeights(p.meta.Model) {
 		return
 	}
 	c.report.recordReload()
-	p.relay.options.Roster.Reloads(c.target.ID(), time.Now().Add(reloadTime))
-	p.relay.options.Placed()
+	p.relay.options.Roster.RecordReloading(c.target.ID(), time.Now().Add(reloadTime))
+	p.relay.options.PublishState()
 }
 
 // maxDrainBytes bounds how much of a refusal's body is read so that its connection can be reused.
 const maxDrainBytes = 16 << 10
 
 // outgoing returns the request as it is sent to the target.
-func (p *proxiedRequest) outgoing(c *choice) *target.Outgoing {
+func (p *proxiedRequest) outgoing(c *choice) *target.Request {
 	h := make(http.Header, len(p.r.Header)+8)
 	hopByHop := strings.Split(p.r.Header.Get("Connection"), ",")
 	for name, values := range p.r.Header {
@@ -218,19 +218,19 @@
 	}
 	p.adjustForSuspend()
 	s := c.attemptMeta
-	s.Deadline = time.Until(p.deadline)
-	s.After = p.lastEventID
+	s.Timeout = time.Until(p.deadline)
+	s.LastEventID = p.lastEventID
 	s.Organisation = p.organisationName()
-	p.relay.options.Dialect.Sending(h, &s)
-	out := &target.Outgoing{Method: p.r.Method, URI: p.r.RequestURI, Host: p.r.Host, Header: h, Body: p.body, May: p.availabilityCheck(c)}
+	p.relay.options.Dialect.WriteAttempt(h, &s)
+	out := &target.Request{Method: p.r.Method, URI: p.r.RequestURI, Host: p.r.Host, Header: h, Body: p.body, BeforeWrite: p.availabilityCheck(c)}
 	if !p.route.MayRepeat() {
-		out.Fresh = maxIdleForOnce
+		out.MaxIdle = maxIdleForOnce
 	}
 	return out
 }
 
 // unavailableError reports why an attempt was not sent.
-type unavailableError struct{ reason roster.Stop }
+type unavailableError struct{ reason roster.UnavailabilityReason }
 
 // Error implements error.
 func (e *unavailableError) Error() string { return "the target " + e.reason.String() }
@@ -239,7 +239,7 @@
 // written.
 func (p *proxiedRequest) availabilityCheck(c *choice) func() error {
 	return func() error {
-		if stop := p.relay.options.Roster.Enter(c.target, c.permit); stop != roster.Open {
+		if stop := p.relay.options.Roster.Admit(c.target, c.permit); stop != roster.Available {
 			return &unavailableError{stop}
 		}
 		return nil
--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -20,11 +20,11 @@
 // choice is the target of one attempt and what was expected of it.
 type choice struct {
 	target      *roster.Target
-	attemptMeta Sending
+	attemptMeta AttemptMeta
 	load        roster.Load
 	// judgement is what was expected of the target, and baseline the expected time to a first
 	// answer of any target of the service with the same load.
-	judgement route.Judgement
+	judgement route.Evaluation
 	baseline  time.Duration
 	// factors are the inputs of that time.
 	factors learn.Factors
@@ -40,14 +40,14 @@
 	// loadCounted is set while load is counted at the target.
 	loadCounted bool
 	// permit is the permit for a target with a rate limit, and sentAt when the request was sent.
-	permit roster.Token
+	permit roster.Permit
 	sentAt clock.Time
 }
 
 // addLoad counts the load of the choice at its target.
 func (c *choice) addLoad() {
 	if !c.loadCounted {
-		c.target.Begin(c.load)
+		c.target.AddLoad(c.load)
 		c.loadCounted = true
 	}
 }
@@ -55,7 +55,7 @@
 // releaseLoad takes back what addLoad counted if the choice is not used.
 func (c *choice) releaseLoad() {
 	if c != nil && c.loadCounted {
-		c.target.End(c.load)
+		c.target.RemoveLoad(c.load)
 		c.loadCounted = false
 	}
 }
@@ -108,8 +108,8 @@
 		candidates[i] = alternatives[i].candidate
 	}
 	input, estimate := p.routeInput(len(targets), share, now), p.estimate(now)
-	spot := route.Spot{Context: p.contextHash(), Turn: p.relay.choiceCount.Add(1), Chance: randomFraction()}
-	index, judgement := route.PickBy(p.placement(svc), &input, candidates, estimate, &p.relay.options.Prices, spot)
+	spot := route.PlacementInput{ContextHash: p.contextHash(), Turn: p.relay.choiceCount.Add(1), Random: randomFraction()}
+	index, judgement := route.PickWith(p.placement(svc), &input, candidates, estimate, &p.relay.options.Costs, spot)
 	if index < 0 {
 		return nil, reason
 	}
@@ -150,7 +150,7 @@
 		prefill := copying
 		copying.plan.applyTo(&copying.candidate, segments)
 		out = append(out, copying)
-		if copying.plan.copyCount > 0 && p.placement(svc) == route.Returning && !p.relay.options.Without.Prefill {
+		if copying.plan.copyCount > 0 && p.placement(svc) == route.LowestCost && !p.relay.options.Disabled.Prefill {
 			prefill.plan.copyCount, prefill.plan.copyTime = 0, 0
 			prefill.plan.applyTo(&prefill.candidate, segments)
 			out = append(out, prefill)
@@ -163,7 +163,7 @@
 // measurements apply to engines only.
 func (p *proxiedRequest) placement(svc *table.Service) route.Placement {
 	if svc.Engine == nil {
-		return route.Returning
+		return route.LowestCost
 	}
 	return p.relay.options.Placement
 }
@@ -179,30 +179,30 @@
 
 // routeInput returns what a decision among some targets needs to know of the request. share is the
 // fraction of the service's targets that they were taken from.
-func (p *proxiedRequest) routeInput(targets int, share float64, now time.Time) route.Asked {
-	out := route.Asked{
-		Tokens: p.meta.Prompt, Bytes: p.bodyBytes, Aim: p.route.Aim, Spent: now.Sub(p.start), Left: p.deadline.Sub(now),
-		Rate: share * p.relay.utilityRate(p.service, targets, now),
+func (p *proxiedRequest) routeInput(targets int, share float64, now time.Time) route.PickRequest {
+	out := route.PickRequest{
+		Tokens: p.meta.PromptTokens, Bytes: p.bodyBytes, Objective: p.route.Aim, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
+		UtilityRate: share * p.relay.utilityRate(p.service, targets, now),
 	}
-	if p.relay.options.Without.QueueCost {
-		out.Rate = 0
+	if p.relay.options.Disabled.QueueCost {
+		out.UtilityRate = 0
 	}
 	return out
 }
 
 // candidate returns what a decision needs to know of a target, except for the shared segments.
 func (p *proxiedRequest) candidate(svc *table.Service, t eligibleTarget) route.Candidate {
-	without := &p.relay.options.Without
+	without := &p.relay.options.Disabled
 	c := route.Candidate{
-		Running: t.load.Running, Slots: max(1, t.entry.Slots), Unread: t.load.Unread, Held: t.load.Held,
-		Far: t.entry.Domain != p.originDomain && !without.LocalDomain, Cold: (p.remote || !p.relay.options.Pool.Warm(t.entry.Address)) && !without.OpenConnections, Doubtful: t.health.Lapsed,
-		Faults: t.state.Faults, Pace: t.state.Pace,
+		Running: t.load.Running, Slots: max(1, t.entry.Slots), QueuedTokens: t.load.QueuedTokens, OccupiedTokens: t.load.OccupiedTokens,
+		CrossDomain: t.entry.Domain != p.originDomain && !without.LocalDomain, NoConnection: (p.remote || !p.relay.options.Pool.HasIdle(t.entry.Address)) && !without.OpenConnections, Lapsed: t.health.Lapsed,
+		FailureShare: t.state.FailureShare, Slowdown: t.state.Slowdown,
 	}
 	if svc.Engine != nil {
 		if !without.MemoryPressure {
-			c.Memory = svc.Engine.MemoryTokens
+			c.MemoryTokens = svc.Engine.MemoryTokens
 		}
-		c.Old = t.weightVersion < p.relay.options.Named(p.meta.Model)
+		c.OldWeights = t.weightVersion < p.relay.options.DesiredWeights(p.meta.Model)
 	}
 	return c
 }
@@ -215,28 +215,28 @@
 		return
 	}
 	version := c.eligible.weightVersion
-	c.attemptMeta.Weights = version
-	c.load.Unread = c.factors.Own
-	c.load.Held = p.meta.Prompt
+	c.attemptMeta.WeightVersion = version
+	c.load.QueuedTokens = c.factors.OwnTokens
+	c.load.OccupiedTokens = p.meta.PromptTokens
 	if version == 0 || !p.relay.options.Placement.Exports() {
 		return
 	}
 	p.setCopySources(&c.attemptMeta, c.plan.sources[:c.plan.copyCount])
-	if version >= p.relay.options.Named(p.meta.Model) && !p.relay.options.Without.StoreCopies {
+	if version >= p.relay.options.DesiredWeights(p.meta.Model) && !p.relay.options.Disabled.StoreCopies {
 		p.setStoreTargets(&c.attemptMeta, c.plan.sources, version, clock.Now())
 	}
 }
 
 // recordChoice records that the choice is used, and completes its metadata.
 func (p *proxiedRequest) recordChoice(c *choice, now time.Time) {
-	if c.load.Held == 0 {
+	if c.load.OccupiedTokens == 0 {
 		return
 	}
-	c.attemptMeta.Salt = p.cacheSalt(c.attemptMeta.Weights).String()
+	c.attemptMeta.CacheSalt = p.cacheSalt(c.attemptMeta.WeightVersion).String()
 	c.attemptMeta.Priority = p.priority()
-	p.relay.options.Stats.PromptTokens.Add(p.meta.Prompt)
-	p.relay.options.Stats.PromptTokensCopied.Add(c.candidate.Copied)
-	p.relay.options.Stats.PromptTokensCached.Add(c.candidate.Kept)
+	p.relay.options.Stats.PromptTokens.Add(p.meta.PromptTokens)
+	p.relay.options.Stats.PromptTokensCopied.Add(c.candidate.CopiedTokens)
+	p.relay.options.Stats.PromptTokensCached.Add(c.candidate.CachedTokens)
 	if c.report != nil {
 		c.report.reportSent()
 	} else {
@@ -250,16 +250,16 @@
 	if c.report != nil {
 		p.note("chosen by %s", c.report.peer)
 	}
-	if len(c.attemptMeta.Copy) > 0 {
-		p.note("copied from %s", strings.Join(c.attemptMeta.Copy, ","))
+	if len(c.attemptMeta.CopyFrom) > 0 {
+		p.note("copied from %s", strings.Join(c.attemptMeta.CopyFrom, ","))
 	}
-	if len(c.attemptMeta.Keep) > 0 {
-		p.note("stored in %s", strings.Join(c.attemptMeta.Keep, ","))
+	if len(c.attemptMeta.StoreTo) > 0 {
+		p.note("stored in %s", strings.Join(c.attemptMeta.StoreTo, ","))
 	}
 	candidate := &c.candidate
 	p.note("cached %d and copied %d of %d shared tokens, prompt %d tokens, queued %d tokens, running %d, held %d tokens, expected %s, on-time chance %.2f, utility %.2f, weights %d",
-		candidate.Kept, candidate.Copied, p.sharedTokens(), p.meta.Prompt, candidate.Unread, candidate.Running, candidate.Held, c.judgement.Expected.Round(time.Millisecond),
-		c.judgement.InTime, c.judgement.Worth, c.attemptMeta.Weights)
+		candidate.CachedTokens, candidate.CopiedTokens, p.sharedTokens(), p.meta.PromptTokens, candidate.QueuedTokens, candidate.Running, candidate.OccupiedTokens, c.judgement.Expected.Round(time.Millisecond),
+		c.judgement.WithinObjective, c.judgement.NetUtility, c.attemptMeta.WeightVersion)
 }
 
 // Priorities of requests at model workers; 0 is the most urgent.
--- a/core/relay/dialect.go
+++ b/core/relay/dialect.go
@@ -9,81 +9,81 @@
 )
 
 // Ask is the metadata of a caller's request.
-type Ask struct {
+type RequestMeta struct {
 	// ID identifies the caller's attempt; every answer repeats it.
-	ID string
+	AttemptID string
 	// Deadline is how long the caller waits, from the arrival of the request; 0 if not given.
-	Deadline time.Duration
+	Timeout time.Duration
 	// Key is the caller's API key, or "".
-	Key string
+	APIKey string
 	// Model is the requested model, or "".
 	Model string
 	// Prompt is the length of the prompt in tokens.
-	Prompt int
+	PromptTokens int
 	// Parts are the segments of the prompt, in order.
-	Parts []cache.Part
+	Segments []cache.Segment
 	// After is the ID of the last event that the caller received of a broken stream, or "".
-	After string
+	LastEventID string
 }
 
 // Sending is the metadata that is sent to a target with a request.
-type Sending struct {
+type AttemptMeta struct {
 	// Deadline is the remaining time.
-	Deadline time.Duration
+	Timeout time.Duration
 	// Target is the ID of the target incarnation that must answer.
 	Target string
 	// Organisation is the caller's organisation, or "".
 	Organisation string
 	// Salt is the cache salt of the segments, or "".
-	Salt string
+	CacheSalt string
 	// Weights is the version of the weights that the target must have; 0 for any.
-	Weights int64
+	WeightVersion int64
 	// Priority is the request's priority; 0 is the most urgent.
 	Priority int
 	// Copy holds, for each segment, the address of the KV-cache store or worker to copy it from, or
 	// "".
-	Copy []string
+	CopyFrom []string
 	// CopyUntil is the time on the targets' clock after which copies must be discarded; 0 for
 	// never.
-	CopyUntil time.Duration
+	CopyDeadline time.Duration
 	// Keep holds, for each segment, the address of the KV-cache store to write it to, or "".
-	Keep []string
+	StoreTo []string
 	// After is the ID of the last event that the caller has received, or "".
-	After string
+	LastEventID string
 }
 
 // Reply is the metadata in the header of a target's answer.
-type Reply struct {
+type ResponseMeta struct {
 	// ID identifies the caller's attempt that is answered.
-	ID string
+	AttemptID string
 	// Sealed is set if the target signed the answer.
-	Sealed bool
+	Signed bool
 	// NotRun is set if the target did not execute the request and never will.
-	NotRun bool
+	NotExecuted bool
 	// Target is the name of the target that answered, or "" if not given.
 	Target string
 	// Weights is the version of the weights; 0 if not given.
-	Weights int64
+	WeightVersion int64
 	// Encoded is set if the body is not encoded as the target made it.
 	Encoded bool
 	// Leaves is set if the target reports that it is shutting down.
-	Leaves bool
+	ShuttingDown bool
 	// Rest is the pushback that a refusal asks for, or 0; Odd is its value if it cannot be parsed,
 	// or "".
-	Rest time.Duration
-	Odd  string
+	Pushback    time.Duration
+	BadPushback string
 	// Limit is the rate limit that the target names, for all daemons together.
-	Limit roster.Limit
+	RateLimit roster.RateLimit
 }
 
 // Dialect reads and writes the headers used with callers and targets.
 type Dialect interface {
 	// Ask parses a caller's headers.
-	Ask(h http.Header) (Ask, error)
+	ParseRequest(h http.Header) (RequestMeta, error)
 	// Sending removes the headers reserved for the daemon from h, and writes s.
-	Sending(h http.Header, s *Sending)
+	WriteAttempt(h http.Header, s *AttemptMeta)
 	// Reply parses the header of a target's answer.
-	Reply(status int, h http.Header) Reply
+	ParseResponse(status int, h http.Header) ResponseMeta
 	// Refusal writes the ID of the caller's attempt and the Retry-After.
-	Refusal(h http.Header, id string, after time.Duration)
+	WriteRefusal(h http.Header, id string, after time.Duration)
 }
--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -35,7 +35,7 @@
 // refused, since this daemon does not know the load of other workers. It falls back to all targets
 // only if none of its own answers.
 func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
-	all := p.relay.options.Roster.Of(p.service)
+	all := p.relay.options.Roster.ByService(p.service)
 	sharded := p.relay.sharded(p.service)
 	if svc.Engine == nil && !sharded {
 		own, reason = p.eligibleTargets(svc, all, true, now)
@@ -56,7 +56,7 @@
 // shared is set if this daemon is one of those that use these targets.
 func (p *proxiedRequest) eligibleTargets(svc *table.Service, list []*roster.Target, shared bool, now time.Time) ([]eligibleTarget, string) {
 	var out []eligibleTarget
-	availability, reloading := p.relay.options.Roster.Gate(now), p.relay.options.Roster.Reloading(now)
+	availability, reloading := p.relay.options.Roster.Availability(now), p.relay.options.Roster.Reloading(now)
 	var rejected unavailability
 	list = p.applyRollout(list)
 	for _, t := range list {
@@ -72,30 +72,30 @@
 			rejected.excludedVersions++
 			continue
 		}
-		stop, duration := availability.Stop(t)
-		if stop == roster.Open && !shared && availability.Limits(t) {
+		stop, duration := availability.Reason(t)
+		if stop == roster.Available && !shared && availability.RateLimited(t) {
 			// Its rate limit is divided among other daemons.
-			stop = roster.Limited
+			stop = roster.RateLimited
 		}
-		if stop != roster.Open {
+		if stop != roster.Available {
 			rejected.count(t.ID(), stop, duration)
-			if stop == roster.Limited {
+			if stop == roster.RateLimited {
 				rejected.rateLimitedTarget = t
 			}
 			continue
 		}
 		p.limitConnections(svc, candidate.entry.Address, false)
-		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) || p.relay.options.Pool.Room(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
+		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) || p.relay.options.Pool.FreeCapacity(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
 			rejected.full++
 			continue
 		}
 		candidate.weightVersion = candidate.entry.Weights[p.meta.Model]
-		if svc.Engine != nil && reloading[t.ID()] && candidate.weightVersion < p.relay.options.Named(p.meta.Model) {
+		if svc.Engine != nil && reloading[t.ID()] && candidate.weightVersion < p.relay.options.DesiredWeights(p.meta.Model) {
 			rejected.full++
 			continue
 		}
-		candidate.state = p.relay.options.Targets.State(t.ID(), p.service, now)
-		if svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, candidate.weightVersion) {
+		candidate.state = p.relay.options.TargetStats.State(t.ID(), p.service, now)
+		if svc.Engine != nil && p.relay.options.WeightsOutdated(p.meta.Model, candidate.weightVersion) {
 			rejected.outdated++
 			continue
 		}
@@ -150,8 +150,8 @@
 
 // count counts a target that is unavailable to this daemon. duration is what is known of how long
 // that lasts; see roster.Gate.Stop.
-func (u *unavailability) count(id string, reason roster.Stop, duration time.Duration) {
-	if (reason == roster.Leaves || reason == roster.Rests || reason == roster.Limited) && len(u.skipped) < maxSkippedNoted {
+func (u *unavailability) count(id string, reason roster.UnavailabilityReason, duration time.Duration) {
+	if (reason == roster.ShuttingDown || reason == roster.UnderPushback || reason == roster.RateLimited) && len(u.skipped) < maxSkippedNoted {
 		u.skipped = append(u.skipped, id+" "+reason.String())
 	}
 	switch reason {
@@ -160,13 +160,13 @@
 	case roster.Evacuated:
 		u.evacuated++
 		u.evacuationAge = max(u.evacuationAge, duration)
-	case roster.Leaves:
+	case roster.ShuttingDown:
 		u.shuttingDown++
-	case roster.Rests, roster.Limited:
+	case roster.UnderPushback, roster.RateLimited:
 		if u.underPushback+u.rateLimited == 0 || duration < u.untilAvailable {
 			u.untilAvailable = duration
 		}
-		if reason == roster.Rests {
+		if reason == roster.UnderPushback {
 			u.underPushback++
 		} else {
 			u.rateLimited++
@@ -219,14 +219,14 @@
 	if svc.MaxConns <= 0 {
 		return
 	}
-	limit, daemons := connectionShare*float64(svc.MaxConns), p.relay.options.Daemons()
+	limit, daemons := connectionShare*float64(svc.MaxConns), p.relay.options.DaemonCount()
 	switch {
 	case !p.relay.sharded(p.service):
 	case external:
 		limit *= 1 - cellConnectionShare
 	default:
 		limit *= cellConnectionShare
-		daemons = p.relay.options.CellDaemons()
+		daemons = p.relay.options.CellDaemonCount()
 	}
-	p.relay.options.Pool.SetMost(address, max(1, int(limit/float64(max(1, daemons)))))
+	p.relay.options.Pool.SetMaxConns(address, max(1, int(limit/float64(max(1, daemons)))))
 }
--- a/core/relay/feedback.go
+++ b/core/relay/feedback.go
@@ -12,14 +12,14 @@
 func (rl *Relay) spendRetry(service string) bool {
 	rl.budgetMu.Lock()
 	defer rl.budgetMu.Unlock()
-	return rl.retryBudget(service).Spend(time.Since(rl.start))
+	return rl.retryBudget(service).TryRetry(time.Since(rl.start))
 }
 
 // recordArrival records a request for a service and its utility.
 func (rl *Relay) recordArrival(service string, utility float64, now time.Time) {
 	rl.budgetMu.Lock()
 	defer rl.budgetMu.Unlock()
-	rl.retryBudget(service).Earn(time.Since(rl.start))
+	rl.retryBudget(service).RecordRequest(time.Since(rl.start))
 	r := rl.arrivalRates[service]
 	if r == nil {
 		r = &learn.Rate{}
@@ -37,7 +37,7 @@
 	if r == nil {
 		return 0
 	}
-	return r.PerSecond(now) * float64(max(1, rl.options.Daemons())) / float64(max(1, targets))
+	return r.PerSecond(now) * float64(max(1, rl.options.DaemonCount())) / float64(max(1, targets))
 }
 
 // retryBudgetUse is the fraction of the retry budget that is used: requests counted here that never
@@ -45,13 +45,13 @@
 const retryBudgetUse = 0.7
 
 // retryBudget returns the retry budget of a service. It is called with budgetMu held.
-func (rl *Relay) retryBudget(service string) *route.Allowance {
+func (rl *Relay) retryBudget(service string) *route.RetryBudget {
 	a := rl.retryBudgets[service]
 	if a == nil {
-		a = &route.Allowance{Share: rl.options.RetryShare * retryBudgetUse, Window: rl.options.RetryWindow}
+		a = &route.RetryBudget{RetriesPerRequest: rl.options.RetryShare * retryBudgetUse, Window: rl.options.RetryWindow}
 		rl.retryBudgets[service] = a
 	}
-	a.Extra = rl.options.RetryExtra * retryBudgetUse / float64(max(1, rl.options.Daemons()))
+	a.ExtraRetries = rl.options.RetryExtra * retryBudgetUse / float64(max(1, rl.options.DaemonCount()))
 	return a
 }
 
@@ -60,15 +60,15 @@
 func (p *proxiedRequest) timingKey() (string, *learn.Prior) {
 	key := p.service + " " + p.route.Name
 	if svc := p.table.Service(p.service); svc != nil && svc.Engine != nil {
-		return key, &p.relay.options.Engines
+		return key, &p.relay.options.EnginePrior
 	}
-	return key, &p.relay.options.Calls
+	return key, &p.relay.options.CallPrior
 }
 
 // estimate returns what has been learned of the times to first answers of such requests.
 func (p *proxiedRequest) estimate(now time.Time) *learn.Estimate {
 	key, prior := p.timingKey()
-	return p.relay.options.Times.Estimate(key, prior, now)
+	return p.relay.options.FirstAnswerTimes.Estimate(key, prior, now)
 }
 
 // recordAnswer records an answer of a target, and whether it was good.
@@ -76,7 +76,7 @@
 	if !p.remote {
 		p.relay.options.Canary.Answered(p.service, p.route.Name, c.target.Entry().Version, good)
 	}
-	c.target.Answered()
+	c.target.RecordResponse()
 	c.report.recordAnswer(good)
 	p.learnAnswer(c, good)
 }
@@ -94,7 +94,7 @@
 	if c.report != nil {
 		// Only the daemon that made the choice can learn about links and caches.
 		c.report.reportFirstEvent(took)
-		if c.candidate.Copied == 0 {
+		if c.candidate.CopiedTokens == 0 {
 			p.learnTime(c, took, now)
 		}
 		return
@@ -114,26 +114,26 @@
 
 // learnTime learns from the time to the first answer of a request for which nothing was copied.
 func (p *proxiedRequest) learnTime(c *choice, took time.Duration, now time.Time) {
-	if !p.relay.options.Without.Times {
+	if !p.relay.options.Disabled.Times {
 		key, prior := p.timingKey()
-		p.relay.options.Times.Observe(key, prior, c.factors, took, now)
+		p.relay.options.FirstAnswerTimes.Observe(key, prior, c.factors, took, now)
 	}
-	if c.baseline > 0 && !p.relay.options.Without.Targets {
-		p.relay.options.Targets.Timed(c.target.ID(), p.service, float64(took)/float64(c.baseline), now)
+	if c.baseline > 0 && !p.relay.options.Disabled.Targets {
+		p.relay.options.TargetStats.ObserveTime(c.target.ID(), p.service, float64(took)/float64(c.baseline), now)
 	}
 }
 
 // recordNoAnswer records that a target did not answer.
 func (p *proxiedRequest) recordNoAnswer(c *choice) {
-	c.target.Silent(time.Now())
+	c.target.RecordNoResponse(time.Now())
 	c.report.recordNoAnswer()
 	p.learnAnswer(c, false)
 }
 
 // learnAnswer records whether a target answered well.
 func (p *proxiedRequest) learnAnswer(c *choice, good bool) {
-	if !p.relay.options.Without.Targets {
-		p.relay.options.Targets.Answered(c.target.ID(), p.service, good, time.Now())
+	if !p.relay.options.Disabled.Targets {
+		p.relay.options.TargetStats.ObserveAnswer(c.target.ID(), p.service, good, time.Now())
 	}
 }
 
@@ -156,15 +156,15 @@
 		if src.depth > deepest || i == 0 {
 			deepest, tokens = src.depth, 0
 		}
-		tokens += p.meta.Parts[i].Tokens
+		tokens += p.meta.Segments[i].Tokens
 	}
-	if p.relay.options.Without.Retention {
+	if p.relay.options.Disabled.Retention {
 		return
 	}
 	e := p.estimate(now)
 	cachedTime := e.Time(c.factors)
 	factors := c.factors
-	factors.Own += tokens
+	factors.OwnTokens += tokens
 	prefillTime := e.Time(factors) - cachedTime
 	// Times also vary for other reasons, in proportion to their length.
 	if tokens == 0 || prefillTime < cachedTime {
--- a/core/relay/finish.go
+++ b/core/relay/finish.go
@@ -24,9 +24,9 @@
 		} else {
 			stats.Failed.Inc()
 		}
-		p.relay.options.Dialect.Refusal(p.w.Header(), p.meta.ID, refusal.RetryAfter)
+		p.relay.options.Dialect.WriteRefusal(p.w.Header(), p.meta.AttemptID, refusal.RetryAfter)
 		p.note("%s", refusal.Error())
-		if err := refusal.Write(p.w, p.meta.ID); err != nil {
+		if err := refusal.Write(p.w, p.meta.AttemptID); err != nil {
 			p.note("the caller disconnected: %v", err)
 		}
 		p.writeLog(event.RequestRefused, took)
@@ -57,7 +57,7 @@
 
 // ref returns the references of the request's log lines.
 func (p *proxiedRequest) ref() event.Ref {
-	ref := event.Ref{Request: p.meta.ID}
+	ref := event.Ref{Request: p.meta.AttemptID}
 	if p.lastTarget != nil {
 		ref.Target = p.lastTarget.ID()
 	}
@@ -81,7 +81,7 @@
 		version = p.table.Version()
 	}
 	text := fmt.Sprintf("took %s%s, asks %s, configuration %d, view age %s, attempts %d, executions %d; %s",
-		took.Round(time.Millisecond), first, p.digest, version, p.relay.options.Age().Round(10*time.Millisecond), p.attempts, p.executions, strings.Join(p.notes, "; "))
+		took.Round(time.Millisecond), first, p.digest, version, p.relay.options.ViewAge().Round(10*time.Millisecond), p.attempts, p.executions, strings.Join(p.notes, "; "))
 	if p.forecast != nil {
 		p.forecast.Sends = p.attempts
 	}
@@ -95,6 +95,6 @@
 	}
 	p.forecast = &event.Forecast{
 		Service: p.service, Target: c.target.ID(), ExpectedMillis: event.Millis(c.judgement.Expected),
-		InTime: c.judgement.InTime, Served: c.judgement.Served, AimMillis: event.Millis(p.route.Aim - time.Since(p.start)),
+		InTime: c.judgement.WithinObjective, Served: c.judgement.BeforeDeadline, AimMillis: event.Millis(p.route.Aim - time.Since(p.start)),
 	}
 }
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -35,7 +35,7 @@
 // many requests for a context as there are cells would find it cached. So the daemons of one cell,
 // the context's owners, decide for all its requests, and the daemon that received the request sends
 // it.
-type Homes struct {
+type ContextOwners struct {
 	relay *Relay
 	fleet *fleet.Fleet
 	// backoff holds the daemons that did not answer lately.
@@ -78,8 +78,8 @@
 
 // NewHomes makes a relay query the owners of contexts. It must be called before the fleet runs and
 // the relay serves.
-func NewHomes(rl *Relay, f *fleet.Fleet) *Homes {
-	h := &Homes{
+func NewContextOwners(rl *Relay, f *fleet.Fleet) *ContextOwners {
+	h := &ContextOwners{
 		relay: rl, fleet: f, timeout: ownerTimeout, placements: map[string]*ownedPlacement{},
 		backoff: wait.Backoff[string]{First: backoffFirst, Most: backoffMax},
 	}
@@ -110,7 +110,7 @@
 	// their self-reported state: the owner may not know that and would choose them again.
 	Excluded []string
 	// RateLimits are the rate limits of the service's targets as the sender knows them.
-	RateLimits map[string]roster.LimitNews
+	RateLimits map[string]roster.RateLimitUpdate
 	// NeedsPermit is set if the sender has no permit for the service's targets. Then a choice is
 	// useful even among targets that the sender uses itself.
 	NeedsPermit bool
@@ -167,7 +167,7 @@
 func (r *placementResponse) entry(service, model string) roster.Entry {
 	e := &r.Entry
 	return roster.Entry{
-		ID: r.Target, Name: e.Name, Born: e.Started, Service: service, Address: e.Address, Domain: e.Domain, Version: e.Version, Slots: e.Slots,
+		ID: r.Target, Name: e.Name, Started: e.Started, Service: service, Address: e.Address, Domain: e.Domain, Version: e.Version, Slots: e.Slots,
 		Weights: map[string]int64{model: r.WeightVersion},
 	}
 }
@@ -176,23 +176,23 @@
 func newPlacementResponse(c *choice, age time.Duration) *placementResponse {
 	f, candidate, judgement, e := &c.factors, &c.candidate, &c.judgement, c.target.Entry()
 	return &placementResponse{
-		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.Weights, CopyFrom: c.attemptMeta.Copy, CopyDeadline: c.attemptMeta.CopyUntil, StoreTo: c.attemptMeta.Keep,
-		PrefillTokens: f.Own, QueuedTokens: f.Before, Occupancy: f.Beside, QueueRatio: f.Waiting, MemoryPressure: f.Crowd,
-		CachedTokens: candidate.Kept, CopiedTokens: candidate.Copied, Running: candidate.Running, HeldTokens: candidate.Held,
-		Expected: judgement.Expected, Baseline: c.baseline, OnTimeChance: judgement.InTime, ServedChance: judgement.Served, Gain: judgement.Gain, Utility: judgement.Worth, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Held,
-		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Born, Slots: e.Slots}, ListAge: age,
+		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.WeightVersion, CopyFrom: c.attemptMeta.CopyFrom, CopyDeadline: c.attemptMeta.CopyDeadline, StoreTo: c.attemptMeta.StoreTo,
+		PrefillTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Occupancy: f.Utilisation, QueueRatio: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
+		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens, Running: candidate.Running, HeldTokens: candidate.OccupiedTokens,
+		Expected: judgement.Expected, Baseline: c.baseline, OnTimeChance: judgement.WithinObjective, ServedChance: judgement.BeforeDeadline, Gain: judgement.CallerUtility, Utility: judgement.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
+		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Started, Slots: e.Slots}, ListAge: age,
 	}
 }
 
 // choice returns the choice for a prompt of some tokens.
 func (r *placementResponse) choice(t *roster.Target, tokens int) *choice {
 	return &choice{
-		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Token{Held: r.PermitHeld, Far: true},
-		attemptMeta: Sending{Target: r.Target, Weights: r.WeightVersion, Copy: r.CopyFrom, CopyUntil: r.CopyDeadline, Keep: r.StoreTo},
-		load:        roster.Load{Running: 1, Unread: r.PrefillTokens, Held: tokens},
-		judgement:   route.Judgement{Expected: r.Expected, InTime: r.OnTimeChance, Served: r.ServedChance, Gain: r.Gain, Worth: r.Utility},
-		factors:     learn.Factors{Own: r.PrefillTokens, Before: r.QueuedTokens, Beside: r.Occupancy, Waiting: r.QueueRatio, Crowd: r.MemoryPressure},
-		candidate:   route.Candidate{Kept: r.CachedTokens, Copied: r.CopiedTokens, Running: r.Running, Held: r.HeldTokens, Unread: r.QueuedTokens},
+		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Permit{Taken: r.PermitHeld, Remote: true},
+		attemptMeta: AttemptMeta{Target: r.Target, WeightVersion: r.WeightVersion, CopyFrom: r.CopyFrom, CopyDeadline: r.CopyDeadline, StoreTo: r.StoreTo},
+		load:        roster.Load{Running: 1, QueuedTokens: r.PrefillTokens, OccupiedTokens: tokens},
+		judgement:   route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeChance, BeforeDeadline: r.ServedChance, CallerUtility: r.Gain, NetUtility: r.Utility},
+		factors:     learn.Factors{OwnTokens: r.PrefillTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Occupancy, QueuedPerSlot: r.QueueRatio, MemoryPressure: r.MemoryPressure},
+		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.HeldTokens, QueuedTokens: r.QueuedTokens},
 	}
 }
 
@@ -219,7 +219,7 @@
 func (p *proxiedRequest) chooseByOwner(ctx context.Context, svc *table.Service, local *choice) *choice {
 	now := time.Now()
 	h := p.relay.owners
-	if h == nil || svc.Engine == nil || p.relay.options.Without.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
+	if h == nil || svc.Engine == nil || p.relay.options.Disabled.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
 		return nil
 	}
 	peers := h.ownersOf(p.service, p.contextHash(), now)
@@ -227,7 +227,7 @@
 		return nil
 	}
 	c := p.chooseByPeers(ctx, svc, peers, now)
-	if c == nil || (local != nil && local.judgement.Gain > 0 && local.judgement.Worth > c.judgement.Worth+p.splitCost()) {
+	if c == nil || (local != nil && local.judgement.CallerUtility > 0 && local.judgement.NetUtility > c.judgement.NetUtility+p.splitCost()) {
 		return nil
 	}
 	return c
@@ -257,11 +257,11 @@
 func (p *proxiedRequest) chooseByPermit(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
 	h := p.relay.owners
-	if h == nil || p.relay.options.Choosers == nil || p.rateLimited == nil || now.Sub(p.permitQueried) < ownerQueryInterval {
+	if h == nil || p.relay.options.RankedDaemons == nil || p.rateLimited == nil || now.Sub(p.permitQueried) < ownerQueryInterval {
 		return nil
 	}
 	p.permitQueried = now
-	peers := h.responsive(p.relay.options.Choosers(p.rateLimited, p.relay.options.Roster.Holders(p.rateLimited)), now)
+	peers := h.responsive(p.relay.options.RankedDaemons(p.rateLimited, p.relay.options.Roster.Senders(p.rateLimited)), now)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), maxOwnerQueries)] {
 		if c := p.chooseByPeers(ctx, svc, []string{peer}, now); c != nil {
@@ -295,8 +295,8 @@
 // splitCost returns the cost of caching a context in two cells: for its next request it is copied,
 // over a connection that is not yet open.
 func (p *proxiedRequest) splitCost() float64 {
-	prices := &p.relay.options.Prices
-	return prices.Connect + prices.Copied*float64(p.sharedTokens()) + splitLoss*prices.Worth(p.meta.Prompt)
+	prices := &p.relay.options.Costs
+	return prices.NewConnectionCost + prices.CopyPerToken*float64(p.sharedTokens()) + splitLoss*prices.Utility(p.meta.PromptTokens)
 }
 
 // splitLoss is the fraction of an answer's utility that is lost by the time of a copy: an answer
@@ -307,23 +307,23 @@
 // worthQuerying reports whether prefilling the shared segments takes long enough to justify a query.
 func (p *proxiedRequest) worthQuerying(now time.Time) bool {
 	e := p.estimate(now)
-	return e.Time(learn.Factors{Own: p.sharedTokens()})-e.Time(learn.Factors{}) >= minPrefillTime
+	return e.Time(learn.Factors{OwnTokens: p.sharedTokens()})-e.Time(learn.Factors{}) >= minPrefillTime
 }
 
 // newPlacementRequest returns the query for the request.
 func (p *proxiedRequest) newPlacementRequest(now time.Time) *placementRequest {
 	request := &placementRequest{
-		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.Aim, Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).Wall, PromptTokens: p.meta.Prompt,
+		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.Aim, Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).Wall, PromptTokens: p.meta.PromptTokens,
 		BodyBytes: p.bodyBytes, OriginDomain: p.relay.options.Domain, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
-		Regions: p.regions, Versions: p.versions, RateLimits: p.relay.options.Roster.Limits(p.service), NeedsPermit: p.rateLimited != nil,
+		Regions: p.regions, Versions: p.versions, RateLimits: p.relay.options.Roster.RateLimits(p.service), NeedsPermit: p.rateLimited != nil,
 	}
-	for _, segment := range p.meta.Parts {
+	for _, segment := range p.meta.Segments {
 		request.Segments = append(request.Segments, placementSegment{ID: segment.ID, Tokens: segment.Tokens})
 	}
 	for id := range p.tried {
 		request.Excluded = append(request.Excluded, id)
 	}
-	request.Excluded = append(request.Excluded, p.relay.options.Roster.Stopped(p.service)...)
+	request.Excluded = append(request.Excluded, p.relay.options.Roster.SelfUnavailable(p.service)...)
 	return request
 }
 
@@ -332,22 +332,22 @@
 func (p *proxiedRequest) choiceFromResponse(svc *table.Service, peer string, request *placementRequest, response *placementResponse) *choice {
 	owners, t := p.relay.owners, p.relay.options.Roster.Target(response.Target)
 	if p.relay.sharded(p.service) && response.ListAge <= maxExternalListAge {
-		t = p.relay.options.Roster.Guest(response.entry(p.service, p.meta.Model))
+		t = p.relay.options.Roster.AddExternal(response.entry(p.service, p.meta.Model))
 	}
-	if t == nil || !p.domainAllowed(t.Entry().Domain) || !p.versions.Allows(t.Entry().Version) || (svc.Engine != nil && p.relay.options.Outdated(p.meta.Model, response.WeightVersion)) {
+	if t == nil || !p.domainAllowed(t.Entry().Domain) || !p.versions.Allows(t.Entry().Version) || (svc.Engine != nil && p.relay.options.WeightsOutdated(p.meta.Model, response.WeightVersion)) {
 		return nil
 	}
-	availability := p.relay.options.Roster.Gate(time.Now())
-	reason, _ := availability.Stop(t)
-	if (reason != roster.Open && reason != roster.Limited) || (availability.Limits(t) && !response.PermitHeld) {
+	availability := p.relay.options.Roster.Availability(time.Now())
+	reason, _ := availability.Reason(t)
+	if (reason != roster.Available && reason != roster.RateLimited) || (availability.RateLimited(t) && !response.PermitHeld) {
 		return nil
 	}
 	address := t.Entry().Address
 	p.limitConnections(svc, address, true)
-	if p.relay.options.Pool.Room(address) <= 0 {
+	if p.relay.options.Pool.FreeCapacity(address) <= 0 {
 		return nil
 	}
-	c := response.choice(t, p.meta.Prompt)
+	c := response.choice(t, p.meta.PromptTokens)
 	if svc.Engine == nil {
 		// The other cell counts no load and gets no updates for it.
 		c.load = roster.Load{Running: 1}
@@ -360,7 +360,7 @@
 // ownersOf returns the daemons to query for a context, best first, or none if this daemon's own
 // cell is its owner. A daemon always queries the same daemons of a cell, so that it needs only one
 // link per cell.
-func (h *Homes) ownersOf(service string, contextHash uint64, now time.Time) []string {
+func (h *ContextOwners) ownersOf(service string, contextHash uint64, now time.Time) []string {
 	view := h.fleet.View()
 	if view.Cells() <= 1 {
 		return nil
@@ -374,7 +374,7 @@
 
 // ownerCell returns the cell that owns a context. Each cell has about the same number of targets of
 // a sharded service; of other services, it has targets in proportion to its daemons.
-func (h *Homes) ownerCell(view *fleet.View, service string, contextHash uint64) int {
+func (h *ContextOwners) ownerCell(view *fleet.View, service string, contextHash uint64) int {
 	if h.relay.sharded(service) {
 		return view.KeyCell(contextHash)
 	}
@@ -382,12 +382,12 @@
 }
 
 // responsive returns those of some daemons that are not in backoff.
-func (h *Homes) responsive(names []string, now time.Time) []string {
+func (h *ContextOwners) responsive(names []string, now time.Time) []string {
 	return slices.DeleteFunc(names, func(name string) bool { return !h.backoff.Open(name, now) })
 }
 
 // query queries one daemon.
-func (h *Homes) query(ctx context.Context, peer string, request *placementRequest) (*placementResponse, error) {
+func (h *ContextOwners) query(ctx context.Context, peer string, request *placementRequest) (*placementResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, h.timeout)
 	defer cancel()
 	var response placementResponse
@@ -401,14 +401,14 @@
 }
 
 // newPlacementName returns a new name for a choice, unique in the fleet.
-func (h *Homes) newPlacementName() string {
+func (h *ContextOwners) newPlacementName() string {
 	return h.fleet.View().Self() + "/" + strconv.FormatInt(h.relay.start.UnixNano(), 36) + "/" + strconv.FormatInt(h.sequence.Add(1), 36)
 }
 
 // ownerReport collects and sends the updates for a choice to the daemon that made it. A nil report
 // does nothing. It is used by one goroutine.
 type ownerReport struct {
-	owners     *Homes
+	owners     *ContextOwners
 	peer, name string
 	request    *placementRequest
 	response   *placementResponse
@@ -469,7 +469,7 @@
 
 // updateSender sends one update to an owner.
 type updateSender struct {
-	owners *Homes
+	owners *ContextOwners
 	peer   string
 	update *placementUpdate
 }
--- a/core/relay/owners_test.go
+++ b/core/relay/owners_test.go
@@ -29,7 +29,7 @@
 	g      *gomega.WithT
 	rigs   []*rig
 	fleets []*fleet.Fleet
-	owners []*Homes
+	owners []*ContextOwners
 	stop   []context.CancelFunc
 	// workers are the IDs of the workers.
 	workers []string
@@ -51,16 +51,16 @@
 	for i, seed := range seeds {
 		r := newRig(t, nil)
 		// Keep the times of real engines: this rig's are not to be learned.
-		r.relay.options.Without.Times, r.relay.options.Without.Targets = true, true
+		r.relay.options.Disabled.Times, r.relay.options.Disabled.Targets = true, true
 		f := fleet.New(fleet.Options{
 			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: 250 * time.Millisecond, Suspect: 10 * time.Second, Log: &event.Log{},
 		})
-		f.Attach("roster", roster.Share{Roster: r.roster})
-		f.Attach("where", r.relay.options.Where)
-		r.relay.options.Share = func(names []string) []string { return f.View().Share(names) }
-		r.relay.options.Daemons = func() int { return daemons }
-		r.relay.options.Placed = f.Kick
-		owners := NewHomes(r.relay, f)
+		f.Attach("roster", roster.HeartbeatPart{Roster: r.roster})
+		f.Attach("where", r.relay.options.WorkerCaches)
+		r.relay.options.OwnTargets = func(names []string) []string { return f.View().Share(names) }
+		r.relay.options.DaemonCount = func() int { return daemons }
+		r.relay.options.PublishState = f.Kick
+		owners := NewContextOwners(r.relay, f)
 		// A busy box takes longer than an owner may.
 		owners.timeout = 10 * time.Second
 		h.owners = append(h.owners, owners)
@@ -114,9 +114,9 @@
 // cachedIn reports whether some daemon of a cell knows a worker that has a context cached.
 func (h *fleetRig) cachedIn(cell int, context string) func() bool {
 	return func() bool {
-		name := cache.PartName{Salt: cache.PartSalt{Model: "m", Version: 1}.String(), ID: context}
+		name := cache.SegmentName{Salt: cache.SegmentSalt{Model: "m", Version: 1}.String(), ID: context}
 		for i, f := range h.fleets {
-			if holders, _ := h.rigs[i].relay.options.Where.Find(name, time.Now()); f.View().Cell() == cell && len(holders) > 0 {
+			if holders, _ := h.rigs[i].relay.options.WorkerCaches.Find(name, time.Now()); f.View().Cell() == cell && len(holders) > 0 {
 				return true
 			}
 		}
@@ -188,11 +188,11 @@
 	const daemons = 24
 	h := newFleetRig(t, daemons, 6, always(stream(true, "id: 1\ndata: a\n\n")))
 	cell, workers := h.ownerCell("a1")
-	full := roster.Load{Running: 1, Unread: 1 << 20, Held: 1 << 20}
+	full := roster.Load{Running: 1, QueuedTokens: 1 << 20, OccupiedTokens: 1 << 20}
 	for i, f := range h.fleets {
 		if f.View().Cell() == cell {
 			for _, id := range workers {
-				h.rigs[i].roster.Target(id).Begin(full)
+				h.rigs[i].roster.Target(id).AddLoad(full)
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 	for i, f := range h.fleets {
 		for _, id := range workers {
 			if f.View().Cell() == cell {
-				h.rigs[i].roster.Target(id).End(full)
+				h.rigs[i].roster.Target(id).RemoveLoad(full)
 			}
 		}
 	}
--- a/core/relay/placements.go
+++ b/core/relay/placements.go
@@ -25,40 +25,40 @@
 var errCannotPlace = errors.New("this daemon cannot place the request")
 
 // handlePlace chooses a target for another daemon's request.
-func (h *Homes) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
+func (h *ContextOwners) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
 	p, svc := h.requestOf(request)
 	if svc == nil || (svc.Engine == nil && !h.relay.sharded(request.Service) && !request.NeedsPermit) {
 		return nil, errors.WithStack(errCannotPlace)
 	}
-	h.relay.options.Roster.MergeLimits(request.RateLimits)
+	h.relay.options.Roster.MergeRateLimits(request.RateLimits)
 	for {
 		c, reason := p.chooseLocal(svc, time.Now())
 		// The other daemon reports if it uses the choice.
 		c.releaseLoad()
-		if c == nil || c.judgement.Gain <= 0 {
+		if c == nil || c.judgement.CallerUtility <= 0 {
 			return nil, errors.Wrap(errCannotPlace, reason)
 		}
 		if p.acquire(c, time.Now()) {
-			return newPlacementResponse(c, h.relay.options.Age()), nil
+			return newPlacementResponse(c, h.relay.options.ViewAge()), nil
 		}
 	}
 }
 
 // requestOf returns another daemon's request in the form that decisions use.
-func (h *Homes) requestOf(request *placementRequest) (*proxiedRequest, *table.Service) {
+func (h *ContextOwners) requestOf(request *placementRequest) (*proxiedRequest, *table.Service) {
 	now, t := time.Now(), h.relay.Table()
 	if t == nil {
 		return nil, nil
 	}
 	p := &proxiedRequest{
 		relay: h.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining), table: t, service: request.Service, tried: map[string]int{},
-		meta: Ask{Model: request.Model, Prompt: request.PromptTokens}, route: &table.Route{Name: request.Route, Aim: request.LatencyObjective}, bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true, regions: request.Regions, versions: request.Versions,
+		meta: RequestMeta{Model: request.Model, PromptTokens: request.PromptTokens}, route: &table.Route{Name: request.Route, Aim: request.LatencyObjective}, bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true, regions: request.Regions, versions: request.Versions,
 	}
 	if request.IsolatedOrganisation != "" {
 		p.organisation = &table.Organisation{Name: request.IsolatedOrganisation, Isolated: true}
 	}
 	for _, segment := range request.Segments {
-		p.meta.Parts = append(p.meta.Parts, cache.Part{ID: segment.ID, Tokens: segment.Tokens})
+		p.meta.Segments = append(p.meta.Segments, cache.Segment{ID: segment.ID, Tokens: segment.Tokens})
 	}
 	for _, id := range request.Excluded {
 		p.tried[id]++
@@ -67,7 +67,7 @@
 }
 
 // handleUpdate processes an update on a choice.
-func (h *Homes) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
+func (h *ContextOwners) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
 	now := time.Now()
 	h.placementsMu.Lock()
 	defer h.placementsMu.Unlock()
@@ -97,7 +97,7 @@
 }
 
 // addPlacement counts the load of a choice that is used. It is called with placementsMu held.
-func (h *Homes) addPlacement(update *placementUpdate, now time.Time) {
+func (h *ContextOwners) addPlacement(update *placementUpdate, now time.Time) {
 	t := h.relay.options.Roster.Target(update.Response.Target)
 	p, svc := h.requestOf(update.Request)
 	if t == nil || svc == nil || svc.Engine == nil {
@@ -110,16 +110,16 @@
 		c.plan.copyCount, c.plan.copyTime = 0, 0
 	}
 	p.recordUse(c, now)
-	t.Begin(c.load)
+	t.AddLoad(c.load)
 	h.placements[update.Name] = &ownedPlacement{request: p, choice: c, load: c.load, deadline: p.deadline}
-	h.relay.options.Placed()
+	h.relay.options.PublishState()
 }
 
 // apply records the result of the choice and releases its load.
 func (pl *ownedPlacement) apply(update *placementUpdate, now time.Time) {
 	c := pl.choice
 	if update.ShuttingDown {
-		pl.request.relay.options.Roster.Leaves(c.target.ID(), roster.ByPeer)
+		pl.request.relay.options.Roster.RecordShutdown(c.target.ID(), roster.ByPeer)
 	}
 	switch {
 	case update.Reloading:
@@ -132,7 +132,7 @@
 		pl.request.recordAnswer(c, true)
 		pl.request.learnFromFirstAnswer(c, update.FirstEvent, now)
 	}
-	released := roster.Load{Unread: pl.load.Unread}
+	released := roster.Load{QueuedTokens: pl.load.QueuedTokens}
 	if update.Ended {
 		released = pl.load
 	}
@@ -142,20 +142,20 @@
 // releaseLoad releases part of the counted load.
 func (pl *ownedPlacement) releaseLoad(l roster.Load) {
 	if pl.choice != nil {
-		pl.choice.target.End(l)
+		pl.choice.target.RemoveLoad(l)
 	}
 	pl.load.Running -= l.Running
-	pl.load.Unread -= l.Unread
-	pl.load.Held -= l.Held
+	pl.load.QueuedTokens -= l.QueuedTokens
+	pl.load.OccupiedTokens -= l.OccupiedTokens
 }
 
 // Run removes placements whose end was not reported, until ctx ends.
-func (h *Homes) Run(ctx context.Context) {
+func (h *ContextOwners) Run(ctx context.Context) {
 	wait.Every(ctx, expiryInterval, func() { h.removeExpired(time.Now()) })
 }
 
 // removeExpired removes placements whose end was not reported.
-func (h *Homes) removeExpired(now time.Time) {
+func (h *ContextOwners) removeExpired(now time.Time) {
 	h.placementsMu.Lock()
 	defer h.placementsMu.Unlock()
 	for name, pl := range h.placements {
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -24,15 +24,15 @@
 }
 
 // passOnPlain passes on an answer that is not a stream.
-func (p *proxiedRequest) passOnPlain(c *choice, in *target.Incoming, reply *Reply, sent time.Time) (outcome, *bufferedAnswer) {
+func (p *proxiedRequest) passOnPlain(c *choice, in *target.Response, reply *ResponseMeta, sent time.Time) (outcome, *bufferedAnswer) {
 	body, err := readAll(nil, io.LimitReader(in, maxBufferedBytes))
 	if err != nil {
 		return p.classifyReadError(c, err), nil
 	}
 	answer := &bufferedAnswer{in.Status, in.Header, body}
 	good := in.Status < http.StatusInternalServerError
-	if (in.Status/100 == 2 && !reply.Sealed) || reply.Encoded {
-		in.Spoil()
+	if (in.Status/100 == 2 && !reply.Signed) || reply.Encoded {
+		in.Discard()
 		p.recordAnswer(c, false)
 		p.note("the answer is not signed")
 		return outcomeIncomplete, nil
@@ -54,7 +54,7 @@
 }
 
 // passOnRest passes on an answer that is too large to be buffered completely.
-func (p *proxiedRequest) passOnRest(answer *bufferedAnswer, in *target.Incoming) outcome {
+func (p *proxiedRequest) passOnRest(answer *bufferedAnswer, in *target.Response) outcome {
 	answer.writeHeader(p, in.Length)
 	if _, err := p.w.Write(answer.body); err != nil {
 		return outcomeCallerGone
--- a/core/relay/ratelimit_test.go
+++ b/core/relay/ratelimit_test.go
@@ -89,7 +89,7 @@
 	r := newRig(t, nil)
 	unreachable := r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
-	r.relay.options.Pool.Forget(r.roster.Target("a").Entry().Address)
+	r.relay.options.Pool.CloseIdle(r.roster.Target("a").Entry().Address)
 	unreachable.l.Close()
 	target := r.roster.Target("a")
 	permit := r.waitForPermit(target)
@@ -99,14 +99,14 @@
 	p.route = r.relay.Table().Match("h", "/once/")
 	out, _ := p.attempt(p.r.Context(), &choice{target: target, load: roster.Load{Running: 1}, permit: permit})
 	r.g.Expect(out).To(gomega.Equal(outcomeNotSent))
-	_, may := r.roster.Take(target)
+	_, may := r.roster.TakePermit(target)
 	r.g.Expect(may).To(gomega.BeTrue())
 }
 
 // waitForPermit raises the rate limit of a target and takes the next permit.
-func (r *rig) waitForPermit(target *roster.Target) (permit roster.Token) {
-	r.roster.MergeLimits(map[string]roster.LimitNews{target.ID(): {On: true, PerSecond: 20, Seq: 9}})
-	r.g.Eventually(func() (granted bool) { permit, granted = r.roster.Take(target); return granted }, waitTimeout, pollInterval).Should(gomega.BeTrue())
+func (r *rig) waitForPermit(target *roster.Target) (permit roster.Permit) {
+	r.roster.MergeRateLimits(map[string]roster.RateLimitUpdate{target.ID(): {Active: true, PerSecond: 20, Seq: 9}})
+	r.g.Eventually(func() (granted bool) { permit, granted = r.roster.TakePermit(target); return granted }, waitTimeout, pollInterval).Should(gomega.BeTrue())
 	return permit
 }
 
@@ -118,15 +118,15 @@
 	cell, workers := h.ownerCell("context")
 	sender := h.outsideOf(cell)
 	// Only the sender knows that the workers of the owner's cell accept one request in 10 s.
-	reported := map[string]roster.LimitNews{}
+	reported := map[string]roster.RateLimitUpdate{}
 	for _, id := range workers {
-		reported[id] = roster.LimitNews{On: true, PerSecond: 0.1, Seq: 1}
+		reported[id] = roster.RateLimitUpdate{Active: true, PerSecond: 0.1, Seq: 1}
 	}
-	h.rigs[sender].roster.MergeLimits(reported)
+	h.rigs[sender].roster.MergeRateLimits(reported)
 	h.g.Expect(h.ask(sender, "context").status).To(gomega.Equal(http.StatusOK))
 	informed := 0
 	for i, f := range h.fleets {
-		if f.View().Cell() == cell && len(h.rigs[i].roster.Limited()) == len(workers) {
+		if f.View().Cell() == cell && len(h.rigs[i].roster.RateLimitedTargets()) == len(workers) {
 			informed++
 		}
 	}
@@ -137,7 +137,7 @@
 	// With permits the owner's choice is used.
 	for i, f := range h.fleets {
 		if f.View().Cell() == cell {
-			h.rigs[i].roster.MergeLimits(raised(reported))
+			h.rigs[i].roster.MergeRateLimits(raised(reported))
 		}
 	}
 	h.g.Eventually(func() int {
@@ -153,8 +153,8 @@
 }
 
 // raised returns the limits with a rate that yields permits soon.
-func raised(limits map[string]roster.LimitNews) map[string]roster.LimitNews {
-	out := map[string]roster.LimitNews{}
+func raised(limits map[string]roster.RateLimitUpdate) map[string]roster.RateLimitUpdate {
+	out := map[string]roster.RateLimitUpdate{}
 	for id, limit := range limits {
 		limit.PerSecond, limit.Seq = 100, limit.Seq+1
 		out[id] = limit
@@ -165,22 +165,22 @@
 // A daemon that does not use the rate-limited target gets a permit from one that does.
 func TestDaemonWithoutPermitsQueriesPermitHolders(t *testing.T) {
 	h := newFleetRig(t, 6, 1, always(limitedStreamAnswer(20)))
-	reported := map[string]roster.LimitNews{h.workers[0]: {On: true, PerSecond: 20, Seq: 1}}
+	reported := map[string]roster.RateLimitUpdate{h.workers[0]: {Active: true, PerSecond: 20, Seq: 1}}
 	for i, r := range h.rigs {
 		view := h.fleets[i].View
-		r.roster.Place = func(*roster.Target) (int, int) {
+		r.roster.Rank = func(*roster.Target) (int, int) {
 			// All daemons but the last one use the target.
 			if view().Self() == "entry-05" {
 				return 100, 100
 			}
 			return 0, 100
 		}
-		r.relay.options.Choosers = func(*roster.Target, int) []string { return []string{"entry-00", "entry-01"} }
-		r.roster.MergeLimits(reported)
+		r.relay.options.RankedDaemons = func(*roster.Target, int) []string { return []string{"entry-00", "entry-01"} }
+		r.roster.MergeRateLimits(reported)
 	}
 	h.g.Eventually(func() int { return h.ask(5, "context").status }, waitTimeout, pollInterval).Should(gomega.Equal(http.StatusOK))
-	h.g.Expect(h.rigs[5].roster.Limited()).To(gomega.HaveLen(1))
-	h.g.Expect(h.rigs[5].roster.Limited()[0].Holds).To(gomega.BeFalse())
+	h.g.Expect(h.rigs[5].roster.RateLimitedTargets()).To(gomega.HaveLen(1))
+	h.g.Expect(h.rigs[5].roster.RateLimitedTargets()[0].Sends).To(gomega.BeFalse())
 }
 
 // An answer that is not signed may come from any target, so it does not end a rate limit.
@@ -193,7 +193,7 @@
 	r.target("a", "plain", inSequence(respond(200, "x", limitHeader(20)), unsigned, respond(200, "x")))
 	for _, want := range []int{1, 1, 0} {
 		r.ask(http.MethodPost, "/once/", "x")
-		r.g.Expect(r.roster.Limited()).To(gomega.HaveLen(want))
+		r.g.Expect(r.roster.RateLimitedTargets()).To(gomega.HaveLen(want))
 	}
 }
 
@@ -213,11 +213,11 @@
 	for i, r := range h.rigs {
 		f := h.fleets[i]
 		// As View.Place, which needs a list of boxes that these daemons do not have.
-		r.roster.Place = func(t *roster.Target) (int, int) {
+		r.roster.Rank = func(t *roster.Target) (int, int) {
 			cell := f.View().OnDuty()
 			return fleet.Place(fleet.Key(t.ID()), cell, f.View().Self()), len(cell)
 		}
-		r.relay.options.Choosers = func(t *roster.Target, n int) []string { return f.View().Ranked(fleet.Key(t.ID()), true, n) }
+		r.relay.options.RankedDaemons = func(t *roster.Target, n int) []string { return f.View().Ranked(fleet.Key(t.ID()), true, n) }
 	}
 	h.g.Expect(h.fleets[0].View().Cells()).To(gomega.BeNumerically(">", 1))
 	start := time.Now()
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -70,12 +70,12 @@
 	e.Domain = "d2"
 	r.roster.Put(e)
 	p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}, regions: regions{{"north"}}}
-	r.relay.owners = &Homes{}
+	r.relay.owners = &ContextOwners{}
 	response := &placementResponse{Target: "w1", WeightVersion: 1}
 	r.g.Expect(p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, response)).To(gomega.BeNil())
 	request := p.newPlacementRequest(p.start)
 	r.g.Expect(request.Regions).To(gomega.Equal(regions{{"north"}}))
-	remote, _ := (&Homes{relay: r.relay}).requestOf(request)
+	remote, _ := (&ContextOwners{relay: r.relay}).requestOf(request)
 	r.g.Expect(remote.domainAllowed("d1")).To(gomega.BeTrue())
 	r.g.Expect(remote.domainAllowed("d2")).To(gomega.BeFalse())
 }
