--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -31,23 +31,23 @@
 	Roster  *roster.Roster
 	Pool    *target.Pool
 	// Kept is the index of the segments in KV-cache stores, Where that of those cached by workers.
-	Kept  *cache.Kept
-	Where *cache.Where
+	StoreIndex   *cache.StoreIndexes
+	WorkerCaches *cache.WorkerCaches
 	// Links is the learned speed and load of the links of stores and workers.
 	Links *learn.Links
 	// Retention is the learned chance that a segment is still in a worker's KV cache.
 	Retention *learn.Retention
 	// Times and Targets are statistics of the targets' answers. Engines and Calls are the priors of
 	// the time to a first answer, for model workers and for plain calls.
-	Times          *learn.Times
-	Targets        *learn.Targets
-	Engines, Calls learn.Prior
+	FirstAnswerTimes       *learn.Times
+	TargetStats            *learn.Targets
+	EnginePrior, CallPrior learn.Prior
 	// Prices is the cost model: the utility of answers and the cost of serving them.
-	Prices route.Prices
+	Costs route.CostModel
 	// Without disables single mechanisms.
-	Without Without
-	Log     *event.Log
-	Stats   *Stats
+	Disabled Disabled
+	Log      *event.Log
+	Stats    *Stats
 	// Poison blocks requests that crash targets. Nil blocks none.
 	Poison *poison.Guard
 	// Canary restricts requests to the versions that a rollout allows. Nil restricts none.
@@ -59,50 +59,50 @@
 	// Regions maps each failure domain to its region. It must not be changed.
 	Regions map[string]string
 	// Named returns the desired version of a model's weights.
-	Named func(model string) int64
+	DesiredWeights func(model string) int64
 	// Outdated reports whether a version of the weights was superseded so long ago that no request
 	// may start on it.
-	Outdated func(model string, version int64) bool
+	WeightsOutdated func(model string, version int64) bool
 	// Age returns the age of this daemon's view of the coordination store.
-	Age func() time.Duration
+	ViewAge func() time.Duration
 	// StoreDown reports whether the coordination store is known to be unreachable. Nil means never.
 	StoreDown func() bool
 	// Current reports whether this daemon's configuration is known to be current. Only then may it
 	// answer that a route or key does not exist.
-	Current func() bool
+	ConfigCurrent func() bool
 	// Lacks returns how long a newer configuration has been known to exist without having arrived.
 	// It is 0 while the applied one may still be used. Nil means always 0.
-	Lacks func() time.Duration
+	ConfigOverdue func() time.Duration
 	// CopyMay reports whether segments may be copied from KV-cache stores: the daemon's view of the
 	// desired weights is recent enough.
-	CopyMay func() bool
+	MayCopy func() bool
 	// Placed is called when the load of a target or its reported state has changed, to publish that
 	// to the other daemons at once. It must be set.
-	Placed func()
+	PublishState func()
 	// Share returns those of the given workers that this daemon uses. A large fleet partitions its
 	// workers, so that a daemon knows the load of the ones that it uses.
-	Share func(names []string) []string
+	OwnTargets func(names []string) []string
 	// Basis returns a value that stays equal as long as Share returns the same partition. Nil means
 	// that shares must not be cached.
-	Basis func() any
+	ShardVersion func() any
 	// Divided reports whether the targets of a service are sharded by cell, so that this daemon may
 	// list only those of its own cell. Nil means never.
-	Divided func(service string) bool
+	Sharded func(service string) bool
 	// Uses reports whether a target of a sharded service belongs to this daemon's cell.
-	Uses func(name, domain string) bool
+	InOwnCell func(name, domain string) bool
 	// CellDaemons returns the number of daemons in this daemon's cell.
-	CellDaemons func() int
+	CellDaemonCount func() int
 	// Daemons returns the number of daemons that share the connections to targets.
-	Daemons func() int
+	DaemonCount func() int
 	// Place returns this daemon's rank, from 0, among the daemons that may send to a target, and
 	// their number. They are the daemons of its cell, or of the whole fleet.
-	Place func(target string, cell bool) (place, of int)
+	Rank func(target string, cell bool) (place, of int)
 	// Choosers returns the n best-ranked other daemons among those that Place counts. Nil means
 	// none.
-	Choosers func(t *roster.Target, n int) []string
+	RankedDaemons func(t *roster.Target, n int) []string
 	// All daemons together send a target that is warming up at most ColdOver times the rate that
 	// its service configures, plus ColdExtra requests per second.
-	ColdOver, ColdExtra float64
+	WarmUpFactor, WarmUpExtra float64
 	// RetryShare, RetryExtra and RetryWindow bound the retries of all daemons together: within
 	// RetryWindow, RetryShare for each request, plus RetryExtra.
 	RetryShare  float64
@@ -125,7 +125,7 @@
 	refusing atomic.Bool
 	// owners queries the owners of contexts in other cells. It may be nil, and is set before the
 	// first request.
-	owners *Homes
+	owners *ContextOwners
 	warmUp warmUpLimiter
 	shares shareCache
 	// permitWaiters holds the services with a request that waits for a permit.
@@ -136,7 +136,7 @@
 
 	budgetMu sync.Mutex
 	// retryBudgets bounds the retries, by service. Guarded by budgetMu.
-	retryBudgets map[string]*route.Allowance
+	retryBudgets map[string]*route.RetryBudget
 	// arrivalRates is the utility of the requests that arrive, by service. Guarded by budgetMu.
 	arrivalRates map[string]*learn.Rate
 }
@@ -144,12 +144,12 @@
 // New returns a relay without a routing table.
 func New(o Options) *Relay {
 	if o.Placement == "" {
-		o.Placement = route.Returning
+		o.Placement = route.LowestCost
 	}
 	if o.Canary == nil {
 		o.Canary = &canary.Guard{}
 	}
-	return &Relay{options: o, start: time.Now(), retryBudgets: map[string]*route.Allowance{}, arrivalRates: map[string]*learn.Rate{}}
+	return &Relay{options: o, start: time.Now(), retryBudgets: map[string]*route.RetryBudget{}, arrivalRates: map[string]*learn.Rate{}}
 }
 
 // SetTable applies a configuration. Running requests keep the one they started with.
@@ -162,10 +162,10 @@
 func (rl *Relay) Running() int64 { return rl.running.Load() }
 
 // Close starts a planned stop: from now on each answer closes its connection.
-func (rl *Relay) Close() { rl.closeConnections.Store(true) }
+func (rl *Relay) CloseConnections() { rl.closeConnections.Store(true) }
 
 // Refuse makes the relay refuse new requests, near the end of a planned stop.
-func (rl *Relay) Refuse() { rl.refusing.Store(true) }
+func (rl *Relay) RefuseRequests() { rl.refusing.Store(true) }
 
 // minOutage is the least expected remaining time of an outage of the coordination store: outages
 // last for seconds.
@@ -183,16 +183,16 @@
 
 // sharded reports whether the targets of a service are sharded by cell.
 func (rl *Relay) sharded(service string) bool {
-	return rl.options.Divided != nil && rl.options.Divided(service)
+	return rl.options.Sharded != nil && rl.options.Sharded(service)
 }
 
 // configOverdue returns how long a newer configuration has been missing, or 0 while the applied one
 // may still be used.
 func (rl *Relay) configOverdue() time.Duration {
-	if rl.options.Lacks == nil {
+	if rl.options.ConfigOverdue == nil {
 		return 0
 	}
-	return rl.options.Lacks()
+	return rl.options.ConfigOverdue()
 }
 
 // ServeHTTP answers one request.
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -151,7 +151,7 @@
 			r.relay.table.Store(nil)
 			r.relay.start = time.Now().Add(-time.Minute)
 		}, "300", time.Millisecond, 100 * time.Millisecond},
-		{"about to stop", func(r *rig) { r.relay.Refuse() }, "6000", minRetryAfter / 2, 2 * minRetryAfter},
+		{"about to stop", func(r *rig) { r.relay.RefuseRequests() }, "6000", minRetryAfter / 2, 2 * minRetryAfter},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -180,7 +180,7 @@
 func TestTargetsShuttingDownGetNoRequests(t *testing.T) {
 	r := newRig(t, nil)
 	f := r.target("t1", "plain", always(respond(200, "yes")))
-	r.roster.Put(roster.Entry{ID: "t1", Service: "plain", Address: f.l.Addr().String(), Leaving: true})
+	r.roster.Put(roster.Entry{ID: "t1", Service: "plain", Address: f.l.Addr().String(), ShuttingDown: true})
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(http.StatusServiceUnavailable))
 	r.g.Expect(r.received()).To(gomega.BeEmpty())
 }
@@ -218,7 +218,7 @@
 			if tc.second != nil {
 				// The first one is chosen, since the second is busy.
 				r.target("t2", "llm", tc.second)
-				r.roster.Target("t2").Begin(roster.Load{Running: 3})
+				r.roster.Target("t2").AddLoad(roster.Load{Running: 3})
 			}
 			a := r.ask(http.MethodPost, tc.path, "x", "Model", "m")
 			r.g.Expect(a.body).To(gomega.Equal(tc.body))
@@ -256,7 +256,7 @@
 	cancel()
 	<-ended
 	r.g.Eventually(r.relay.Running, "10s", "5ms").Should(gomega.BeZero())
-	r.g.Expect(r.roster.Target("t1").Own()).To(gomega.Equal(roster.Load{}))
+	r.g.Expect(r.roster.Target("t1").LocalLoad()).To(gomega.Equal(roster.Load{}))
 }
 
 func TestRetriesStayWithinBudget(t *testing.T) {
@@ -273,7 +273,7 @@
 // storeSegment adds the KV-cache store to the rig and waits until the segment is known to be there.
 func storeSegment(r *rig, salt, id string) {
 	r.kept.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
-	name := cache.PartName{Salt: salt, ID: id}
+	name := cache.SegmentName{Salt: salt, ID: id}
 	r.g.Eventually(func() bool {
 		return len(r.kept.Find(name, clock.Now())) > 0
 	}, "10s", "5ms").Should(gomega.BeTrue())
@@ -296,8 +296,8 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			salt := cache.PartSalt{Model: "m", Version: 1}.String()
-			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: cache.PartName{Salt: salt, ID: "shared"}, Tokens: 5000}}})
+			salt := cache.SegmentSalt{Model: "m", Version: 1}.String()
+			r := newRig(t, fakeStores{[]cache.SegmentChange{{SegmentName: cache.SegmentName{Salt: salt, ID: "shared"}, Tokens: 5000}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, "shared")
 			r.desired = tc.desired
@@ -311,22 +311,22 @@
 
 // Segments of any size are stored and copied. Engines copy no segment after one without a source.
 func TestSegmentsOfAnySizeAreStoredAndCopied(t *testing.T) {
-	salt := cache.PartSalt{Model: "m", Version: 1}.String()
-	segment := func(id string, tokens int) cache.PartChange {
-		return cache.PartChange{PartName: cache.PartName{Salt: salt, ID: id}, Tokens: tokens}
+	salt := cache.SegmentSalt{Model: "m", Version: 1}.String()
+	segment := func(id string, tokens int) cache.SegmentChange {
+		return cache.SegmentChange{SegmentName: cache.SegmentName{Salt: salt, ID: id}, Tokens: tokens}
 	}
 	tests := []struct {
 		name   string
-		stored []cache.PartChange
+		stored []cache.SegmentChange
 		parts  string
 		copy   string
 		keep   string
 	}{
-		{"both in the store", []cache.PartChange{segment("first", 60), segment("text", 5000)}, "first:60 text:5000 own:10", "store:1,store:1,", ""},
-		{"the small one is not in the store", []cache.PartChange{segment("text", 5000)}, "first:60 text:5000 own:10", "", "store:1,,"},
-		{"a small one after it", []cache.PartChange{segment("text", 5000)}, "text:5000 last:60 own:10", "store:1,,", ",store:1,"},
-		{"none in the store", []cache.PartChange{segment("else", 10)}, "first:60 text:5000 own:10", "", "store:1,store:1,"},
-		{"small ones only", []cache.PartChange{segment("first", 60)}, "first:60 session:240 own:10", "store:1,,", ",store:1,"},
+		{"both in the store", []cache.SegmentChange{segment("first", 60), segment("text", 5000)}, "first:60 text:5000 own:10", "store:1,store:1,", ""},
+		{"the small one is not in the store", []cache.SegmentChange{segment("text", 5000)}, "first:60 text:5000 own:10", "", "store:1,,"},
+		{"a small one after it", []cache.SegmentChange{segment("text", 5000)}, "text:5000 last:60 own:10", "store:1,,", ",store:1,"},
+		{"none in the store", []cache.SegmentChange{segment("else", 10)}, "first:60 text:5000 own:10", "", "store:1,store:1,"},
+		{"small ones only", []cache.SegmentChange{segment("first", 60)}, "first:60 session:240 own:10", "store:1,,", ",store:1,"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -344,8 +344,8 @@
 // Of several sources, the one with the earliest expected end of the copy is used. If none can
 // finish within the time limit of copies, the segment is prefilled.
 func TestFastestCopySourceIsChosen(t *testing.T) {
-	salt := cache.PartSalt{Model: "m", Version: 1}.String()
-	name := cache.PartName{Salt: salt, ID: "text"}
+	salt := cache.SegmentSalt{Model: "m", Version: 1}.String()
+	name := cache.SegmentName{Salt: salt, ID: "text"}
 	tests := []struct {
 		name string
 		make func(r *rig)
@@ -362,7 +362,7 @@
 			for _, store := range []string{"near:1", "far:1"} {
 				r.relay.options.Links.Begin(store, "else", 800*time.Millisecond, time.Now())
 			}
-			r.relay.options.Where.Note(cache.Use{Target: "t2", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, time.Now())
+			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "t2", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 5000}}}, time.Now())
 		}, "t2,"},
 		{"no source in time", func(r *rig) {
 			for _, store := range []string{"near:1", "far:1"} {
@@ -372,14 +372,14 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
+			r := newRig(t, fakeStores{[]cache.SegmentChange{{SegmentName: name, Tokens: 5000}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.kept.Set(testContext(r.t), []cache.StoreInfo{
 				{Address: "near:1", Room: 1 << 20, TokenTime: 10 * time.Microsecond}, {Address: "far:1", Room: 1 << 20, TokenTime: 20 * time.Microsecond},
 			})
 			r.g.Eventually(func() int { return len(r.kept.Find(name, clock.Now())) }, "10s", "5ms").Should(gomega.Equal(2))
 			t2 := r.target("t2", "llm", always(stream(true)))
-			r.roster.Target("t2").Begin(roster.Load{Running: 100})
+			r.roster.Target("t2").AddLoad(roster.Load{Running: 100})
 			tc.make(r)
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
@@ -392,8 +392,8 @@
 // A segment that the worker may have evicted is copied if that costs less than the risk of
 // prefilling it again.
 func TestProbablyEvictedSegmentsAreCopied(t *testing.T) {
-	salt := cache.PartSalt{Model: "m", Version: 1}.String()
-	name := cache.PartName{Salt: salt, ID: "text"}
+	salt := cache.SegmentSalt{Model: "m", Version: 1}.String()
+	name := cache.SegmentName{Salt: salt, ID: "text"}
 	tests := []struct {
 		name string
 		// used is how many tokens the worker has cached since, of its capacity of 20,000.
@@ -406,13 +406,13 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 5000}}})
+			r := newRig(t, fakeStores{[]cache.SegmentChange{{SegmentName: name, Tokens: 5000}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, "text")
-			r.relay.options.Where.Room = func(string) int { return 20000 }
+			r.relay.options.WorkerCaches.Capacity = func(string) int { return 20000 }
 			now := time.Now()
-			r.relay.options.Where.Note(cache.Use{Target: "t1", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 5000}}}, now)
-			r.relay.options.Where.Note(cache.Use{Target: "t1", Salt: salt, Rest: tc.used}, now)
+			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "t1", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 5000}}}, now)
+			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "t1", Salt: salt, Unshared: tc.used}, now)
 			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
@@ -433,10 +433,10 @@
 func TestPlannedStop(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("t1", "plain", always(respond(200, "yes")))
-	r.relay.Close()
+	r.relay.CloseConnections()
 	a := r.ask(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(200))
-	r.relay.Refuse()
+	r.relay.RefuseRequests()
 	a = r.ask(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(503))
 	r.g.Expect(r.received()).To(gomega.HaveLen(1))
@@ -468,9 +468,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			// Workers that prefill any prompt on time if they have the memory.
-			r.relay.options.Engines.Own = time.Millisecond / 10
+			r.relay.options.EnginePrior.PerThousandOwn = time.Millisecond / 10
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
-			r.roster.Target("t1").Begin(roster.Load{Running: 1, Held: tc.held})
+			r.roster.Target("t1").AddLoad(roster.Load{Running: 1, OccupiedTokens: tc.held})
 			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			r.g.Expect(a.header.Get("Come-Back") != "").To(gomega.Equal(tc.status == 503))
@@ -495,7 +495,7 @@
 			r := newRig(t, nil)
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			var published []int
-			r.relay.options.Placed = func() { published = append(published, r.roster.Target("t1").Own().Held) }
+			r.relay.options.PublishState = func() { published = append(published, r.roster.Target("t1").LocalLoad().OccupiedTokens) }
 			r.g.Expect(r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts).status).To(gomega.Equal(http.StatusOK))
 			r.g.Expect(published).To(gomega.Equal(tc.want))
 		})
@@ -510,13 +510,13 @@
 		attempts int
 	}{
 		{"own worker is free", func(*roster.Target) {}, 200, 1},
-		{"own worker is full", func(t *roster.Target) { t.Begin(roster.Load{Running: 1, Held: 1 << 20}) }, 503, 0},
-		{"own worker does not answer", func(t *roster.Target) { t.Silent(time.Now().Add(time.Minute)) }, 200, 1},
+		{"own worker is full", func(t *roster.Target) { t.AddLoad(roster.Load{Running: 1, OccupiedTokens: 1 << 20}) }, 503, 0},
+		{"own worker does not answer", func(t *roster.Target) { t.RecordNoResponse(time.Now().Add(time.Minute)) }, 200, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.options.Share = func([]string) []string { return []string{"mine"} }
+			r.relay.options.OwnTargets = func([]string) []string { return []string{"mine"} }
 			r.target("mine", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.target("other", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			tc.make(r.roster.Target("mine"))
@@ -544,17 +544,17 @@
 func TestQueueCostCountsOnlyTheCellsDaemons(t *testing.T) {
 	const workers, share, daemons, callers = 150, 6, 300, 4
 	r := newRig(t, nil)
-	r.relay.options.Daemons = func() int { return daemons }
+	r.relay.options.DaemonCount = func() int { return daemons }
 	// Keep the times of real engines: this rig's are not to be learned.
-	r.relay.options.Without.Times, r.relay.options.Without.Targets = true, true
+	r.relay.options.Disabled.Times, r.relay.options.Disabled.Targets = true, true
 	var own []string
-	r.relay.options.Share = func([]string) []string { return own }
+	r.relay.options.OwnTargets = func([]string) []string { return own }
 	for i := range share {
 		id := "own-" + strconv.Itoa(i)
 		own = append(own, id)
 		r.target(id, "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 		// A queue of 0.3 s; answers within a second are on time.
-		r.roster.Target(id).Begin(roster.Load{Running: 1, Unread: 15000, Held: 15000})
+		r.roster.Target(id).AddLoad(roster.Load{Running: 1, QueuedTokens: 15000, OccupiedTokens: 15000})
 	}
 	for i := range workers - share {
 		r.roster.Put(roster.Entry{ID: "other-" + strconv.Itoa(i), Service: "llm", Address: "127.0.0.1:1", Slots: 4, Weights: map[string]int64{"m": 1}})
@@ -569,8 +569,8 @@
 // milliseconds, but its copy would wait behind these: with half of the large stores four times
 // slower, one short answer in seven missed its latency objective.
 func TestShortPromptIsPrefilledInsteadOfWaitingForCopy(t *testing.T) {
-	salt := cache.PartSalt{Model: "m", Version: 1}.String()
-	name := cache.PartName{Salt: salt, ID: "text"}
+	salt := cache.SegmentSalt{Model: "m", Version: 1}.String()
+	name := cache.SegmentName{Salt: salt, ID: "text"}
 	tests := []struct {
 		name   string
 		behind time.Duration
@@ -583,11 +583,11 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			r := newRig(t, fakeStores{[]cache.PartChange{{PartName: name, Tokens: 400}}})
+			r := newRig(t, fakeStores{[]cache.SegmentChange{{SegmentName: name, Tokens: 400}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, "text")
 			// The segment was prefilled recently, so prefilling it again has a cost.
-			r.relay.options.Where.Note(cache.Use{Target: "gone", Salt: salt, Parts: []cache.UsedPart{{ID: "text", Tokens: 400}}}, time.Now())
+			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "gone", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 400}}}, time.Now())
 			if tc.behind > 0 {
 				r.relay.options.Links.Begin("store:1", "else", tc.behind, time.Now())
 			}
@@ -617,7 +617,7 @@
 			r.desired = tc.desired
 			r.target("changing", "llm", always(refuse))
 			r.target("busy", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
-			r.roster.Target("busy").Begin(roster.Load{Running: 1, Unread: 20000, Held: 20000})
+			r.roster.Target("busy").AddLoad(roster.Load{Running: 1, QueuedTokens: 20000, OccupiedTokens: 20000})
 			for range 5 {
 				a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 				r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -26,7 +26,7 @@
 	suspends suspendDetector
 
 	// meta is the metadata sent by the caller.
-	meta         Ask
+	meta         RequestMeta
 	route        *table.Route
 	organisation *table.Organisation
 	table        *table.Table
@@ -87,8 +87,8 @@
 func (p *proxiedRequest) run() *entry.Refusal {
 	p.service = p.route.Service(randomFraction())
 	p.versions = p.relay.options.Canary.Choose(p.service)
-	p.relay.recordArrival(p.service, p.relay.options.Prices.Worth(p.meta.Prompt), p.start)
-	p.lastEventID = p.meta.After
+	p.relay.recordArrival(p.service, p.relay.options.Costs.Utility(p.meta.PromptTokens), p.start)
+	p.lastEventID = p.meta.LastEventID
 	ctx, cancel := context.WithDeadline(p.r.Context(), p.deadline.Add(deadlineMargin))
 	defer cancel()
 	var failed *bufferedAnswer
@@ -160,7 +160,7 @@
 		if c != nil {
 			p.expectedWait = c.judgement.Expected
 		}
-		if c != nil && (c.judgement.Gain > 0 || p.relay.options.Without.Refusals) {
+		if c != nil && (c.judgement.CallerUtility > 0 || p.relay.options.Disabled.Refusals) {
 			if !p.acquire(c, time.Now()) {
 				c.releaseLoad()
 				continue
@@ -177,7 +177,7 @@
 			// The first permit comes soon enough, and no other request waits for it.
 		case c == nil && reason != allFull:
 			return nil, reason
-		case p.relay.options.Without.Waiting, !p.likelyOnTime(0):
+		case p.relay.options.Disabled.Waiting, !p.likelyOnTime(0):
 			return nil, allFull
 		}
 		if !wait.For(ctx, choiceInterval) {
@@ -195,7 +195,7 @@
 func (p *proxiedRequest) likelyOnTime(delay time.Duration) bool {
 	now := time.Now().Add(delay)
 	e := p.estimate(now)
-	expected := e.Time(learn.Factors{Own: p.meta.Prompt - p.sharedTokens()})
+	expected := e.Time(learn.Factors{OwnTokens: p.meta.PromptTokens - p.sharedTokens()})
 	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeChance
 }
 
@@ -225,7 +225,7 @@
 		return false
 	case p.executions >= p.route.Attempts:
 		return false
-	case p.attempts-p.executions > maxRefusals, p.relay.options.Without.Retries:
+	case p.attempts-p.executions > maxRefusals, p.relay.options.Disabled.Retries:
 		return false
 	case out == outcomeIncomplete && p.relay.options.Poison.Ends(p.digest) >= maxCrashes:
 		p.note("not retried: the request may crash targets")
@@ -267,8 +267,8 @@
 }
 
 // cacheSalt returns the cache salt of the request's segments for a version of the weights.
-func (p *proxiedRequest) cacheSalt(version int64) cache.PartSalt {
-	s := cache.PartSalt{Model: p.meta.Model, Version: version}
+func (p *proxiedRequest) cacheSalt(version int64) cache.SegmentSalt {
+	s := cache.SegmentSalt{Model: p.meta.Model, Version: version}
 	if p.organisation != nil && p.organisation.Isolated {
 		s.Wall = p.organisation.Name
 	}
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -28,47 +28,47 @@
 // testDialect is a dialect with header names of its own.
 type testDialect struct{}
 
-func (testDialect) Ask(h http.Header) (Ask, error) {
-	ask := Ask{ID: h.Get("Id"), Key: h.Get("Key"), Model: h.Get("Model"), After: h.Get("After")}
+func (testDialect) ParseRequest(h http.Header) (RequestMeta, error) {
+	ask := RequestMeta{AttemptID: h.Get("Id"), APIKey: h.Get("Key"), Model: h.Get("Model"), LastEventID: h.Get("After")}
 	ms, err := strconv.Atoi(h.Get("Deadline"))
 	if h.Get("Deadline") != "" && err != nil {
 		return ask, err
 	}
-	ask.Deadline = time.Duration(ms) * time.Millisecond
+	ask.Timeout = time.Duration(ms) * time.Millisecond
 	for _, f := range strings.Fields(h.Get("Parts")) {
 		id, n, _ := strings.Cut(f, ":")
 		tokens, _ := strconv.Atoi(n)
-		ask.Parts = append(ask.Parts, cache.Part{ID: id, Tokens: tokens})
-		ask.Prompt += tokens
+		ask.Segments = append(ask.Segments, cache.Segment{ID: id, Tokens: tokens})
+		ask.PromptTokens += tokens
 	}
 	return ask, nil
 }
 
-func (testDialect) Sending(h http.Header, s *Sending) {
+func (testDialect) WriteAttempt(h http.Header, s *AttemptMeta) {
 	h.Del("Key")
 	h.Set("Organisation", s.Organisation)
-	h.Set("Deadline", strconv.FormatInt(s.Deadline.Milliseconds(), 10))
+	h.Set("Deadline", strconv.FormatInt(s.Timeout.Milliseconds(), 10))
 	h.Set("Target", s.Target)
-	h.Set("Weights", strconv.FormatInt(s.Weights, 10))
-	h.Set("Salt", s.Salt)
-	h.Set("After", s.After)
-	h.Set("Copy", strings.Join(s.Copy, ","))
-	h.Set("Keep", strings.Join(s.Keep, ","))
+	h.Set("Weights", strconv.FormatInt(s.WeightVersion, 10))
+	h.Set("Salt", s.CacheSalt)
+	h.Set("After", s.LastEventID)
+	h.Set("Copy", strings.Join(s.CopyFrom, ","))
+	h.Set("Keep", strings.Join(s.StoreTo, ","))
 }
 
-func (testDialect) Reply(_ int, h http.Header) Reply {
+func (testDialect) ParseResponse(_ int, h http.Header) ResponseMeta {
 	version, _ := strconv.ParseInt(h.Get("Weights"), 10, 64)
 	rest, _ := time.ParseDuration(h.Get("Rest"))
 	rate, err := strconv.ParseFloat(h.Get("Limit"), 64)
-	return Reply{
-		Limit: roster.Limit{Named: err == nil, PerSecond: rate},
+	return ResponseMeta{
+		RateLimit: roster.RateLimit{Stated: err == nil, PerSecond: rate},
 
-		ID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "", Target: h.Get("Run"),
-		Weights: version, Encoded: h.Get("Content-Encoding") != "", Leaves: h.Get("Leaves") != "", Rest: rest,
+		AttemptID: h.Get("Id"), Signed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "", Target: h.Get("Run"),
+		WeightVersion: version, Encoded: h.Get("Content-Encoding") != "", ShuttingDown: h.Get("Leaves") != "", Pushback: rest,
 	}
 }
 
-func (testDialect) Refusal(h http.Header, id string, after time.Duration) {
+func (testDialect) WriteRefusal(h http.Header, id string, after time.Duration) {
 	h.Set("Id", id)
 	if after > 0 {
 		h.Set("Come-Back", after.String())
@@ -141,7 +141,7 @@
 	g          *gomega.WithT
 	relay      *Relay
 	roster     *roster.Roster
-	kept       *cache.Kept
+	kept       *cache.StoreIndexes
 	log        *event.Log
 	front      *httptest.Server
 	desired    int64
@@ -168,21 +168,21 @@
 }
 
 // fakeStores is a watcher of KV-cache stores that hold the given segments.
-type fakeStores struct{ segments []cache.PartChange }
+type fakeStores struct{ segments []cache.SegmentChange }
 
-func (n fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.PartEvents, error) {
+func (n fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.SegmentEvents, error) {
 	if since > 1 {
 		<-ctx.Done()
-		return cache.PartEvents{}, ctx.Err()
+		return cache.SegmentEvents{}, ctx.Err()
 	}
-	return cache.PartEvents{Epoch: 1, Next: 2, Changes: n.segments, Clock: time.Minute}, nil
+	return cache.SegmentEvents{Epoch: 1, Next: 2, Changes: n.segments, Clock: time.Minute}, nil
 }
 
-func (n fakeStores) Contents(context.Context, string) (cache.PartEvents, error) {
-	return cache.PartEvents{Epoch: 1, Next: 1}, nil
+func (n fakeStores) Contents(context.Context, string) (cache.SegmentEvents, error) {
+	return cache.SegmentEvents{Epoch: 1, Next: 1}, nil
 }
 
-func (fakeStores) Free(context.Context, string, int64, []cache.PartName) error { return nil }
+func (fakeStores) Free(context.Context, string, int64, []cache.SegmentName) error { return nil }
 
 var testRoutes = []table.Route{
 	{Name: "once", Host: "h", Prefix: "/once/", Kind: table.Once, Timeout: 2 * time.Second, Aim: time.Second, Attempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
@@ -195,23 +195,23 @@
 
 // Priors and prices, the latter as in the default settings.
 var (
-	enginePrior = learn.Prior{Fixed: 50 * time.Millisecond, Own: 20 * time.Millisecond, Before: 20 * time.Millisecond, Beside: 50 * time.Millisecond, Crowd: 300 * time.Millisecond, Waiting: time.Second, Spread: 0.5, Weight: 5}
-	callPrior   = learn.Prior{Fixed: 40 * time.Millisecond, Waiting: 40 * time.Millisecond, Spread: 0.5, Weight: 5}
-	testPrices  = route.Prices{Token: 0.0004, Late: 0.25, Again: 0.0008, Copied: 0.000012, Old: 0.2, Connect: 0.03, Across: 4, Wait: 0.1}
+	enginePrior = learn.Prior{Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond, MemoryPressure: 300 * time.Millisecond, QueuedPerSlot: time.Second, LogStdDev: 0.5, Observations: 5}
+	callPrior   = learn.Prior{Fixed: 40 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5, Observations: 5}
+	testPrices  = route.CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
 )
 
-func newRig(t *testing.T, stores cache.Watcher) *rig {
+func newRig(t *testing.T, stores cache.StoreClient) *rig {
 	r := &rig{t: t, g: gomega.NewWithT(t), log: &event.Log{}, desired: 1}
 	if stores == nil {
 		stores = fakeStores{}
 	}
 	r.roster = roster.New(r.log, nil)
-	r.kept = cache.NewKept(stores, r.log)
+	r.kept = cache.NewStoreIndexes(stores, r.log)
 	r.relay = New(Options{
-		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, Kept: r.kept, Where: &cache.Where{}, Links: &learn.Links{}, Retention: &learn.Retention{}, Log: r.log, Stats: NewStats(),
-		Named: func(string) int64 { return r.desired }, Current: func() bool { return !r.stale }, Lacks: func() time.Duration { return r.configOverdue }, Outdated: func(_ string, v int64) bool { return v < r.minWeights }, CopyMay: func() bool { return true },
-		Times: learn.NewTimes(), Targets: &learn.Targets{}, Engines: enginePrior, Calls: callPrior, Prices: testPrices,
-		Daemons: func() int { return 1 }, Place: func(string, bool) (int, int) { return 0, 1 }, ColdOver: 1, Placed: func() {}, Age: func() time.Duration { return 0 }, Share: func(names []string) []string { return names }, RetryShare: 0.2, RetryExtra: 20, RetryWindow: 10 * time.Second,
+		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, StoreIndex: r.kept, WorkerCaches: &cache.WorkerCaches{}, Links: &learn.Links{}, Retention: &learn.Retention{}, Log: r.log, Stats: NewStats(),
+		DesiredWeights: func(string) int64 { return r.desired }, ConfigCurrent: func() bool { return !r.stale }, ConfigOverdue: func() time.Duration { return r.configOverdue }, WeightsOutdated: func(_ string, v int64) bool { return v < r.minWeights }, MayCopy: func() bool { return true },
+		FirstAnswerTimes: learn.NewTimes(), TargetStats: &learn.Targets{}, EnginePrior: enginePrior, CallPrior: callPrior, Costs: testPrices,
+		DaemonCount: func() int { return 1 }, Rank: func(string, bool) (int, int) { return 0, 1 }, WarmUpFactor: 1, PublishState: func() {}, ViewAge: func() time.Duration { return 0 }, OwnTargets: func(names []string) []string { return names }, RetryShare: 0.2, RetryExtra: 20, RetryWindow: 10 * time.Second,
 	})
 	r.relay.SetTable(table.New(table.Spec{
 		Version: 1, Routes: testRoutes,
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -12,11 +12,11 @@
 )
 
 // sharedSegments returns the segments that other requests have in common: all but the last.
-func (p *proxiedRequest) sharedSegments() []cache.Part {
-	if len(p.meta.Parts) < 2 {
+func (p *proxiedRequest) sharedSegments() []cache.Segment {
+	if len(p.meta.Segments) < 2 {
 		return nil
 	}
-	return p.meta.Parts[:len(p.meta.Parts)-1]
+	return p.meta.Segments[:len(p.meta.Segments)-1]
 }
 
 // sharedTokens returns the number of tokens in the shared segments.
@@ -30,10 +30,10 @@
 
 // sharedSegment is what is known of a shared segment for one version of the weights.
 type sharedSegment struct {
-	cache.Part
-	name cache.PartName
+	cache.Segment
+	name cache.SegmentName
 	// stores are the KV-cache stores that hold the segment and may hand it out.
-	stores []cache.Place
+	stores []cache.StoredSegment
 	// holders are the workers expected to have it cached.
 	holders []holder
 	// prefilledRecently is set if some worker has prefilled it recently.
@@ -51,16 +51,16 @@
 // findSegments looks up the shared segments for a version of the weights.
 func (p *proxiedRequest) findSegments(version int64, now time.Time) []sharedSegment {
 	// Segments of superseded weights are about to be freed in the stores.
-	copyable := version >= p.relay.options.Named(p.meta.Model) && p.relay.options.CopyMay() && !p.relay.options.Without.StoreCopies
+	copyable := version >= p.relay.options.DesiredWeights(p.meta.Model) && p.relay.options.MayCopy() && !p.relay.options.Disabled.StoreCopies
 	salt := p.cacheSalt(version).String()
 	var out []sharedSegment
 	storeNow := clock.Now()
 	for _, segment := range p.sharedSegments() {
-		shared := sharedSegment{Part: segment, name: cache.PartName{Salt: salt, ID: segment.ID}}
+		shared := sharedSegment{Segment: segment, name: cache.SegmentName{Salt: salt, ID: segment.ID}}
 		if copyable {
-			shared.stores = p.relay.options.Kept.Find(shared.name, storeNow)
+			shared.stores = p.relay.options.StoreIndex.Find(shared.name, storeNow)
 		}
-		found, prefilled := p.relay.options.Where.Find(shared.name, now)
+		found, prefilled := p.relay.options.WorkerCaches.Find(shared.name, now)
 		shared.prefilledRecently = prefilled
 		for _, f := range found {
 			t := p.relay.options.Roster.Target(f.Target)
@@ -100,14 +100,14 @@
 	best := source{stored: len(segment.stores) > 0}
 	destination := p.relay.options.Links.State(t.entry.Address, now)
 	for _, place := range segment.stores {
-		p.considerSource(&best, destination, segment, source{address: place.Address, chance: 1, copyTime: place.Time(t.entry.Domain), deadline: place.Until}, now)
+		p.considerSource(&best, destination, segment, source{address: place.Address, chance: 1, copyTime: place.TransferTime(t.entry.Domain), deadline: place.Until}, now)
 	}
 	for _, h := range segment.holders {
 		if h.target == t.target {
 			best.cachedChance, best.depth = h.chance, h.depth
 			continue
 		}
-		if h.target.Health(now).Suspect || p.relay.options.Without.WorkerCopies {
+		if h.target.Health(now).Suspect || p.relay.options.Disabled.WorkerCopies {
 			continue
 		}
 		took := workerCopyLatency + table.LinkTime(segment.Tokens*svc.Engine.TokenBytes, svc.Engine.LinkBits)
@@ -120,7 +120,7 @@
 // to prefill the segment after all cost least. destination is the state of the worker's own link.
 func (p *proxiedRequest) considerSource(best *source, destination learn.LinkState, segment *sharedSegment, candidate source, now time.Time) {
 	origin := p.relay.options.Links.State(candidate.address, now)
-	candidate.copyTime = time.Duration(float64(candidate.copyTime) * origin.Slow * destination.Slow)
+	candidate.copyTime = time.Duration(float64(candidate.copyTime) * origin.Slowdown * destination.Slowdown)
 	candidate.queueTime = max(origin.Wait, destination.Wait)
 	if best.address != "" && p.copyCost(&candidate, segment) >= p.copyCost(best, segment) {
 		return
@@ -130,10 +130,10 @@
 
 // copyCost returns the cost of a copy if the answer waits for nothing else.
 func (p *proxiedRequest) copyCost(src *source, segment *sharedSegment) float64 {
-	prices := &p.relay.options.Prices
-	cost := (1 - src.chance) * prices.Again * float64(segment.Tokens)
+	prices := &p.relay.options.Costs
+	cost := (1 - src.chance) * prices.RecomputePerToken * float64(segment.Tokens)
 	if p.route.Aim > 0 {
-		cost += prices.Worth(p.meta.Prompt) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
+		cost += prices.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
 	}
 	return cost
 }
@@ -160,7 +160,7 @@
 		src := p.bestSource(svc, t, segment, now)
 		out.sources = append(out.sources, src)
 		queueTime, copyTime = max(queueTime, src.queueTime), copyTime+src.copyTime
-		if src.address == "" || (src.deadline > 0 && queueTime+copyTime > cache.CopyLimit()) {
+		if src.address == "" || (src.deadline > 0 && queueTime+copyTime > cache.TransferTimeout()) {
 			contiguous = false
 		}
 		if contiguous && p.copyWorthwhile(&src, segment) {
@@ -173,13 +173,13 @@
 // copyWorthwhile reports whether copying a segment costs less than the risk that the worker does
 // not have it cached. Engines copy what they are told to, even what they have cached.
 func (p *proxiedRequest) copyWorthwhile(src *source, segment *sharedSegment) bool {
-	prices := &p.relay.options.Prices
-	gain := (1 - src.cachedChance) * src.chance * prices.Again * float64(segment.Tokens)
-	cost := prices.Copied * float64(segment.Tokens)
+	prices := &p.relay.options.Costs
+	gain := (1 - src.cachedChance) * src.chance * prices.RecomputePerToken * float64(segment.Tokens)
+	cost := prices.CopyPerToken * float64(segment.Tokens)
 	if p.route.Aim > 0 {
-		cost += prices.Worth(p.meta.Prompt) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
+		cost += prices.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
 	}
-	return src.cachedChance == 0 || (gain > cost && !p.relay.options.Without.SpareCopies)
+	return src.cachedChance == 0 || (gain > cost && !p.relay.options.Disabled.SpareCopies)
 }
 
 // applyTo sets a candidate's copy time, and how many of its tokens are expected to be cached, copied
@@ -202,63 +202,63 @@
 		}
 		prefixChance = availableChance
 	}
-	c.Kept, c.Copied, c.Again = int(cached), int(copied), int(recomputed)
+	c.CachedTokens, c.CopiedTokens, c.RecomputedTokens = int(cached), int(copied), int(recomputed)
 }
 
 // recordUse records the load of a choice on links and its use of the worker's cache.
 func (p *proxiedRequest) recordUse(c *choice, now time.Time) {
-	if c.attemptMeta.Weights == 0 || !p.relay.options.Placement.Exports() {
+	if c.attemptMeta.WeightVersion == 0 || !p.relay.options.Placement.Exports() {
 		return
 	}
-	if !p.relay.options.Without.LinkQueues {
+	if !p.relay.options.Disabled.LinkQueues {
 		for _, src := range c.plan.sources[:c.plan.copyCount] {
 			p.relay.options.Links.Begin(src.address, c.eligible.entry.Address, src.copyTime, now)
 		}
 	}
-	p.relay.options.Where.Note(p.cacheUse(c.eligible), now)
+	p.relay.options.WorkerCaches.RecordUse(p.cacheUse(c.eligible), now)
 }
 
 // cacheUse returns the use of a worker's cache by the request.
 func (p *proxiedRequest) cacheUse(t eligibleTarget) cache.Use {
-	use := cache.Use{Target: t.target.ID(), Salt: p.cacheSalt(t.weightVersion).String(), Rest: p.meta.Prompt}
+	use := cache.Use{Target: t.target.ID(), Salt: p.cacheSalt(t.weightVersion).String(), Unshared: p.meta.PromptTokens}
 	for _, segment := range p.sharedSegments() {
-		use.Parts = append(use.Parts, cache.UsedPart{ID: segment.ID, Tokens: segment.Tokens})
-		use.Rest -= segment.Tokens
+		use.Segments = append(use.Segments, cache.UsedSegment{ID: segment.ID, Tokens: segment.Tokens})
+		use.Unshared -= segment.Tokens
 	}
 	return use
 }
 
 // setCopySources sets the addresses that the first segments are copied from, and the deadline of
 // the copies.
-func (p *proxiedRequest) setCopySources(to *Sending, sources []source) {
+func (p *proxiedRequest) setCopySources(to *AttemptMeta, sources []source) {
 	if len(sources) == 0 {
 		return
 	}
-	to.Copy = make([]string, len(p.meta.Parts))
+	to.CopyFrom = make([]string, len(p.meta.Segments))
 	for i, src := range sources {
-		to.Copy[i] = src.address
-		if src.deadline > 0 && (to.CopyUntil == 0 || src.deadline < to.CopyUntil) {
-			to.CopyUntil = src.deadline
+		to.CopyFrom[i] = src.address
+		if src.deadline > 0 && (to.CopyDeadline == 0 || src.deadline < to.CopyDeadline) {
+			to.CopyDeadline = src.deadline
 		}
 	}
 }
 
 // setStoreTargets sets the KV-cache store that each segment is to be written to: for segments that
 // no store holds, one with free capacity.
-func (p *proxiedRequest) setStoreTargets(to *Sending, sources []source, version int64, now clock.Time) {
-	stores := make([]string, len(p.meta.Parts))
+func (p *proxiedRequest) setStoreTargets(to *AttemptMeta, sources []source, version int64, now clock.Time) {
+	stores := make([]string, len(p.meta.Segments))
 	found := false
 	salt := p.cacheSalt(version).String()
 	for i, src := range sources {
 		if src.stored {
 			continue
 		}
-		segment := p.meta.Parts[i]
-		stores[i] = p.relay.options.Kept.Room(cache.PartName{Salt: salt, ID: segment.ID}, segment.Tokens, p.domainAllowed, now)
+		segment := p.meta.Segments[i]
+		stores[i] = p.relay.options.StoreIndex.ChooseStore(cache.SegmentName{Salt: salt, ID: segment.ID}, segment.Tokens, p.domainAllowed, now)
 		found = found || stores[i] != ""
 	}
 	if found {
-		to.Keep = stores
+		to.StoreTo = stores
 	}
 }
 
@@ -266,10 +266,10 @@
 // first event. Where the prompt waited for its prefill as long as for its copies, this tells
 // little.
 func (p *proxiedRequest) learnCopies(c *choice, took time.Duration, now time.Time) {
-	if c.plan.copyCount == 0 || p.relay.options.Without.LinkSpeeds {
+	if c.plan.copyCount == 0 || p.relay.options.Disabled.LinkSpeeds {
 		return
 	}
-	queue, prefill := p.estimate(now).Parts(c.factors)
+	queue, prefill := p.estimate(now).Components(c.factors)
 	share := float64(c.plan.copyTime) / float64(c.plan.copyTime+queue+copyNoise)
 	ratio := float64(max(took-prefill, copyNoise/10)) / float64(c.plan.copyTime)
 	from := c.plan.sources[c.plan.copyCount-1].address
--- a/core/relay/selfreport_test.go
+++ b/core/relay/selfreport_test.go
@@ -24,7 +24,7 @@
 
 // shuttingDown reports whether the roster records a target as shutting down.
 func (r *rig) shuttingDown(id string) bool {
-	_, shuttingDown := r.roster.Leaving(r.roster.Target(id))
+	_, shuttingDown := r.roster.ShuttingDown(r.roster.Target(id))
 	return shuttingDown
 }
 
@@ -82,7 +82,7 @@
 		<-release
 		return respondHead(200, "Id: try-1\r\nLeaves: 1\r\n")(w, req)
 	}))
-	r.relay.options.Pool.SetMost(r.roster.Target("a").Entry().Address, 1)
+	r.relay.options.Pool.SetMaxConns(r.roster.Target("a").Entry().Address, 1)
 	first := make(chan callerAnswer)
 	go func() { first <- r.ask(http.MethodPost, "/once/", "x") }()
 	<-arrived
@@ -111,7 +111,7 @@
 	sender := h.outsideOf(cell)
 	// Only the sender knows that all but one worker of the owner's cell are shutting down.
 	for _, id := range workers[1:] {
-		h.rigs[sender].roster.Leaves(id, roster.ByAnswer)
+		h.rigs[sender].roster.RecordShutdown(id, roster.ByAnswer)
 	}
 	before := len(h.rigs[0].received())
 	for range 4 {
@@ -142,7 +142,7 @@
 			for i, d := range tc.pushbacks {
 				id := fmt.Sprintf("t-%d", i)
 				r.target(id, "plain", always(respond(200, id)))
-				r.roster.Turned(id, roster.Asked{Rest: d})
+				r.roster.RecordRejection(id, roster.Pushback{Duration: d})
 			}
 			start := time.Now()
 			// The route has a latency objective of ten seconds, so that a busy box does not change
@@ -185,7 +185,7 @@
 			return respond(200, "x")(w, req)
 		}))
 	}
-	r.roster.Turned("t-0", roster.Asked{Rest: time.Minute})
+	r.roster.RecordRejection("t-0", roster.Pushback{Duration: time.Minute})
 	var wg sync.WaitGroup
 	for range callers {
 		wg.Go(func() { r.ask(http.MethodPost, "/once/", "x") })
@@ -207,8 +207,8 @@
 	r.target("a", "plain", always(respond(200, "x")))
 	r.target("b", "plain", always(respond(200, "x")))
 	r.target("c", "plain", always(respond(200, "x")))
-	r.roster.Leaves("a", roster.ByAnswer)
-	r.roster.Turned("b", roster.Asked{Rest: time.Minute})
+	r.roster.RecordShutdown("a", roster.ByAnswer)
+	r.roster.RecordRejection("b", roster.Pushback{Duration: time.Minute})
 	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
 	r.g.Eventually(func() string { return r.lastLogLine(event.RequestDone) }, waitTimeout, pollInterval).Should(gomega.ContainSubstring("skipped: a leaves, b rests"))
 }
--- a/core/relay/sharded_test.go
+++ b/core/relay/sharded_test.go
@@ -15,12 +15,12 @@
 func (h *fleetRig) shard(removed func(cell int) bool) {
 	for i, f := range h.fleets {
 		r, view := h.rigs[i], f.View()
-		r.relay.options.Divided = func(string) bool { return true }
-		r.relay.options.Uses = func(string, string) bool { return true }
-		r.relay.options.CellDaemons = func() int { return f.View().CellSize() }
+		r.relay.options.Sharded = func(string) bool { return true }
+		r.relay.options.InOwnCell = func(string, string) bool { return true }
+		r.relay.options.CellDaemonCount = func() int { return f.View().CellSize() }
 		for _, id := range h.workers {
 			if cell := view.TargetCell(id, ""); cell != view.Cell() || removed(cell) {
-				r.roster.Drop(id)
+				r.roster.MakeExternal(id)
 			}
 		}
 	}
@@ -74,9 +74,9 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.owners = &Homes{relay: r.relay, fleet: fleet.New(fleet.Options{Name: "me", Log: r.log})}
-			r.relay.options.Divided = func(string) bool { return tc.divided }
-			r.relay.options.CellDaemons = func() int { return 1 }
+			r.relay.owners = &ContextOwners{relay: r.relay, fleet: fleet.New(fleet.Options{Name: "me", Log: r.log})}
+			r.relay.options.Sharded = func(string) bool { return tc.divided }
+			r.relay.options.CellDaemonCount = func() int { return 1 }
 			p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}}
 			response := &placementResponse{Target: "w9@1", WeightVersion: 1, ListAge: tc.age, Entry: placementEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4}}
 			c := p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, response)
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -27,8 +27,8 @@
 // changed.
 func (s *shareCache) get(service string, all []*roster.Target, o *Options) *targetShare {
 	var basis any
-	if o.Basis != nil {
-		basis = o.Basis()
+	if o.ShardVersion != nil {
+		basis = o.ShardVersion()
 	}
 	s.sharesMu.Lock()
 	defer s.sharesMu.Unlock()
@@ -36,7 +36,7 @@
 		return cached
 	}
 	var out *targetShare
-	if o.Divided != nil && o.Divided(service) {
+	if o.Sharded != nil && o.Sharded(service) {
 		out = shardedShare(all, o)
 	} else {
 		out = computeShare(all, o)
@@ -56,7 +56,7 @@
 		names[i] = t.ID()
 	}
 	own := map[string]bool{}
-	for _, name := range o.Share(names) {
+	for _, name := range o.OwnTargets(names) {
 		own[name] = true
 	}
 	out := &targetShare{all: all, fraction: float64(len(own)) / float64(max(1, len(all)))}
@@ -71,9 +71,9 @@
 // shardedShare returns the targets that belong to this daemon's cell. They serve the same fraction
 // of the requests as the cell has of the daemons.
 func shardedShare(all []*roster.Target, o *Options) *targetShare {
-	out := &targetShare{all: all, fraction: float64(o.CellDaemons()) / float64(max(1, o.Daemons()))}
+	out := &targetShare{all: all, fraction: float64(o.CellDaemonCount()) / float64(max(1, o.DaemonCount()))}
 	for _, t := range all {
-		if e := t.Entry(); o.Uses(e.Name, e.Domain) {
+		if e := t.Entry(); o.InOwnCell(e.Name, e.Domain) {
 			out.own = append(out.own, t)
 		}
 	}
--- a/core/relay/share_test.go
+++ b/core/relay/share_test.go
@@ -25,12 +25,12 @@
 	r := listedTargets(4)
 	offset, basis, calls := 0, any("one"), 0
 	o := &Options{
-		Share: func(names []string) []string { calls++; return names[offset : offset+len(names)/2] },
-		Basis: func() any { return basis },
+		OwnTargets:   func(names []string) []string { calls++; return names[offset : offset+len(names)/2] },
+		ShardVersion: func() any { return basis },
 	}
 	var s shareCache
 	own := func() []string {
-		sh := s.get("llm", r.Of("llm"), o)
+		sh := s.get("llm", r.ByService("llm"), o)
 		var names []string
 		for _, t := range sh.own {
 			names = append(names, t.ID())
@@ -43,13 +43,13 @@
 	g.Expect(calls).To(gomega.Equal(1))
 	offset, basis = 2, "other"
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0003"}), "the fleet has changed")
-	r.Unlist("w-0003")
+	r.RemoveUnusable("w-0003")
 	r.Put(roster.Entry{ID: "w-0009", Service: "llm"})
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0009"}), "the targets have changed")
-	r.Put(roster.Entry{ID: "w-0009", Service: "llm", Leaving: true})
+	r.Put(roster.Entry{ID: "w-0009", Service: "llm", ShuttingDown: true})
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0009"}))
 	g.Expect(calls).To(gomega.Equal(3))
-	o.Basis = nil
+	o.ShardVersion = nil
 	own()
 	own()
 	g.Expect(calls).To(gomega.Equal(5), "without a basis nothing is cached")
@@ -58,14 +58,14 @@
 // BenchmarkShare computes a daemon's share of 3,000 targets for each request, and takes the cached
 // one.
 func BenchmarkShare(b *testing.B) {
-	list := listedTargets(3000).Of("llm")
-	o := &Options{Share: func(names []string) []string { return fleet.Rank(7, names)[:120] }}
+	list := listedTargets(3000).ByService("llm")
+	o := &Options{OwnTargets: func(names []string) []string { return fleet.Rank(7, names)[:120] }}
 	b.Run("each time", func(b *testing.B) {
 		for range b.N {
 			computeShare(list, o)
 		}
 	})
-	o.Basis = func() any { return "same" }
+	o.ShardVersion = func() any { return "same" }
 	var s shareCache
 	b.Run("remembered", func(b *testing.B) {
 		for range b.N {
--- a/core/relay/stream.go
+++ b/core/relay/stream.go
@@ -55,9 +55,9 @@
 
 // passOnStream passes on the events of an answer. If the stream breaks, another worker may resume
 // the request after the last event that the caller has received.
-func (p *proxiedRequest) passOnStream(c *choice, in *target.Incoming, reply *Reply, sent time.Time, onFirst func()) outcome {
-	if !reply.Sealed || reply.Encoded {
-		in.Spoil()
+func (p *proxiedRequest) passOnStream(c *choice, in *target.Response, reply *ResponseMeta, sent time.Time, onFirst func()) outcome {
+	if !reply.Signed || reply.Encoded {
+		in.Discard()
 		p.recordAnswer(c, false)
 		return outcomeIncomplete
 	}
@@ -80,7 +80,7 @@
 			continue
 		}
 		if err := p.writeEvent(in, ev); err != nil {
-			in.Spoil()
+			in.Discard()
 			return outcomeCallerGone
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // writeEvent passes one event on to the caller.
-func (p *proxiedRequest) writeEvent(in *target.Incoming, ev rawEvent) error {
+func (p *proxiedRequest) writeEvent(in *target.Response, ev rawEvent) error {
 	rc := http.NewResponseController(p.w)
 	if err := rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.WithStack(err)
@@ -119,7 +119,7 @@
 }
 
 // finishStream records the regular end of a stream.
-func (p *proxiedRequest) finishStream(c *choice, in *target.Incoming) outcome {
+func (p *proxiedRequest) finishStream(c *choice, in *target.Response) outcome {
 	p.recordSuccess(c)
 	if p.headerSent {
 		return outcomeDone
--- a/core/relay/warmup.go
+++ b/core/relay/warmup.go
@@ -13,7 +13,7 @@
 // value is ready for use.
 type warmUpLimiter struct {
 	limiterMu sync.Mutex
-	limiters  map[string]*route.Pace // by target ID; guarded by limiterMu
+	limiters  map[string]*route.WarmupLimiter // by target ID; guarded by limiterMu
 }
 
 // allow reports whether a target may get one more of share requests per second. If consume is set,
@@ -23,20 +23,20 @@
 	defer l.limiterMu.Unlock()
 	limiter := l.limiters[id]
 	if limiter == nil {
-		limiter = &route.Pace{}
+		limiter = &route.WarmupLimiter{}
 	}
-	if !limiter.May(share, now) {
+	if !limiter.Allows(share, now) {
 		return false
 	}
 	if consume {
 		l.add(id, limiter, now)
-		limiter.Sent(now)
+		limiter.RecordAttempt(now)
 	}
 	return true
 }
 
 // add stores a target's limiter and removes idle ones. It is called with limiterMu held.
-func (l *warmUpLimiter) add(id string, limiter *route.Pace, now time.Time) {
+func (l *warmUpLimiter) add(id string, limiter *route.WarmupLimiter, now time.Time) {
 	if l.limiters[id] == limiter {
 		return
 	}
@@ -46,7 +46,7 @@
 		}
 	}
 	if l.limiters == nil {
-		l.limiters = map[string]*route.Pace{}
+		l.limiters = map[string]*route.WarmupLimiter{}
 	}
 	l.limiters[id] = limiter
 }
@@ -55,15 +55,15 @@
 // If consume is set, it counts the request. Only daemons that use the target may send to it while
 // it warms up.
 func (rl *Relay) warmUpAllows(svc *table.Service, t *roster.Target, shared, consume bool, now time.Time) bool {
-	if svc.Cold.PerSecond <= 0 || !rl.options.Roster.Cold(t, svc.Cold.Start, now) {
+	if svc.Cold.PerSecond <= 0 || !rl.options.Roster.WarmingUp(t, svc.Cold.Start, now) {
 		return true
 	}
 	if !shared {
 		return false
 	}
-	rank, total := rl.options.Place(t.ID(), svc.Engine != nil)
-	perSecond := svc.Cold.PerSecond*rl.options.ColdOver + rl.options.ColdExtra
-	return rl.warmUp.allow(t.ID(), route.ColdShare(perSecond, total, rank), consume, now)
+	rank, total := rl.options.Rank(t.ID(), svc.Engine != nil)
+	perSecond := svc.Cold.PerSecond*rl.options.WarmUpFactor + rl.options.WarmUpExtra
+	return rl.warmUp.allow(t.ID(), route.WarmupShare(perSecond, total, rank), consume, now)
 }
 
 // acquire counts a choice under the warm-up limit of its target and takes a permit if the target has
@@ -77,10 +77,10 @@
 	if !p.relay.warmUpAllows(p.table.Service(p.service), c.target, true, true, now) {
 		return false
 	}
-	if c.permit.Far {
+	if c.permit.Remote {
 		return true
 	}
-	permit, granted := p.relay.options.Roster.Take(c.target)
+	permit, granted := p.relay.options.Roster.TakePermit(c.target)
 	c.permit = permit
 	return granted
 }
--- a/core/relay/warmup_test.go
+++ b/core/relay/warmup_test.go
@@ -30,7 +30,7 @@
 // warmUp makes a target warm up for a minute.
 func (r *rig) warmUp(id string) {
 	e := *r.roster.Target(id).Entry()
-	e.Cold = time.Minute
+	e.WarmUp = time.Minute
 	r.roster.Put(e)
 }
 
@@ -82,7 +82,7 @@
 
 func TestDaemonWithoutShareSendsNothingToWarmingTarget(t *testing.T) {
 	r := warmUpRig(t)
-	r.relay.options.Place = func(string, bool) (int, int) { return 2, 79 }
+	r.relay.options.Rank = func(string, bool) (int, int) { return 2, 79 }
 	r.target("cold", "plain", always(respond(200, "x")))
 	r.warmUp("cold")
 	r.g.Expect(r.ask("POST", "/short/x", "b", "Deadline", "100").status).To(gomega.Equal(503))
@@ -150,7 +150,7 @@
 		return e
 	}())
 	for _, id := range []string{"w1", "w2", "w3"} {
-		r.roster.Target(id).Begin(roster.Load{Running: 2, Unread: 500, Held: 500})
+		r.roster.Target(id).AddLoad(roster.Load{Running: 2, QueuedTokens: 500, OccupiedTokens: 500})
 	}
 	got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 	r.g.Expect(got.status).To(gomega.Equal(200))
--- a/core/relay/without.go
+++ b/core/relay/without.go
@@ -2,7 +2,7 @@
 
 // Without disables single mechanisms, to measure what each contributes. The zero value disables
 // none.
-type Without struct {
+type Disabled struct {
 	Times           bool `yaml:"times" doc:"Learning times to first answers: what is expected of targets stays as the settings say."`
 	Targets         bool `yaml:"targets" doc:"Learning which targets are slow or fail."`
 	LinkSpeeds      bool `yaml:"linkSpeeds" doc:"Learning how slow the links of stores and workers are."`
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -7,22 +7,22 @@
 )
 
 // Stop is the reason why a target may not get a request now.
-type Stop uint8
+type UnavailabilityReason uint8
 
 // Reasons, in the order in which they are checked.
 const (
 	// Open: the target is available.
-	Open Stop = iota
+	Available UnavailabilityReason = iota
 	// Gone: it is no longer listed.
-	Gone
+	Removed
 	// Leaves: the list, the target itself or a peer reports that it is shutting down.
-	Leaves
+	ShuttingDown
 	// Swaps: it has a weight update pending.
-	Swaps
+	UpdatingWeights
 	// Rests: it is under pushback for this daemon, or in the ramp that follows.
-	Rests
+	UnderPushback
 	// Limited: it is rate-limited, and this daemon has no permit now.
-	Limited
+	RateLimited
 	// Suspect: recent requests got no response.
 	Suspect
 	// Evacuated: operators requested the evacuation of its failure domain.
@@ -32,12 +32,12 @@
 var reasonNames = [...]string{"open", "gone", "leaves", "changes its weights", "rests", "is over the limit that it named", "does not answer", "evacuated"}
 
 // String returns the reason as it appears in log lines.
-func (s Stop) String() string { return reasonNames[s] }
+func (s UnavailabilityReason) String() string { return reasonNames[s] }
 
 // Gate is an immutable snapshot of the availability of all targets. Every way of sending consults
 // it when it chooses a target, and then Enter once a connection is open, so that a reason found by
 // one of them applies to all.
-type Gate struct {
+type Availability struct {
 	at           time.Time
 	updating     map[string]bool
 	selfStatuses map[string]selfStatus
@@ -56,10 +56,10 @@
 }
 
 // Gate returns a snapshot of the availability of all targets.
-func (r *Roster) Gate(now time.Time) *Gate {
+func (r *Roster) Availability(now time.Time) *Availability {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	g := &Gate{at: now, updating: r.updatingNow(now), evacuations: *r.evacuations.Load()}
+	g := &Availability{at: now, updating: r.updatingNow(now), evacuations: *r.evacuations.Load()}
 	if len(r.selfReports) == 0 {
 		return g
 	}
@@ -76,35 +76,35 @@
 // Stop returns why a target is unavailable, and for how much longer if that is known: what is left
 // of its pushback, the time until this daemon has a permit, or, as an estimate for an evacuation,
 // as long again as it has lasted.
-func (g *Gate) Stop(t *Target) (Stop, time.Duration) {
+func (g *Availability) Reason(t *Target) (UnavailabilityReason, time.Duration) {
 	return g.reason(t, g.updating[t.id], g.selfStatuses[t.id])
 }
 
 // reason is Stop, given the status of the target.
-func (g *Gate) reason(t *Target, updating bool, self selfStatus) (Stop, time.Duration) {
+func (g *Availability) reason(t *Target, updating bool, self selfStatus) (UnavailabilityReason, time.Duration) {
 	health, entry := t.Health(g.at), t.Entry()
 	switch {
-	case health.Gone:
-		return Gone, 0
-	case self.shuttingDown || entry.Leaving:
-		return Leaves, 0
+	case health.Removed:
+		return Removed, 0
+	case self.shuttingDown || entry.ShuttingDown:
+		return ShuttingDown, 0
 	case updating:
-		return Swaps, 0
+		return UpdatingWeights, 0
 	case self.pushback > 0:
-		return Rests, max(self.pushback, self.limitWait)
+		return UnderPushback, max(self.pushback, self.limitWait)
 	case self.limitWait > 0:
-		return Limited, self.limitWait
+		return RateLimited, self.limitWait
 	case health.Suspect:
 		return Suspect, 0
 	}
 	if duration, on := evacuated(g.evacuations, entry.Domain, g.at); on {
 		return Evacuated, duration
 	}
-	return Open, 0
+	return Available, 0
 }
 
 // Limits reports whether a target has a rate limit.
-func (g *Gate) Limits(t *Target) bool { return g.selfStatuses[t.id].limited }
+func (g *Availability) RateLimited(t *Target) bool { return g.selfStatuses[t.id].limited }
 
 // Enter returns Open if a request may be sent to a target now, and counts it. It is called last,
 // once a connection is open: since the target was chosen, it may have told another request that it
@@ -113,7 +113,7 @@
 //
 // It looks at one target only, because a Gate allocates two maps, which is too much for each
 // request.
-func (r *Roster) Enter(t *Target, permit Token) Stop {
+func (r *Roster) Admit(t *Target, permit Permit) UnavailabilityReason {
 	now := time.Now()
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -123,16 +123,16 @@
 		status = r.selfStatusOf(t.id, report, clockNow)
 	}
 	switch {
-	case permit.Held:
+	case permit.Taken:
 		status.limitWait = 0
-	case permit.Far && status.limited:
+	case permit.Remote && status.limited:
 		status.limitWait = max(status.limitWait, time.Nanosecond)
 	}
-	g := Gate{at: now, evacuations: *r.evacuations.Load()}
+	g := Availability{at: now, evacuations: *r.evacuations.Load()}
 	reason, _ := g.reason(t, r.isUpdating(t.id, now), status)
-	if reason == Open && report != nil {
+	if reason == Available && report != nil {
 		report.pushback.take(clockNow)
-		if report.limit.active && !permit.Held {
+		if report.limit.active && !permit.Taken {
 			report.limit.take(clockNow)
 		}
 	}
@@ -153,7 +153,7 @@
 }
 
 // Leaving reports whether an incarnation is shutting down, and how that is known.
-func (r *Roster) Leaving(t *Target) (Source, bool) {
+func (r *Roster) ShuttingDown(t *Target) (Source, bool) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	return r.shuttingDown(t)
@@ -164,12 +164,12 @@
 	if report := r.selfReports[t.id]; report != nil && report.shuttingDown {
 		return report.source, true
 	}
-	return ByList, t.Entry().Leaving
+	return ByList, t.Entry().ShuttingDown
 }
 
 // Stopped returns the targets of a service that are unavailable because they reported shutting down
 // or pushback.
-func (r *Roster) Stopped(service string) []string {
+func (r *Roster) SelfUnavailable(service string) []string {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	var out []string
--- a/core/roster/bench_test.go
+++ b/core/roster/bench_test.go
@@ -17,7 +17,7 @@
 		for i := range 3000 {
 			r.Put(Entry{ID: fmt.Sprintf("w-%04d", i), Service: "llm"})
 		}
-		if len(r.Of("llm")) != 3000 {
+		if len(r.ByService("llm")) != 3000 {
 			b.Fatal("targets are missing")
 		}
 	}
@@ -31,10 +31,10 @@
 		r.Put(Entry{ID: fmt.Sprintf("w-%04d", i), Service: "llm"})
 	}
 	for i := range 20 {
-		r.Target(fmt.Sprintf("w-%04d", 100*i)).Begin(Load{Running: 1})
+		r.Target(fmt.Sprintf("w-%04d", 100*i)).AddLoad(Load{Running: 1})
 	}
 	for range b.N {
-		if body := (Share{r}).Collect(false).(*heartbeatBody); len(body.Loads) != 20 {
+		if body := (HeartbeatPart{r}).Collect(false).(*heartbeatBody); len(body.Loads) != 20 {
 			b.Fatal("loads are missing")
 		}
 	}
@@ -49,18 +49,18 @@
 		r.Put(Entry{ID: id, Service: "s"})
 		switch {
 		case i < 5:
-			r.Leaves(id, ByAnswer)
+			r.RecordShutdown(id, ByAnswer)
 		case i < 10:
-			r.Turned(id, Asked{Rest: time.Minute})
+			r.RecordRejection(id, Pushback{Duration: time.Minute})
 		}
 	}
-	list := r.Of("s")
+	list := r.ByService("s")
 	b.ReportAllocs()
 	for b.Loop() {
-		gate := r.Gate(time.Now())
+		gate := r.Availability(time.Now())
 		open := 0
 		for _, t := range list {
-			if stop, _ := gate.Stop(t); stop == Open {
+			if stop, _ := gate.Reason(t); stop == Available {
 				open++
 			}
 		}
@@ -73,20 +73,20 @@
 // BenchmarkGateLimits does the same with 10 rate-limited targets.
 func BenchmarkGateLimits(b *testing.B) {
 	r := New(&event.Log{}, nil)
-	r.Place = func(*Target) (int, int) { return 3, 12 }
+	r.Rank = func(*Target) (int, int) { return 3, 12 }
 	for i := range 110 {
 		id := strconv.Itoa(i)
 		r.Put(Entry{ID: id, Service: "s"})
 		if i < 10 {
-			r.HearLimit(id, Limit{Named: true, PerSecond: 0.5}, clock.Now(), true)
+			r.RecordLimit(id, RateLimit{Stated: true, PerSecond: 0.5}, clock.Now(), true)
 		}
 	}
-	list := r.Of("s")
+	list := r.ByService("s")
 	b.ReportAllocs()
 	for b.Loop() {
-		gate := r.Gate(time.Now())
+		gate := r.Availability(time.Now())
 		for _, t := range list {
-			gate.Stop(t)
+			gate.Reason(t)
 		}
 	}
 }
--- a/core/roster/busy.go
+++ b/core/roster/busy.go
@@ -29,7 +29,7 @@
 	defer b.busyMu.Unlock()
 	out := make(map[string]Load, len(b.set))
 	for t := range b.set {
-		l := t.Own()
+		l := t.LocalLoad()
 		if l == (Load{}) {
 			delete(b.set, t)
 			continue
--- a/core/roster/domains.go
+++ b/core/roster/domains.go
@@ -53,7 +53,7 @@
 // warmUp after the end of an evacuation all targets of the domain count as warming up: they may
 // have been emptied or restarted meanwhile, and their entries may show that up to a heartbeat after
 // operators let requests go there again.
-func (r *Roster) Cold(t *Target, warmUp time.Duration, now time.Time) bool {
+func (r *Roster) WarmingUp(t *Target, warmUp time.Duration, now time.Time) bool {
 	if t.warmingUp(now) {
 		return true
 	}
--- a/core/roster/domains_test.go
+++ b/core/roster/domains_test.go
@@ -44,7 +44,7 @@
 			duration, on := r.Evacuated("d", now)
 			g.Expect(on).To(gomega.Equal(tc.evacuated))
 			g.Expect(duration).To(gomega.Equal(tc.duration))
-			g.Expect(r.Cold(r.Target("a"), warmUp, now)).To(gomega.Equal(tc.cold))
+			g.Expect(r.WarmingUp(r.Target("a"), warmUp, now)).To(gomega.Equal(tc.cold))
 			_, on = r.Evacuated("other", now)
 			g.Expect(on).To(gomega.BeFalse())
 		})
@@ -55,15 +55,15 @@
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	e := entry("a")
-	e.Cold = 3 * time.Second
+	e.WarmUp = 3 * time.Second
 	r.Put(e)
 	now := time.Now()
-	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(2*time.Second))).To(gomega.BeTrue())
-	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(4*time.Second))).To(gomega.BeFalse())
-	e.Cold = 0
+	g.Expect(r.WarmingUp(r.Target("a"), time.Second, now.Add(2*time.Second))).To(gomega.BeTrue())
+	g.Expect(r.WarmingUp(r.Target("a"), time.Second, now.Add(4*time.Second))).To(gomega.BeFalse())
+	e.WarmUp = 0
 	r.Put(e)
-	g.Expect(r.Cold(r.Target("a"), time.Second, now)).To(gomega.BeFalse(), "its entry shows the warm-up as over")
-	e.Cold = time.Minute
+	g.Expect(r.WarmingUp(r.Target("a"), time.Second, now)).To(gomega.BeFalse(), "its entry shows the warm-up as over")
+	e.WarmUp = time.Minute
 	r.Put(e)
-	g.Expect(r.Cold(r.Target("a"), time.Second, now.Add(50*time.Second))).To(gomega.BeTrue(), "its entry shows a new warm-up while it serves")
+	g.Expect(r.WarmingUp(r.Target("a"), time.Second, now.Add(50*time.Second))).To(gomega.BeTrue(), "its entry shows a new warm-up while it serves")
 }
--- a/core/roster/external.go
+++ b/core/roster/external.go
@@ -55,7 +55,7 @@
 	}
 	e.lastSweep = now
 	for id, old := range e.byID {
-		if now.Sub(old.lastUsed) > externalTTL && old.target.Own() == (Load{}) {
+		if now.Sub(old.lastUsed) > externalTTL && old.target.LocalLoad() == (Load{}) {
 			delete(e.byID, id)
 		}
 	}
@@ -70,7 +70,7 @@
 
 // Guest returns the target of an entry that another daemon sent. If this daemon's list contains the
 // incarnation, the listed target is returned and the entry is ignored.
-func (r *Roster) Guest(e Entry) *Target {
+func (r *Roster) AddExternal(e Entry) *Target {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	if e.Name == "" {
--- a/core/roster/external_test.go
+++ b/core/roster/external_test.go
@@ -17,36 +17,36 @@
 		steps func(r *Roster) *Target
 		// listed is whether it is among the targets of its service.
 		listed bool
-		stop   Stop
+		stop   UnavailabilityReason
 	}{
-		{"sent by another daemon", func(r *Roster) *Target { return r.Guest(incarnationEntry("a@1000", 1000)) }, false, Open},
+		{"sent by another daemon", func(r *Roster) *Target { return r.AddExternal(incarnationEntry("a@1000", 1000)) }, false, Available},
 		{"sent twice", func(r *Roster) *Target {
-			r.Guest(incarnationEntry("a@1000", 1000))
-			return r.Guest(incarnationEntry("a@1000", 1000))
-		}, false, Open},
+			r.AddExternal(incarnationEntry("a@1000", 1000))
+			return r.AddExternal(incarnationEntry("a@1000", 1000))
+		}, false, Available},
 		{"reported shutting down", func(r *Roster) *Target {
-			external := r.Guest(incarnationEntry("a@1000", 1000))
-			r.Leaves("a@1000", ByAnswer)
+			external := r.AddExternal(incarnationEntry("a@1000", 1000))
+			r.RecordShutdown("a@1000", ByAnswer)
 			return external
-		}, false, Leaves},
+		}, false, ShuttingDown},
 		{"listed from now on", func(r *Roster) *Target {
-			external := r.Guest(incarnationEntry("a@1000", 1000))
+			external := r.AddExternal(incarnationEntry("a@1000", 1000))
 			r.Put(incarnationEntry("a@1000", 1000))
 			return external
-		}, true, Open},
+		}, true, Available},
 		{"no longer listed", func(r *Roster) *Target {
 			r.Put(incarnationEntry("a@1000", 1000))
 			listed := r.Target("a@1000")
-			r.Drop("a")
+			r.MakeExternal("a")
 			return listed
-		}, false, Open},
+		}, false, Available},
 		{"dropped and listed again", func(r *Roster) *Target {
 			r.Put(incarnationEntry("a@1000", 1000))
 			listed := r.Target("a@1000")
-			r.Drop("a")
+			r.MakeExternal("a")
 			r.Put(incarnationEntry("a@1000", 1000))
 			return listed
-		}, true, Open},
+		}, true, Available},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,8 +56,8 @@
 			r.Removed = func(string, bool) { removed++ }
 			target := tc.steps(r)
 			g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(target), "its state is kept")
-			g.Expect(len(r.Of("s")) == 1).To(gomega.Equal(tc.listed))
-			g.Expect(r.Enter(target, Token{})).To(gomega.Equal(tc.stop))
+			g.Expect(len(r.ByService("s")) == 1).To(gomega.Equal(tc.listed))
+			g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(tc.stop))
 			g.Expect(removed).To(gomega.BeZero(), "no incarnation was removed")
 		})
 	}
@@ -66,9 +66,9 @@
 func TestUnusedExternalTargetsExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, now := New(&event.Log{}, nil), time.Now()
-	r.Guest(incarnationEntry("a@1000", 1000))
-	busy := r.Guest(incarnationEntry("b@1000", 1000))
-	busy.Begin(Load{Running: 1})
+	r.AddExternal(incarnationEntry("a@1000", 1000))
+	busy := r.AddExternal(incarnationEntry("b@1000", 1000))
+	busy.AddLoad(Load{Running: 1})
 	r.external.put(&Target{id: "c", busy: &r.busy}, now.Add(externalTTL+externalSweepInterval))
 	g.Expect(r.Target("a@1000")).To(gomega.BeNil())
 	g.Expect(r.Target("b@1000")).To(gomega.BeIdenticalTo(busy), "its request is unfinished")
--- a/core/roster/heartbeat.go
+++ b/core/roster/heartbeat.go
@@ -8,7 +8,7 @@
 
 // Share is the roster's part of heartbeats: it sends other daemons what this one learns first about
 // targets, and receives the same from them.
-type Share struct{ *Roster }
+type HeartbeatPart struct{ *Roster }
 
 // heartbeatBody is the roster's part of a heartbeat.
 type heartbeatBody struct {
@@ -27,14 +27,14 @@
 	// ShuttingDown holds the incarnations that recently reported shutting down.
 	ShuttingDown []string
 	// RateLimits holds the rate limits of incarnations, including those that ended recently.
-	RateLimits map[string]LimitNews
+	RateLimits map[string]RateLimitUpdate
 }
 
 // maxReloadingMillis bounds the milliseconds that a peer may report for a reloading target.
 const maxReloadingMillis = 2000
 
 // Collect returns this daemon's part of a heartbeat.
-func (s Share) Collect(bool) any {
+func (s HeartbeatPart) Collect(bool) any {
 	body := heartbeatBody{Loads: s.busy.loads()}
 	s.rosterMu.Lock()
 	defer s.rosterMu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // Receive applies a peer's part of a heartbeat.
-func (s Share) Receive(peer string, raw []byte) {
+func (s HeartbeatPart) Receive(peer string, raw []byte) {
 	var body heartbeatBody
 	if err := msgpack.Unmarshal(raw, &body); err != nil {
 		// A peer of another version; its loads are not counted.
--- a/core/roster/incarnations_test.go
+++ b/core/roster/incarnations_test.go
@@ -13,7 +13,7 @@
 // incarnationEntry is an entry of one incarnation of the target a.
 func incarnationEntry(id string, born int64) Entry {
 	e := entry(id)
-	e.Name, e.Born = "a", time.UnixMilli(born)
+	e.Name, e.Started = "a", time.UnixMilli(born)
 	return e
 }
 
@@ -34,44 +34,44 @@
 			r.Put(e)
 		}, "a@2000"},
 		{"a late entry of an older incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.Put(incarnationEntry("a@1000", 1000)) }, "a@2000"},
-		{"another incarnation answers", func(r *Roster) { r.Ended("a@1000") }, ""},
-		{"another incarnation answers, the list lags", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
-		{"another incarnation answers, the list follows", func(r *Roster) { r.Ended("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
-		{"its clock went back", func(r *Roster) { r.Put(incarnationEntry("a@500", 500)); r.Ended("a@1000") }, "a@500"},
+		{"another incarnation answers", func(r *Roster) { r.RecordReplaced("a@1000") }, ""},
+		{"another incarnation answers, the list lags", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
+		{"another incarnation answers, the list follows", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
+		{"its clock went back", func(r *Roster) { r.Put(incarnationEntry("a@500", 500)); r.RecordReplaced("a@1000") }, "a@500"},
 		{"taken off the list and back", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(incarnationEntry("a@500", 500)) }, "a@500"},
-		{"unusable entry of another writer", func(r *Roster) { r.Unlist("a") }, ""},
-		{"a usable entry after an unusable one", func(r *Roster) { r.Unlist("a"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
+		{"unusable entry of another writer", func(r *Roster) { r.RemoveUnusable("a") }, ""},
+		{"a usable entry after an unusable one", func(r *Roster) { r.RemoveUnusable("a"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			r, now := New(&event.Log{}, nil), time.Now()
 			first := incarnationEntry("a@1000", 1000)
-			first.Orders = 5
+			first.OrderCount = 5
 			r.Put(first)
 			old := r.Target("a@1000")
-			r.Learn("a@1000", "m", 3)
-			old.Begin(Load{Running: 1, Unread: 10, Held: 10})
-			old.Silent(now)
-			r.Order("a@1000", now.Add(time.Minute))
-			r.Reloads("a@1000", now.Add(time.Minute))
+			r.RecordVersion("a@1000", "m", 3)
+			old.AddLoad(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10})
+			old.RecordNoResponse(now)
+			r.BeginUpdate("a@1000", now.Add(time.Minute))
+			r.RecordReloading("a@1000", now.Add(time.Minute))
 			tc.steps(r)
-			g.Expect(old.Health(now).Gone).To(gomega.BeTrue())
-			got := r.Named("a")
+			g.Expect(old.Health(now).Removed).To(gomega.BeTrue())
+			got := r.ByName("a")
 			if tc.want == "" {
 				g.Expect(got).To(gomega.BeNil())
-				g.Expect(r.Of("s")).To(gomega.BeEmpty())
+				g.Expect(r.ByService("s")).To(gomega.BeEmpty())
 				return
 			}
-			g.Expect(ids(r.Of("s"))).To(gomega.Equal([]string{tc.want}))
+			g.Expect(ids(r.ByService("s"))).To(gomega.Equal([]string{tc.want}))
 			g.Expect(got.ID()).To(gomega.Equal(tc.want))
 			g.Expect(got.Entry().Weights).To(gomega.Equal(map[string]int64{"m": 1}))
-			g.Expect(got.Entry().Orders).To(gomega.BeZero())
+			g.Expect(got.Entry().OrderCount).To(gomega.BeZero())
 			g.Expect(got.Load()).To(gomega.Equal(Load{}))
 			g.Expect(got.Health(now)).To(gomega.Equal(Health{}))
-			g.Expect(r.Ordered(now)).NotTo(gomega.HaveKey(tc.want))
+			g.Expect(r.Updating(now)).NotTo(gomega.HaveKey(tc.want))
 			g.Expect(r.Reloading(now)).NotTo(gomega.HaveKey(tc.want))
-			r.Learn("a@1000", "m", 9)
+			r.RecordVersion("a@1000", "m", 9)
 			g.Expect(got.Entry().Weights).To(gomega.Equal(map[string]int64{"m": 1}), "a late version of the previous incarnation")
 		})
 	}
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -91,7 +91,7 @@
 
 // RestList holds the pushback of targets by name, for callers without a Roster. The zero value is
 // ready to use.
-type RestList struct {
+type PushbackList struct {
 	pushbacksMu sync.Mutex
 	byName      map[string]*namedPushback // guarded by pushbacksMu
 }
@@ -104,7 +104,7 @@
 
 // Turned records that an incarnation of a target rejected a request with a pushback of d. It
 // reports whether a log line is due for that.
-func (r *RestList) Turned(name, incarnation string, d time.Duration) bool {
+func (r *PushbackList) RecordRejection(name, incarnation string, d time.Duration) bool {
 	if d <= 0 {
 		return false
 	}
@@ -123,7 +123,7 @@
 
 // Took records that a target accepted a request. It reports whether that ended a ramp and a log
 // line is due for it.
-func (r *RestList) Took(name string) bool {
+func (r *PushbackList) RecordAccepted(name string) bool {
 	r.pushbacksMu.Lock()
 	defer r.pushbacksMu.Unlock()
 	p := r.byName[name]
@@ -131,7 +131,7 @@
 }
 
 // Take counts an attempt at a target, and reports whether it may be sent.
-func (r *RestList) Take(name string) bool {
+func (r *PushbackList) Take(name string) bool {
 	r.pushbacksMu.Lock()
 	defer r.pushbacksMu.Unlock()
 	p := r.byName[name]
@@ -141,7 +141,7 @@
 // Left returns how much longer each target gets no requests, without those that may get one.
 // incarnationOf returns the current incarnation of a name, or "" if unknown: the pushback of
 // another incarnation does not apply to it. Targets whose ramp is over are forgotten.
-func (r *RestList) Left(incarnationOf func(name string) string) map[string]time.Duration {
+func (r *PushbackList) Remaining(incarnationOf func(name string) string) map[string]time.Duration {
 	r.pushbacksMu.Lock()
 	defer r.pushbacksMu.Unlock()
 	now := clock.Now()
--- a/core/roster/pushback_test.go
+++ b/core/roster/pushback_test.go
@@ -80,26 +80,26 @@
 	r := New(&event.Log{}, nil)
 	r.Put(incarnationEntry("a@1000", 1000))
 	target := r.Target("a@1000")
-	r.Turned("a@1000", Asked{})
-	r.Turned("a@1000", Asked{Odd: "x"})
-	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Open), "no pushback, or an unreadable one")
-	r.Turned("a@1000", Asked{Rest: time.Minute})
-	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Rests))
-	g.Expect(r.Stopped(target.Entry().Service)).To(gomega.Equal([]string{"a@1000"}))
-	stop, wait := r.Gate(time.Now()).Stop(target)
-	g.Expect(stop).To(gomega.Equal(Rests))
+	r.RecordRejection("a@1000", Pushback{})
+	r.RecordRejection("a@1000", Pushback{Invalid: "x"})
+	g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(Available), "no pushback, or an unreadable one")
+	r.RecordRejection("a@1000", Pushback{Duration: time.Minute})
+	g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(UnderPushback))
+	g.Expect(r.SelfUnavailable(target.Entry().Service)).To(gomega.Equal([]string{"a@1000"}))
+	stop, wait := r.Availability(time.Now()).Reason(target)
+	g.Expect(stop).To(gomega.Equal(UnderPushback))
 	g.Expect(wait).To(gomega.BeNumerically("~", time.Minute, 5*time.Second))
 	r.Put(incarnationEntry("a@1000", 1000))
-	g.Expect(r.Enter(r.Target("a@1000"), Token{})).To(gomega.Equal(Rests), "its entry shows ready")
+	g.Expect(r.Admit(r.Target("a@1000"), Permit{})).To(gomega.Equal(UnderPushback), "its entry shows ready")
 	r.Put(incarnationEntry("a@2000", 2000))
-	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open), "the next incarnation sent no pushback")
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available), "the next incarnation sent no pushback")
 
-	r.Turned("a@2000", Asked{Rest: time.Minute})
+	r.RecordRejection("a@2000", Pushback{Duration: time.Minute})
 	clock.Suspend(time.Minute)
-	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open))
-	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Rests), "the ramp allows one attempt at first")
-	r.Took("a@2000")
-	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open))
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available))
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(UnderPushback), "the ramp allows one attempt at first")
+	r.RecordAccepted("a@2000")
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available))
 }
 
 // A pushback is meant for one daemon, so peers are not notified.
@@ -107,8 +107,8 @@
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	r.Put(entry("a"))
-	r.Turned("a", Asked{Rest: time.Minute})
-	body := Share{r}.Collect(true).(*heartbeatBody)
+	r.RecordRejection("a", Pushback{Duration: time.Minute})
+	body := HeartbeatPart{r}.Collect(true).(*heartbeatBody)
 	g.Expect(body.ShuttingDown).To(gomega.BeEmpty())
 	g.Expect(body.Reloading).To(gomega.BeEmpty())
 }
@@ -117,28 +117,28 @@
 func TestRestListPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	current := func(incarnation string) func(string) string { return func(string) string { return incarnation } }
-	var r RestList
-	g.Expect(r.Turned("a", "1", 0)).To(gomega.BeFalse())
-	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
+	var r PushbackList
+	g.Expect(r.RecordRejection("a", "1", 0)).To(gomega.BeFalse())
+	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
-	g.Expect(r.Turned("a", "1", time.Minute)).To(gomega.BeTrue())
-	g.Expect(r.Turned("a", "1", time.Second)).To(gomega.BeFalse(), "a pushback is in effect already")
+	g.Expect(r.RecordRejection("a", "1", time.Minute)).To(gomega.BeTrue())
+	g.Expect(r.RecordRejection("a", "1", time.Second)).To(gomega.BeFalse(), "a pushback is in effect already")
 	g.Expect(r.Take("a")).To(gomega.BeFalse())
-	g.Expect(r.Took("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
+	g.Expect(r.RecordAccepted("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
 	for _, incarnation := range []string{"", "1"} {
-		g.Expect(r.Left(current(incarnation))).To(gomega.HaveKeyWithValue("a", gomega.BeNumerically("~", time.Minute, 5*time.Second)))
+		g.Expect(r.Remaining(current(incarnation))).To(gomega.HaveKeyWithValue("a", gomega.BeNumerically("~", time.Minute, 5*time.Second)))
 	}
-	g.Expect(r.Left(current("2"))).To(gomega.BeEmpty())
+	g.Expect(r.Remaining(current("2"))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
 
-	r.Turned("a", "", time.Minute)
-	g.Expect(r.Left(current("2"))).To(gomega.HaveKey("a"), "the incarnation that sent it is unknown")
+	r.RecordRejection("a", "", time.Minute)
+	g.Expect(r.Remaining(current("2"))).To(gomega.HaveKey("a"), "the incarnation that sent it is unknown")
 	clock.Suspend(time.Minute)
-	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
+	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
-	g.Expect(r.Left(current(""))).To(gomega.HaveKey("a"), "the ramp allows one attempt at first")
-	g.Expect(r.Took("a")).To(gomega.BeTrue())
-	g.Expect(r.Left(current(""))).To(gomega.BeEmpty())
+	g.Expect(r.Remaining(current(""))).To(gomega.HaveKey("a"), "the ramp allows one attempt at first")
+	g.Expect(r.RecordAccepted("a")).To(gomega.BeTrue())
+	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
 }
 
 // A target that alternates between rejecting with a very short pushback and accepting causes one
@@ -150,9 +150,9 @@
 	r := New(log, nil)
 	r.Put(entry("a"))
 	for range 50 {
-		r.Turned("a", Asked{Rest: time.Nanosecond, Odd: "x"})
+		r.RecordRejection("a", Pushback{Duration: time.Nanosecond, Invalid: "x"})
 		clock.Suspend(time.Millisecond)
-		r.Took("a")
+		r.RecordAccepted("a")
 	}
 	lines := map[event.Code]int{}
 	for _, ev := range log.Since(0, 1000) {
@@ -162,6 +162,6 @@
 	g.Expect(lines[event.TargetRested]).To(gomega.Equal(1))
 	g.Expect(lines[event.TargetUnreadable]).To(gomega.Equal(1))
 	clock.Suspend(pushbackLogInterval)
-	r.Turned("a", Asked{Rest: time.Second})
+	r.RecordRejection("a", Pushback{Duration: time.Second})
 	g.Expect(log.Since(0, 1000)).To(gomega.HaveLen(5), "including the one about its entry")
 }
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -10,13 +10,13 @@
 )
 
 // Limit is the rate limit that a response of a target states. The zero value states none.
-type Limit struct {
+type RateLimit struct {
 	// Named means that the response states a rate.
-	Named bool
+	Stated bool
 	// PerSecond is the number of requests a second from all daemons together.
 	PerSecond float64
 	// Odd is an unreadable value, or "".
-	Odd string
+	Invalid string
 }
 
 // Each daemon that sends to a rate-limited target has a token bucket of one permit, which starts
@@ -122,10 +122,10 @@
 
 // Token is a permit to send one request to a target. The zero value belongs to a request whose
 // target had no rate limit when it was chosen.
-type Token struct {
+type Permit struct {
 	// Held means that a permit was taken. Far means that another daemon chose the target, and so
 	// decided about the permit.
-	Held, Far bool
+	Taken, Remote bool
 	// seq is the limit's seq when the permit was taken here; 0 if it was taken elsewhere.
 	seq uint64
 }
@@ -140,8 +140,8 @@
 	l := &report.limit
 	if l.rankedAt.IsZero() || now.Sub(l.rankedAt) >= rankTTL {
 		rank, daemons := 0, 1
-		if r.Place != nil {
-			rank, daemons = r.Place(t)
+		if r.Rank != nil {
+			rank, daemons = r.Rank(t)
 		}
 		l.setRank(rank, daemons, now)
 	}
@@ -149,7 +149,7 @@
 }
 
 // Holders returns how many daemons send to a rate-limited target; 0 if it has no rate limit.
-func (r *Roster) Holders(t *Target) int {
+func (r *Roster) Senders(t *Target) int {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	l := r.limitFor(t, clock.Now())
@@ -161,27 +161,27 @@
 
 // Take takes a permit for a request to a target that was chosen here, and reports whether the
 // request may be sent.
-func (r *Roster) Take(t *Target) (Token, bool) {
+func (r *Roster) TakePermit(t *Target) (Permit, bool) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	now := clock.Now()
 	l := r.limitFor(t, now)
 	if l == nil {
-		return Token{}, true
+		return Permit{}, true
 	}
 	if l.wait(now) > 0 {
-		return Token{}, false
+		return Permit{}, false
 	}
 	l.take(now)
-	return Token{Held: true, seq: l.seq}, true
+	return Permit{Taken: true, seq: l.seq}, true
 }
 
 // Return gives back the permit of a request that was not sent.
-func (r *Roster) Return(t *Target, permit Token) {
+func (r *Roster) ReturnPermit(t *Target, permit Permit) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	report := r.selfReports[t.id]
-	if !permit.Held || permit.seq == 0 || report == nil || !report.limit.active || report.limit.seq != permit.seq {
+	if !permit.Taken || permit.seq == 0 || report == nil || !report.limit.active || report.limit.seq != permit.seq {
 		return
 	}
 	report.limit.nextPermit = clock.Now()
@@ -191,34 +191,34 @@
 // none. sent is when the request was sent. executed means that the incarnation accepted the request
 // and signed the response: any other response without a rate does not end a limit. It reports
 // whether other daemons need to be notified.
-func (r *Roster) HearLimit(id string, stated Limit, sent clock.Time, executed bool) bool {
+func (r *Roster) RecordLimit(id string, stated RateLimit, sent clock.Time, executed bool) bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	report := r.selfReports[id]
-	if stated == (Limit{}) && (report == nil || !report.limit.active) {
+	if stated == (RateLimit{}) && (report == nil || !report.limit.active) {
 		return false
 	}
 	report, now := r.selfReportOf(id), clock.Now()
-	if stated.Odd != "" {
-		r.logInvalid(id, report, "invalid rate limit "+stated.Odd)
+	if stated.Invalid != "" {
+		r.logInvalid(id, report, "invalid rate limit "+stated.Invalid)
 	}
 	state := &report.limit
 	switch {
-	case stated.Named && state.active && stated.PerSecond > state.perSecond && sent.Before(state.changed):
+	case stated.Stated && state.active && stated.PerSecond > state.perSecond && sent.Before(state.changed):
 		// The response may be older than the one that stated the lower rate.
-	case stated.Named:
+	case stated.Stated:
 		state.lastStated = now
-		return r.setLimit(id, state, LimitNews{On: true, PerSecond: stated.PerSecond, Seq: state.seq + 1}, ByAnswer)
-	case executed && stated.Odd == "" && state.active && sent.After(state.lastStated) && sent.After(state.changed):
-		return r.setLimit(id, state, LimitNews{Seq: state.seq + 1}, ByAnswer)
+		return r.setLimit(id, state, RateLimitUpdate{Active: true, PerSecond: stated.PerSecond, Seq: state.seq + 1}, ByAnswer)
+	case executed && stated.Invalid == "" && state.active && sent.After(state.lastStated) && sent.After(state.changed):
+		return r.setLimit(id, state, RateLimitUpdate{Seq: state.seq + 1}, ByAnswer)
 	}
 	return false
 }
 
 // setLimit applies an update and reports whether it is a change. It is called with rosterMu held.
-func (r *Roster) setLimit(id string, state *limitState, update LimitNews, source Source) bool {
+func (r *Roster) setLimit(id string, state *limitState, update RateLimitUpdate, source Source) bool {
 	now, oldText := clock.Now(), state.text()
-	if !state.set(update.On, update.PerSecond, now) {
+	if !state.set(update.Active, update.PerSecond, now) {
 		return false
 	}
 	state.seq, state.rankedAt = update.Seq, clock.Time{}
@@ -226,7 +226,7 @@
 		return true
 	}
 	state.lastLogged = now
-	if update.On {
+	if update.Active {
 		r.log.Emit(event.TargetLimits, event.Ref{Target: id}, state.text()+", reported by "+string(source))
 	} else {
 		r.log.Emit(event.TargetUnlimited, event.Ref{Target: id}, "no longer "+oldText+", reported by "+string(source))
@@ -238,11 +238,11 @@
 const limitLogInterval = time.Second
 
 // LimitNews is the update about an incarnation's rate limit that daemons send each other.
-type LimitNews struct {
+type RateLimitUpdate struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	// On means that there is a rate limit, and PerSecond is its rate.
-	On        bool
+	Active    bool
 	PerSecond float64
 	// Seq orders the changes; see limitState.
 	Seq uint64
@@ -253,8 +253,8 @@
 const limitEndNotifyTime = 2 * time.Second
 
 // limitUpdates returns the rate limit updates for other daemons. It is called with rosterMu held.
-func (r *Roster) limitUpdates() map[string]LimitNews {
-	var out map[string]LimitNews
+func (r *Roster) limitUpdates() map[string]RateLimitUpdate {
+	var out map[string]RateLimitUpdate
 	now := clock.Now()
 	for id, report := range r.selfReports {
 		state := &report.limit
@@ -262,15 +262,15 @@
 			continue
 		}
 		if out == nil {
-			out = map[string]LimitNews{}
+			out = map[string]RateLimitUpdate{}
 		}
-		out[id] = LimitNews{On: state.active, PerSecond: state.perSecond, Seq: state.seq}
+		out[id] = RateLimitUpdate{Active: state.active, PerSecond: state.perSecond, Seq: state.seq}
 	}
 	return out
 }
 
 // mergeLimits applies the updates of another daemon. It is called with rosterMu held.
-func (r *Roster) mergeLimits(updates map[string]LimitNews) {
+func (r *Roster) mergeLimits(updates map[string]RateLimitUpdate) {
 	for id, update := range updates {
 		if r.find(id) == nil {
 			// An unknown target's first response will state its limit.
@@ -283,7 +283,7 @@
 		newer := update.Seq > state.seq
 		if update.Seq == state.seq {
 			// Two daemons received two changes at the same time: the lower rate is the safer one.
-			newer = update.On && (!state.active || update.PerSecond < state.perSecond)
+			newer = update.Active && (!state.active || update.PerSecond < state.perSecond)
 		}
 		if newer {
 			r.setLimit(id, state, update, ByPeer)
@@ -296,13 +296,13 @@
 
 // Limits returns the rate limits applied here to a service's targets, for another daemon that
 // chooses among them.
-func (r *Roster) Limits(service string) map[string]LimitNews {
+func (r *Roster) RateLimits(service string) map[string]RateLimitUpdate {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	out := r.limitUpdates()
 	for id, update := range out {
 		t := r.find(id)
-		if !update.On || t == nil || t.Entry().Service != service {
+		if !update.Active || t == nil || t.Entry().Service != service {
 			delete(out, id)
 		}
 	}
@@ -310,31 +310,31 @@
 }
 
 // MergeLimits applies rate limit updates of another daemon.
-func (r *Roster) MergeLimits(updates map[string]LimitNews) {
+func (r *Roster) MergeRateLimits(updates map[string]RateLimitUpdate) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	r.mergeLimits(updates)
 }
 
 // LimitedTarget is a rate-limited target.
-type LimitedTarget struct {
+type RateLimitedTarget struct {
 	ID        string
 	PerSecond float64
 	// Age is how long ago this daemon received the last change of the limit.
 	Age time.Duration
 	// Holds means that this daemon sends to the target.
-	Holds bool
+	Sends bool
 }
 
 // Limited returns the listed targets that have a rate limit, in no order.
-func (r *Roster) Limited() []LimitedTarget {
+func (r *Roster) RateLimitedTargets() []RateLimitedTarget {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	var out []LimitedTarget
+	var out []RateLimitedTarget
 	now := clock.Now()
 	for id, report := range r.selfReports {
 		if report.limit.active && r.targets[id] != nil {
-			out = append(out, LimitedTarget{id, report.limit.perSecond, now.Sub(report.limit.changed), report.limit.sends})
+			out = append(out, RateLimitedTarget{id, report.limit.perSecond, now.Sub(report.limit.changed), report.limit.sends})
 		}
 	}
 	return out
--- a/core/roster/ratelimit_test.go
+++ b/core/roster/ratelimit_test.go
@@ -102,17 +102,17 @@
 // newLimited returns a roster with one target to which only this daemon sends.
 func newLimited(log *event.Log) (*Roster, *Target) {
 	r := New(log, nil)
-	r.Place = func(*Target) (int, int) { return 0, 1 }
+	r.Rank = func(*Target) (int, int) { return 0, 1 }
 	r.Put(incarnationEntry("a@1000", 1000))
 	return r, r.Target("a@1000")
 }
 
 // statedRate returns the limit of a response that states a rate.
-func statedRate(perSecond float64) Limit { return Limit{Named: true, PerSecond: perSecond} }
+func statedRate(perSecond float64) RateLimit { return RateLimit{Stated: true, PerSecond: perSecond} }
 
 func TestRateLimitFollowsResponses(t *testing.T) {
 	type response struct {
-		limit Limit
+		limit RateLimit
 		// early means that the request was sent before the first response arrived, and refused that
 		// the target rejected it.
 		early, refused bool
@@ -131,8 +131,8 @@
 		{"another rate", []response{{limit: statedRate(5)}, {limit: statedRate(7)}}, 7},
 		{"a higher rate in the response to an older request", []response{{limit: statedRate(5)}, {limit: statedRate(7), early: true}}, 5},
 		{"a lower rate in the response to an older request", []response{{limit: statedRate(5)}, {limit: statedRate(3), early: true}}, 3},
-		{"an unreadable rate", []response{{limit: statedRate(5)}, {limit: Limit{Odd: "x"}}}, 5},
-		{"an unreadable rate first", []response{{limit: Limit{Odd: "x"}}}, -1},
+		{"an unreadable rate", []response{{limit: statedRate(5)}, {limit: RateLimit{Invalid: "x"}}}, 5},
+		{"an unreadable rate first", []response{{limit: RateLimit{Invalid: "x"}}}, -1},
 		{"zero", []response{{limit: statedRate(0)}}, 0},
 	}
 	for _, tc := range tests {
@@ -147,14 +147,14 @@
 					sent = clock.Now()
 				}
 				clock.Suspend(time.Millisecond)
-				r.HearLimit("a@1000", a.limit, sent, !a.refused)
+				r.RecordLimit("a@1000", a.limit, sent, !a.refused)
 			}
 			if tc.want < 0 {
-				g.Expect(r.Limited()).To(gomega.BeEmpty())
+				g.Expect(r.RateLimitedTargets()).To(gomega.BeEmpty())
 				return
 			}
-			g.Expect(r.Limited()).To(gomega.HaveLen(1))
-			g.Expect(r.Limited()[0].PerSecond).To(gomega.Equal(tc.want))
+			g.Expect(r.RateLimitedTargets()).To(gomega.HaveLen(1))
+			g.Expect(r.RateLimitedTargets()[0].PerSecond).To(gomega.Equal(tc.want))
 		})
 	}
 }
@@ -164,37 +164,37 @@
 func TestRateLimitPermits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, target := newLimited(&event.Log{})
-	permit, ok := r.Take(target)
+	permit, ok := r.TakePermit(target)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(permit).To(gomega.Equal(Token{}), "there is no limit")
-	g.Expect(r.HearLimit("a@1000", statedRate(2), clock.Now(), true)).To(gomega.BeTrue())
-	g.Expect(r.Enter(target, permit)).To(gomega.Equal(Limited), "it was stated after the target was chosen")
-	stop, wait := r.Gate(time.Now()).Stop(target)
-	g.Expect(stop).To(gomega.Equal(Limited))
+	g.Expect(permit).To(gomega.Equal(Permit{}), "there is no limit")
+	g.Expect(r.RecordLimit("a@1000", statedRate(2), clock.Now(), true)).To(gomega.BeTrue())
+	g.Expect(r.Admit(target, permit)).To(gomega.Equal(RateLimited), "it was stated after the target was chosen")
+	stop, wait := r.Availability(time.Now()).Reason(target)
+	g.Expect(stop).To(gomega.Equal(RateLimited))
 	g.Expect(wait).To(gomega.BeNumerically("~", 500*time.Millisecond, 100*time.Millisecond))
 
 	clock.Suspend(500 * time.Millisecond)
-	permit, ok = r.Take(target)
+	permit, ok = r.TakePermit(target)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(r.Enter(target, permit)).To(gomega.Equal(Open))
-	_, ok = r.Take(target)
+	g.Expect(r.Admit(target, permit)).To(gomega.Equal(Available))
+	_, ok = r.TakePermit(target)
 	g.Expect(ok).To(gomega.BeFalse())
-	r.Return(target, permit)
-	permit, ok = r.Take(target)
+	r.ReturnPermit(target, permit)
+	permit, ok = r.TakePermit(target)
 	g.Expect(ok).To(gomega.BeTrue(), "the permit was returned")
-	g.Expect(r.HearLimit("a@1000", statedRate(1), clock.Now(), true)).To(gomega.BeTrue())
-	r.Return(target, permit)
-	_, ok = r.Take(target)
+	g.Expect(r.RecordLimit("a@1000", statedRate(1), clock.Now(), true)).To(gomega.BeTrue())
+	r.ReturnPermit(target, permit)
+	_, ok = r.TakePermit(target)
 	g.Expect(ok).To(gomega.BeFalse(), "the limit has changed since")
 
-	g.Expect(r.Enter(target, Token{Held: true, Far: true})).To(gomega.Equal(Open), "the remote daemon took a permit")
+	g.Expect(r.Admit(target, Permit{Taken: true, Remote: true})).To(gomega.Equal(Available), "the remote daemon took a permit")
 	clock.Suspend(time.Minute)
-	g.Expect(r.Enter(target, Token{Far: true})).To(gomega.Equal(Limited), "the remote daemon had recorded no limit")
-	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Open))
-	g.Expect(r.Enter(target, Token{})).To(gomega.Equal(Limited))
+	g.Expect(r.Admit(target, Permit{Remote: true})).To(gomega.Equal(RateLimited), "the remote daemon had recorded no limit")
+	g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(Available))
+	g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(RateLimited))
 
 	r.Put(incarnationEntry("a@2000", 2000))
-	g.Expect(r.Enter(r.Target("a@2000"), Token{})).To(gomega.Equal(Open), "the next incarnation stated none")
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available), "the next incarnation stated none")
 }
 
 // Daemons that are not senders of a rate-limited target send it nothing, and a limit that ended
@@ -203,25 +203,25 @@
 	g := gomega.NewWithT(t)
 	from, _ := newLimited(&event.Log{})
 	to, target := newLimited(&event.Log{})
-	to.Place = func(*Target) (int, int) { return minSenders + 2, 100 }
+	to.Rank = func(*Target) (int, int) { return minSenders + 2, 100 }
 	heartbeat := func() { sendHeartbeat(g, from, to) }
-	from.HearLimit("a@1000", statedRate(2), clock.Now(), true)
+	from.RecordLimit("a@1000", statedRate(2), clock.Now(), true)
 	heartbeat()
-	g.Expect(to.Enter(target, Token{})).To(gomega.Equal(Limited))
+	g.Expect(to.Admit(target, Permit{})).To(gomega.Equal(RateLimited))
 	clock.Suspend(time.Hour)
-	g.Expect(to.Enter(target, Token{})).To(gomega.Equal(Limited))
-	from.HearLimit("a@1000", statedRate(50), clock.Now(), true)
+	g.Expect(to.Admit(target, Permit{})).To(gomega.Equal(RateLimited))
+	from.RecordLimit("a@1000", statedRate(50), clock.Now(), true)
 	heartbeat()
-	g.Expect(to.Limited()[0].PerSecond).To(gomega.Equal(50.0))
+	g.Expect(to.RateLimitedTargets()[0].PerSecond).To(gomega.Equal(50.0))
 	clock.Suspend(time.Second)
-	from.HearLimit("a@1000", Limit{}, clock.Now(), true)
+	from.RecordLimit("a@1000", RateLimit{}, clock.Now(), true)
 	clock.Suspend(2 * limitEndNotifyTime)
 	heartbeat()
-	g.Expect(to.Limited()).NotTo(gomega.BeEmpty(), "the peer missed the notification")
+	g.Expect(to.RateLimitedTargets()).NotTo(gomega.BeEmpty(), "the peer missed the notification")
 	sendHeartbeat(g, to, from)
 	heartbeat()
-	g.Expect(to.Limited()).To(gomega.BeEmpty(), "it was notified again")
-	g.Expect(from.Limited()).To(gomega.BeEmpty())
+	g.Expect(to.RateLimitedTargets()).To(gomega.BeEmpty(), "it was notified again")
+	g.Expect(from.RateLimitedTargets()).To(gomega.BeEmpty())
 }
 
 // A target that states another rate in each response causes one log line a second.
@@ -231,7 +231,7 @@
 	r, _ := newLimited(log)
 	for i := range 50 {
 		clock.Suspend(time.Millisecond)
-		r.HearLimit("a@1000", Limit{Named: true, PerSecond: float64(i), Odd: "x"}, clock.Now(), true)
+		r.RecordLimit("a@1000", RateLimit{Stated: true, PerSecond: float64(i), Invalid: "x"}, clock.Now(), true)
 	}
 	lines := map[event.Code]int{}
 	for _, ev := range log.Since(0, 1000) {
@@ -240,7 +240,7 @@
 	g.Expect(lines[event.TargetLimits]).To(gomega.Equal(1))
 	g.Expect(lines[event.TargetUnreadable]).To(gomega.Equal(1))
 	clock.Suspend(limitLogInterval)
-	r.HearLimit("a@1000", Limit{}, clock.Now(), true)
+	r.RecordLimit("a@1000", RateLimit{}, clock.Now(), true)
 	g.Expect(log.Since(0, 1000)[len(log.Since(0, 1000))-1].Code).To(gomega.Equal(event.TargetUnlimited))
 }
 
--- a/core/roster/restored_test.go
+++ b/core/roster/restored_test.go
@@ -14,7 +14,7 @@
 // entryAt is an entry written at a revision of a store incarnation.
 func entryAt(id string, shuttingDown bool, storeIncarnation, revision int64) Entry {
 	e := entry(id)
-	e.Name, e.Leaving, e.Revision = id, shuttingDown, plat.Revision(storeIncarnation, revision)
+	e.Name, e.ShuttingDown, e.Revision = id, shuttingDown, plat.Revision(storeIncarnation, revision)
 	return e
 }
 
@@ -23,65 +23,65 @@
 	tests := []struct {
 		name string
 		do   func(r *Roster)
-		want Stop
+		want UnavailabilityReason
 	}{
-		{"ready as before", func(r *Roster) { r.Put(entryAt("a", false, 2, 10)) }, Open},
+		{"ready as before", func(r *Roster) { r.Put(entryAt("a", false, 2, 10)) }, Available},
 		{"shutting down, and ready in the copy", func(r *Roster) {
 			r.Put(entryAt("a", true, 1, 20))
 			r.Put(entryAt("a", false, 2, 10))
-		}, Leaves},
+		}, ShuttingDown},
 		{"shut down and removed, and ready in the copy", func(r *Roster) {
 			r.Put(entryAt("a", true, 1, 20))
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 30))
-		}, Leaves},
+		}, ShuttingDown},
 		{"removed, and ready in the copy", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 10))
-		}, Gone},
+		}, Removed},
 		{"removed, and put twice from the copy", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 10))
 			r.Put(entryAt("a", false, 2, 10))
-		}, Gone},
+		}, Removed},
 		{"removed, in the copy, and written since", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 9))
 			r.Put(entryAt("a", false, 2, 10))
-		}, Open},
+		}, Available},
 		{"removed, and written at a later revision", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 11))
-		}, Open},
+		}, Available},
 		{"removed and put again within a store incarnation", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 1, 12))
-		}, Open},
+		}, Available},
 		{"removed, in the copy for long", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 10))
 			r.acceptStale(entryAt("a", false, 2, 10))
-		}, Open},
+		}, Available},
 		{"removed, in the copy, and removed again", func(r *Roster) {
 			r.Remove("a", clock.Now())
 			r.Put(entryAt("a", false, 2, 10))
 			r.Remove("a", clock.Now())
 			r.acceptStale(entryAt("a", false, 2, 10))
-		}, Gone},
-		{"not in the copy", func(r *Roster) { r.Lose("a") }, Open},
+		}, Removed},
+		{"not in the copy", func(r *Roster) { r.RecordMissing("a") }, Available},
 		{"shutting down, and not in the copy", func(r *Roster) {
 			r.Put(entryAt("a", true, 1, 20))
-			r.Lose("a")
-		}, Gone},
+			r.RecordMissing("a")
+		}, Removed},
 		{"not in the copy, and not written again", func(r *Roster) {
-			r.Lose("a")
+			r.RecordMissing("a")
 			r.removeLapsed("a")
-		}, Gone},
+		}, Removed},
 		{"not in the copy, and written again", func(r *Roster) {
-			r.Lose("a")
+			r.RecordMissing("a")
 			r.Put(entryAt("a", false, 2, 10))
 			r.removeLapsed("a")
-		}, Open},
+		}, Available},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -91,10 +91,10 @@
 			tc.do(r)
 			target := r.Target("a")
 			if target == nil {
-				g.Expect(tc.want).To(gomega.Equal(Gone))
+				g.Expect(tc.want).To(gomega.Equal(Removed))
 				return
 			}
-			stop, _ := r.Gate(time.Now()).Stop(target)
+			stop, _ := r.Availability(time.Now()).Reason(target)
 			g.Expect(stop).To(gomega.Equal(tc.want))
 		})
 	}
@@ -106,7 +106,7 @@
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	cold := entryAt("a", false, 1, 10)
-	cold.Cold = time.Hour
+	cold.WarmUp = time.Hour
 	r.Put(cold)
 	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeTrue())
 	r.Put(entryAt("a", false, 1, 12))
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -24,7 +24,7 @@
 	// ID.
 	Name string
 	// Born is when the incarnation started, by the target's clock; zero if not reported.
-	Born    time.Time
+	Started time.Time
 	Service string // name of the service that it belongs to
 	// Address is IP and port. It may later be reused by a target of another service.
 	Address string
@@ -34,13 +34,13 @@
 	// Slots is how many requests the target runs at once.
 	Slots int
 	// Leaving means that the target is shutting down and takes no new work.
-	Leaving bool
+	ShuttingDown bool
 	// Cold is how much longer the target is warming up after its start.
-	Cold time.Duration
+	WarmUp time.Duration
 	// Weights holds the weights version that the target has of each model.
 	Weights map[string]int64
 	// Orders is how many orders the target has accepted.
-	Orders int64
+	OrderCount int64
 	// Revision is the list's revision at which the entry was written; 0 if unknown.
 	Revision int64
 }
@@ -52,16 +52,16 @@
 	// Running is the number of unfinished requests.
 	Running int
 	// Unread is the number of prompt tokens of requests that have no response yet.
-	Unread int
+	QueuedTokens int
 	// Held is the number of context tokens held by all running requests.
-	Held int
+	OccupiedTokens int
 }
 
 // add adds m if sign is 1 and subtracts it if sign is -1.
 func (l *Load) add(m Load, sign int) {
 	l.Running += sign * m.Running
-	l.Unread += sign * m.Unread
-	l.Held += sign * m.Held
+	l.QueuedTokens += sign * m.QueuedTokens
+	l.OccupiedTokens += sign * m.OccupiedTokens
 }
 
 // Roster is this daemon's local view of the targets.
@@ -82,7 +82,7 @@
 	// Place, if set, returns this daemon's rank for a target (the number of daemons before it) and
 	// the number of daemons that may choose the target. It is set before use, and called with
 	// rosterMu held.
-	Place func(t *Target) (rank, daemons int)
+	Rank func(t *Target) (rank, daemons int)
 	// Removed, if set, is called for each incarnation that is removed, and is passed whether it was
 	// shutting down. It is set before use, and called with rosterMu held.
 	Removed func(id string, shuttingDown bool)
@@ -176,7 +176,7 @@
 	if previous == nil && r.isStale(e) {
 		return nil
 	}
-	if previous != nil && e.Born.Before(previous.Entry().Born) {
+	if previous != nil && e.Started.Before(previous.Entry().Started) {
 		r.outOfOrder[e.Name] = e
 		r.log.Emit(event.TargetSuspect, event.Ref{Target: e.ID}, "its entry is older than incarnation "+previous.id)
 		return nil
@@ -200,7 +200,7 @@
 	delete(r.replaced, e.Name)
 	delete(r.stale, e.Name)
 	delete(r.removed, e.ID)
-	if e.Leaving {
+	if e.ShuttingDown {
 		r.recordListedShutdown(e.ID)
 	}
 	r.log.Emit(event.BoxAppeared, event.Ref{Target: e.ID}, e.Service+" at "+e.Address)
@@ -209,7 +209,7 @@
 
 // update records a newer entry of the current incarnation. It is called with rosterMu held.
 func (r *Roster) update(t *Target, e Entry) {
-	if _, reported := r.shuttingDown(t); e.Leaving && !reported {
+	if _, reported := r.shuttingDown(t); e.ShuttingDown && !reported {
 		r.log.Emit(event.BoxLeaving, event.Ref{Target: e.ID}, e.Service+" at "+e.Address)
 		r.recordListedShutdown(e.ID)
 	}
@@ -222,7 +222,7 @@
 
 // Ended records that another incarnation answers in place of the given one: the target has
 // restarted, but the list does not show it yet. Until it does, the target gets no requests.
-func (r *Roster) Ended(id string) {
+func (r *Roster) RecordReplaced(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	t := r.targets[id]
@@ -267,7 +267,7 @@
 
 // Unlist records that a name's entry is unusable, as another writer may leave it. Unlike with a
 // missing entry, the target is removed at once.
-func (r *Roster) Unlist(name string) {
+func (r *Roster) RemoveUnusable(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	delete(r.outOfOrder, name)
@@ -278,7 +278,7 @@
 
 // Drop records that this daemon's list no longer contains a target, which other daemons may still
 // list. The target becomes an external one.
-func (r *Roster) Drop(name string) {
+func (r *Roster) MakeExternal(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	if t := r.clearPending(name); t != nil {
@@ -334,7 +334,7 @@
 
 // Of returns the targets of a service, including those that are shutting down, ordered by ID. The
 // list must not be changed; the same one is returned until the targets change.
-func (r *Roster) Of(service string) []*Target {
+func (r *Roster) ByService(service string) []*Target {
 	if byService := r.byService.Load(); byService != nil {
 		return (*byService)[service]
 	}
@@ -361,7 +361,7 @@
 }
 
 // Named returns the current incarnation of a name in the list, or nil.
-func (r *Roster) Named(name string) *Target {
+func (r *Roster) ByName(name string) *Target {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	return r.targets[r.incarnations[name]]
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -28,15 +28,15 @@
 	r := New(&event.Log{}, nil)
 	r.Put(entry("b"))
 	r.Put(entry("a"))
-	g.Expect(ids(r.Of("s"))).To(gomega.Equal([]string{"a", "b"}))
+	g.Expect(ids(r.ByService("s"))).To(gomega.Equal([]string{"a", "b"}))
 	leaving := entry("a")
-	leaving.Leaving = true
+	leaving.ShuttingDown = true
 	r.Put(leaving)
-	g.Expect(r.Target("a").Entry().Leaving).To(gomega.BeTrue())
+	g.Expect(r.Target("a").Entry().ShuttingDown).To(gomega.BeTrue())
 	kept := r.Target("a")
 	r.Remove("a", clock.Now())
-	g.Expect(ids(r.Of("s"))).To(gomega.Equal([]string{"b"}))
-	g.Expect(kept.Health(time.Now()).Gone).To(gomega.BeTrue())
+	g.Expect(ids(r.ByService("s"))).To(gomega.Equal([]string{"b"}))
+	g.Expect(kept.Health(time.Now()).Removed).To(gomega.BeTrue())
 	r.Remove("none", clock.Now())
 }
 
@@ -57,7 +57,7 @@
 			now, clockNow := time.Now(), clock.Now()
 			r := New(&event.Log{}, func() (clock.Time, time.Duration) { return clockNow, tc.outage })
 			e := entry("a")
-			e.Leaving = tc.leaving
+			e.ShuttingDown = tc.leaving
 			r.Put(e)
 			r.Remove("a", clockNow)
 			g.Expect(r.Target("a") != nil).To(gomega.Equal(tc.kept))
@@ -79,11 +79,11 @@
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	r.Put(entry("a"))
-	r.Learn("a", "m", 3)
-	r.Learn("a", "m", 2)
+	r.RecordVersion("a", "m", 3)
+	r.RecordVersion("a", "m", 2)
 	r.Put(entry("a")) // an entry written before
 	g.Expect(r.Target("a").Entry().Weights["m"]).To(gomega.Equal(int64(3)))
-	r.Learn("none", "m", 9)
+	r.RecordVersion("none", "m", 9)
 }
 
 func TestSuspectTimeGrowsAndResets(t *testing.T) {
@@ -91,13 +91,13 @@
 	r := New(&event.Log{}, nil)
 	r.Put(entry("a"))
 	a, now := r.Target("a"), time.Now()
-	a.Silent(now)
+	a.RecordNoResponse(now)
 	g.Expect(a.Health(now).Suspect).To(gomega.BeTrue())
 	g.Expect(a.Health(now.Add(suspectTime)).Suspect).To(gomega.BeFalse())
-	a.Silent(now)
+	a.RecordNoResponse(now)
 	g.Expect(a.Health(now.Add(suspectTime)).Suspect).To(gomega.BeTrue())
 	g.Expect(a.Health(now.Add(maxSuspectTime)).Suspect).To(gomega.BeFalse())
-	a.Answered()
+	a.RecordResponse()
 	g.Expect(a.Health(now).Suspect).To(gomega.BeFalse())
 }
 
@@ -106,28 +106,28 @@
 	mine, other := New(&event.Log{}, nil), New(&event.Log{}, nil)
 	mine.Put(entry("a"))
 	other.Put(entry("a"))
-	mine.Target("a").Begin(Load{Running: 1, Unread: 10, Held: 10})
-	other.Target("a").Begin(Load{Running: 2, Unread: 5, Held: 7})
-	other.Order("a", time.Now().Add(time.Minute))
-	raw, err := msgpack.Marshal(Share{other}.Collect(false))
+	mine.Target("a").AddLoad(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10})
+	other.Target("a").AddLoad(Load{Running: 2, QueuedTokens: 5, OccupiedTokens: 7})
+	other.BeginUpdate("a", time.Now().Add(time.Minute))
+	raw, err := msgpack.Marshal(HeartbeatPart{other}.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	Share{mine}.Receive("other", raw)
-	g.Expect(mine.Target("a").Load()).To(gomega.Equal(Load{Running: 3, Unread: 15, Held: 17}))
-	g.Expect(mine.Ordered(time.Now())).To(gomega.HaveKey("a"))
-	mine.Done("a")
-	g.Expect(mine.Ordered(time.Now())).To(gomega.BeEmpty())
+	HeartbeatPart{mine}.Receive("other", raw)
+	g.Expect(mine.Target("a").Load()).To(gomega.Equal(Load{Running: 3, QueuedTokens: 15, OccupiedTokens: 17}))
+	g.Expect(mine.Updating(time.Now())).To(gomega.HaveKey("a"))
+	mine.EndUpdate("a")
+	g.Expect(mine.Updating(time.Now())).To(gomega.BeEmpty())
 	mine.sumPeerLoads(time.Now().Add(2 * peerLoadTTL))
-	g.Expect(mine.Target("a").Load()).To(gomega.Equal(Load{Running: 1, Unread: 10, Held: 10}))
-	Share{mine}.Receive("other", []byte("no msgpack"))
-	mine.Target("a").End(Load{Running: 1, Unread: 10, Held: 10})
-	g.Expect(mine.Target("a").Own()).To(gomega.Equal(Load{}))
+	g.Expect(mine.Target("a").Load()).To(gomega.Equal(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10}))
+	HeartbeatPart{mine}.Receive("other", []byte("no msgpack"))
+	mine.Target("a").RemoveLoad(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10})
+	g.Expect(mine.Target("a").LocalLoad()).To(gomega.Equal(Load{}))
 }
 
 // sendHeartbeat passes one heartbeat from one roster to another.
 func sendHeartbeat(g *gomega.WithT, from, to *Roster) {
-	raw, err := msgpack.Marshal(Share{from}.Collect(false))
+	raw, err := msgpack.Marshal(HeartbeatPart{from}.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	Share{to}.Receive("from", raw)
+	HeartbeatPart{to}.Receive("from", raw)
 }
 
 func TestWeightUpdateEndReachesPeers(t *testing.T) {
@@ -137,15 +137,15 @@
 		r.Put(entry("a"))
 	}
 	now := time.Now()
-	owner.Order("a", now.Add(time.Minute))
+	owner.BeginUpdate("a", now.Add(time.Minute))
 	sendHeartbeat(g, owner, peer)
-	g.Expect(peer.Ordered(now)).To(gomega.HaveKey("a"))
+	g.Expect(peer.Updating(now)).To(gomega.HaveKey("a"))
 	sendHeartbeat(g, peer, third)
-	g.Expect(third.Ordered(now)).To(gomega.BeEmpty(), "only the daemon that gave the order reports it")
-	owner.Learn("a", "m", 2)
-	owner.Done("a")
+	g.Expect(third.Updating(now)).To(gomega.BeEmpty(), "only the daemon that gave the order reports it")
+	owner.RecordVersion("a", "m", 2)
+	owner.EndUpdate("a")
 	sendHeartbeat(g, owner, peer)
-	g.Expect(peer.Ordered(now)).To(gomega.BeEmpty())
+	g.Expect(peer.Updating(now)).To(gomega.BeEmpty())
 	g.Expect(peer.Target("a").Entry().Weights["m"]).To(gomega.Equal(int64(2)))
 }
 
@@ -154,11 +154,11 @@
 	owner, peer := New(&event.Log{}, nil), New(&event.Log{}, nil)
 	peer.Put(entry("a"))
 	now := time.Now()
-	owner.Order("a", now.Add(3*time.Second))
+	owner.BeginUpdate("a", now.Add(3*time.Second))
 	sendHeartbeat(g, owner, peer)
 	peer.sumPeerLoads(now.Add(2 * peerLoadTTL))
-	g.Expect(peer.Ordered(now.Add(2 * time.Second))).To(gomega.HaveKey("a"))
-	g.Expect(peer.Ordered(now.Add(4 * time.Second))).To(gomega.BeEmpty())
+	g.Expect(peer.Updating(now.Add(2 * time.Second))).To(gomega.HaveKey("a"))
+	g.Expect(peer.Updating(now.Add(4 * time.Second))).To(gomega.BeEmpty())
 }
 
 func TestReloadingReachesPeers(t *testing.T) {
@@ -166,13 +166,13 @@
 	one, other := New(&event.Log{}, nil), New(&event.Log{}, nil)
 	one.Put(Entry{ID: "w"})
 	now := time.Now()
-	one.Reloads("w", now.Add(time.Hour))
-	raw, err := msgpack.Marshal(Share{one}.Collect(false))
+	one.RecordReloading("w", now.Add(time.Hour))
+	raw, err := msgpack.Marshal(HeartbeatPart{one}.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	Share{other}.Receive("peer", raw)
+	HeartbeatPart{other}.Receive("peer", raw)
 	g.Expect(other.Reloading(now)).To(gomega.HaveKey("w"))
 	g.Expect(other.Reloading(now.Add(time.Minute))).To(gomega.BeEmpty(), "the time that a peer reports is bounded")
-	g.Expect(other.Ordered(now)).To(gomega.BeEmpty())
+	g.Expect(other.Updating(now)).To(gomega.BeEmpty())
 }
 
 func TestHeartbeatHoldsOnlyBusyTargets(t *testing.T) {
@@ -181,19 +181,19 @@
 	for _, id := range []string{"a", "b", "c"} {
 		r.Put(entry(id))
 	}
-	loads := func() map[string]Load { return (Share{r}).Collect(false).(*heartbeatBody).Loads }
+	loads := func() map[string]Load { return (HeartbeatPart{r}).Collect(false).(*heartbeatBody).Loads }
 	g.Expect(loads()).To(gomega.BeEmpty())
-	one := Load{Running: 1, Unread: 5}
-	r.Target("a").Begin(one)
-	r.Target("b").Begin(one)
+	one := Load{Running: 1, QueuedTokens: 5}
+	r.Target("a").AddLoad(one)
+	r.Target("b").AddLoad(one)
 	g.Expect(loads()).To(gomega.Equal(map[string]Load{"a": one, "b": one}))
-	r.Target("a").End(one)
+	r.Target("a").RemoveLoad(one)
 	g.Expect(loads()).To(gomega.Equal(map[string]Load{"b": one}))
-	r.Target("a").Begin(one)
+	r.Target("a").AddLoad(one)
 	g.Expect(loads()).To(gomega.HaveLen(2), "it has work again")
 	removed := r.Target("b")
-	r.Unlist("b")
+	r.RemoveUnusable("b")
 	g.Expect(loads()).To(gomega.HaveKey("b"), "its work is unfinished")
-	removed.End(one)
+	removed.RemoveLoad(one)
 	g.Expect(loads()).To(gomega.Equal(map[string]Load{"a": one}))
 }
--- a/core/roster/selfreport.go
+++ b/core/roster/selfreport.go
@@ -61,7 +61,7 @@
 
 // Leaves records that an incarnation reported that it is shutting down, and the source of the
 // report. It returns whether this is new.
-func (r *Roster) Leaves(id string, source Source) bool {
+func (r *Roster) RecordShutdown(id string, source Source) bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	return r.recordShutdown(id, source)
@@ -108,33 +108,33 @@
 
 // LeavingRuns returns the incarnations that recently reported shutting down, whether still listed
 // or not.
-func (r *Roster) LeavingRuns() []string {
+func (r *Roster) RecentShutdowns() []string {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	return r.shutdownsWithin(shutdownRecallTime)
 }
 
 // Asked is the pushback that came with a rejection.
-type Asked struct {
+type Pushback struct {
 	// Rest is how long the target wants no requests; 0 if it did not say.
-	Rest time.Duration
+	Duration time.Duration
 	// Odd is an unreadable value, or "".
-	Odd string
+	Invalid string
 }
 
 // Turned records that an incarnation rejected a request of this daemon.
-func (r *Roster) Turned(id string, p Asked) {
-	if p == (Asked{}) {
+func (r *Roster) RecordRejection(id string, p Pushback) {
+	if p == (Pushback{}) {
 		return
 	}
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	report, now := r.selfReportOf(id), clock.Now()
-	if p.Odd != "" {
-		r.logInvalid(id, report, "invalid pushback "+p.Odd)
+	if p.Invalid != "" {
+		r.logInvalid(id, report, "invalid pushback "+p.Invalid)
 	}
-	if p.Rest > 0 && report.pushback.extend(p.Rest, now) {
-		r.log.Emit(event.TargetRests, event.Ref{Target: id}, "pushback of "+p.Rest.String())
+	if p.Duration > 0 && report.pushback.extend(p.Duration, now) {
+		r.log.Emit(event.TargetRests, event.Ref{Target: id}, "pushback of "+p.Duration.String())
 	}
 }
 
@@ -150,7 +150,7 @@
 
 // Took records that an incarnation accepted a request. This ends the ramp after a pushback, but not
 // the pushback itself.
-func (r *Roster) Took(id string) {
+func (r *Roster) RecordAccepted(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	if report := r.selfReports[id]; report != nil && report.pushback.endRamp(clock.Now()) {
@@ -160,7 +160,7 @@
 
 // WordCounts returns how many listed targets reported shutting down in a response or through a
 // peer, and how many are under pushback.
-func (r *Roster) WordCounts() (shuttingDown, underPushback int) {
+func (r *Roster) SelfReportCounts() (shuttingDown, underPushback int) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	now := clock.Now()
--- a/core/roster/target.go
+++ b/core/roster/target.go
@@ -56,7 +56,7 @@
 			}
 		}
 		e.Weights = weights
-		e.Orders = max(e.Orders, old.Orders)
+		e.OrderCount = max(e.OrderCount, old.OrderCount)
 	}
 	t.entry.Store(&e)
 	t.targetMu.Lock()
@@ -67,9 +67,9 @@
 		return
 	}
 	t.warmUpUntil = time.Time{}
-	if e.Cold > 0 {
+	if e.WarmUp > 0 {
 		// The time counts from now, which is later than when the target wrote the entry.
-		t.warmUpUntil = time.Now().Add(e.Cold)
+		t.warmUpUntil = time.Now().Add(e.WarmUp)
 	}
 }
 
@@ -113,13 +113,13 @@
 }
 
 // Begin adds work that is sent to the target. End subtracts it when it has finished.
-func (t *Target) Begin(l Load) {
+func (t *Target) AddLoad(l Load) {
 	t.adjustLoad(l, 1)
 	t.busy.add(t)
 }
 
 // End subtracts what Begin added.
-func (t *Target) End(l Load) { t.adjustLoad(l, -1) }
+func (t *Target) RemoveLoad(l Load) { t.adjustLoad(l, -1) }
 
 // adjustLoad adds l to this daemon's work if sign is 1 and subtracts it if sign is -1.
 func (t *Target) adjustLoad(l Load, sign int) {
@@ -129,7 +129,7 @@
 }
 
 // Own returns the work that this daemon has in flight at the target.
-func (t *Target) Own() Load {
+func (t *Target) LocalLoad() Load {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
 	return t.local
@@ -142,7 +142,7 @@
 	// Lapsed means that its entry disappeared in an outage of the list.
 	Lapsed bool
 	// Gone means that the target was removed.
-	Gone bool
+	Removed bool
 }
 
 const (
@@ -157,7 +157,7 @@
 func (t *Target) Health(now time.Time) Health {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
-	h := Health{Lapsed: !t.lapsedUntil.IsZero(), Gone: t.removed}
+	h := Health{Lapsed: !t.lapsedUntil.IsZero(), Removed: t.removed}
 	if t.failures > 0 {
 		pause := min(suspectTime<<min(t.failures-1, 8), maxSuspectTime)
 		h.Suspect = now.Sub(t.lastFailure) < pause
@@ -166,7 +166,7 @@
 }
 
 // Silent records that a request got no response.
-func (t *Target) Silent(now time.Time) {
+func (t *Target) RecordNoResponse(now time.Time) {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
 	t.failures++
@@ -174,7 +174,7 @@
 }
 
 // Answered records that the target responded.
-func (t *Target) Answered() {
+func (t *Target) RecordResponse() {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
 	t.failures = 0
--- a/core/roster/updates.go
+++ b/core/roster/updates.go
@@ -8,7 +8,7 @@
 
 // Order records that a target has a weight update pending until a deadline, so that it gets no new
 // work. Other daemons are notified of it until Done.
-func (r *Roster) Order(id string, until time.Time) {
+func (r *Roster) BeginUpdate(id string, until time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	if until.After(r.updating[id]) {
@@ -31,7 +31,7 @@
 }
 
 // Done records that a target has finished its weight update, or will not do it.
-func (r *Roster) Done(id string) {
+func (r *Roster) EndUpdate(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	delete(r.updating, id)
@@ -42,7 +42,7 @@
 
 // Ordered returns the targets with a pending weight update, as recorded by this daemon or reported
 // by a peer.
-func (r *Roster) Ordered(now time.Time) map[string]bool {
+func (r *Roster) Updating(now time.Time) map[string]bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	return r.updatingNow(now)
@@ -86,7 +86,7 @@
 
 // Reloads records that a target rejects work while it changes its weights. Other daemons are
 // notified. Unlike Order, it does not count as a weight update that this daemon recorded.
-func (r *Roster) Reloads(id string, until time.Time) {
+func (r *Roster) RecordReloading(id string, until time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	if until.After(r.reloading[id]) {
@@ -107,7 +107,7 @@
 
 // Learn records the weights version of a model that a target was seen to have. Within one
 // incarnation the version only rises.
-func (r *Roster) Learn(id, model string, version int64) {
+func (r *Roster) RecordVersion(id, model string, version int64) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	r.recordVersion(id, model, version)
--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -19,7 +19,7 @@
 			r, k := request(), kept(100, 4e9)
 			b.ReportAllocs()
 			for b.Loop() {
-				Place(Returning, r, workers, k)
+				Place(LowestCost, r, workers, k)
 			}
 		})
 	}
--- a/core/route/link.go
+++ b/core/route/link.go
@@ -12,7 +12,7 @@
 	Bytes        int64
 	// Waiting reports that a caller waits for the transfer. It is set for imports and
 	// not for exports.
-	Waiting bool
+	CallerWaits bool
 }
 
 // Link schedules the transfers over one store's link. Imports come before exports;
@@ -48,7 +48,7 @@
 )
 
 // Ask enqueues a transfer. It returns false if the queue is full.
-func (l *Link) Ask(t Transfer) bool {
+func (l *Link) Enqueue(t Transfer) bool {
 	if len(l.queued) >= maxQueued {
 		return false
 	}
@@ -78,13 +78,13 @@
 func (l *Link) allows(t Transfer) bool {
 	imports, exports := 0, 0
 	for _, a := range l.active {
-		if a.Waiting {
+		if a.CallerWaits {
 			imports++
 		} else {
 			exports++
 		}
 	}
-	if t.Waiting {
+	if t.CallerWaits {
 		return imports < maxActiveImports
 	}
 	return imports <= maxImportsAtExport && exports < maxActiveExports && !l.importQueued()
@@ -92,13 +92,13 @@
 
 // importQueued reports whether an import is queued.
 func (l *Link) importQueued() bool {
-	return slices.ContainsFunc(l.queued, func(t Transfer) bool { return t.Waiting })
+	return slices.ContainsFunc(l.queued, func(t Transfer) bool { return t.CallerWaits })
 }
 
 // before reports whether a starts before b.
 func (l *Link) before(a, b Transfer) bool {
-	if a.Waiting != b.Waiting {
-		return a.Waiting
+	if a.CallerWaits != b.CallerWaits {
+		return a.CallerWaits
 	}
 	usedA, usedB := l.usedBytes(a.Organisation), l.usedBytes(b.Organisation)
 	if usedA != usedB {
@@ -137,7 +137,7 @@
 }
 
 // Done removes a transfer, whether it is active or queued.
-func (l *Link) Done(id uint64) {
+func (l *Link) Remove(id uint64) {
 	isTransfer := func(t Transfer) bool { return t.ID == id }
 	l.active = slices.DeleteFunc(l.active, isTransfer)
 	l.queued = slices.DeleteFunc(l.queued, isTransfer)
@@ -148,7 +148,7 @@
 	var n int64
 	for _, list := range [][]Transfer{l.active, l.queued} {
 		for _, t := range list {
-			if t.Waiting {
+			if t.CallerWaits {
 				n += t.Bytes
 			}
 		}
--- a/core/route/pick.go
+++ b/core/route/pick.go
@@ -10,11 +10,11 @@
 // Pick returns the index of the best candidate and its evaluation, or -1 if there are
 // no candidates. Candidates whose Gain is not above 0 are selected only if that holds
 // for all. random is in [0, 1).
-func Pick(a *Asked, list []Candidate, e *learn.Estimate, p *Prices, random float64) (int, Judgement) {
+func Pick(a *PickRequest, list []Candidate, e *learn.Estimate, p *CostModel, random float64) (int, Evaluation) {
 	if len(list) == 0 {
-		return -1, Judgement{}
+		return -1, Evaluation{}
 	}
-	evaluated := make([]Judgement, len(list))
+	evaluated := make([]Evaluation, len(list))
 	best := 0
 	for i := range list {
 		evaluated[i] = Evaluate(a, &list[i], e, p)
@@ -22,16 +22,16 @@
 			best = i
 		}
 	}
-	threshold := evaluated[best].Worth - tieMargin*p.Worth(a.Tokens)
+	threshold := evaluated[best].NetUtility - tieMargin*p.Utility(a.Tokens)
 	ties := 0
 	for _, j := range evaluated {
-		if j.Worth >= threshold && (j.Gain > 0 || evaluated[best].Gain <= 0) {
+		if j.NetUtility >= threshold && (j.CallerUtility > 0 || evaluated[best].CallerUtility <= 0) {
 			ties++
 		}
 	}
 	skip := int(random * float64(ties))
 	for i, j := range evaluated {
-		if j.Worth < threshold || (j.Gain <= 0 && evaluated[best].Gain > 0) {
+		if j.NetUtility < threshold || (j.CallerUtility <= 0 && evaluated[best].CallerUtility > 0) {
 			continue
 		}
 		if skip == 0 {
@@ -44,9 +44,9 @@
 
 // better reports whether a is a better choice than b: a positive Gain comes first, then
 // the higher Worth.
-func better(a, b *Judgement) bool {
-	if (a.Gain > 0) != (b.Gain > 0) {
-		return a.Gain > 0
+func better(a, b *Evaluation) bool {
+	if (a.CallerUtility > 0) != (b.CallerUtility > 0) {
+		return a.CallerUtility > 0
 	}
-	return a.Worth > b.Worth
+	return a.NetUtility > b.NetUtility
 }
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -12,8 +12,8 @@
 )
 
 // prices returns the cost model of the tests.
-func prices() *Prices {
-	return &Prices{Token: 0.0004, Late: 0.25, Again: 0.0008, Copied: 0.000012, Old: 0.2, Connect: 0.03, Across: 4, Wait: 0.1}
+func prices() *CostModel {
+	return &CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
 }
 
 // estimate returns the estimate of a prior without observations.
@@ -22,50 +22,50 @@
 // engines returns the estimate for workers that prefill 50 tokens per millisecond.
 func engines() *learn.Estimate {
 	return estimate(learn.Prior{
-		Fixed: 50 * time.Millisecond, Own: 20 * time.Millisecond, Before: 20 * time.Millisecond, Beside: 50 * time.Millisecond,
-		Waiting: time.Second, Crowd: 300 * time.Millisecond, Spread: 0.5, Weight: 5,
+		Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond,
+		QueuedPerSlot: time.Second, MemoryPressure: 300 * time.Millisecond, LogStdDev: 0.5, Observations: 5,
 	})
 }
 
 // calls returns the estimate for plain targets that take 40 ms.
 func calls() *learn.Estimate {
-	return estimate(learn.Prior{Fixed: 40 * time.Millisecond, Beside: 10 * time.Millisecond, Waiting: 40 * time.Millisecond, Spread: 0.5, Weight: 5})
+	return estimate(learn.Prior{Fixed: 40 * time.Millisecond, Utilisation: 10 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5, Observations: 5})
 }
 
 func TestPick(t *testing.T) {
 	with := func(change func(*Candidate)) Candidate {
-		c := Candidate{Slots: 16, Memory: 100000, Pace: 1}
+		c := Candidate{Slots: 16, MemoryTokens: 100000, Slowdown: 1}
 		if change != nil {
 			change(&c)
 		}
 		return c
 	}
-	long := Asked{Tokens: 17000, Bytes: 17000, Aim: 800 * time.Millisecond, Left: 10 * time.Second, Rate: 20}
-	short := Asked{Tokens: 400, Bytes: 400, Aim: 600 * time.Millisecond, Left: 5 * time.Second, Rate: 20}
-	call := Asked{Bytes: 600, Aim: 300 * time.Millisecond, Left: time.Second, Rate: 10}
+	long := PickRequest{Tokens: 17000, Bytes: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second, UtilityRate: 20}
+	short := PickRequest{Tokens: 400, Bytes: 400, Objective: 600 * time.Millisecond, Remaining: 5 * time.Second, UtilityRate: 20}
+	call := PickRequest{Bytes: 600, Objective: 300 * time.Millisecond, Remaining: time.Second, UtilityRate: 10}
 	tests := []struct {
 		name    string
-		request Asked
+		request PickRequest
 		list    []Candidate
 		want    int
 	}{
 		{"no candidates", long, nil, -1},
-		{"shortest queue", long, []Candidate{with(func(c *Candidate) { c.Unread = 20000 }), with(nil)}, 1},
-		{"cached segments", long, []Candidate{with(nil), with(func(c *Candidate) { c.Kept = 12000; c.Unread = 1000 })}, 1},
-		{"copy rather than recompute", long, []Candidate{with(func(c *Candidate) { c.Again = 12000 }), with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = 90 * time.Millisecond })}, 1},
-		{"cached rather than copied", long, []Candidate{with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = 90 * time.Millisecond }), with(func(c *Candidate) { c.Kept = 12000 })}, 1},
-		{"slow copy", long, []Candidate{with(func(c *Candidate) { c.Copied = 12000; c.CopyTime = time.Second }), with(func(c *Candidate) { c.Copied = 12000; c.Unread = 10000 })}, 1},
-		{"new weights", short, []Candidate{with(func(c *Candidate) { c.Old = true }), with(nil)}, 1},
-		{"old weights rather than a long queue", long, []Candidate{with(func(c *Candidate) { c.Old = true }), with(func(c *Candidate) { c.Unread = 60000 })}, 0},
-		{"memory occupied by running requests", long, []Candidate{with(func(c *Candidate) { c.Held = 95000; c.Running = 6 }), with(func(c *Candidate) { c.Unread = 10000 })}, 1},
-		{"failing target", call, []Candidate{with(func(c *Candidate) { c.Faults = 0.5 }), with(func(c *Candidate) { c.Running = 4 })}, 1},
-		{"slow target", call, []Candidate{with(func(c *Candidate) { c.Pace = 8 }), with(func(c *Candidate) { c.Running = 8 })}, 1},
-		{"slightly slower target with cached segments", short, []Candidate{with(func(c *Candidate) { c.Pace = 1.6; c.Running = 8; c.Kept = 300 }), with(func(c *Candidate) { c.Again = 300 })}, 0},
-		{"much slower target with cached segments", short, []Candidate{with(func(c *Candidate) { c.Pace = 8; c.Kept = 300 }), with(func(c *Candidate) { c.Again = 300 })}, 1},
+		{"shortest queue", long, []Candidate{with(func(c *Candidate) { c.QueuedTokens = 20000 }), with(nil)}, 1},
+		{"cached segments", long, []Candidate{with(nil), with(func(c *Candidate) { c.CachedTokens = 12000; c.QueuedTokens = 1000 })}, 1},
+		{"copy rather than recompute", long, []Candidate{with(func(c *Candidate) { c.RecomputedTokens = 12000 }), with(func(c *Candidate) { c.CopiedTokens = 12000; c.CopyTime = 90 * time.Millisecond })}, 1},
+		{"cached rather than copied", long, []Candidate{with(func(c *Candidate) { c.CopiedTokens = 12000; c.CopyTime = 90 * time.Millisecond }), with(func(c *Candidate) { c.CachedTokens = 12000 })}, 1},
+		{"slow copy", long, []Candidate{with(func(c *Candidate) { c.CopiedTokens = 12000; c.CopyTime = time.Second }), with(func(c *Candidate) { c.CopiedTokens = 12000; c.QueuedTokens = 10000 })}, 1},
+		{"new weights", short, []Candidate{with(func(c *Candidate) { c.OldWeights = true }), with(nil)}, 1},
+		{"old weights rather than a long queue", long, []Candidate{with(func(c *Candidate) { c.OldWeights = true }), with(func(c *Candidate) { c.QueuedTokens = 60000 })}, 0},
+		{"memory occupied by running requests", long, []Candidate{with(func(c *Candidate) { c.OccupiedTokens = 95000; c.Running = 6 }), with(func(c *Candidate) { c.QueuedTokens = 10000 })}, 1},
+		{"failing target", call, []Candidate{with(func(c *Candidate) { c.FailureShare = 0.5 }), with(func(c *Candidate) { c.Running = 4 })}, 1},
+		{"slow target", call, []Candidate{with(func(c *Candidate) { c.Slowdown = 8 }), with(func(c *Candidate) { c.Running = 8 })}, 1},
+		{"slightly slower target with cached segments", short, []Candidate{with(func(c *Candidate) { c.Slowdown = 1.6; c.Running = 8; c.CachedTokens = 300 }), with(func(c *Candidate) { c.RecomputedTokens = 300 })}, 0},
+		{"much slower target with cached segments", short, []Candidate{with(func(c *Candidate) { c.Slowdown = 8; c.CachedTokens = 300 }), with(func(c *Candidate) { c.RecomputedTokens = 300 })}, 1},
 		{"full target", call, []Candidate{with(func(c *Candidate) { c.Running = 40 }), with(func(c *Candidate) { c.Running = 12 })}, 1},
-		{"same failure domain", call, []Candidate{with(func(c *Candidate) { c.Far = true }), with(nil)}, 1},
-		{"open connection", call, []Candidate{with(func(c *Candidate) { c.Cold = true }), with(func(c *Candidate) { c.Running = 2 })}, 1},
-		{"lapsed target last", call, []Candidate{with(func(c *Candidate) { c.Doubtful = true }), with(func(c *Candidate) { c.Running = 20 })}, 1},
+		{"same failure domain", call, []Candidate{with(func(c *Candidate) { c.CrossDomain = true }), with(nil)}, 1},
+		{"open connection", call, []Candidate{with(func(c *Candidate) { c.NoConnection = true }), with(func(c *Candidate) { c.Running = 2 })}, 1},
+		{"lapsed target last", call, []Candidate{with(func(c *Candidate) { c.Lapsed = true }), with(func(c *Candidate) { c.Running = 20 })}, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -85,22 +85,22 @@
 // own caller gains, so that its Gain is not positive. The operator's serving costs never
 // make Gain negative.
 func TestGainExcludesServingCosts(t *testing.T) {
-	long := Asked{Tokens: 17000, Aim: 800 * time.Millisecond, Left: 10 * time.Second, Rate: 60}
+	long := PickRequest{Tokens: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second, UtilityRate: 60}
 	tests := []struct {
 		name      string
 		candidate Candidate
 		positive  bool
 	}{
-		{"idle", Candidate{Slots: 16, Memory: 100000}, true},
-		{"everything is recomputed", Candidate{Slots: 16, Memory: 100000, Again: 17000}, true},
-		{"replaced weights, cross-domain, not connected", Candidate{Slots: 16, Memory: 100000, Old: true, Far: true, Cold: true}, true},
-		{"queue of one second", Candidate{Slots: 16, Memory: 100000, Unread: 50000}, false},
-		{"no memory", Candidate{Slots: 16, Memory: 100000, Held: 99000, Running: 6}, false},
-		{"always fails", Candidate{Slots: 16, Memory: 100000, Faults: 1}, false},
+		{"idle", Candidate{Slots: 16, MemoryTokens: 100000}, true},
+		{"everything is recomputed", Candidate{Slots: 16, MemoryTokens: 100000, RecomputedTokens: 17000}, true},
+		{"replaced weights, cross-domain, not connected", Candidate{Slots: 16, MemoryTokens: 100000, OldWeights: true, CrossDomain: true, NoConnection: true}, true},
+		{"queue of one second", Candidate{Slots: 16, MemoryTokens: 100000, QueuedTokens: 50000}, false},
+		{"no memory", Candidate{Slots: 16, MemoryTokens: 100000, OccupiedTokens: 99000, Running: 6}, false},
+		{"always fails", Candidate{Slots: 16, MemoryTokens: 100000, FailureShare: 1}, false},
 	}
 	for _, tc := range tests {
 		j := Evaluate(&long, &tc.candidate, engines(), prices())
-		gomega.NewWithT(t).Expect(j.Gain > 0).To(gomega.Equal(tc.positive), "%s: %+v", tc.name, j)
+		gomega.NewWithT(t).Expect(j.CallerUtility > 0).To(gomega.Equal(tc.positive), "%s: %+v", tc.name, j)
 	}
 }
 
@@ -108,34 +108,34 @@
 // is slower, more loaded or fails more often has no higher Worth.
 func TestEvaluateIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := Asked{
-			Tokens: rapid.IntRange(0, 40000).Draw(t, "tokens"), Aim: time.Duration(rapid.IntRange(0, 2000).Draw(t, "aim")) * time.Millisecond,
-			Spent: time.Duration(rapid.IntRange(0, 3000).Draw(t, "spent")) * time.Millisecond,
-			Left:  time.Duration(rapid.IntRange(-100, 10000).Draw(t, "left")) * time.Millisecond, Rate: rapid.Float64Range(0, 100).Draw(t, "rate"),
+		a := PickRequest{
+			Tokens: rapid.IntRange(0, 40000).Draw(t, "tokens"), Objective: time.Duration(rapid.IntRange(0, 2000).Draw(t, "aim")) * time.Millisecond,
+			Elapsed:   time.Duration(rapid.IntRange(0, 3000).Draw(t, "spent")) * time.Millisecond,
+			Remaining: time.Duration(rapid.IntRange(-100, 10000).Draw(t, "left")) * time.Millisecond, UtilityRate: rapid.Float64Range(0, 100).Draw(t, "rate"),
 		}
 		c := Candidate{
-			Running: rapid.IntRange(0, 60).Draw(t, "running"), Slots: rapid.IntRange(0, 20).Draw(t, "slots"), Unread: rapid.IntRange(0, 90000).Draw(t, "unread"),
-			Held: rapid.IntRange(0, 150000).Draw(t, "held"), Memory: rapid.IntRange(0, 100000).Draw(t, "memory"), Kept: rapid.IntRange(0, 40000).Draw(t, "kept"),
-			Again: rapid.IntRange(0, 40000).Draw(t, "again"), CopyTime: time.Duration(rapid.IntRange(0, 2000).Draw(t, "copy")) * time.Millisecond,
-			Faults: rapid.Float64Range(0, 1).Draw(t, "faults"), Pace: rapid.Float64Range(0, 8).Draw(t, "pace"),
+			Running: rapid.IntRange(0, 60).Draw(t, "running"), Slots: rapid.IntRange(0, 20).Draw(t, "slots"), QueuedTokens: rapid.IntRange(0, 90000).Draw(t, "unread"),
+			OccupiedTokens: rapid.IntRange(0, 150000).Draw(t, "held"), MemoryTokens: rapid.IntRange(0, 100000).Draw(t, "memory"), CachedTokens: rapid.IntRange(0, 40000).Draw(t, "kept"),
+			RecomputedTokens: rapid.IntRange(0, 40000).Draw(t, "again"), CopyTime: time.Duration(rapid.IntRange(0, 2000).Draw(t, "copy")) * time.Millisecond,
+			FailureShare: rapid.Float64Range(0, 1).Draw(t, "faults"), Slowdown: rapid.Float64Range(0, 8).Draw(t, "pace"),
 		}
 		e := engines()
 		j := Evaluate(&a, &c, e, prices())
-		if !(j.Worth <= 1e9 && j.Worth >= -1e9 && j.Gain >= j.Worth && j.Expected >= 0) {
+		if !(j.NetUtility <= 1e9 && j.NetUtility >= -1e9 && j.CallerUtility >= j.NetUtility && j.Expected >= 0) {
 			t.Fatalf("%+v", j)
 		}
-		if j.InTime < 0 || j.InTime > j.Served || j.Served > 1 {
+		if j.WithinObjective < 0 || j.WithinObjective > j.BeforeDeadline || j.BeforeDeadline > 1 {
 			t.Fatalf("probabilities %+v", j)
 		}
 		for _, worse := range []func(*Candidate){
-			func(c *Candidate) { c.Unread += 5000 },
-			func(c *Candidate) { c.Faults = 1 },
-			func(c *Candidate) { c.Again += 1000 },
-			func(c *Candidate) { c.Far, c.Cold, c.Old = true, true, true },
+			func(c *Candidate) { c.QueuedTokens += 5000 },
+			func(c *Candidate) { c.FailureShare = 1 },
+			func(c *Candidate) { c.RecomputedTokens += 1000 },
+			func(c *Candidate) { c.CrossDomain, c.NoConnection, c.OldWeights = true, true, true },
 		} {
 			d := c
 			worse(&d)
-			if k := Evaluate(&a, &d, e, prices()); k.Worth > j.Worth+1e-9 {
+			if k := Evaluate(&a, &d, e, prices()); k.NetUtility > j.NetUtility+1e-9 {
 				t.Fatalf("%+v has a higher Worth than %+v: %+v, %+v", d, c, k, j)
 			}
 		}
@@ -149,7 +149,7 @@
 		list[i] = Candidate{Slots: 4}
 	}
 	for i := range list {
-		chosen, _ := Pick(&Asked{Aim: time.Second, Left: time.Second}, list, calls(), prices(), float64(i)/4+0.01)
+		chosen, _ := Pick(&PickRequest{Objective: time.Second, Remaining: time.Second}, list, calls(), prices(), float64(i)/4+0.01)
 		g.Expect(chosen).To(gomega.Equal(i))
 	}
 }
@@ -159,9 +159,9 @@
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
 			list := make([]Candidate, workers)
 			for i := range list {
-				list[i] = Candidate{Slots: 64, Memory: 70000, Running: i % 7, Unread: i * 100, Held: i * 400, Kept: i % 3 * 1000}
+				list[i] = Candidate{Slots: 64, MemoryTokens: 70000, Running: i % 7, QueuedTokens: i * 100, OccupiedTokens: i * 400, CachedTokens: i % 3 * 1000}
 			}
-			a, e := Asked{Tokens: 12000, Aim: time.Second, Left: 10 * time.Second, Rate: 14}, engines()
+			a, e := PickRequest{Tokens: 12000, Objective: time.Second, Remaining: 10 * time.Second, UtilityRate: 14}, engines()
 			b.ReportAllocs()
 			for b.Loop() {
 				Pick(&a, list, e, prices(), 0.3)
--- a/core/route/place.go
+++ b/core/route/place.go
@@ -15,13 +15,13 @@
 
 // Policy holds the weights that convert each cost of an option to seconds. It
 // is sent between daemons.
-type Policy struct {
+type CostWeights struct {
 	// FirstToken is the factor for the expected time to first token.
 	FirstToken float64 `msgpack:"FirstToken"`
 	// Token is the cost of one recomputed token in seconds.
-	Token float64 `msgpack:"Token"`
+	SecondsPerToken float64 `msgpack:"Token"`
 	// Byte is the cost of one byte over a store's link in seconds.
-	Byte float64 `msgpack:"Byte"`
+	SecondsPerByte float64 `msgpack:"Byte"`
 }
 
 // Request describes a request to Place.
@@ -36,13 +36,13 @@
 	// no deadline.
 	Deadline time.Duration
 	// Prices weights the costs of the options.
-	Prices Policy
+	Weights CostWeights
 	// Context is the hash of the context, used by StickyHash.
-	Context uint64
+	ContextHash uint64
 	// Turn is a request counter, used by RoundRobin.
 	Turn uint64
 	// Chance is a random number in [0, 1), used by Returning.
-	Chance float64
+	Random float64
 }
 
 // Worker describes one candidate to Place.
@@ -50,33 +50,33 @@
 	Name string
 	// Held is the number of leading blocks of the prompt that the worker has
 	// cached.
-	Held int
+	CachedBlocks int
 	// QueuedTokens is the projected number of tokens to prefill before this
 	// request: the reported queue, corrected by what was sent since.
 	QueuedTokens int
 	// Room is the number of blocks that fit into the worker's memory beside the
 	// requests that this daemon sent it and that have no first token yet; zero
 	// means unknown.
-	Room int
+	FreeBlocks int
 	// Running is the number of answers being generated.
 	Running int
 	// Speed is the prefill speed in tokens per second.
-	Speed float64
+	PrefillPerSecond float64
 	// Distance is the one-way network latency to the worker.
-	Distance time.Duration
+	OneWayLatency time.Duration
 }
 
 // Kept describes the part of the prompt's context that a KV-cache store holds.
-type Kept struct {
+type StoredContext struct {
 	Store string
 	// Blocks is the number of leading blocks of the prompt in the store.
 	Blocks int
 	// BlockBytes is the size of one KV-cache block in bytes.
 	BlockBytes int64
 	// Rate is the capacity of the store's link in bytes per second.
-	Rate float64
+	LinkBytesPerSecond float64
 	// Backlog is the number of bytes queued for the link before this request.
-	Backlog int64
+	BacklogBytes int64
 	// Latency is the time before the first byte arrives.
 	Latency time.Duration
 }
@@ -127,7 +127,7 @@
 	// Chosen is the selected option; for TooLate it is the fastest one.
 	Chosen Option
 	// Weighed holds the cheapest options, one per worker at most, cheapest first.
-	Weighed []Option
+	Cheapest []Option
 	// RetryAfter is, for TooLate, the time after which the deadline could be met.
 	RetryAfter time.Duration
 }
@@ -139,13 +139,13 @@
 const slowdownPerRunning = 0.02
 
 // Place selects a worker and an import for a request.
-func Place(p Placement, r Request, workers []Worker, kept []Kept) Decision {
+func Place(p Placement, r Request, workers []Worker, kept []StoredContext) Decision {
 	if len(workers) == 0 {
 		return Decision{Verdict: NoWorker}
 	}
 	options := optionsFor(p, r, workers, kept)
 	chosen := choose(p, r, options)
-	d := Decision{Verdict: Placed, Chosen: chosen, Weighed: cheapestOptions(options)}
+	d := Decision{Verdict: Placed, Chosen: chosen, Cheapest: cheapestOptions(options)}
 	if r.Deadline > 0 && chosen.Expected > r.Deadline {
 		return fastestOrRefuse(d, r, options)
 	}
@@ -179,7 +179,7 @@
 }
 
 // optionsFor returns the cheapest option of each worker.
-func optionsFor(p Placement, r Request, workers []Worker, kept []Kept) []Option {
+func optionsFor(p Placement, r Request, workers []Worker, kept []StoredContext) []Option {
 	out := make([]Option, 0, len(workers))
 	variants := make([]Option, 0, 1+2*len(kept))
 	for _, w := range workers {
@@ -193,7 +193,7 @@
 func cheapest(r Request, list []Option) Option {
 	least := 0
 	for i := range list {
-		list[i].setCost(r.Prices)
+		list[i].setCost(r.Weights)
 		if list[i].Cost < list[least].Cost {
 			least = i
 		}
@@ -202,31 +202,31 @@
 }
 
 // setCost sets the total cost of an option.
-func (o *Option) setCost(p Policy) {
-	o.Cost = p.FirstToken*o.Expected.Seconds() + p.Token*float64(o.Recomputed) + p.Byte*float64(o.LinkBytes)
+func (o *Option) setCost(p CostWeights) {
+	o.Cost = p.FirstToken*o.Expected.Seconds() + p.SecondsPerToken*float64(o.Recomputed) + p.SecondsPerByte*float64(o.LinkBytes)
 }
 
 // appendVariants appends to out the options for one worker that differ in what is
 // imported. Cost is piecewise linear in the number of imported blocks, so only the
 // end points and the number at which the import takes as long as the queue need to
 // be compared.
-func appendVariants(out []Option, p Placement, r Request, w Worker, kept []Kept) []Option {
-	recompute := option(r, w, Import{}, Kept{})
+func appendVariants(out []Option, p Placement, r Request, w Worker, kept []StoredContext) []Option {
+	recompute := option(r, w, Import{}, StoredContext{})
 	out = append(out, recompute)
 	if p == RoundRobin || p == LeastTokens || p == StickyHash {
 		return out
 	}
 	for _, k := range kept {
-		if k.Blocks <= w.Held {
+		if k.Blocks <= w.CachedBlocks {
 			continue
 		}
-		all := Import{Store: k.Store, From: w.Held, To: k.Blocks}
+		all := Import{Store: k.Store, From: w.CachedBlocks, To: k.Blocks}
 		out = append(out, option(r, w, all, k))
 		if p == AlwaysImport || p == MostCached {
 			return append(out[:0], out[1])
 		}
 		if n := blocksWhileQueued(recompute.Queue, k); n > 0 && n < all.Blocks() {
-			partial := Import{Store: k.Store, From: w.Held, To: w.Held + n}
+			partial := Import{Store: k.Store, From: w.CachedBlocks, To: w.CachedBlocks + n}
 			out = append(out, option(r, w, partial, k))
 		}
 	}
@@ -235,25 +235,25 @@
 
 // blocksWhileQueued returns the number of blocks that can be read from a store
 // while the request is queued at the worker.
-func blocksWhileQueued(queue time.Duration, k Kept) int {
+func blocksWhileQueued(queue time.Duration, k StoredContext) int {
 	if k.BlockBytes == 0 {
 		return 0
 	}
-	bytes := (queue-k.Latency).Seconds()*k.Rate - float64(k.Backlog)
+	bytes := (queue-k.Latency).Seconds()*k.LinkBytesPerSecond - float64(k.BacklogBytes)
 	return int(bytes / float64(k.BlockBytes))
 }
 
 // option estimates the times of serving a request on a worker after an import. Its
 // cost is not set.
-func option(r Request, w Worker, im Import, k Kept) Option {
-	speed := w.Speed / (1 + slowdownPerRunning*float64(w.Running))
+func option(r Request, w Worker, im Import, k StoredContext) Option {
+	speed := w.PrefillPerSecond / (1 + slowdownPerRunning*float64(w.Running))
 	o := Option{Worker: w.Name, Import: im}
 	o.Queue = seconds(float64(w.QueuedTokens) / speed)
-	cached := w.Held
-	evicted := w.Room != 0 && w.Room < r.Blocks
+	cached := w.CachedBlocks
+	evicted := w.FreeBlocks != 0 && w.FreeBlocks < r.Blocks
 	if im.Blocks() > 0 {
 		o.LinkBytes = int64(im.Blocks()) * k.BlockBytes
-		o.Transfer = k.Latency + seconds(float64(k.Backlog+o.LinkBytes)/k.Rate)
+		o.Transfer = k.Latency + seconds(float64(k.BacklogBytes+o.LinkBytes)/k.LinkBytesPerSecond)
 		cached = im.To
 	}
 	if evicted {
@@ -262,7 +262,7 @@
 	}
 	o.Recomputed = max(1, r.Tokens-cached*r.BlockTokens)
 	o.Prefill = seconds(float64(o.Recomputed) / speed)
-	o.Expected = 2*w.Distance + max(o.Queue, o.Transfer) + o.Prefill
+	o.Expected = 2*w.OneWayLatency + max(o.Queue, o.Transfer) + o.Prefill
 	return o
 }
 
@@ -285,7 +285,7 @@
 	case RoundRobin:
 		return options[r.Turn%uint64(len(options))]
 	case StickyHash:
-		return options[r.Context%uint64(len(options))]
+		return options[r.ContextHash%uint64(len(options))]
 	case LeastTokens, AlwaysImport:
 		return leastWork(options)
 	case MostCached:
@@ -295,7 +295,7 @@
 	for _, o := range options {
 		least = min(least, o.Cost)
 	}
-	return randomWithin(options, least+max(tieFloor, tieShare*least), r.Chance)
+	return randomWithin(options, least+max(tieFloor, tieShare*least), r.Random)
 }
 
 // randomWithin selects one of the options that cost at most limit, with equal
--- a/core/route/placement.go
+++ b/core/route/placement.go
@@ -8,7 +8,7 @@
 // The placements. All but Returning are baselines for comparison.
 const (
 	// Returning minimises the cost of queueing, import and recomputation.
-	Returning Placement = "returning"
+	LowestCost Placement = "returning"
 	// RoundRobin selects the workers in turn.
 	RoundRobin Placement = "roundRobin"
 	// LeastTokens selects the worker with the least projected work, as in
@@ -28,44 +28,44 @@
 
 // Placements lists all placements.
 func Placements() []Placement {
-	return []Placement{Returning, RoundRobin, LeastTokens, StickyHash, AlwaysImport, MostCached}
+	return []Placement{LowestCost, RoundRobin, LeastTokens, StickyHash, AlwaysImport, MostCached}
 }
 
 // Exports reports whether a placement writes contexts to KV-cache stores.
-func (p Placement) Exports() bool { return p == Returning || p == AlwaysImport || p == MostCached }
+func (p Placement) Exports() bool { return p == LowestCost || p == AlwaysImport || p == MostCached }
 
 // Spot holds the inputs of a placement other than the candidates.
-type Spot struct {
+type PlacementInput struct {
 	// Context is the hash of the last prompt segment that is shared with other
 	// requests, or 0. StickyHash uses it.
-	Context uint64
+	ContextHash uint64
 	// Turn is a counter of choices. RoundRobin uses it.
 	Turn uint64
 	// Chance is a random number in [0, 1). Returning uses it.
-	Chance float64
+	Random float64
 }
 
 // PickBy returns the index of the candidate that a placement selects and its
 // evaluation, or -1 if there are no candidates. Placements other than RoundRobin,
 // StickyHash and LeastTokens select as Pick does.
-func PickBy(p Placement, a *Asked, list []Candidate, e *learn.Estimate, prices *Prices, s Spot) (int, Judgement) {
+func PickWith(p Placement, a *PickRequest, list []Candidate, e *learn.Estimate, prices *CostModel, s PlacementInput) (int, Evaluation) {
 	if len(list) == 0 {
-		return -1, Judgement{}
+		return -1, Evaluation{}
 	}
 	chosen := 0
 	switch p {
 	case RoundRobin:
 		chosen = int(s.Turn % uint64(len(list)))
 	case StickyHash:
-		chosen = int(s.Context % uint64(len(list)))
+		chosen = int(s.ContextHash % uint64(len(list)))
 	case LeastTokens:
 		for i, c := range list {
-			if c.Unread < list[chosen].Unread {
+			if c.QueuedTokens < list[chosen].QueuedTokens {
 				chosen = i
 			}
 		}
 	default:
-		return Pick(a, list, e, prices, s.Chance)
+		return Pick(a, list, e, prices, s.Random)
 	}
 	return chosen, Evaluate(a, &list[chosen], e, prices)
 }
--- a/core/route/retry_budget.go
+++ b/core/route/retry_budget.go
@@ -5,11 +5,11 @@
 // Allowance is a retry budget. Over a sliding window it bounds the retries to a
 // service to a share of the requests plus a constant. Times are readings of a
 // monotonic clock. The zero value allows no retries.
-type Allowance struct {
+type RetryBudget struct {
 	// Share is the number of retries allowed per request.
-	Share float64
+	RetriesPerRequest float64
 	// Extra is the number of further retries allowed per window.
-	Extra float64
+	ExtraRetries float64
 	// Window is the length of the window.
 	Window time.Duration
 
@@ -26,7 +26,7 @@
 type retryBucket struct{ requests, retries int }
 
 // advance moves to the bucket of now and clears the buckets that it enters.
-func (a *Allowance) advance(now time.Duration) {
+func (a *RetryBudget) advance(now time.Duration) {
 	bucket := int64(now / (a.Window / windowBuckets))
 	if bucket-a.current > int64(len(a.buckets)) {
 		a.buckets = [windowBuckets + 1]retryBucket{}
@@ -38,12 +38,12 @@
 }
 
 // currentBucket returns the bucket being filled.
-func (a *Allowance) currentBucket() *retryBucket {
+func (a *RetryBudget) currentBucket() *retryBucket {
 	return &a.buckets[a.current%int64(len(a.buckets))]
 }
 
 // Earn records a request.
-func (a *Allowance) Earn(now time.Duration) {
+func (a *RetryBudget) RecordRequest(now time.Duration) {
 	if a.Window <= 0 {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // Spend reports whether a retry is allowed, and records it if so.
-func (a *Allowance) Spend(now time.Duration) bool {
+func (a *RetryBudget) TryRetry(now time.Duration) bool {
 	if a.Window <= 0 {
 		return false
 	}
@@ -62,7 +62,7 @@
 		requests += b.requests
 		retries += b.retries
 	}
-	if float64(retries+1) > a.Share*float64(requests)+a.Extra {
+	if float64(retries+1) > a.RetriesPerRequest*float64(requests)+a.ExtraRetries {
 		return false
 	}
 	a.currentBucket().retries++
--- a/core/route/retry_throttle.go
+++ b/core/route/retry_throttle.go
@@ -2,7 +2,7 @@
 
 // Budget throttles retries to a share of the requests, so that retries do not
 // amplify an overload. The zero value allows retryBurst retries.
-type Budget struct {
+type RetryThrottle struct {
 	// spent is incremented by 1 with each retry and decremented by retryShare with
 	// each request, down to 0; a retry is allowed while it is below retryBurst.
 	spent float64
@@ -16,10 +16,10 @@
 )
 
 // Earn records a request.
-func (b *Budget) Earn() { b.spent = max(0, b.spent-retryShare) }
+func (b *RetryThrottle) RecordRequest() { b.spent = max(0, b.spent-retryShare) }
 
 // Spend reports whether a retry is allowed, and records it if so.
-func (b *Budget) Spend() bool {
+func (b *RetryThrottle) TryRetry() bool {
 	if b.spent >= retryBurst {
 		return false
 	}
@@ -32,6 +32,6 @@
 // have loaded the desired version. fraction is the context's hash, scaled to [0, 1): a
 // context switches once it is below the share of ready workers, so that the load on
 // each version is proportional to the workers that have it.
-func Version(fraction float64, ready, total int) (desired bool) {
+func UseDesiredVersion(fraction float64, ready, total int) (desired bool) {
 	return total == 0 || fraction < float64(ready)/float64(total)
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -12,16 +12,16 @@
 func request() Request {
 	return Request{
 		Tokens: 6400, Blocks: 100, BlockTokens: 64, Deadline: 10 * time.Second,
-		Prices: Policy{FirstToken: 1},
+		Weights: CostWeights{FirstToken: 1},
 	}
 }
 
 func worker(name string, cachedBlocks, queuedTokens int) Worker {
-	return Worker{Name: name, Held: cachedBlocks, QueuedTokens: queuedTokens, Speed: 8000, Distance: time.Millisecond}
+	return Worker{Name: name, CachedBlocks: cachedBlocks, QueuedTokens: queuedTokens, PrefillPerSecond: 8000, OneWayLatency: time.Millisecond}
 }
 
-func kept(blocks int, rate float64) []Kept {
-	return []Kept{{Store: "s", Blocks: blocks, BlockBytes: 4 << 20, Rate: rate, Latency: 3 * time.Millisecond}}
+func kept(blocks int, rate float64) []StoredContext {
+	return []StoredContext{{Store: "s", Blocks: blocks, BlockBytes: 4 << 20, LinkBytesPerSecond: rate, Latency: 3 * time.Millisecond}}
 }
 
 func TestPlace(t *testing.T) {
@@ -29,7 +29,7 @@
 		name    string
 		change  func(r *Request)
 		workers []Worker
-		kept    []Kept
+		kept    []StoredContext
 		want    string
 		imports int
 		verdict Verdict
@@ -39,11 +39,11 @@
 		{"another, if the queue of the one with the cached context is longer than the prefill", nil, []Worker{worker("a", 0, 0), worker("b", 100, 20000)}, nil, "a", 0, Placed},
 		{"an import, if the worker with the cached context is busy and the link fast", nil, []Worker{worker("a", 0, 0), worker("b", 100, 8000)}, kept(100, 4e9), "a", 100, Placed},
 		{"recomputation, if the link is slow", nil, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 0, Placed},
-		{"an import over a slow link, if recomputed tokens are expensive", func(r *Request) { r.Prices.Token = 0.01 }, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 100, Placed},
+		{"an import over a slow link, if recomputed tokens are expensive", func(r *Request) { r.Weights.SecondsPerToken = 0.01 }, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 100, Placed},
 		{"an import of only the missing blocks", nil, []Worker{worker("a", 60, 0)}, kept(100, 4e9), "a", 40, Placed},
 		{"too late", func(r *Request) { r.Deadline = 100 * time.Millisecond }, []Worker{worker("a", 0, 0)}, nil, "a", 0, TooLate},
 		{"the fastest, if the cheapest is too late", func(r *Request) {
-			r.Prices.Token = 1
+			r.Weights.SecondsPerToken = 1
 			r.Deadline = time.Second
 		}, []Worker{worker("a", 0, 0), worker("b", 100, 80000)}, nil, "a", 0, Placed},
 	}
@@ -54,7 +54,7 @@
 			if tc.change != nil {
 				tc.change(&r)
 			}
-			d := Place(Returning, r, tc.workers, tc.kept)
+			d := Place(LowestCost, r, tc.workers, tc.kept)
 			g.Expect(d.Verdict).To(gomega.Equal(tc.verdict), fmt.Sprintf("%+v", d))
 			g.Expect(d.Chosen.Worker).To(gomega.Equal(tc.want))
 			g.Expect(d.Chosen.Import.Blocks()).To(gomega.Equal(tc.imports))
@@ -84,8 +84,8 @@
 		t.Run(fmt.Sprint(tc.placement, tc.turn), func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			r := request()
-			r.Turn, r.Context = tc.turn, tc.key
-			var k []Kept
+			r.Turn, r.ContextHash = tc.turn, tc.key
+			var k []StoredContext
 			if tc.placement == AlwaysImport {
 				k = kept(100, 4e9)
 			}
@@ -102,10 +102,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := request()
 		r.Deadline = time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond
-		r.Chance = rapid.Float64Range(0, 0.999).Draw(t, "chance")
-		r.Prices = Policy{
-			FirstToken: rapid.Float64Range(0, 2).Draw(t, "first"), Token: rapid.Float64Range(0, 0.01).Draw(t, "token"),
-			Byte: rapid.Float64Range(0, 1e-8).Draw(t, "byte"),
+		r.Random = rapid.Float64Range(0, 0.999).Draw(t, "chance")
+		r.Weights = CostWeights{
+			FirstToken: rapid.Float64Range(0, 2).Draw(t, "first"), SecondsPerToken: rapid.Float64Range(0, 0.01).Draw(t, "token"),
+			SecondsPerByte: rapid.Float64Range(0, 1e-8).Draw(t, "byte"),
 		}
 		var workers []Worker
 		for i := range rapid.IntRange(1, 6).Draw(t, "workers") {
@@ -113,14 +113,14 @@
 			workers = append(workers, w)
 		}
 		k := kept(rapid.IntRange(0, 100).Draw(t, "kept"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
-		d := Place(Returning, r, workers, k)
+		d := Place(LowestCost, r, workers, k)
 		im := d.Chosen.Import
 		if im.Blocks() < 0 || (im.Blocks() > 0 && im.To > k[0].Blocks) {
 			t.Fatalf("imports %+v of %d stored blocks", im, k[0].Blocks)
 		}
 		fastest := time.Duration(1 << 62)
 		for _, w := range workers {
-			for _, o := range appendVariants(nil, Returning, r, w, k) {
+			for _, o := range appendVariants(nil, LowestCost, r, w, k) {
 				fastest = min(fastest, o.Expected)
 			}
 		}
@@ -144,8 +144,8 @@
 	counts := map[string]int{}
 	for i := range 1000 {
 		r := request()
-		r.Chance = float64(i) / 1000
-		counts[Place(Returning, r, workers, nil).Chosen.Worker]++
+		r.Random = float64(i) / 1000
+		counts[Place(LowestCost, r, workers, nil).Chosen.Worker]++
 	}
 	for name, n := range counts {
 		g.Expect(n).To(gomega.BeNumerically("<=", 100), name)
@@ -155,11 +155,11 @@
 
 func TestBudgetLimitsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var b Budget
+	var b RetryThrottle
 	retries := 0
 	for range 10000 {
-		b.Earn()
-		for b.Spend() {
+		b.RecordRequest()
+		for b.TryRetry() {
 			retries++
 		}
 	}
@@ -176,25 +176,25 @@
 		{0.1, 0, 10, false}, {0.1, 2, 10, true}, {0.5, 2, 10, false}, {0.99, 10, 10, true}, {0.5, 0, 0, true},
 	}
 	for _, tc := range tests {
-		got := Version(tc.fraction, tc.ready, tc.total)
+		got := UseDesiredVersion(tc.fraction, tc.ready, tc.total)
 		gomega.NewWithT(t).Expect(got).To(gomega.Equal(tc.want), fmt.Sprintf("%+v", tc))
 	}
 }
 
 func TestGiveUpEvictsLeastValuable(t *testing.T) {
 	g := gomega.NewWithT(t)
-	list := []Shed{{0, 10, 5, 4}, {1, 10, 100, 0}, {2, 10, 100, 9}, {3, 10, 1, 0}}
-	g.Expect(GiveUp(list, 10)).To(gomega.Equal([]int{1}))
-	g.Expect(GiveUp(list, 15)).To(gomega.Equal([]int{1, 2}))
-	g.Expect(GiveUp(list, 0)).To(gomega.BeEmpty())
+	list := []EvictionCandidate{{0, 10, 5, 4}, {1, 10, 100, 0}, {2, 10, 100, 9}, {3, 10, 1, 0}}
+	g.Expect(ChooseEvictions(list, 10)).To(gomega.Equal([]int{1}))
+	g.Expect(ChooseEvictions(list, 15)).To(gomega.Equal([]int{1, 2}))
+	g.Expect(ChooseEvictions(list, 0)).To(gomega.BeEmpty())
 }
 
 func TestLinkStartsImportsFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Link
-	l.Ask(Transfer{ID: 1, Organisation: "a", Bytes: 10})
-	l.Ask(Transfer{ID: 2, Organisation: "a", Bytes: 10, Waiting: true})
-	l.Ask(Transfer{ID: 3, Organisation: "a", Bytes: 10, Waiting: true})
+	l.Enqueue(Transfer{ID: 1, Organisation: "a", Bytes: 10})
+	l.Enqueue(Transfer{ID: 2, Organisation: "a", Bytes: 10, CallerWaits: true})
+	l.Enqueue(Transfer{ID: 3, Organisation: "a", Bytes: 10, CallerWaits: true})
 	for _, want := range []uint64{2, 3} {
 		first, ok := l.Next()
 		g.Expect(ok).To(gomega.BeTrue())
@@ -202,7 +202,7 @@
 	}
 	_, ok := l.Next()
 	g.Expect(ok).To(gomega.BeFalse(), "an export waits while more than one import runs")
-	l.Done(2)
+	l.Remove(2)
 	next, ok := l.Next()
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(next.ID).To(gomega.Equal(uint64(1)))
@@ -213,13 +213,13 @@
 	g := gomega.NewWithT(t)
 	var l Link
 	for i := range uint64(100) {
-		l.Ask(Transfer{ID: i, Organisation: "large", Bytes: 1000, Waiting: true})
+		l.Enqueue(Transfer{ID: i, Organisation: "large", Bytes: 1000, CallerWaits: true})
 	}
 	for range 10 {
 		l.Next()
 	}
-	l.Ask(Transfer{ID: 1000, Organisation: "small", Bytes: 1000, Waiting: true})
-	l.Done(0)
+	l.Enqueue(Transfer{ID: 1000, Organisation: "small", Bytes: 1000, CallerWaits: true})
+	l.Remove(0)
 	next, ok := l.Next()
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(next.Organisation).To(gomega.Equal("small"))
@@ -230,7 +230,7 @@
 	var l Link
 	accepted := 0
 	for i := range uint64(2 * maxQueued) {
-		if l.Ask(Transfer{ID: i}) {
+		if l.Enqueue(Transfer{ID: i}) {
 			accepted++
 		}
 	}
--- a/core/route/utility.go
+++ b/core/route/utility.go
@@ -9,46 +9,46 @@
 
 // Prices is the cost model: the utility of answers and the cost of serving them. One
 // unit is the utility of the answer to a plain call within its latency objective.
-type Prices struct {
+type CostModel struct {
 	// Token is the utility that each token of a prompt adds to its answer.
-	Token float64
+	UtilityPerToken float64
 	// Late is the share of its utility that an answer past its latency objective
 	// retains.
-	Late float64
+	PastObjectiveShare float64
 	// Again is the cost of prefilling a token that some worker has prefilled recently.
-	Again float64
+	RecomputePerToken float64
 	// Copied is the cost of copying a token of cached context to a worker.
-	Copied float64
+	CopyPerToken float64
 	// Old is the share of its utility that an answer computed with replaced weights
 	// loses.
-	Old float64
+	OldWeightsPenalty float64
 	// Connect is the cost of opening a connection to a target.
-	Connect float64
+	NewConnectionCost float64
 	// Across is the cost of sending a megabyte (1 << 20 bytes) between failure domains.
-	Across float64
+	CrossDomainPerMiB float64
 	// Wait is the share of its utility that an answer loses for each multiple of the
 	// latency objective that it takes, also within the objective.
-	Wait float64
+	DelayPenalty float64
 }
 
 // Worth returns the utility of an answer within its latency objective to a prompt of
 // some tokens; plain calls have 0 tokens.
-func (p *Prices) Worth(tokens int) float64 { return 1 + p.Token*float64(tokens) }
+func (p *CostModel) Utility(tokens int) float64 { return 1 + p.UtilityPerToken*float64(tokens) }
 
 // Asked describes a request to Pick.
-type Asked struct {
+type PickRequest struct {
 	// Tokens is the length of the prompt in tokens; 0 for plain calls.
 	Tokens int
 	// Bytes is the size of the request in bytes.
 	Bytes int
 	// Aim is the latency objective, from the start of the request; 0 means none.
-	Aim time.Duration
+	Objective time.Duration
 	// Spent is the time elapsed since the start of the request, and Left the time
 	// remaining until its deadline.
-	Spent, Left time.Duration
+	Elapsed, Remaining time.Duration
 	// Rate is the utility per second of the requests that arrive at one target of
 	// the service. They wait longer when the target gets more work.
-	Rate float64
+	UtilityRate float64
 }
 
 // Candidate describes one target that a request may be sent to.
@@ -59,47 +59,47 @@
 	Slots int
 	// Unread is the number of prompt tokens that the target prefills before those of
 	// a new request.
-	Unread int
+	QueuedTokens int
 	// Held is the number of context tokens that the running requests occupy.
-	Held int
+	OccupiedTokens int
 	// Memory is the number of context tokens that fit into the target's memory; 0 for
 	// plain services.
-	Memory int
+	MemoryTokens int
 	// Kept is the number of tokens of the request's prompt that the target is expected
 	// to have cached.
-	Kept int
+	CachedTokens int
 	// Copied is the number of further tokens that can be copied to the target.
-	Copied int
+	CopiedTokens int
 	// CopyTime is the time that the copy takes.
 	CopyTime time.Duration
 	// Again is the number of tokens that the target would prefill although some worker
 	// has prefilled them recently.
-	Again int
+	RecomputedTokens int
 	// Old reports that the target has older weights than the desired ones.
-	Old bool
+	OldWeights bool
 	// Far reports that the target is in another failure domain.
-	Far bool
+	CrossDomain bool
 	// Cold reports that no connection to the target is open.
-	Cold bool
+	NoConnection bool
 	// Doubtful reports that the target's registration has lapsed, so that it may have
 	// been removed.
-	Doubtful bool
+	Lapsed bool
 	// Faults is the share of the target's answers that are failures, 0 to 1.
-	Faults float64
+	FailureShare float64
 	// Pace is the target's speed factor: its time to the first answer divided by that
 	// expected of its service. Above 1 the target is slower.
-	Pace float64
+	Slowdown float64
 }
 
 // Factors returns the inputs of the time to the first answer at a candidate.
-func (c *Candidate) Factors(a *Asked) learn.Factors {
+func (c *Candidate) Factors(a *PickRequest) learn.Factors {
 	slots := float64(max(1, c.Slots))
 	f := learn.Factors{
-		Own: max(0, a.Tokens-c.Kept-c.Copied), Before: c.Unread,
-		Beside: min(1, float64(c.Running)/slots), Waiting: max(0, float64(c.Running+1)/slots-1),
+		OwnTokens: max(0, a.Tokens-c.CachedTokens-c.CopiedTokens), QueuedTokens: c.QueuedTokens,
+		Utilisation: min(1, float64(c.Running)/slots), QueuedPerSlot: max(0, float64(c.Running+1)/slots-1),
 	}
-	if c.Memory > 0 {
-		f.Crowd = memoryPressure(c, a.Tokens)
+	if c.MemoryTokens > 0 {
+		f.MemoryPressure = memoryPressure(c, a.Tokens)
 	}
 	return f
 }
@@ -119,58 +119,58 @@
 // of utilisation s, it grows with s to the power of c. The memory is divided into
 // slots of the size of the requests that occupy it.
 func memoryPressure(c *Candidate, tokens int) float64 {
-	if c.Held <= 0 {
+	if c.OccupiedTokens <= 0 {
 		return 0
 	}
-	size := max(float64(tokens), float64(c.Held)/float64(max(1, c.Running)))
-	memory := float64(c.Memory)
+	size := max(float64(tokens), float64(c.OccupiedTokens)/float64(max(1, c.Running)))
+	memory := float64(c.MemoryTokens)
 	slots := min(max(memory/max(size, 1), minMemorySlots), maxMemorySlots)
-	utilisation := (float64(c.Held) + float64(tokens)/2) / memory
+	utilisation := (float64(c.OccupiedTokens) + float64(tokens)/2) / memory
 	return min(math.Pow(utilisation, slots), maxMemoryPressure)
 }
 
 // Judgement is the evaluation of a candidate for a request.
-type Judgement struct {
+type Evaluation struct {
 	// Expected is the expected time to the first answer.
 	Expected time.Duration
 	// InTime is the probability of an answer within the latency objective, and Served
 	// that of an answer before the deadline. Both ignore the target's failures.
-	InTime, Served float64
+	WithinObjective, BeforeDeadline float64
 	// Gain is the utility to callers: that of this request's answer, less what other
 	// requests lose by waiting for it and by the eviction of their cached segments. The
 	// request is worth serving at the candidate only if Gain is above 0.
-	Gain float64
+	CallerUtility float64
 	// Worth is Gain less the cost of serving the request at the candidate.
-	Worth float64
+	NetUtility float64
 }
 
 // Evaluate estimates the time and the utility of serving a request at a candidate.
-func Evaluate(a *Asked, c *Candidate, e *learn.Estimate, p *Prices) Judgement {
+func Evaluate(a *PickRequest, c *Candidate, e *learn.Estimate, p *CostModel) Evaluation {
 	f := c.Factors(a)
-	queueing, service := e.Parts(f)
-	speedFactor := max(c.Pace, 0)
+	queueing, service := e.Components(f)
+	speedFactor := max(c.Slowdown, 0)
 	if speedFactor == 0 {
 		speedFactor = 1
 	}
 	wait := time.Duration(speedFactor * float64(queueing))
 	work := time.Duration(speedFactor * float64(service))
-	j := Judgement{Expected: max(wait, c.CopyTime) + work, InTime: 1}
+	j := Evaluation{Expected: max(wait, c.CopyTime) + work, WithinObjective: 1}
 	expected := max(j.Expected, time.Microsecond).Seconds()
-	if a.Aim > 0 {
-		j.InTime = e.Chance((a.Aim - a.Spent).Seconds() / expected)
+	if a.Objective > 0 {
+		j.WithinObjective = e.Chance((a.Objective - a.Elapsed).Seconds() / expected)
 	}
-	j.Served = max(j.InTime, e.Chance(a.Left.Seconds()/expected))
-	utility := p.Worth(a.Tokens)
-	j.Gain = utility * (1 - c.Faults) * (p.Late*j.Served + (1-p.Late)*j.InTime)
+	j.BeforeDeadline = max(j.WithinObjective, e.Chance(a.Remaining.Seconds()/expected))
+	utility := p.Utility(a.Tokens)
+	j.CallerUtility = utility * (1 - c.FailureShare) * (p.PastObjectiveShare*j.BeforeDeadline + (1-p.PastObjectiveShare)*j.WithinObjective)
 	// Tokens that do not fit into memory evict cached segments of later requests.
-	j.Gain -= p.Again * f.Crowd * float64(a.Tokens)
-	if a.Aim > 0 {
+	j.CallerUtility -= p.RecomputePerToken * f.MemoryPressure * float64(a.Tokens)
+	if a.Objective > 0 {
 		// Other requests wait for its work as well, as long as there is a queue.
-		j.Gain -= a.Rate * (1 - p.Late) * work.Seconds() * wait.Seconds() / a.Aim.Seconds()
+		j.CallerUtility -= a.UtilityRate * (1 - p.PastObjectiveShare) * work.Seconds() * wait.Seconds() / a.Objective.Seconds()
 	}
-	j.Worth = j.Gain - servingCost(a, c, p, utility)
-	if a.Aim > 0 {
-		j.Worth -= utility * p.Wait * expected / a.Aim.Seconds()
+	j.NetUtility = j.CallerUtility - servingCost(a, c, p, utility)
+	if a.Objective > 0 {
+		j.NetUtility -= utility * p.DelayPenalty * expected / a.Objective.Seconds()
 	}
 	return j
 }
@@ -183,18 +183,18 @@
 
 // servingCost returns the cost of serving a request at a candidate that does not
 // depend on its load.
-func servingCost(a *Asked, c *Candidate, p *Prices, utility float64) float64 {
-	cost := p.Again*float64(c.Again) + p.Copied*float64(c.Copied)
-	if c.Old {
-		cost += p.Old * utility
+func servingCost(a *PickRequest, c *Candidate, p *CostModel, utility float64) float64 {
+	cost := p.RecomputePerToken*float64(c.RecomputedTokens) + p.CopyPerToken*float64(c.CopiedTokens)
+	if c.OldWeights {
+		cost += p.OldWeightsPenalty * utility
 	}
-	if c.Far {
-		cost += p.Across * float64(a.Bytes+headBytes) / bytesPerMegabyte
+	if c.CrossDomain {
+		cost += p.CrossDomainPerMiB * float64(a.Bytes+headBytes) / bytesPerMegabyte
 	}
-	if c.Cold {
-		cost += p.Connect
+	if c.NoConnection {
+		cost += p.NewConnectionCost
 	}
-	if c.Doubtful {
+	if c.Lapsed {
 		// A target that may have been removed is the last choice.
 		cost += utility
 	}
--- a/core/route/warmup.go
+++ b/core/route/warmup.go
@@ -16,7 +16,7 @@
 // It guards against the overload of workers that return at the same time: in a failure domain
 // of 28 workers each sustains 26 requests per second in its first three seconds, and without
 // a limit the idle ones would get most of the 1,225 that arrive.
-func ColdShare(maxRate float64, daemons, index int) int {
+func WarmupShare(maxRate float64, daemons, index int) int {
 	if daemons <= 0 {
 		return 0
 	}
@@ -30,7 +30,7 @@
 
 // Pace is the rate limiter of one daemon for one target that is warming up. The zero value
 // has recorded no attempts.
-type Pace struct {
+type WarmupLimiter struct {
 	// sent holds the times of the attempts within the last warmupWindow, oldest first.
 	sent []time.Time
 }
@@ -41,7 +41,7 @@
 const warmupWindow = 1050 * time.Millisecond
 
 // May reports whether another attempt is allowed if at most share are per second.
-func (p *Pace) May(share int, now time.Time) bool {
+func (p *WarmupLimiter) Allows(share int, now time.Time) bool {
 	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= warmupWindow {
 		p.sent = p.sent[1:]
 	}
@@ -49,9 +49,9 @@
 }
 
 // Sent records an attempt.
-func (p *Pace) Sent(now time.Time) { p.sent = append(p.sent, now) }
+func (p *WarmupLimiter) RecordAttempt(now time.Time) { p.sent = append(p.sent, now) }
 
 // Idle reports whether there was no attempt within the window.
-func (p *Pace) Idle(now time.Time) bool {
+func (p *WarmupLimiter) Idle(now time.Time) bool {
 	return len(p.sent) == 0 || now.Sub(p.sent[len(p.sent)-1]) >= warmupWindow
 }
--- a/core/route/warmup_test.go
+++ b/core/route/warmup_test.go
@@ -28,10 +28,10 @@
 			g := gomega.NewWithT(t)
 			sum := 0
 			for index := range tc.daemons {
-				sum += ColdShare(tc.maxRate, tc.daemons, index)
+				sum += WarmupShare(tc.maxRate, tc.daemons, index)
 			}
 			g.Expect(sum).To(gomega.Equal(tc.sum))
-			g.Expect(ColdShare(tc.maxRate, tc.daemons, 0)).To(gomega.Equal(tc.first))
+			g.Expect(WarmupShare(tc.maxRate, tc.daemons, 0)).To(gomega.Equal(tc.first))
 			g.Expect(float64(sum * ConcurrentViews)).To(gomega.BeNumerically("<=", tc.maxRate))
 		})
 	}
@@ -45,11 +45,11 @@
 	for _, daemons := range []int{1, 4, 8, 16, 79, 385} {
 		sum := 0
 		for index := range daemons {
-			sum += ColdShare(maxRate, daemons, index)
+			sum += WarmupShare(maxRate, daemons, index)
 		}
 		listed := max(1, daemons/2)
 		for index := range listed {
-			sum += ColdShare(maxRate, listed, index)
+			sum += WarmupShare(maxRate, listed, index)
 		}
 		g.Expect(sum).To(gomega.BeNumerically("<=", maxRate), "%d daemons", daemons)
 	}
@@ -57,7 +57,7 @@
 
 func TestPaceLimitsOverASlidingWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var p Pace
+	var p WarmupLimiter
 	start := time.Unix(1000, 0)
 	g.Expect(p.Idle(start)).To(gomega.BeTrue())
 	for _, step := range []struct {
@@ -65,12 +65,12 @@
 		allowed bool
 	}{{0, true}, {500 * time.Millisecond, true}, {600 * time.Millisecond, false}, {1040 * time.Millisecond, false}, {1060 * time.Millisecond, true}, {1540 * time.Millisecond, false}, {1560 * time.Millisecond, true}} {
 		now := start.Add(step.after)
-		allowed := p.May(2, now)
+		allowed := p.Allows(2, now)
 		g.Expect(allowed).To(gomega.Equal(step.allowed), step.after.String())
 		if allowed {
-			p.Sent(now)
+			p.RecordAttempt(now)
 		}
 	}
-	g.Expect(p.May(0, start.Add(time.Hour))).To(gomega.BeFalse())
+	g.Expect(p.Allows(0, start.Add(time.Hour))).To(gomega.BeFalse())
 	g.Expect(p.Idle(start.Add(time.Hour))).To(gomega.BeTrue())
 }
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -35,7 +35,7 @@
 // InForce holds the applied values that operators have written, by key of the coordination store.
 // After the store was restored from an older copy, daemons that have only read the copy get the
 // values that it lacks from peers, and which targets are shutting down.
-type InForce struct {
+type AppliedValues struct {
 	watchCache *plat.Mirror
 	fleet      *fleet.Fleet
 	transfers  *transfers
@@ -43,8 +43,8 @@
 	// Leaving, if set, returns the incarnations of targets that recently reported that they are
 	// shutting down; Leaves is called with those that a peer names. Both are set before the fleet
 	// runs.
-	Leaving func() []string
-	Leaves  func(incarnation string)
+	ShuttingDown   func() []string
+	OnShuttingDown func(incarnation string)
 
 	appliedMu sync.Mutex
 	values    map[string]appliedValue // by key; guarded by appliedMu
@@ -95,15 +95,15 @@
 var errNotReady = errors.New("this daemon has not requested the applied values from its peers yet")
 
 // NewInForce returns an InForce and registers it with the fleet of m.
-func NewInForce(m *Mirrors) *InForce {
-	n := &InForce{watchCache: m.watchCache, fleet: m.fleet, transfers: m.values.transfers, log: m.log, values: map[string]appliedValue{}}
+func NewAppliedValues(m *WatchCacheSync) *AppliedValues {
+	n := &AppliedValues{watchCache: m.watchCache, fleet: m.fleet, transfers: m.values.transfers, log: m.log, values: map[string]appliedValue{}}
 	n.fleet.Mux().Register(kindApplied, wire.Handle(n.handleApplied))
 	return n
 }
 
 // Set stores a value, unless a newer version of it is stored. The version is 0 for values that have
 // none.
-func (n *InForce) Set(p plat.Pair, version int64) {
+func (n *AppliedValues) Set(p plat.Pair, version int64) {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	if stored, ok := n.values[p.Key]; !ok || stored.Version <= version {
@@ -112,28 +112,28 @@
 }
 
 // Drop removes a value.
-func (n *InForce) Drop(key string) {
+func (n *AppliedValues) Remove(key string) {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	delete(n.values, key)
 }
 
 // Settle makes this daemon answer peers' requests.
-func (n *InForce) Settle() {
+func (n *AppliedValues) MarkReady() {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	n.ready = true
 }
 
 // Settled reports whether this daemon answers peers' requests.
-func (n *InForce) Settled() bool {
+func (n *AppliedValues) Ready() bool {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	return n.ready
 }
 
 // versions returns the versions of the stored values by key.
-func (n *InForce) versions() map[string]int64 {
+func (n *AppliedValues) versions() map[string]int64 {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	out := make(map[string]int64, len(n.values))
@@ -144,14 +144,14 @@
 }
 
 // handleApplied sends a peer the values that are newer here.
-func (n *InForce) handleApplied(_ context.Context, _ string, req *appliedRequest) (*appliedResponse, error) {
+func (n *AppliedValues) handleApplied(_ context.Context, _ string, req *appliedRequest) (*appliedResponse, error) {
 	newer, id, err := n.newerThan(req)
 	if err != nil {
 		return nil, err
 	}
 	out := &appliedResponse{}
-	if n.Leaving != nil {
-		out.Leaving = firstN(n.Leaving(), maxLeaving)
+	if n.ShuttingDown != nil {
+		out.Leaving = firstN(n.ShuttingDown(), maxLeaving)
 	}
 	if len(newer) == 0 {
 		return out, nil
@@ -162,7 +162,7 @@
 
 // newerThan returns the values that a peer requests, ordered by key, and an identifier of this set
 // of versions.
-func (n *InForce) newerThan(req *appliedRequest) (newer []appliedValue, id string, err error) {
+func (n *AppliedValues) newerThan(req *appliedRequest) (newer []appliedValue, id string, err error) {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	if !n.ready {
@@ -181,14 +181,14 @@
 
 // inStore reports whether the coordination store holds a value in a store incarnation or a later
 // one, according to the watch cache.
-func (n *InForce) inStore(v appliedValue, incarnation int64) bool {
+func (n *AppliedValues) inStore(v appliedValue, incarnation int64) bool {
 	p, exists := n.watchCache.Pair(v.Key)
 	return exists && n.watchCache.Era() >= incarnation && bytes.Equal(p.Value, v.Value)
 }
 
 // Ask requests newer values from some peers, live ones first, and calls take, one call at a time,
 // with each that is newer than the stored one at that time. It returns how many peers responded.
-func (n *InForce) Ask(ctx context.Context, take func(plat.Pair)) int {
+func (n *AppliedValues) Pull(ctx context.Context, take func(plat.Pair)) int {
 	peers := n.peers()
 	responded := make(chan bool, len(peers))
 	var takeMu sync.Mutex
@@ -205,7 +205,7 @@
 }
 
 // peers returns the peers to request values from.
-func (n *InForce) peers() []string {
+func (n *AppliedValues) peers() []string {
 	var live, others []string
 	all := n.fleet.View().Peers()
 	for _, i := range rand.Perm(len(all)) {
@@ -220,7 +220,7 @@
 
 // appliedPuller requests values from one peer.
 type appliedPuller struct {
-	*InForce
+	*AppliedValues
 	peer string
 	// takeMu is held while take is called.
 	takeMu *sync.Mutex
@@ -255,9 +255,9 @@
 	if err := p.fleet.Call(firstCtx, p.peer, kindApplied, req, &got); err != nil {
 		return nil, err
 	}
-	if p.Leaves != nil {
+	if p.OnShuttingDown != nil {
 		for _, incarnation := range firstN(got.Leaving, maxLeaving) {
-			p.Leaves(incarnation)
+			p.OnShuttingDown(incarnation)
 		}
 	}
 	if got.Values.Size == 0 {
--- a/core/spread/applied_test.go
+++ b/core/spread/applied_test.go
@@ -16,7 +16,7 @@
 // pulled returns the values that a daemon gets from its peers, and how many peers responded.
 func (m *member) pulled() (map[string]string, int) {
 	got := map[string]string{}
-	n := m.applied.Ask(context.Background(), func(p plat.Pair) { got[p.Key] = string(p.Value) })
+	n := m.applied.Pull(context.Background(), func(p plat.Pair) { got[p.Key] = string(p.Value) })
 	return got, n
 }
 
@@ -32,7 +32,7 @@
 	sender = run(t, seeds[0].Name, listeners[0], store, seeds)
 	g.Eventually(sender.holds("op/config", []byte("two")), shortWait, pollInterval).Should(gomega.BeTrue())
 	sender.applied.Set(plat.Pair{Key: "op/config", Value: []byte("two")}, 2)
-	sender.applied.Settle()
+	sender.applied.MarkReady()
 	store.Restore(before)
 	requester = run(t, seeds[1].Name, listeners[1], store, seeds)
 	for _, m := range []*member{sender, requester} {
@@ -78,7 +78,7 @@
 		got, _ = requester.pulled()
 		g.Expect(got).To(gomega.HaveKeyWithValue(p.Key, string(p.Value)))
 	}
-	sender.applied.Drop(p.Key)
+	sender.applied.Remove(p.Key)
 	got, _ = requester.pulled()
 	g.Expect(got).NotTo(gomega.HaveKey(p.Key))
 }
@@ -105,7 +105,7 @@
 	sender := run(t, seeds[0].Name, listeners[0], store, seeds)
 	g.Eventually(sender.holds("op/config", []byte("two")), shortWait, pollInterval).Should(gomega.BeTrue())
 	sender.applied.Set(plat.Pair{Key: "op/config", Value: []byte("two")}, 2)
-	sender.applied.Settle()
+	sender.applied.MarkReady()
 	requester := run(t, seeds[1].Name, listeners[1], before, seeds)
 	g.Eventually(requester.holds("op/config", []byte("one")), shortWait, pollInterval).Should(gomega.BeTrue())
 	g.Expect(requester.watchCache.Era()).To(gomega.Equal(int64(1)))
@@ -126,7 +126,7 @@
 	g, _, sender, requester := pair(t)
 	var received []string
 	sender.leaving.Store(&[]string{"i-1@1", "i-2@1"})
-	requester.applied.Leaves = func(run string) { received = append(received, run) }
+	requester.applied.OnShuttingDown = func(run string) { received = append(received, run) }
 	requester.pulled()
 	g.Expect(received).To(gomega.Equal([]string{"i-1@1", "i-2@1"}))
 	// They are sent as well where no value is newer.
--- a/core/spread/changes.go
+++ b/core/spread/changes.go
@@ -70,7 +70,7 @@
 }
 
 // handleChanges responds to a peer's changesRequest.
-func (s *Mirrors) handleChanges(ctx context.Context, _ string, req *changesRequest) (*changesResponse, error) {
+func (s *WatchCacheSync) handleChanges(ctx context.Context, _ string, req *changesRequest) (*changesResponse, error) {
 	start := clock.Now()
 	if s.viewFor(req) == nil {
 		return &changesResponse{ShardMismatch: true}, nil
@@ -95,7 +95,7 @@
 }
 
 // changesPage returns as many of the requested changes as fit one response.
-func (s *Mirrors) changesPage(req *changesRequest, v *shardView) *changesResponse {
+func (s *WatchCacheSync) changesPage(req *changesRequest, v *shardView) *changesResponse {
 	changes, revision, whole := s.watchCache.Since(req.AfterRevision)
 	if !whole || req.PageAfter != "" {
 		return s.fullCopyPage(req.PageAfter, v)
@@ -122,7 +122,7 @@
 //
 // changes are those up to revision, which the response names. The lacking pairs are read a moment
 // later; the changes in between come with the next response.
-func (s *Mirrors) shardChange(req *changesRequest, v *shardView, changes []plat.Change, revision int64) *changesResponse {
+func (s *WatchCacheSync) shardChange(req *changesRequest, v *shardView, changes []plat.Change, revision int64) *changesResponse {
 	former, ok := v.formerView(req.CacheShard)
 	if !ok {
 		return s.fullCopyPage("", v)
@@ -136,7 +136,7 @@
 }
 
 // fullCopyPage returns the page of the cache that follows a key.
-func (s *Mirrors) fullCopyPage(after string, v *shardView) *changesResponse {
+func (s *WatchCacheSync) fullCopyPage(after string, v *shardView) *changesResponse {
 	rest, revision := s.watchCache.All(after, v.includes)
 	n := countFitting(rest)
 	return &changesResponse{FullCopy: true, Changes: wireChanges(rest[:n]), Revision: revision, More: n < len(rest), ShardName: v.name}
@@ -165,7 +165,7 @@
 
 // awaitChange waits until there are changes to send, the cache is fresher than the requester's, or
 // the requested wait is over.
-func (s *Mirrors) awaitChange(ctx context.Context, req *changesRequest) {
+func (s *WatchCacheSync) awaitChange(ctx context.Context, req *changesRequest) {
 	arrived := clock.Now()
 	deadline := arrived.Add(time.Duration(req.WaitMillis) * time.Millisecond)
 	fresher := arrived.Add(freshnessSlack - reportedAge(req.AgeMillis))
@@ -189,7 +189,7 @@
 
 // hasChangesFor reports whether there are changes after a revision that the requester is to
 // receive, and the revision up to which it checked.
-func (s *Mirrors) hasChangesFor(req *changesRequest, after int64) (bool, int64) {
+func (s *WatchCacheSync) hasChangesFor(req *changesRequest, after int64) (bool, int64) {
 	revision := s.watchCache.Revision()
 	if revision <= after {
 		return false, after
--- a/core/spread/changes_test.go
+++ b/core/spread/changes_test.go
@@ -17,7 +17,7 @@
 func TestAResponseAboutAnotherShardNamesItsRevision(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := &event.Log{}
-	m := NewMirrors(plat.NewMirror(&memkv.KV{}, plat.Prefix(""), log), fleet.New(fleet.Options{Name: "me", Log: log}), log)
+	m := NewWatchCacheSync(plat.NewMirror(&memkv.KV{}, plat.Prefix(""), log), fleet.New(fleet.Options{Name: "me", Log: log}), log)
 	shard := m.fleet.View().Shard()
 	req := &changesRequest{AfterRevision: 3, Shard: shard}
 	v := &shardView{cacheSync: m, name: "shard", shard: shard}
--- a/core/spread/relays.go
+++ b/core/spread/relays.go
@@ -42,7 +42,7 @@
 //
 // Listed peers that have not sent a heartbeat yet count in the rank: without them all daemons that
 // start together would watch until they have received each other's heartbeats.
-func (s *Mirrors) WatchesStore() bool {
+func (s *WatchCacheSync) WatchesStore() bool {
 	view := s.fleet.View()
 	switch {
 	case len(view.Peers()) < smallFleet, !s.watchCache.Known():
@@ -54,7 +54,7 @@
 }
 
 // Hold returns how long the store is to hold a watch request for changes.
-func (s *Mirrors) Hold() time.Duration {
+func (s *WatchCacheSync) WatchWait() time.Duration {
 	if s.fleet.View().Cells() < minCellsForRelays {
 		return watchWaitSmall
 	}
@@ -62,7 +62,7 @@
 }
 
 // pullsFromRelay reports whether this daemon requests changes from a watch relay for its cell.
-func (s *Mirrors) pullsFromRelay() bool {
+func (s *WatchCacheSync) pullsFromRelay() bool {
 	view := s.fleet.View()
 	return view.Cells() >= minCellsForRelays && s.cellRank(view) < watchersPerCell
 }
@@ -70,7 +70,7 @@
 // IsStandby reports whether this daemon watches the store because those ranked before it do not
 // provide its changes. If all daemons did so at once, they would achieve nothing while the store is
 // down, at the price of each call.
-func (s *Mirrors) IsStandby() bool {
+func (s *WatchCacheSync) IsStandby() bool {
 	view := s.fleet.View()
 	if len(view.Peers()) < smallFleet || !s.watchCache.Known() {
 		return false
@@ -85,7 +85,7 @@
 }
 
 // cellRank returns how many daemons of the cell rank before this one for watching the store.
-func (s *Mirrors) cellRank(view *fleet.View) int {
+func (s *WatchCacheSync) cellRank(view *fleet.View) int {
 	return fleet.Place(fleet.Key("mirror"), view.Expected(), view.Self())
 }
 
@@ -107,10 +107,10 @@
 }
 
 // relaysOf returns the daemons that watch the store for the fleet: one of each failure domain.
-func (s *Mirrors) relaysOf(view *fleet.View) []string { return s.relaySetOf(view).names }
+func (s *WatchCacheSync) relaysOf(view *fleet.View) []string { return s.relaySetOf(view).names }
 
 // relaySetOf returns the watch relays of a view.
-func (s *Mirrors) relaySetOf(view *fleet.View) *relaySet {
+func (s *WatchCacheSync) relaySetOf(view *fleet.View) *relaySet {
 	if r := s.relays.Load(); r != nil && r.view == view {
 		return r
 	}
@@ -146,7 +146,7 @@
 
 // Asks returns the daemons that watch the store by rank, for this daemon's cell or, where there are
 // watch relays, for the fleet.
-func (s *Mirrors) Asks() []string {
+func (s *WatchCacheSync) WatchingDaemons() []string {
 	view := s.fleet.View()
 	if view.Cells() < minCellsForRelays {
 		return view.OnDuty()
@@ -155,7 +155,7 @@
 }
 
 // nextRelay returns the first relay candidate that is not backed off, or "".
-func (s *Mirrors) nextRelay() string {
+func (s *WatchCacheSync) nextRelay() string {
 	view, now := s.fleet.View(), time.Now()
 	for _, name := range s.relaySetOf(view).candidates {
 		if name != view.Self() && s.relayBackoff.Open(name, now) {
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -74,8 +74,8 @@
 		m := &domainMember{member: &member{fleet: f}, domain: seed.Domain}
 		m.watchCache = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
 		m.watchCache.Outline = "op/a/"
-		m.cacheSync = spread.NewMirrors(m.watchCache, f, &event.Log{})
-		m.cacheSync.Entry = entryOf
+		m.cacheSync = spread.NewWatchCacheSync(m.watchCache, f, &event.Log{})
+		m.cacheSync.EntryParser = entryOf
 		ctx, cancel := context.WithCancel(context.Background())
 		m.stop = cancel
 		t.Cleanup(cancel)
--- a/core/spread/shards.go
+++ b/core/spread/shards.go
@@ -77,7 +77,7 @@
 }
 
 // observe updates the index with changes.
-func (s *Mirrors) observe(changes []plat.Change) {
+func (s *WatchCacheSync) observe(changes []plat.Change) {
 	for _, c := range changes {
 		entry, exists := Entry{}, false
 		if !c.Deleted {
@@ -88,16 +88,16 @@
 }
 
 // parseEntry parses a pair as an entry.
-func (s *Mirrors) parseEntry(p plat.Pair) (Entry, bool) {
-	if s.Entry == nil {
+func (s *WatchCacheSync) parseEntry(p plat.Pair) (Entry, bool) {
+	if s.EntryParser == nil {
 		return Entry{}, false
 	}
-	return s.Entry(p)
+	return s.EntryParser(p)
 }
 
 // shardView selects the pairs that one requester is to receive.
 type shardView struct {
-	cacheSync *Mirrors
+	cacheSync *WatchCacheSync
 	// name names the shard; "" where the requester receives everything that is cached here.
 	name string
 	// shard is that of the requester where entries of other cells are left out; else nil.
@@ -135,7 +135,7 @@
 var errOtherShard = errors.New("the peer's watch cache holds another shard")
 
 // viewFor returns the selection for a requester, or nil where this cache holds another shard.
-func (s *Mirrors) viewFor(req *changesRequest) *shardView {
+func (s *WatchCacheSync) viewFor(req *changesRequest) *shardView {
 	cached := s.watchCache.Shard()
 	if cached != "" {
 		if req.Shard == nil || req.Shard.ID() != parseShardName(cached).Shard {
@@ -203,13 +203,13 @@
 
 // outsideShard returns a function that reports whether a pair belongs to another cell's shard, so
 // that this daemon drops it.
-func (s *Mirrors) outsideShard(shard *fleet.Shard, name string) func(plat.Pair) bool {
+func (s *WatchCacheSync) outsideShard(shard *fleet.Shard, name string) func(plat.Pair) bool {
 	v := &shardView{cacheSync: s, name: name, shard: shard, sharded: parseShardName(name).Sharded}
 	return func(p plat.Pair) bool { return !v.includes(p) }
 }
 
 // Divided reports whether the targets of a service are sharded between the cells.
-func (s *Mirrors) Divided(service string) bool {
+func (s *WatchCacheSync) Sharded(service string) bool {
 	if cached := s.watchCache.Shard(); cached != "" {
 		return slices.Contains(parseShardName(cached).Sharded, service)
 	}
@@ -219,7 +219,7 @@
 
 // Basis returns a comparable value that the results of Uses depend on: while it is equal, so are
 // they.
-func (s *Mirrors) Basis() any {
+func (s *WatchCacheSync) ShardVersion() any {
 	type shardBasis struct {
 		view  *fleet.View
 		shard string
@@ -229,6 +229,6 @@
 
 // Uses reports whether a target of a sharded service belongs to this daemon's cell. While the cache
 // itself holds a shard, all its targets do, so that a change of shards leaves no gap.
-func (s *Mirrors) Uses(name, domain string) bool {
+func (s *WatchCacheSync) InOwnCell(name, domain string) bool {
 	return s.watchCache.Shard() != "" || s.fleet.View().Shard().Holds(name, domain)
 }
--- a/core/spread/shards_test.go
+++ b/core/spread/shards_test.go
@@ -85,7 +85,7 @@
 				whole++
 				continue
 			}
-			if len(m.held("small")) != small || !m.cacheSync.Divided("large") || m.cacheSync.Divided("small") {
+			if len(m.held("small")) != small || !m.cacheSync.Sharded("large") || m.cacheSync.Sharded("small") {
 				return false
 			}
 			for _, key := range held {
@@ -169,7 +169,7 @@
 	cells := members[0].fleet.View().Cells()
 	bytesSent := func() (sum int64) {
 		for _, m := range members {
-			sum += m.cacheSync.Told()
+			sum += m.cacheSync.BytesSent()
 		}
 		return sum
 	}
@@ -253,16 +253,16 @@
 	}
 	before := int64(0)
 	for _, m := range members {
-		before += m.cacheSync.Told()
+		before += m.cacheSync.BytesSent()
 	}
 	keys = append(keys, entryKeys(t, store, "large", few, large, domains)...)
 	for _, m := range members {
-		g.Eventually(func() bool { return m.cacheSync.Divided("large") }, shortWait, pollInterval).Should(gomega.BeTrue())
+		g.Eventually(func() bool { return m.cacheSync.Sharded("large") }, shortWait, pollInterval).Should(gomega.BeTrue())
 		g.Eventually(func() bool { n := len(m.held("large")); return n == len(keys) || n < large/2 }, shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 	after := int64(0)
 	for _, m := range members {
-		after += m.cacheSync.Told()
+		after += m.cacheSync.BytesSent()
 	}
 	// At most each new entry is sent once to each daemon, and no entry that it had.
 	g.Expect(after - before).To(gomega.BeNumerically("<=", daemons*(large-few)*len("here")))
