--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -46,7 +46,7 @@
 }
 
 // DutyWatch names the assignment to watch the coordination store's configuration for a cell.
-const DutyWatch = "watch"
+const WatchAssignment = "watch"
 
 // AppliedPrefix is the key prefix under which each cell publishes the sequence that it has applied.
 const AppliedPrefix = "embertally/force/"
@@ -58,7 +58,7 @@
 }
 
 // Spread replicates a configuration store between the daemons of the fleet.
-type Spread struct {
+type ConfigReplicator struct {
 	store     *conf.Store
 	fleet     *fleet.Fleet
 	kv        coordinationStore
@@ -76,8 +76,8 @@
 }
 
 // New returns a Spread for store and attaches it to the fleet's heartbeats.
-func New(store *conf.Store, f *fleet.Fleet, kv coordinationStore) *Spread {
-	s := &Spread{
+func New(store *conf.Store, f *fleet.Fleet, kv coordinationStore) *ConfigReplicator {
+	s := &ConfigReplicator{
 		store: store, fleet: f, kv: kv, transfers: newTransfers(f, nil), wake: make(chan struct{}, 1),
 		states: map[string]confState{}, stateChanged: make(chan struct{}),
 	}
@@ -87,14 +87,14 @@
 }
 
 // handleSince sends a peer the changes after a sequence.
-func (s *Spread) handleSince(_ context.Context, _ string, req *sinceRequest) (*transfer, error) {
+func (s *ConfigReplicator) handleSince(_ context.Context, _ string, req *sinceRequest) (*transfer, error) {
 	id := fmt.Sprintf("conf/%d/%d", req.Seq, s.store.Snapshot().Seq())
 	out, err := s.transfers.begin(id, func() ([]byte, error) { return s.compressedDelta(req.Seq) })
 	return &out, err
 }
 
 // compressedDelta returns the changes after a sequence, compressed.
-func (s *Spread) compressedDelta(seq uint64) ([]byte, error) {
+func (s *ConfigReplicator) compressedDelta(seq uint64) ([]byte, error) {
 	delta, err := s.store.Delta(seq)
 	if err != nil {
 		return nil, err
@@ -104,11 +104,11 @@
 
 // Run sends a heartbeat at each change of the configuration and, where there are several cells,
 // publishes the sequence that this cell has applied. It returns when ctx ends.
-func (s *Spread) Run(ctx context.Context) {
+func (s *ConfigReplicator) Run(ctx context.Context) {
 	var published uint64
 	for {
 		changed, stateChanged := s.store.Changed(), s.stateChangedChan()
-		if s.fleet.View().Cells() > 1 && s.WatchHolder() {
+		if s.fleet.View().Cells() > 1 && s.HoldsWatch() {
 			published = s.publishApplied(ctx, published)
 		}
 		select {
@@ -123,7 +123,7 @@
 
 // publishApplied writes the sequence that the whole cell has applied, if it is above published. It
 // returns the sequence that is published then.
-func (s *Spread) publishApplied(ctx context.Context, published uint64) uint64 {
+func (s *ConfigReplicator) publishApplied(ctx context.Context, published uint64) uint64 {
 	seq := s.cellAppliedSeq()
 	if seq <= published {
 		return published
@@ -142,7 +142,7 @@
 }
 
 // cellAppliedSeq returns the highest sequence that every daemon of the cell has applied.
-func (s *Spread) cellAppliedSeq() uint64 {
+func (s *ConfigReplicator) cellAppliedSeq() uint64 {
 	seq := s.store.Snapshot().Seq()
 	view := s.fleet.View()
 	s.statesMu.Lock()
@@ -155,14 +155,14 @@
 	return seq
 }
 
-func (s *Spread) stateChangedChan() <-chan struct{} {
+func (s *ConfigReplicator) stateChangedChan() <-chan struct{} {
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
 	return s.stateChanged
 }
 
 // Collect returns the configuration state of this daemon for its heartbeat.
-func (s *Spread) Collect(bool) any {
+func (s *ConfigReplicator) Collect(bool) any {
 	st := confState{Seq: s.store.Snapshot().Seq(), Loaded: s.store.Loaded(), AgeMillis: -1}
 	if at := s.store.Confirmed(); !at.IsZero() {
 		st.AgeMillis = int(clock.Since(at).Milliseconds())
@@ -171,7 +171,7 @@
 }
 
 // Receive stores the configuration state that a peer reported.
-func (s *Spread) Receive(peer string, body []byte) {
+func (s *ConfigReplicator) Receive(peer string, body []byte) {
 	var st confState
 	if msgpack.Unmarshal(body, &st) != nil {
 		return
@@ -192,7 +192,7 @@
 	}
 }
 
-func (s *Spread) signalWake() {
+func (s *ConfigReplicator) signalWake() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -200,11 +200,11 @@
 }
 
 // Wake returns a channel that receives when a peer may have a later sequence.
-func (s *Spread) Wake() <-chan struct{} { return s.wake }
+func (s *ConfigReplicator) Wake() <-chan struct{} { return s.wake }
 
 // Ahead returns the live peer with the highest sequence above seq, or with any sequence while
 // nothing is loaded here. It returns "" if there is none.
-func (s *Spread) Ahead(seq uint64) string {
+func (s *ConfigReplicator) PeerAhead(seq uint64) string {
 	loaded := s.store.Loaded()
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
@@ -222,7 +222,7 @@
 }
 
 // ConfSince requests the changes after seq from a peer.
-func (s *Spread) ConfSince(ctx context.Context, peer string, seq uint64) (conf.Delta, error) {
+func (s *ConfigReplicator) ConfSince(ctx context.Context, peer string, seq uint64) (conf.Delta, error) {
 	if peer == "" {
 		return conf.Delta{}, errors.New("no peer has a later configuration")
 	}
@@ -243,13 +243,13 @@
 }
 
 // WatchHolder reports whether this daemon is assigned to watch the coordination store for its cell.
-func (s *Spread) WatchHolder() bool {
+func (s *ConfigReplicator) HoldsWatch() bool {
 	v := s.fleet.View()
-	return v.Duty(fleet.Key(DutyWatch)) == v.Self()
+	return v.Duty(fleet.Key(WatchAssignment)) == v.Self()
 }
 
 // Seq returns the sequence that a peer last reported as applied; 0 if it reported none.
-func (s *Spread) Seq(peer string) uint64 {
+func (s *ConfigReplicator) PeerSeq(peer string) uint64 {
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
 	return s.states[peer].Seq
@@ -261,11 +261,11 @@
 
 // Current reports whether this daemon may serve under its configuration: one is loaded, and no peer
 // has been ahead for maxLag or longer.
-func (s *Spread) Current() bool {
+func (s *ConfigReplicator) Current() bool {
 	if !s.store.Loaded() {
 		return false
 	}
-	behind := s.Ahead(s.store.Snapshot().Seq()) != ""
+	behind := s.PeerAhead(s.store.Snapshot().Seq()) != ""
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
 	now := clock.Now()
@@ -277,7 +277,7 @@
 }
 
 // Heard reports whether any live peer reported a loaded configuration.
-func (s *Spread) Heard() bool {
+func (s *ConfigReplicator) AnyPeerLoaded() bool {
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
 	for _, p := range s.fleet.View().Peers() {
@@ -290,7 +290,7 @@
 
 // NotYet returns the live or listed daemons of this cell, and the other cells, that have not
 // applied seq.
-func (s *Spread) NotYet(ctx context.Context, seq uint64) []string {
+func (s *ConfigReplicator) Lagging(ctx context.Context, seq uint64) []string {
 	view := s.fleet.View()
 	var out []string
 	if s.store.Snapshot().Seq() < seq {
@@ -311,7 +311,7 @@
 
 // laggingCells returns the names of the other cells that have not published seq or a later sequence.
 // Where the store does not answer, it returns all of them.
-func (s *Spread) laggingCells(ctx context.Context, view *fleet.View, seq uint64) []string {
+func (s *ConfigReplicator) laggingCells(ctx context.Context, view *fleet.View, seq uint64) []string {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
 	pairs, _, err := s.kv.Range(ctx, plat.Prefix(AppliedPrefix))
@@ -346,10 +346,10 @@
 
 // Await waits until every daemon and cell has applied seq, or ctx ends. It returns those that have
 // not.
-func (s *Spread) Await(ctx context.Context, seq uint64) []string {
+func (s *ConfigReplicator) AwaitApplied(ctx context.Context, seq uint64) []string {
 	for {
 		stateChanged := s.stateChangedChan()
-		missing := s.NotYet(ctx, seq)
+		missing := s.Lagging(ctx, seq)
 		if len(missing) == 0 || ctx.Err() != nil {
 			return missing
 		}
--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -24,11 +24,11 @@
 // and each request is priced. In a larger fleet only a few daemons of the whole fleet may send
 // requests to a store; one of each cell sends its requests to the first of these, and publishes the
 // changes to the others of its cell in heartbeats.
-type Shelves struct {
-	direct cache.Watcher
+type StoreIndexes struct {
+	direct cache.StoreClient
 	fleet  *fleet.Fleet
 	// kept holds the contents that peers are served from. It is set by Serve.
-	kept *cache.Kept
+	kept *cache.StoreIndexes
 	// ranks holds which daemons may send requests to each store, for the latest view.
 	ranks atomic.Pointer[storeRanks]
 	inbox indexInbox
@@ -44,8 +44,8 @@
 
 // NewShelves returns a Shelves that watches stores by way of direct. Serve must be called before it
 // is used.
-func NewShelves(direct cache.Watcher, f *fleet.Fleet) *Shelves {
-	return &Shelves{
+func NewStoreIndexes(direct cache.StoreClient, f *fleet.Fleet) *StoreIndexes {
+	return &StoreIndexes{
 		direct: direct, fleet: f, published: map[string]publishedPoint{}, publishing: map[string]publishedPoint{},
 		backoff: wait.Backoff[indexLink]{First: backoffFirst, Most: backoffMax},
 	}
@@ -53,7 +53,7 @@
 
 // Serve makes this daemon respond to requests of peers from kept. It must be called before the fleet
 // runs.
-func (s *Shelves) Serve(kept *cache.Kept) {
+func (s *StoreIndexes) Serve(kept *cache.StoreIndexes) {
 	s.kept = kept
 	s.fleet.Mux().Register(kindStoreIndex, wire.Handle(s.handleIndex))
 	s.fleet.Attach("shelves", s)
@@ -114,8 +114,8 @@
 
 // Events returns the changes of a store since a position; the response may wait for one as long as
 // hold.
-func (s *Shelves) Events(ctx context.Context, address string, since int64, hold time.Duration) (cache.PartEvents, error) {
-	return s.try(ctx, address, func(source indexSource) (cache.PartEvents, error) {
+func (s *StoreIndexes) Events(ctx context.Context, address string, since int64, hold time.Duration) (cache.SegmentEvents, error) {
+	return s.try(ctx, address, func(source indexSource) (cache.SegmentEvents, error) {
 		switch {
 		case source.peer == "":
 			return s.direct.Events(ctx, address, since, hold)
@@ -128,15 +128,15 @@
 		req := &indexRequest{Address: address, Since: since, WaitMillis: hold.Milliseconds(), AgeMillis: ageMillis(s.kept.Age(address, clock.Now()))}
 		got, err := s.request(ctx, source.peer, req)
 		if err != nil {
-			return cache.PartEvents{}, err
+			return cache.SegmentEvents{}, err
 		}
 		return got.events(), nil
 	})
 }
 
 // Contents returns everything that a store holds.
-func (s *Shelves) Contents(ctx context.Context, address string) (cache.PartEvents, error) {
-	return s.try(ctx, address, func(source indexSource) (cache.PartEvents, error) {
+func (s *StoreIndexes) Contents(ctx context.Context, address string) (cache.SegmentEvents, error) {
+	return s.try(ctx, address, func(source indexSource) (cache.SegmentEvents, error) {
 		if source.peer == "" {
 			return s.direct.Contents(ctx, address)
 		}
@@ -145,7 +145,7 @@
 }
 
 // try calls request with the sources of a store's index one after the other until one responds.
-func (s *Shelves) try(ctx context.Context, address string, request func(indexSource) (cache.PartEvents, error)) (ev cache.PartEvents, err error) {
+func (s *StoreIndexes) try(ctx context.Context, address string, request func(indexSource) (cache.SegmentEvents, error)) (ev cache.SegmentEvents, err error) {
 	for range maxSourcesTried {
 		source, sourceErr := s.source(address)
 		if sourceErr != nil {
@@ -175,20 +175,20 @@
 
 // fetchContents reads all contents of a store that a peer has recorded. The pages are not one
 // snapshot: changes made meanwhile come after the position of the first page.
-func (s *Shelves) fetchContents(ctx context.Context, peer, address string) (cache.PartEvents, error) {
+func (s *StoreIndexes) fetchContents(ctx context.Context, peer, address string) (cache.SegmentEvents, error) {
 	req := &indexRequest{Address: address, All: true}
 	first, err := s.request(ctx, peer, req)
 	if err != nil {
-		return cache.PartEvents{}, err
+		return cache.SegmentEvents{}, err
 	}
 	out := first.events()
 	for page := first; page.More && len(page.Segments) > 0; {
 		req.PageAfter = page.Segments[len(page.Segments)-1]
 		if page, err = s.request(ctx, peer, req); err != nil {
-			return cache.PartEvents{}, err
+			return cache.SegmentEvents{}, err
 		}
 		if page.Epoch != first.Epoch {
-			return cache.PartEvents{}, errors.WithStack(errOtherEpoch)
+			return cache.SegmentEvents{}, errors.WithStack(errOtherEpoch)
 		}
 		more := page.events()
 		out.Changes, out.Clock, out.Age = append(out.Changes, more.Changes...), more.Clock, more.Age
@@ -197,12 +197,12 @@
 }
 
 // Free frees segments of a store.
-func (s *Shelves) Free(ctx context.Context, address string, epoch int64, segments []cache.PartName) error {
+func (s *StoreIndexes) Free(ctx context.Context, address string, epoch int64, segments []cache.SegmentName) error {
 	return s.direct.Free(ctx, address, epoch, segments)
 }
 
 // request sends one request to a peer.
-func (s *Shelves) request(ctx context.Context, peer string, req *indexRequest) (*indexResponse, error) {
+func (s *StoreIndexes) request(ctx context.Context, peer string, req *indexRequest) (*indexResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(req.WaitMillis)*time.Millisecond+peerTimeout)
 	defer cancel()
 	var got indexResponse
@@ -213,8 +213,8 @@
 }
 
 // events converts a response.
-func (r *indexResponse) events() cache.PartEvents {
-	out := cache.PartEvents{
+func (r *indexResponse) events() cache.SegmentEvents {
+	out := cache.SegmentEvents{
 		Epoch: r.Epoch, Next: r.Next, Gap: r.Gap,
 		Clock: time.Duration(r.ClockMillis) * time.Millisecond, Age: reportedAge(r.AgeMillis),
 	}
@@ -225,15 +225,15 @@
 var errUnknownIndex = errors.New("this daemon has no index of the store")
 
 // handleIndex responds with this daemon's index of a store; it waits for changes.
-func (s *Shelves) handleIndex(ctx context.Context, _ string, req *indexRequest) (*indexResponse, error) {
+func (s *StoreIndexes) handleIndex(ctx context.Context, _ string, req *indexRequest) (*indexResponse, error) {
 	arrived := clock.Now()
 	newer := arrived.Add(freshnessSlack - reportedAge(req.AgeMillis))
 	timeout := time.NewTimer(time.Duration(req.WaitMillis) * time.Millisecond)
 	defer timeout.Stop()
 	for last := req.WaitMillis <= 0; ; {
-		updated := s.kept.News(req.Address)
+		updated := s.kept.Changed(req.Address)
 		now := clock.Now()
-		got, ok := s.kept.Told(req.Address, req.Since, req.All, now)
+		got, ok := s.kept.EventsSince(req.Address, req.Since, req.All, now)
 		switch {
 		case !ok:
 			return nil, errors.WithStack(errUnknownIndex)
@@ -253,7 +253,7 @@
 }
 
 // responseOf converts events to a response.
-func responseOf(ev cache.PartEvents) *indexResponse {
+func responseOf(ev cache.SegmentEvents) *indexResponse {
 	return &indexResponse{
 		Epoch: ev.Epoch, Next: ev.Next, Gap: ev.Gap, Segments: segmentsOf(ev.Changes),
 		ClockMillis: ev.Clock.Milliseconds(), AgeMillis: ageMillis(ev.Age),
@@ -261,7 +261,7 @@
 }
 
 // segmentsOf converts changes to their form in messages.
-func segmentsOf(changes []cache.PartChange) []indexedSegment {
+func segmentsOf(changes []cache.SegmentChange) []indexedSegment {
 	var out []indexedSegment
 	for _, c := range changes {
 		out = append(out, indexedSegment{Salt: c.Salt, ID: c.ID, Tokens: c.Tokens})
@@ -270,16 +270,16 @@
 }
 
 // changesOf is the reverse of segmentsOf.
-func changesOf(segments []indexedSegment) []cache.PartChange {
-	var out []cache.PartChange
+func changesOf(segments []indexedSegment) []cache.SegmentChange {
+	var out []cache.SegmentChange
 	for _, p := range segments {
-		out = append(out, cache.PartChange{PartName: cache.PartName{Salt: p.Salt, ID: p.ID}, Tokens: p.Tokens})
+		out = append(out, cache.SegmentChange{SegmentName: cache.SegmentName{Salt: p.Salt, ID: p.ID}, Tokens: p.Tokens})
 	}
 	return out
 }
 
 // pageOf returns the page of contents that follows a segment.
-func pageOf(ev cache.PartEvents, after indexedSegment) *indexResponse {
+func pageOf(ev cache.SegmentEvents, after indexedSegment) *indexResponse {
 	out := responseOf(ev)
 	slices.SortFunc(out.Segments, indexedSegment.compare)
 	from, found := slices.BinarySearchFunc(out.Segments, after, indexedSegment.compare)
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -21,7 +21,7 @@
 	watchers int
 
 	storeMu  sync.Mutex
-	segments []cache.PartChange // guarded by storeMu
+	segments []cache.SegmentChange // guarded by storeMu
 	// changed is closed and replaced with each change. Guarded by storeMu.
 	changed   chan struct{}
 	watching  int // guarded by storeMu
@@ -29,13 +29,13 @@
 	refused   int // guarded by storeMu
 }
 
-func (s *busyStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.PartEvents, error) {
+func (s *busyStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.SegmentEvents, error) {
 	s.storeMu.Lock()
 	s.requested++
 	if s.watching == s.watchers {
 		s.refused++
 		s.storeMu.Unlock()
-		return cache.PartEvents{}, errRefused
+		return cache.SegmentEvents{}, errRefused
 	}
 	s.watching++
 	held, changed := int64(len(s.segments)), s.changed
@@ -50,23 +50,25 @@
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	s.watching--
-	return cache.PartEvents{Epoch: 1, Next: int64(len(s.segments)), Clock: time.Hour, Changes: s.segments[since:]}, ctx.Err()
+	return cache.SegmentEvents{Epoch: 1, Next: int64(len(s.segments)), Clock: time.Hour, Changes: s.segments[since:]}, ctx.Err()
 }
 
-func (s *busyStore) Contents(context.Context, string) (cache.PartEvents, error) {
+func (s *busyStore) Contents(context.Context, string) (cache.SegmentEvents, error) {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	return cache.PartEvents{Epoch: 1, Next: int64(len(s.segments)), Changes: s.segments}, nil
+	return cache.SegmentEvents{Epoch: 1, Next: int64(len(s.segments)), Changes: s.segments}, nil
 }
 
-func (s *busyStore) Free(context.Context, string, int64, []cache.PartName) error { return errRefused }
+func (s *busyStore) Free(context.Context, string, int64, []cache.SegmentName) error {
+	return errRefused
+}
 
 // save adds one segment to the store, and returns how many it holds.
 func (s *busyStore) save() int {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	name := cache.PartName{Salt: "v1/m/", ID: fmt.Sprintf("%04d", len(s.segments))}
-	s.segments = append(s.segments, cache.PartChange{PartName: name, Tokens: 1})
+	name := cache.SegmentName{Salt: "v1/m/", ID: fmt.Sprintf("%04d", len(s.segments))}
+	s.segments = append(s.segments, cache.SegmentChange{SegmentName: name, Tokens: 1})
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return len(s.segments)
@@ -82,12 +84,12 @@
 // indexMember is one daemon of a fleet with an index of a store.
 type indexMember struct {
 	name string
-	kept *cache.Kept
+	kept *cache.StoreIndexes
 	stop context.CancelFunc
 }
 
 // indexFleet runs a fleet that keeps an index of a store.
-func indexFleet(t *testing.T, store cache.Watcher, info cache.StoreInfo, daemons int) []*indexMember {
+func indexFleet(t *testing.T, store cache.StoreClient, info cache.StoreInfo, daemons int) []*indexMember {
 	seeds, listeners := seedsAndListeners(t, daemons)
 	var wg sync.WaitGroup
 	var out []*indexMember
@@ -96,8 +98,8 @@
 		f := fleet.New(fleet.Options{
 			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
-		indexes := spread.NewShelves(store, f)
-		m := &indexMember{name: seed.Name, kept: cache.NewKept(indexes, &event.Log{})}
+		indexes := spread.NewStoreIndexes(store, f)
+		m := &indexMember{name: seed.Name, kept: cache.NewStoreIndexes(indexes, &event.Log{})}
 		indexes.Serve(m.kept)
 		ctx, cancel := context.WithCancel(context.Background())
 		m.stop = cancel
@@ -115,7 +117,7 @@
 	return func() int {
 		n := 0
 		for _, m := range members {
-			if _, ok := m.kept.Told(address, 0, false, clock.Now()); ok && m.kept.Tokens() == segments {
+			if _, ok := m.kept.EventsSince(address, 0, false, clock.Now()); ok && m.kept.Tokens() == segments {
 				n++
 			}
 		}
--- a/core/spread/storeindex_publish.go
+++ b/core/spread/storeindex_publish.go
@@ -44,7 +44,7 @@
 
 // Collect returns this daemon's part of a heartbeat: the changes of the stores that it watches for
 // its cell and that have responded since the last heartbeat.
-func (s *Shelves) Collect(bool) any {
+func (s *StoreIndexes) Collect(bool) any {
 	now := clock.Now()
 	s.publishedMu.Lock()
 	defer s.publishedMu.Unlock()
@@ -55,7 +55,7 @@
 			continue
 		}
 		last, known := s.published[address]
-		got, ok := s.kept.Told(address, last.next, false, now)
+		got, ok := s.kept.EventsSince(address, last.next, false, now)
 		point := publishedPoint{got.Epoch, got.Next, now.Add(-got.Age)}
 		if !ok || !point.freshAt.After(last.freshAt) {
 			continue
@@ -78,7 +78,7 @@
 }
 
 // Told records that a round of heartbeats was sent.
-func (s *Shelves) Told() {
+func (s *StoreIndexes) Told() {
 	s.publishedMu.Lock()
 	defer s.publishedMu.Unlock()
 	for address, point := range s.publishing {
@@ -88,7 +88,7 @@
 }
 
 // Receive stores the changes that a peer publishes for stores that it watches for this daemon.
-func (s *Shelves) Receive(peer string, raw []byte) {
+func (s *StoreIndexes) Receive(peer string, raw []byte) {
 	var updates []indexUpdate
 	if err := msgpack.Unmarshal(raw, &updates); err != nil {
 		// A peer of another version gets a request instead.
@@ -117,7 +117,7 @@
 type receivedUpdate struct {
 	// from is the position after which events holds all changes.
 	from   int64
-	events cache.PartEvents
+	events cache.SegmentEvents
 	// at is when the latest of them arrived.
 	at clock.Time
 }
@@ -129,7 +129,7 @@
 	if b.updates == nil {
 		b.updates = map[string]*receivedUpdate{}
 	}
-	next := &receivedUpdate{from: u.From, at: now, events: cache.PartEvents{
+	next := &receivedUpdate{from: u.From, at: now, events: cache.SegmentEvents{
 		Epoch: u.Epoch, Next: u.Next, Changes: changesOf(u.Segments),
 		Clock: time.Duration(u.ClockMillis) * time.Millisecond, Age: reportedAge(u.AgeMillis),
 	}}
@@ -169,14 +169,14 @@
 
 // await returns the changes of a store after a position as received in heartbeats; false where none
 // arrived in time, or changes after the position are missing.
-func (b *indexInbox) await(ctx context.Context, address string, since int64, wait time.Duration) (cache.PartEvents, bool) {
+func (b *indexInbox) await(ctx context.Context, address string, since int64, wait time.Duration) (cache.SegmentEvents, bool) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
 		u, wake := b.take(address)
 		switch {
 		case u != nil && (u.from > since || u.events.Next < since):
-			return cache.PartEvents{}, false
+			return cache.SegmentEvents{}, false
 		case u != nil:
 			delay := clock.Since(u.at)
 			u.events.Age += delay
@@ -185,10 +185,10 @@
 		}
 		select {
 		case <-ctx.Done():
-			return cache.PartEvents{}, false
+			return cache.SegmentEvents{}, false
 		case <-wake:
 		case <-timeout.C:
-			return cache.PartEvents{}, false
+			return cache.SegmentEvents{}, false
 		}
 	}
 }
--- a/core/spread/storeindex_rank.go
+++ b/core/spread/storeindex_rank.go
@@ -49,7 +49,7 @@
 }
 
 // rank returns which daemons request the contents of a store.
-func (s *Shelves) rank(view *fleet.View, address string) *storeRank {
+func (s *StoreIndexes) rank(view *fleet.View, address string) *storeRank {
 	ranks := s.ranks.Load()
 	if ranks == nil || ranks.view != view {
 		ranks = &storeRanks{view: view}
@@ -79,7 +79,7 @@
 
 // Rank returns how many daemons come before this one for assignments at a store: in a large fleet
 // those that send requests to it come first.
-func (s *Shelves) Rank(address string) int {
+func (s *StoreIndexes) AssignmentRank(address string) int {
 	view := s.fleet.View()
 	watching := 0
 	if !s.allWatch(view, address) {
@@ -93,7 +93,7 @@
 }
 
 // allWatch reports whether the fleet is small enough for all daemons to send requests to a store.
-func (s *Shelves) allWatch(view *fleet.View, address string) bool {
+func (s *StoreIndexes) allWatch(view *fleet.View, address string) bool {
 	return len(view.Peers())+1 <= s.watchers(address)-spareWatchers
 }
 
@@ -101,8 +101,8 @@
 func firstN(list []string, n int) []string { return list[:min(n, len(list))] }
 
 // watchers returns how many watchers a store admits.
-func (s *Shelves) watchers(address string) int {
-	if n := s.kept.Watchers(address); n > 0 {
+func (s *StoreIndexes) watchers(address string) int {
+	if n := s.kept.MaxWatchers(address); n > 0 {
 		return n
 	}
 	return defaultWatchers
@@ -111,7 +111,7 @@
 var errNoSource = errors.New("no daemon is available to request the store's contents from")
 
 // source returns where this daemon gets the index of a store from.
-func (s *Shelves) source(address string) (indexSource, error) {
+func (s *StoreIndexes) source(address string) (indexSource, error) {
 	view := s.fleet.View()
 	if s.allWatch(view, address) {
 		return indexSource{}, nil
@@ -132,7 +132,7 @@
 }
 
 // firstOpen returns the first daemon that is not backed off for a store, or "".
-func (s *Shelves) firstOpen(names []string, address string, now time.Time) string {
+func (s *StoreIndexes) firstOpen(names []string, address string, now time.Time) string {
 	for _, name := range names {
 		if s.backoff.Open(indexLink{name, address}, now) {
 			return name
--- a/core/spread/storeindex_test.go
+++ b/core/spread/storeindex_test.go
@@ -16,21 +16,23 @@
 )
 
 // staticStore is a KV-cache store that holds some segments and never changes.
-type staticStore struct{ segments []cache.PartChange }
+type staticStore struct{ segments []cache.SegmentChange }
 
-func (s staticStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.PartEvents, error) {
+func (s staticStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.SegmentEvents, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
 	}
-	return cache.PartEvents{Epoch: 1, Next: since, Clock: time.Hour}, ctx.Err()
+	return cache.SegmentEvents{Epoch: 1, Next: since, Clock: time.Hour}, ctx.Err()
 }
 
-func (s staticStore) Contents(context.Context, string) (cache.PartEvents, error) {
-	return cache.PartEvents{Epoch: 1, Next: 7, Clock: time.Hour, Changes: s.segments}, nil
+func (s staticStore) Contents(context.Context, string) (cache.SegmentEvents, error) {
+	return cache.SegmentEvents{Epoch: 1, Next: 7, Clock: time.Hour, Changes: s.segments}, nil
 }
 
-func (s staticStore) Free(context.Context, string, int64, []cache.PartName) error { return errRefused }
+func (s staticStore) Free(context.Context, string, int64, []cache.SegmentName) error {
+	return errRefused
+}
 
 // A store's contents have no size limit, and must pass from one daemon of a cell to the others.
 func TestAStoresContentsAreSentOverASlowLink(t *testing.T) {
@@ -38,8 +40,8 @@
 	g := gomega.NewWithT(t)
 	store := staticStore{}
 	for i := range segments {
-		name := cache.PartName{Salt: "v12/model-with-a-long-name/", ID: fmt.Sprintf("%032x", i)}
-		store.segments = append(store.segments, cache.PartChange{PartName: name, Tokens: 1})
+		name := cache.SegmentName{Salt: "v12/model-with-a-long-name/", ID: fmt.Sprintf("%032x", i)}
+		store.segments = append(store.segments, cache.SegmentChange{SegmentName: name, Tokens: 1})
 	}
 	direct, listeners := seedsAndListeners(t, daemons)
 	slow := append([]fleet.Peer(nil), direct...)
@@ -52,7 +54,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
-	keptByName := map[string]*cache.Kept{}
+	keptByName := map[string]*cache.StoreIndexes{}
 	fleetByName := map[string]*fleet.Fleet{}
 	for i, name := range names {
 		ownSeeds := direct
@@ -62,8 +64,8 @@
 		f := fleet.New(fleet.Options{
 			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
-		indexes := spread.NewShelves(store, f)
-		keptByName[name] = cache.NewKept(indexes, &event.Log{})
+		indexes := spread.NewStoreIndexes(store, f)
+		keptByName[name] = cache.NewStoreIndexes(indexes, &event.Log{})
 		indexes.Serve(keptByName[name])
 		fleetByName[name] = f
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
--- a/core/spread/updates.go
+++ b/core/spread/updates.go
@@ -26,17 +26,17 @@
 //
 // Heartbeats reach only the cell of the daemon that gives the order. Without a notice each daemon
 // of the worker's own cell would learn of the update only when the worker refuses a request.
-type Swaps struct {
+type WeightUpdateNotifier struct {
 	fleet  *fleet.Fleet
 	roster *roster.Roster
 	// Divided, if set, reports whether the targets of a service are sharded between the cells. It
 	// is set before use.
-	Divided func(service string) bool
+	Sharded func(service string) bool
 }
 
 // NewSwaps returns a Swaps. It must be called before the fleet runs.
-func NewSwaps(f *fleet.Fleet, r *roster.Roster) *Swaps {
-	s := &Swaps{fleet: f, roster: r}
+func NewWeightUpdateNotifier(f *fleet.Fleet, r *roster.Roster) *WeightUpdateNotifier {
+	s := &WeightUpdateNotifier{fleet: f, roster: r}
 	f.Mux().Register(kindWeightUpdate, wire.Handle(s.handleNotice))
 	return s
 }
@@ -56,17 +56,17 @@
 
 // Began notifies the worker's cell that a weight update is about to start or still runs, and takes
 // about the time remaining.
-func (s *Swaps) Began(t *roster.Target, model string, remaining time.Duration) {
+func (s *WeightUpdateNotifier) UpdateStarted(t *roster.Target, model string, remaining time.Duration) {
 	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Remaining: remaining})
 }
 
 // Ended notifies the worker's cell that the worker has a version of the weights.
-func (s *Swaps) Ended(t *roster.Target, model string, version int64) {
+func (s *WeightUpdateNotifier) UpdateEnded(t *roster.Target, model string, version int64) {
 	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Version: version})
 }
 
 // notify sends a notice to the worker's cell, if that is not this daemon's.
-func (s *Swaps) notify(t *roster.Target, n *updateNotice) {
+func (s *WeightUpdateNotifier) notify(t *roster.Target, n *updateNotice) {
 	view := s.fleet.View()
 	cell := s.cellOf(view, t)
 	if cell == view.Cell() {
@@ -78,13 +78,13 @@
 }
 
 // cellOf returns the cell that uses a worker.
-func (s *Swaps) cellOf(view *fleet.View, t *roster.Target) int {
+func (s *WeightUpdateNotifier) cellOf(view *fleet.View, t *roster.Target) int {
 	e := t.Entry()
-	if s.Divided != nil && s.Divided(e.Service) {
+	if s.Sharded != nil && s.Sharded(e.Service) {
 		return view.TargetCell(e.Name, e.Domain)
 	}
 	var names []string
-	for _, other := range s.roster.Of(e.Service) {
+	for _, other := range s.roster.ByService(e.Service) {
 		names = append(names, other.ID())
 	}
 	return view.SharedBy(names, t.ID())
@@ -105,12 +105,12 @@
 }
 
 // handleNotice records a notice, which this daemon's heartbeats pass on to its cell.
-func (s *Swaps) handleNotice(_ context.Context, _ string, n *updateNotice) (struct{}, error) {
+func (s *WeightUpdateNotifier) handleNotice(_ context.Context, _ string, n *updateNotice) (struct{}, error) {
 	if n.Version > 0 {
-		s.roster.Learn(n.Target, n.Model, n.Version)
-		s.roster.Done(n.Target)
+		s.roster.RecordVersion(n.Target, n.Model, n.Version)
+		s.roster.EndUpdate(n.Target)
 	} else {
-		s.roster.Order(n.Target, time.Now().Add(min(max(0, n.Remaining), maxRemoteHold)))
+		s.roster.BeginUpdate(n.Target, time.Now().Add(min(max(0, n.Remaining), maxRemoteHold)))
 	}
 	s.fleet.Kick()
 	return struct{}{}, nil
--- a/core/spread/updates_test.go
+++ b/core/spread/updates_test.go
@@ -19,7 +19,7 @@
 type updateMember struct {
 	fleet   *fleet.Fleet
 	roster  *roster.Roster
-	updates *spread.Swaps
+	updates *spread.WeightUpdateNotifier
 }
 
 // updateFleet runs daemons with some workers in their rosters.
@@ -37,8 +37,8 @@
 		m.fleet = fleet.New(fleet.Options{
 			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
-		m.fleet.Attach("roster", roster.Share{Roster: m.roster})
-		m.updates = spread.NewSwaps(m.fleet, m.roster)
+		m.fleet.Attach("roster", roster.HeartbeatPart{Roster: m.roster})
+		m.updates = spread.NewWeightUpdateNotifier(m.fleet, m.roster)
 		for _, w := range names {
 			m.roster.Put(roster.Entry{ID: w, Service: "llm", Address: "127.0.0.1:1", Slots: 1, Weights: map[string]int64{"m": 1}})
 		}
@@ -83,16 +83,16 @@
 			return true
 		}
 	}
-	ordered := func(m *updateMember) bool { return m.roster.Ordered(time.Now())[other] }
+	ordered := func(m *updateMember) bool { return m.roster.Updating(time.Now())[other] }
 	released := func(m *updateMember) bool { return !ordered(m) }
 	updated := func(m *updateMember) bool { return m.roster.Target(other).Entry().Weights["m"] == 2 }
 	g.Eventually(func() bool {
 		// Notified again and again, as long as the update goes on.
-		initiator.updates.Began(initiator.roster.Target(other), "m", time.Minute)
+		initiator.updates.UpdateStarted(initiator.roster.Target(other), "m", time.Minute)
 		return all(ordered)()
 	}, "30s", "50ms").Should(gomega.BeTrue())
-	g.Expect(users[0].roster.Ordered(time.Now().Add(3*time.Second))).NotTo(gomega.HaveKey(other), "the hold of a remote notice is bounded")
-	initiator.updates.Ended(initiator.roster.Target(other), "m", 2)
+	g.Expect(users[0].roster.Updating(time.Now().Add(3*time.Second))).NotTo(gomega.HaveKey(other), "the hold of a remote notice is bounded")
+	initiator.updates.UpdateEnded(initiator.roster.Target(other), "m", 2)
 	g.Eventually(all(updated), "30s", "10ms").Should(gomega.BeTrue())
 	g.Eventually(all(released), "30s", "10ms").Should(gomega.BeTrue())
 }
--- a/core/spread/values_test.go
+++ b/core/spread/values_test.go
@@ -188,7 +188,7 @@
 			unreachable := &memkv.KV{}
 			unreachable.SetDown(true)
 			requester := run(t, seeds[1].Name, listeners[1], unreachable, seeds)
-			g.Eventually(requester.cacheSync.Failed, shortWait, pollInterval).Should(gomega.BeNumerically(">=", 3))
+			g.Eventually(requester.cacheSync.RequestsFailed, shortWait, pollInterval).Should(gomega.BeNumerically(">=", 3))
 			g.Expect(requests.Load()).To(gomega.BeNumerically("<", 100))
 		})
 	}
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -23,7 +23,7 @@
 
 // Mirrors keeps this daemon's watch cache current while the coordination store does not answer it
 // or other daemons watch the store for it: it requests the changes from a peer.
-type Mirrors struct {
+type WatchCacheSync struct {
 	// started is when this daemon started.
 	started    clock.Time
 	watchCache *plat.Mirror
@@ -39,8 +39,8 @@
 
 	// Entry, if set, parses a pair as a target's entry; it returns false where the pair is none. It
 	// is set before Run.
-	Entry   func(plat.Pair) (Entry, bool)
-	entries entryIndex
+	EntryParser func(plat.Pair) (Entry, bool)
+	entries     entryIndex
 
 	relays atomic.Pointer[relaySet]
 	// relayBackoff holds the watch relays that did not answer, or whose cache was stale.
@@ -52,8 +52,8 @@
 }
 
 // NewMirrors returns Mirrors for m and attaches it to the fleet's heartbeats.
-func NewMirrors(m *plat.Mirror, f *fleet.Fleet, log *event.Log) *Mirrors {
-	s := &Mirrors{started: clock.Now(), watchCache: m, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
+func NewWatchCacheSync(m *plat.Mirror, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
+	s := &WatchCacheSync{started: clock.Now(), watchCache: m, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
 	s.relayBackoff.First, s.relayBackoff.Most = backoffFirst, backoffMax
 	s.values = newLargeValues(m, f, newTransfers(f, func(bytes int) { s.bytesSent.Add(int64(bytes)) }), log)
 	m.Observe(s.observe)
@@ -64,10 +64,10 @@
 }
 
 // Told returns how many bytes of values were sent to peers.
-func (s *Mirrors) Told() int64 { return s.bytesSent.Load() }
+func (s *WatchCacheSync) BytesSent() int64 { return s.bytesSent.Load() }
 
 // Failed returns how many requests to peers failed.
-func (s *Mirrors) Failed() int64 { return s.requestsFailed.Load() }
+func (s *WatchCacheSync) RequestsFailed() int64 { return s.requestsFailed.Load() }
 
 // cacheHeartbeat is the part of a heartbeat that reports how old a watch cache is.
 type cacheHeartbeat struct {
@@ -80,7 +80,7 @@
 // Collect returns this daemon's part of a heartbeat. Only daemons that watch the store, or that
 // request changes from a watch relay for their cell, report an age, so that the others of the cell
 // request changes from them.
-func (s *Mirrors) Collect(bool) any {
+func (s *WatchCacheSync) Collect(bool) any {
 	fresh := s.watchCache.Fresh()
 	if s.watchCache.Contact().IsZero() && !s.pullsFromRelay() || fresh.IsZero() {
 		return nil
@@ -89,7 +89,7 @@
 }
 
 // Receive stores the cache age that a peer reported.
-func (s *Mirrors) Receive(peer string, raw []byte) {
+func (s *WatchCacheSync) Receive(peer string, raw []byte) {
 	var b cacheHeartbeat
 	if err := msgpack.Unmarshal(raw, &b); err != nil {
 		// A peer of another version gets no requests.
@@ -149,7 +149,7 @@
 )
 
 // BatchTime returns how long changes of the store are batched.
-func (s *Mirrors) BatchTime() time.Duration {
+func (s *WatchCacheSync) BatchTime() time.Duration {
 	switch {
 	case len(s.fleet.View().Peers()) >= smallFleet:
 		return batchTimeLarge
@@ -161,7 +161,7 @@
 
 // Run requests changes from a peer while the store is silent or other daemons watch it for this
 // one. It returns when ctx ends.
-func (s *Mirrors) Run(ctx context.Context) {
+func (s *WatchCacheSync) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { s.values.run(ctx) })
@@ -174,7 +174,7 @@
 
 // pull requests the changes that this daemon's cache lacks, from the freshest peer of the cell or
 // from a watch relay.
-func (s *Mirrors) pull(ctx context.Context) {
+func (s *WatchCacheSync) pull(ctx context.Context) {
 	peer, relay := s.freshestPeer(), ""
 	if s.pullsFromRelay() || s.isIsolated(peer) {
 		if relay = s.nextRelay(); relay != "" {
@@ -210,7 +210,7 @@
 
 // isIsolated reports whether no daemon of the cell can provide the store's changes: the freshest
 // peer holds another shard, or no peer is as fresh and this cache is old.
-func (s *Mirrors) isIsolated(peer string) bool {
+func (s *WatchCacheSync) isIsolated(peer string) bool {
 	if s.fleet.View().Cells() < minCellsForRelays {
 		return false
 	}
@@ -218,7 +218,7 @@
 }
 
 // cacheAge returns the age of this daemon's cache or, while it is empty, the time since the start.
-func (s *Mirrors) cacheAge() time.Duration {
+func (s *WatchCacheSync) cacheAge() time.Duration {
 	if fresh := s.watchCache.Fresh(); !fresh.IsZero() {
 		return clock.Since(fresh)
 	}
@@ -226,7 +226,7 @@
 }
 
 // pullFrom requests all changes that one peer has and this cache lacks, response by response.
-func (s *Mirrors) pullFrom(ctx context.Context, peer string) error {
+func (s *WatchCacheSync) pullFrom(ctx context.Context, peer string) error {
 	view := s.fleet.View()
 	shard := view.Shard()
 	if view.Cells() >= minCellsForRelays && slices.Contains(s.relaysOf(view), view.Self()) {
@@ -268,7 +268,7 @@
 
 // pullFullCopy takes a peer's whole cache, of which the first page is given. The pages are not one
 // snapshot: changes made meanwhile come after the revision of the first page.
-func (s *Mirrors) pullFullCopy(ctx context.Context, peer string, sent *changesRequest, first *changesResponse, freshAt clock.Time) error {
+func (s *WatchCacheSync) pullFullCopy(ctx context.Context, peer string, sent *changesRequest, first *changesResponse, freshAt clock.Time) error {
 	all := first.changes()
 	for page := first; page.More; {
 		var err error
@@ -288,7 +288,7 @@
 }
 
 // logShardChange logs that this daemon changes to another shard.
-func (s *Mirrors) logShardChange(former, taken, peer string, entries int) {
+func (s *WatchCacheSync) logShardChange(former, taken, peer string, entries int) {
 	if former == taken {
 		return
 	}
@@ -298,7 +298,7 @@
 }
 
 // fetchUnfetched starts to fetch the values that a peer announced without sending them.
-func (s *Mirrors) fetchUnfetched(peer string) {
+func (s *WatchCacheSync) fetchUnfetched(peer string) {
 	if s.watchCache.Behind() {
 		s.values.requestFetch(peer)
 	}
@@ -311,7 +311,7 @@
 }
 
 // request sends one request to a peer and checks its response.
-func (s *Mirrors) request(ctx context.Context, peer string, req *changesRequest) (*changesResponse, error) {
+func (s *WatchCacheSync) request(ctx context.Context, peer string, req *changesRequest) (*changesResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var got changesResponse
@@ -348,7 +348,7 @@
 
 // freshestPeer returns the peer of the cell with the freshest cache, or "" if all are older than
 // this daemon's. A peer that is as fresh counts: it will receive the next change.
-func (s *Mirrors) freshestPeer() string {
+func (s *WatchCacheSync) freshestPeer() string {
 	s.peersMu.Lock()
 	defer s.peersMu.Unlock()
 	name, latest := "", s.watchCache.Fresh().Add(-freshnessSlack)
@@ -361,7 +361,7 @@
 }
 
 // forgetPeer excludes a peer that did not respond until its next heartbeat.
-func (s *Mirrors) forgetPeer(peer string) {
+func (s *WatchCacheSync) forgetPeer(peer string) {
 	s.peersMu.Lock()
 	defer s.peersMu.Unlock()
 	delete(s.peerFresh, peer)
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -43,8 +43,8 @@
 type member struct {
 	fleet      *fleet.Fleet
 	watchCache *plat.Mirror
-	cacheSync  *spread.Mirrors
-	applied    *spread.InForce
+	cacheSync  *spread.WatchCacheSync
+	applied    *spread.AppliedValues
 	// leaving holds the incarnations that the member reports as shutting down.
 	leaving atomic.Pointer[[]string]
 	// seen holds the keys of the changes that the watch cache reported, in their order.
@@ -114,10 +114,10 @@
 	})}
 	m.watchCache = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
 	m.watchCache.Observe(m.observe)
-	m.cacheSync = spread.NewMirrors(m.watchCache, m.fleet, &event.Log{})
-	m.applied = spread.NewInForce(m.cacheSync)
+	m.cacheSync = spread.NewWatchCacheSync(m.watchCache, m.fleet, &event.Log{})
+	m.applied = spread.NewAppliedValues(m.cacheSync)
 	m.leaving.Store(&[]string{})
-	m.applied.Leaving = func() []string { return *m.leaving.Load() }
+	m.applied.ShuttingDown = func() []string { return *m.leaving.Load() }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { m.fleet.Run(ctx, l) })
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -49,7 +49,7 @@
 }
 
 // Rest returns the pushback of the response in err, or 0.
-func Rest(err error) time.Duration {
+func Pushback(err error) time.Duration {
 	var s *StatusError
 	if errors.As(err, &s) {
 		return s.Pushback
@@ -76,7 +76,7 @@
 // NewOnceTransport returns a transport that opens a connection for each call. The standard
 // transport retries some calls by itself when a reused connection fails, but never on a new
 // connection.
-func NewOnceTransport() *http.Transport {
+func NewTransportWithoutReuse() *http.Transport {
 	t := NewTransport()
 	t.DisableKeepAlives = true
 	return t
@@ -102,17 +102,17 @@
 func NewEngine(url string, client *http.Client) *Engine { return &Engine{url, client} }
 
 // News is an engine's response to a poll for cache events.
-type News struct {
-	Events []cache.Note `json:"events"`
-	Load   Load         `json:"load"`
+type EventBatch struct {
+	Events []cache.CacheEvent `json:"events"`
+	Load   Load               `json:"load"`
 }
 
 // News waits for the time gather, and returns the cache events after seq together with the load.
 // Polling is cheap mainly because one call returns both, and many events at once.
-func (e *Engine) News(ctx context.Context, seq uint64, gather time.Duration) (News, error) {
+func (e *Engine) PollEvents(ctx context.Context, seq uint64, gather time.Duration) (EventBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, gather+callTimeout)
 	defer cancel()
-	var n News
+	var n EventBatch
 	path := "/v1/cache/events?after=" + strconv.FormatUint(seq, 10) + "&gatherMillis=" + strconv.FormatInt(gather.Milliseconds(), 10)
 	return n, e.do(ctx, http.MethodGet, path, nil, &n)
 }
@@ -139,7 +139,7 @@
 // Load is an engine's report of its work, which lags behind.
 type Load struct {
 	// Boot identifies the engine's incarnation.
-	Boot string `json:"boot"`
+	Incarnation string `json:"boot"`
 	// QueuedTokens holds the numbers of waiting prompt tokens by priority, lowest first.
 	QueuedTokens []int `json:"queuedTokens"`
 	Running      int   `json:"running"`
@@ -153,20 +153,20 @@
 }
 
 // Staged is the result of an import. The blocks are not used until a request refers to them.
-type Staged struct {
+type ImportResult struct {
 	ID     string  `json:"id"`
 	Blocks []Block `json:"blocks"`
 	Bytes  int64   `json:"bytes"`
 }
 
 // Import has the engine read blocks, which follow parent in the prefix hash chain, from a store.
-func (e *Engine) Import(ctx context.Context, store string, parent cache.Hash, blocks []Block) (Staged, error) {
+func (e *Engine) Import(ctx context.Context, store string, parent cache.Hash, blocks []Block) (ImportResult, error) {
 	body := struct {
 		Store  string     `json:"store"`
 		Parent cache.Hash `json:"parent"`
 		Blocks []Block    `json:"blocks"`
 	}{store, parent, blocks}
-	var s Staged
+	var s ImportResult
 	return s, e.do(ctx, http.MethodPost, "/v1/cache/import", body, &s)
 }
 
@@ -180,18 +180,18 @@
 }
 
 // Exported is the result of an export to a store.
-type Exported struct {
+type ExportResult struct {
 	Blocks []Block `json:"blocks"`
 	Bytes  int64   `json:"bytes"`
 }
 
 // Export has the engine write blocks to a store.
-func (e *Engine) Export(ctx context.Context, store string, hashes []cache.Hash) (Exported, error) {
+func (e *Engine) Export(ctx context.Context, store string, hashes []cache.Hash) (ExportResult, error) {
 	body := struct {
 		Store  string       `json:"store"`
 		Hashes []cache.Hash `json:"hashes"`
 	}{store, hashes}
-	var x Exported
+	var x ExportResult
 	return x, e.do(ctx, http.MethodPost, "/v1/cache/export", body, &x)
 }
 
@@ -285,7 +285,7 @@
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
 	// An unreadable pushback counts as none; the error's text is logged.
-	pushback, _ := AskedRest(resp.StatusCode, resp.Header)
+	pushback, _ := ParsePushback(resp.StatusCode, resp.Header)
 	return nil, errors.WithStack(&StatusError{Status: resp.StatusCode, Text: string(text), Pushback: pushback})
 }
 
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -12,7 +12,7 @@
 )
 
 // Outgoing is one request to a target.
-type Outgoing struct {
+type Request struct {
 	Method string
 	// URI is the path and query as the caller sent them.
 	URI    string
@@ -21,10 +21,10 @@
 	Body   []byte
 	// Fresh, if positive, is the longest time that a reused connection may have been idle, so that
 	// the request does not go out on one that the target is about to close.
-	Fresh time.Duration
+	MaxIdle time.Duration
 	// May, if set, is called when a connection is open and nothing has been written yet. If it
 	// returns an error, nothing is written and the error is the cause of Send's.
-	May func() error
+	BeforeWrite func() error
 }
 
 // SendError is a failure to get a response.
@@ -49,19 +49,19 @@
 func (e *SendError) Unwrap() error { return e.cause }
 
 // WasSent reports whether a failed request may have reached its target.
-func WasSent(err error) bool {
+func MayHaveArrived(err error) bool {
 	var s *SendError
 	return errors.As(err, &s) && s.MayHaveArrived
 }
 
 // WasEarly reports whether a request failed on a connection that its target had closed before.
-func WasEarly(err error) bool {
+func ClosedEarly(err error) bool {
 	var s *SendError
 	return errors.As(err, &s) && s.ClosedEarly
 }
 
 // Incoming is the response of a target, whose body is still to be read.
-type Incoming struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body; -1 if the response does not state it.
@@ -79,7 +79,7 @@
 }
 
 // Read reads the body. It returns io.EOF only when the response is complete.
-func (in *Incoming) Read(b []byte) (int, error) {
+func (in *Response) Read(b []byte) (int, error) {
 	n, err := in.body.Read(b)
 	switch {
 	case err == nil:
@@ -93,7 +93,7 @@
 
 // Close ends the exchange. The connection is kept only if the response and the request are complete
 // and nothing else has arrived.
-func (in *Incoming) Close() {
+func (in *Response) Close() {
 	alive := in.stopCancel()
 	conn := in.conn
 	in.conn = nil
@@ -108,10 +108,10 @@
 }
 
 // Spoil makes Close discard the connection.
-func (in *Incoming) Spoil() { in.failed = true }
+func (in *Response) Discard() { in.failed = true }
 
 // reusable reports whether the response and the request are complete.
-func (in *Incoming) reusable() bool {
+func (in *Response) reusable() bool {
 	if in.failed || !in.complete || in.Header.Get("Connection") == "close" {
 		return false
 	}
@@ -127,7 +127,7 @@
 }
 
 // readHead reads the status and header of the response, and skips interim responses.
-func (in *Incoming) readHead(method string) error {
+func (in *Response) readHead(method string) error {
 	for {
 		resp, err := http.ReadResponse(in.conn.r, &http.Request{Method: method})
 		if err != nil {
@@ -147,7 +147,7 @@
 // writer writes one request.
 type writer struct {
 	conn *poolConn
-	out  *Outgoing
+	out  *Request
 	done chan<- error
 }
 
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -62,7 +62,7 @@
 var ErrFull = errors.New("all connections to the target are in use")
 
 // SetMost bounds the connections to an address; 0 means no bound.
-func (p *Pool) SetMost(address string, maxOpen int) {
+func (p *Pool) SetMaxConns(address string, maxOpen int) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
 	p.state(address).maxOpen = maxOpen
@@ -82,7 +82,7 @@
 }
 
 // Forget closes the idle connections to an address that was removed.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
 	state := p.addresses[address]
@@ -100,7 +100,7 @@
 }
 
 // Room returns how many more requests can be sent to an address at once.
-func (p *Pool) Room(address string) int {
+func (p *Pool) FreeCapacity(address string) int {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
 	state := p.addresses[address]
@@ -111,7 +111,7 @@
 }
 
 // Warm reports whether an idle connection to an address is open.
-func (p *Pool) Warm(address string) bool {
+func (p *Pool) HasIdle(address string) bool {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
 	state := p.addresses[address]
@@ -123,18 +123,18 @@
 
 // Send sends a request and returns the response with its header read. The caller must Close the
 // response. An error is a *SendError.
-func (p *Pool) Send(ctx context.Context, address string, out *Outgoing) (*Incoming, error) {
-	conn, err := p.get(ctx, address, out.Fresh)
+func (p *Pool) Send(ctx context.Context, address string, out *Request) (*Response, error) {
+	conn, err := p.get(ctx, address, out.MaxIdle)
 	if err != nil {
 		return nil, &SendError{cause: err}
 	}
-	if out.May != nil {
-		if err := out.May(); err != nil {
+	if out.BeforeWrite != nil {
+		if err := out.BeforeWrite(); err != nil {
 			p.putUnused(conn)
 			return nil, &SendError{cause: err}
 		}
 	}
-	in := &Incoming{conn: conn, written: make(chan error, 1)}
+	in := &Response{conn: conn, written: make(chan error, 1)}
 	start := time.Now()
 	in.stopCancel = context.AfterFunc(ctx, func() { conn.tcp.SetDeadline(time.Unix(1, 0)) })
 	w := writer{conn, out, in.written}
@@ -156,7 +156,7 @@
 }
 
 // Try opens a connection to an address and keeps it for the next request.
-func (p *Pool) Try(ctx context.Context, address string) error {
+func (p *Pool) Connect(ctx context.Context, address string) error {
 	p.poolMu.Lock()
 	state := p.state(address)
 	full := state.maxOpen > 0 && state.open >= state.maxOpen
--- a/core/target/pool_test.go
+++ b/core/target/pool_test.go
@@ -62,7 +62,7 @@
 }
 
 func get(p *Pool, address string) (string, error) {
-	in, err := p.Send(context.Background(), address, &Outgoing{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}})
+	in, err := p.Send(context.Background(), address, &Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}})
 	if err != nil {
 		return "", err
 	}
@@ -84,7 +84,7 @@
 		g.Expect(text).To(gomega.Equal("yes"))
 	}
 	g.Expect(s.conns.Load()).To(gomega.Equal(int64(1)))
-	p.Forget(s.address)
+	p.CloseIdle(s.address)
 	_, err := get(p, s.address)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.conns.Load()).To(gomega.Equal(int64(2)))
@@ -131,7 +131,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	_, err = get(p, s.address)
 	g.Expect(err).To(gomega.HaveOccurred())
-	g.Expect(WasSent(err)).To(gomega.BeTrue())
+	g.Expect(MayHaveArrived(err)).To(gomega.BeTrue())
 	g.Expect(s.requests.Load()).To(gomega.Equal(int64(2)))
 }
 
@@ -143,7 +143,7 @@
 	l.Close()
 	_, err = get(&Pool{}, address)
 	g.Expect(err).To(gomega.HaveOccurred())
-	g.Expect(WasSent(err)).To(gomega.BeFalse())
+	g.Expect(MayHaveArrived(err)).To(gomega.BeFalse())
 }
 
 func TestTruncatedResponsesFail(t *testing.T) {
@@ -168,7 +168,7 @@
 	p := &Pool{}
 	body := []byte(strings.Repeat("x", 64<<20)) // more than the sockets' buffers hold
 	for range 2 {
-		in, err := p.Send(context.Background(), s.address, &Outgoing{Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: body})
+		in, err := p.Send(context.Background(), s.address, &Request{Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: body})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		raw, err := io.ReadAll(in)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -183,18 +183,18 @@
 	release := make(chan struct{})
 	s := serve(t, func(c net.Conn, _ int64, _ *http.Request) bool { <-release; return writeResponse(c, "yes", "") })
 	p := &Pool{}
-	p.SetMost(s.address, 1)
+	p.SetMaxConns(s.address, 1)
 	done := make(chan error, 1)
 	go func() { _, err := get(p, s.address); done <- err }()
-	g.Eventually(func() int { return p.Room(s.address) }, "10s", "1ms").Should(gomega.BeZero())
+	g.Eventually(func() int { return p.FreeCapacity(s.address) }, "10s", "1ms").Should(gomega.BeZero())
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
-	_, err := p.Send(ctx, s.address, &Outgoing{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}})
+	_, err := p.Send(ctx, s.address, &Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}})
 	g.Expect(err).To(gomega.MatchError(ErrFull))
-	g.Expect(WasSent(err)).To(gomega.BeFalse())
+	g.Expect(MayHaveArrived(err)).To(gomega.BeFalse())
 	close(release)
 	g.Expect(<-done).NotTo(gomega.HaveOccurred())
-	g.Expect(p.Room(s.address)).To(gomega.Equal(1))
+	g.Expect(p.FreeCapacity(s.address)).To(gomega.Equal(1))
 }
 
 // A connection that the target closed while a request was on its way ends within a round trip; one
--- a/core/target/retryafter.go
+++ b/core/target/retryafter.go
@@ -13,7 +13,7 @@
 
 // AskedRest returns the pushback in a response that rejects a request. Of several values the
 // longest applies; invalid is an unreadable value, quoted, or "".
-func AskedRest(status int, h http.Header) (pushback time.Duration, invalid string) {
+func ParsePushback(status int, h http.Header) (pushback time.Duration, invalid string) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		// With other statuses the header does not mean a pushback.
 		return 0, ""
--- a/core/target/store.go
+++ b/core/target/store.go
@@ -61,7 +61,7 @@
 }
 
 // KeptContext is one context in a store's usage report.
-type KeptContext struct {
+type StoredContext struct {
 	Root   cache.Hash `json:"root"`
 	Blocks int        `json:"blocks"`
 	// IdleSeconds is the time since the context was last read or written.
@@ -72,9 +72,9 @@
 
 // Usage describes how full a store is.
 type Usage struct {
-	UsedBlocks  int           `json:"usedBlocks"`
-	TotalBlocks int           `json:"totalBlocks"`
-	Contexts    []KeptContext `json:"contexts"`
+	UsedBlocks  int             `json:"usedBlocks"`
+	TotalBlocks int             `json:"totalBlocks"`
+	Contexts    []StoredContext `json:"contexts"`
 }
 
 // Usage returns how full the store is and which contexts it holds.
--- a/emberd/internal/daemon/daemon.go
+++ b/emberd/internal/daemon/daemon.go
@@ -45,8 +45,8 @@
 	kv     *plat.KV
 	store  *conf.Store
 	fleet  *fleet.Fleet
-	spread *spread.Spread
-	home   *home.Home
+	spread *spread.ConfigReplicator
+	home   *home.Owner
 	once   *once.Once
 	entry  *entry.Server
 	poison *poison.Guard
@@ -145,10 +145,10 @@
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	d.poison = poison.New(poison.Options{Fleet: d.fleet, Try: canDial, Log: d.log})
 	d.home = home.New(home.Options{
-		Ended:     d.poison.Ended,
-		Domain:    d.set.Domain,
-		Placement: route.Placement(d.set.Placement), Conf: d.store, Fleet: d.fleet, Log: d.log,
-		Client: control, LoadPause: d.set.Limits.LoadPause,
+		IncarnationReplaced: d.poison.Ended,
+		Domain:              d.set.Domain,
+		Placement:           route.Placement(d.set.Placement), Conf: d.store, Fleet: d.fleet, Log: d.log,
+		Client: control, LoadInterval: d.set.Limits.LoadPause,
 	})
 	d.once = once.New(once.Options{
 		Name: d.set.Name, Incarnation: incarnation, Window: d.set.Limits.ClaimWindow,
@@ -161,12 +161,12 @@
 		Conf: d.store, Fleet: d.fleet, Home: d.home, Once: d.once, Poison: d.poison, Log: d.log,
 		Engines: engines,
 		Calls:   &http.Client{Transport: target.NewTransport(), CheckRedirect: noRedirect},
-		Single:  &http.Client{Transport: target.NewOnceTransport(), CheckRedirect: noRedirect},
+		Single:  &http.Client{Transport: target.NewTransportWithoutReuse(), CheckRedirect: noRedirect},
 		MaxBody: d.set.Limits.MaxBodyBytes, MaxRunning: d.set.Limits.MaxRunning, Ready: d.NotReady,
 	})
 	d.admin = admin.New(admin.Options{
 		Conf: d.store, Writer: conf.NewWriter(d.store, d.kv, d.log), Spread: d.spread, Fleet: d.fleet, Home: d.home, Poison: d.poison, Log: d.log,
-		Duties:    append([]string{spread.DutyWatch, order.Duty(0)}, once.Duties()...),
+		Duties:    append([]string{spread.WatchAssignment, order.Duty(0)}, once.Duties()...),
 		KeyHashes: d.set.OperatorKeyHashes, Ready: d.NotReady, Running: d.entry.Running,
 	})
 }
@@ -190,7 +190,7 @@
 		return "the daemon is stopping"
 	case !d.spread.Current():
 		return "the daemon does not have the latest configuration that it knows of"
-	case !d.home.Warm():
+	case !d.home.WarmedUp():
 		return "the daemon has not heard of all workers yet"
 	case d.isolated():
 		return "the daemon hears nothing of peers, box list and key-value service"
@@ -217,7 +217,7 @@
 	if at == nil {
 		return true
 	}
-	if d.store.Confirmed().After(*at) || (d.spread.Heard() && clock.Since(*at) > d.set.Peers.Suspect) {
+	if d.store.Confirmed().After(*at) || (d.spread.AnyPeerLoaded() && clock.Since(*at) > d.set.Peers.Suspect) {
 		d.wokeAt.CompareAndSwap(at, nil)
 		return true
 	}
--- a/emberd/internal/daemon/settings.go
+++ b/emberd/internal/daemon/settings.go
@@ -93,7 +93,7 @@
 			MaxBodyBytes: 8 << 20, MaxRunning: 1024, DrainLimit: 10 * time.Minute,
 			ClaimWindow: 10 * time.Minute, IsolatedStop: 10 * time.Second, LoadPause: 250 * time.Millisecond,
 		},
-		Placement: string(route.Returning),
+		Placement: string(route.LowestCost),
 	}
 }
 
--- a/emberd/internal/host/duties.go
+++ b/emberd/internal/host/duties.go
@@ -25,13 +25,13 @@
 	}
 	h.cellRight = &cellRight{host: h, owner: h.set.Name + ownerSeparator + incarnation}
 	h.swapper = order.NewSwapper(order.SwapOptions{
-		Divided: h.mirrors.Divided, Uses: h.mirrors.Uses, Cell: h.cellRight.Right,
+		Divided: h.mirrors.Sharded, Uses: h.mirrors.InOwnCell, Cell: h.cellRight.Right,
 		Name: h.set.Name, Rights: rights, Commander: engines, Roster: h.roster,
 		Table: h.relay.Table, Named: h.named.version, Changed: h.fleet.Kick, Audience: h.swaps, Log: h.log,
 	})
 	h.sweeper = cache.NewSweeper(cache.SweepOptions{
-		Kept: h.kept, Log: h.log, Superseded: h.named.superseded,
-		Rank: h.shelves.Rank,
+		Stores: h.kept, Log: h.log, Superseded: h.named.superseded,
+		Rank: h.shelves.AssignmentRank,
 	})
 	h.presence = h.newPresence()
 	h.buildRollouts(incarnation)
@@ -82,5 +82,5 @@
 // rank says how many others come before this daemon for a duty that only those who ask the
 // platform's store can have.
 func (h *Host) rank(duty string) int {
-	return fleet.Place(fleet.Key(duty), h.mirrors.Asks(), h.set.Name)
+	return fleet.Place(fleet.Key(duty), h.mirrors.WatchingDaemons(), h.set.Name)
 }
--- a/emberd/internal/host/host.go
+++ b/emberd/internal/host/host.go
@@ -55,30 +55,30 @@
 	store     *platform.Store
 	decoder   platform.Decoder
 	mirror    *plat.Mirror
-	mirrors   *spread.Mirrors
+	mirrors   *spread.WatchCacheSync
 	fleet     *fleet.Fleet
 	roster    *roster.Roster
-	shelves   *spread.Shelves
-	kept      *cache.Kept
-	where     cache.Where
+	shelves   *spread.StoreIndexes
+	kept      *cache.StoreIndexes
+	where     cache.WorkerCaches
 	links     learn.Links
 	retention learn.Retention
 	times     *learn.Times
 	targets   learn.Targets
 	pool      *target.Pool
 	relay     *relay.Relay
-	homes     *relay.Homes
+	homes     *relay.ContextOwners
 	poison    *poison.Guard
 	canary    canary.Guard
 	rollouts  *canary.Controller
 	rights    []*lease.Timed
 	cellRight *cellRight
 	swapper   *order.Swapper
-	swaps     *spread.Swaps
+	swaps     *spread.WeightUpdateNotifier
 	sweeper   *cache.Sweeper
 	presence  *lease.Presence
 	named     named
-	inForce   *spread.InForce
+	inForce   *spread.AppliedValues
 	first     firstTable
 	// entered receives when the store may be in another era.
 	entered chan struct{}
@@ -115,34 +115,34 @@
 		Heartbeat: set.Tuning.Heartbeat, Suspect: set.Tuning.Suspect,
 		BoxPause: boxPause, Boxes: &boxes{mirror: h.mirror}, Log: h.log,
 	})
-	h.fleet.Attach("roster", roster.Share{Roster: h.roster})
-	h.mirrors = spread.NewMirrors(h.mirror, h.fleet, h.log)
-	h.inForce = spread.NewInForce(h.mirrors)
-	h.inForce.Leaving = h.roster.LeavingRuns
-	h.inForce.Leaves = func(run string) { h.roster.Leaves(run, roster.ByPeer) }
-	h.mirror.Outline, h.mirrors.Entry = keyBoxes, h.entryOf
-	h.store.Hold = h.mirrors.Hold
-	h.where.Room = h.memory
+	h.fleet.Attach("roster", roster.HeartbeatPart{Roster: h.roster})
+	h.mirrors = spread.NewWatchCacheSync(h.mirror, h.fleet, h.log)
+	h.inForce = spread.NewAppliedValues(h.mirrors)
+	h.inForce.ShuttingDown = h.roster.RecentShutdowns
+	h.inForce.OnShuttingDown = func(run string) { h.roster.RecordShutdown(run, roster.ByPeer) }
+	h.mirror.Outline, h.mirrors.EntryParser = keyBoxes, h.entryOf
+	h.store.Hold = h.mirrors.WatchWait
+	h.where.Capacity = h.memory
 	h.fleet.Attach("where", &h.where)
 	h.fleet.Attach("links", &h.links)
 	h.fleet.Attach("targets", &h.targets)
 	h.fleet.Attach("retention", &h.retention)
 	engines := platform.NewEngines(newClient())
-	engines.Leaves = func(run string) { h.roster.Leaves(run, roster.ByAnswer) }
-	h.shelves = spread.NewShelves(engines, h.fleet)
-	h.kept = cache.NewKept(h.shelves, h.log)
+	engines.Leaves = func(run string) { h.roster.RecordShutdown(run, roster.ByAnswer) }
+	h.shelves = spread.NewStoreIndexes(engines, h.fleet)
+	h.kept = cache.NewStoreIndexes(h.shelves, h.log)
 	h.shelves.Serve(h.kept)
 	h.pool = &target.Pool{Opened: h.stats.Opened}
 	h.daemons.view = h.fleet.View
-	h.poison = poison.New(poison.Options{Fleet: h.fleet, Try: h.pool.Try, Log: h.log, Store: h.store, Mirror: h.mirror})
+	h.poison = poison.New(poison.Options{Fleet: h.fleet, Try: h.pool.Connect, Log: h.log, Store: h.store, Mirror: h.mirror})
 	h.roster.Removed = h.removed
-	h.roster.Place = h.place
+	h.roster.Rank = h.place
 	h.canary.Share = set.Bounds.ExposeShare
 	h.canary.Fresh = func() bool { return h.age() < rolloutFresh }
 	h.buildRelay()
-	h.homes = relay.NewHomes(h.relay, h.fleet)
-	h.swaps = spread.NewSwaps(h.fleet, h.roster)
-	h.swaps.Divided = h.mirrors.Divided
+	h.homes = relay.NewContextOwners(h.relay, h.fleet)
+	h.swaps = spread.NewWeightUpdateNotifier(h.fleet, h.roster)
+	h.swaps.Sharded = h.mirrors.Sharded
 	h.buildDuties(incarnation, engines)
 	h.gauges()
 	return h
@@ -157,7 +157,7 @@
 // the targets of its service out.
 func (h *Host) cellChooses(t *roster.Target) bool {
 	service, table := t.Entry().Service, h.relay.Table()
-	if table == nil || h.mirrors.Divided(service) {
+	if table == nil || h.mirrors.Sharded(service) {
 		return true
 	}
 	svc := table.Service(service)
@@ -227,28 +227,28 @@
 // buildRelay makes the relay that answers callers.
 func (h *Host) buildRelay() {
 	h.relay = relay.New(relay.Options{
-		Dialect: platform.Dialect{}, Roster: h.roster, Pool: h.pool, Kept: h.kept, Where: &h.where, Links: &h.links, Retention: &h.retention, Times: h.times, Targets: &h.targets,
-		Engines: h.set.Expect.Engines.prior(), Calls: h.set.Expect.Calls.prior(), Prices: h.set.Prices.prices(), Without: h.set.Without,
+		Dialect: platform.Dialect{}, Roster: h.roster, Pool: h.pool, StoreIndex: h.kept, WorkerCaches: &h.where, Links: &h.links, Retention: &h.retention, FirstAnswerTimes: h.times, TargetStats: &h.targets,
+		EnginePrior: h.set.Expect.Engines.prior(), CallPrior: h.set.Expect.Calls.prior(), Costs: h.set.Prices.prices(), Disabled: h.set.Without,
 		Log: h.log, Stats: h.stats, Poison: h.poison, Canary: &h.canary,
-		Placement: route.Placement(h.set.Placement), Placed: h.fleet.Kick,
-		Domain: h.set.Domain, Regions: h.set.Regions, Named: h.named.version, Daemons: h.daemons.count,
-		Share:   func(names []string) []string { return h.fleet.View().Share(names) },
-		Basis:   h.mirrors.Basis,
-		Divided: h.mirrors.Divided, Uses: h.mirrors.Uses, CellDaemons: func() int { return h.fleet.View().CellSize() },
-		Place: func(target string, cell bool) (int, int) { return h.fleet.View().Place(fleet.Key(target), cell) },
-		Choosers: func(t *roster.Target, n int) []string {
+		Placement: route.Placement(h.set.Placement), PublishState: h.fleet.Kick,
+		Domain: h.set.Domain, Regions: h.set.Regions, DesiredWeights: h.named.version, DaemonCount: h.daemons.count,
+		OwnTargets:   func(names []string) []string { return h.fleet.View().Share(names) },
+		ShardVersion: h.mirrors.ShardVersion,
+		Sharded:      h.mirrors.Sharded, InOwnCell: h.mirrors.InOwnCell, CellDaemonCount: func() int { return h.fleet.View().CellSize() },
+		Rank: func(target string, cell bool) (int, int) { return h.fleet.View().Place(fleet.Key(target), cell) },
+		RankedDaemons: func(t *roster.Target, n int) []string {
 			return h.fleet.View().Ranked(fleet.Key(t.ID()), h.cellChooses(t), n)
 		},
-		ColdOver: h.set.Bounds.ColdOver, ColdExtra: h.set.Bounds.ColdExtra,
-		Outdated: func(model string, version int64) bool {
+		WarmUpFactor: h.set.Bounds.ColdOver, WarmUpExtra: h.set.Bounds.ColdExtra,
+		WeightsOutdated: func(model string, version int64) bool {
 			return h.named.age(model, version) > h.set.Bounds.Weights-beginMargin
 		},
-		Age:        h.age,
-		StoreDown:  h.mirror.Down,
-		Current:    h.current,
-		Lacks:      func() time.Duration { return h.lacks(clock.Now()) },
-		CopyMay:    func() bool { return h.age() < cache.CopyFresh },
-		RetryShare: h.set.Retries.Share, RetryExtra: h.set.Retries.Extra, RetryWindow: h.set.Retries.Window,
+		ViewAge:       h.age,
+		StoreDown:     h.mirror.Down,
+		ConfigCurrent: h.current,
+		ConfigOverdue: func() time.Duration { return h.lacks(clock.Now()) },
+		MayCopy:       func() bool { return h.age() < cache.MaxDesiredAge },
+		RetryShare:    h.set.Retries.Share, RetryExtra: h.set.Retries.Extra, RetryWindow: h.set.Retries.Window,
 	})
 }
 
--- a/emberd/internal/host/inforce.go
+++ b/emberd/internal/host/inforce.go
@@ -62,9 +62,9 @@
 // askInForce asks peers for what is newer than the store's copy, and ends the wait of the first
 // configuration. It returns false where there are peers and none has answered.
 func (h *Host) askInForce(ctx context.Context) bool {
-	done := !h.awaitPeers(ctx) || h.inForce.Ask(ctx, h.takeInForce) > 0
+	done := !h.awaitPeers(ctx) || h.inForce.Pull(ctx, h.takeInForce) > 0
 	h.first.firstMu.Lock()
-	h.inForce.Settle()
+	h.inForce.MarkReady()
 	held := h.first.held
 	h.first.held = nil
 	h.first.firstMu.Unlock()
@@ -136,7 +136,7 @@
 // takeRollout takes what operators ask for a service; the order's revision is 0 where they took it back.
 func (h *Host) takeRollout(p plat.Pair, o *canary.Order) {
 	if o.Revision == 0 {
-		h.inForce.Drop(p.Key)
+		h.inForce.Remove(p.Key)
 	} else {
 		h.inForce.Set(p, 0)
 	}
@@ -149,7 +149,7 @@
 	if e.On {
 		h.inForce.Set(p, 0)
 	} else {
-		h.inForce.Drop(p.Key)
+		h.inForce.Remove(p.Key)
 	}
 	h.roster.Evacuate(e.Domain, e.On, time.Now())
 }
@@ -162,7 +162,7 @@
 func (h *Host) holdEvacuation(domain, key string) {
 	time.AfterFunc(restoredHold, func() {
 		if _, there := h.mirror.Pair(key); !there {
-			h.inForce.Drop(key)
+			h.inForce.Remove(key)
 			h.roster.Evacuate(domain, false, time.Now())
 		}
 	})
@@ -172,7 +172,7 @@
 // store may have come back from a copy.
 func (h *Host) apply(t *table.Table) {
 	h.first.firstMu.Lock()
-	holds := !h.inForce.Settled() && h.mirror.Era() > 0
+	holds := !h.inForce.Ready() && h.mirror.Era() > 0
 	if holds {
 		h.first.held = t
 	}
--- a/emberd/internal/host/observe.go
+++ b/emberd/internal/host/observe.go
@@ -48,12 +48,12 @@
 	case err != nil:
 	case news.Target != nil:
 		if former := h.roster.Put(*news.Target); former != nil {
-			h.pool.Forget(former.Entry().Address)
+			h.pool.CloseIdle(former.Entry().Address)
 		}
 	case news.Gone != "" && c.Dropped:
-		h.roster.Drop(news.Gone)
+		h.roster.MakeExternal(news.Gone)
 	case news.Gone != "" && c.Restored:
-		h.roster.Lose(news.Gone)
+		h.roster.RecordMissing(news.Gone)
 	case news.Gone != "":
 		h.gone(news.Gone)
 	case news.Evacuation != nil && c.Restored:
@@ -97,19 +97,19 @@
 
 // unlist removes a target whose entry names nothing that can be used.
 func (h *Host) unlist(name string) {
-	t := h.roster.Named(name)
-	h.roster.Unlist(name)
+	t := h.roster.ByName(name)
+	h.roster.RemoveUnusable(name)
 	if t != nil {
-		h.pool.Forget(t.Entry().Address)
+		h.pool.CloseIdle(t.Entry().Address)
 	}
 }
 
 // gone removes a target and its idle connections.
 func (h *Host) gone(name string) {
-	t := h.roster.Named(name)
+	t := h.roster.ByName(name)
 	h.roster.Remove(name, clock.Now())
-	if t != nil && h.roster.Named(name) == nil {
-		h.pool.Forget(t.Entry().Address)
+	if t != nil && h.roster.ByName(name) == nil {
+		h.pool.CloseIdle(t.Entry().Address)
 	}
 }
 
--- a/emberd/internal/host/ready.go
+++ b/emberd/internal/host/ready.go
@@ -58,13 +58,13 @@
 func (h *Host) drain(callers *http.Server) {
 	began := time.Now()
 	h.draining.Store(true)
-	h.relay.Close()
+	h.relay.CloseConnections()
 	h.fleet.Drain()
 	h.log.Emit(event.DaemonDraining, event.Ref{}, "")
 	end := began.Add(h.set.Bounds.Stop - stopMargin)
 	for time.Now().Before(end) {
 		if time.Since(began) > noticeTime {
-			h.relay.Refuse()
+			h.relay.RefuseRequests()
 			if h.relay.Running() == 0 {
 				break
 			}
--- a/emberd/internal/host/settings.go
+++ b/emberd/internal/host/settings.go
@@ -31,7 +31,7 @@
 	Tuning    Tuning            `yaml:"tuning" doc:"How often daemons talk."`
 	Prices    Prices            `yaml:"prices" doc:"What answers are worth and what serving them costs, in answers to a plain call. They are the operators' to choose."`
 	Expect    Expect            `yaml:"expect" doc:"What is expected of targets before they were observed."`
-	Without   relay.Without     `yaml:"without" doc:"Mechanisms that are switched off, to measure what each is worth."`
+	Without   relay.Disabled    `yaml:"without" doc:"Mechanisms that are switched off, to measure what each is worth."`
 }
 
 // Prices are what the decisions of a hosted daemon maximize.
@@ -47,10 +47,10 @@
 }
 
 // prices returns them as decisions need them.
-func (p *Prices) prices() route.Prices {
-	return route.Prices{
-		Token: p.Token / thousand, Late: p.Late, Again: p.Again / thousand, Copied: p.Copied / thousand,
-		Old: p.Old, Connect: p.Connect, Across: p.Across, Wait: p.Wait,
+func (p *Prices) prices() route.CostModel {
+	return route.CostModel{
+		UtilityPerToken: p.Token / thousand, PastObjectiveShare: p.Late, RecomputePerToken: p.Again / thousand, CopyPerToken: p.Copied / thousand,
+		OldWeightsPenalty: p.Old, NewConnectionCost: p.Connect, CrossDomainPerMiB: p.Across, DelayPenalty: p.Wait,
 	}
 }
 
@@ -78,8 +78,8 @@
 // prior returns it as estimates need it.
 func (p *Prior) prior() learn.Prior {
 	return learn.Prior{
-		Fixed: p.Fixed, Own: p.Own, Before: p.Before, Beside: p.Beside, Waiting: p.Waiting, Crowd: p.Crowd,
-		Spread: p.Spread, Weight: p.Weight,
+		Fixed: p.Fixed, PerThousandOwn: p.Own, PerThousandQueued: p.Before, Utilisation: p.Beside, QueuedPerSlot: p.Waiting, MemoryPressure: p.Crowd,
+		LogStdDev: p.Spread, Observations: p.Weight,
 	}
 }
 
@@ -112,7 +112,7 @@
 // Defaults returns the settings that hold where a file says nothing.
 func Defaults() Settings {
 	return Settings{
-		Placement: string(route.Returning), LogLevel: "info", LogRate: 40,
+		Placement: string(route.LowestCost), LogLevel: "info", LogRate: 40,
 		Bounds:  Bounds{Stop: 8 * time.Second, OrderApart: 3 * time.Second, Weights: 12 * time.Second, Contact: 3 * time.Second, Configuration: 2 * time.Second, ColdOver: 1, ExposeShare: 0.1},
 		Retries: Retries{Share: 0.2, Window: 10 * time.Second},
 		Tuning:  Tuning{Heartbeat: 150 * time.Millisecond, Suspect: 1500 * time.Millisecond},
@@ -172,7 +172,7 @@
 }
 
 // hostPlacements are the placements that a hosted daemon knows.
-var hostPlacements = []route.Placement{route.Returning, route.RoundRobin, route.LeastTokens, route.StickyHash}
+var hostPlacements = []route.Placement{route.LowestCost, route.RoundRobin, route.LeastTokens, route.StickyHash}
 
 // leastMemoryMB is what a daemon with libraries and buffers needs at start.
 const leastMemoryMB = 24
--- a/embfake/fake/blocks.go
+++ b/embfake/fake/blocks.go
@@ -32,7 +32,7 @@
 
 // timedNote is a cache event that shows after a lag.
 type timedNote struct {
-	cache.Note
+	cache.CacheEvent
 	shown time.Time
 }
 
@@ -81,7 +81,7 @@
 		return
 	}
 	b.clock++
-	run := cache.Run{Parent: parent.Short()}
+	run := cache.BlockRun{Parent: parent.Short()}
 	for _, c := range list {
 		if b.blocks[c.Hash] == nil {
 			b.blocks[c.Hash] = &cached{parent: parent, content: c.Content, used: b.clock}
@@ -93,7 +93,7 @@
 		run.Blocks = append(run.Blocks, c.Hash.Short())
 		parent = c.Hash
 	}
-	b.note(cache.Note{Stored: &run})
+	b.note(cache.CacheEvent{Stored: &run})
 	if extra := len(b.blocks) - b.room; extra > 0 {
 		b.evict(extra + b.room/evictShare)
 	}
@@ -135,14 +135,14 @@
 		}
 	}
 	if len(gone) > 0 {
-		b.note(cache.Note{Removed: cache.Shorts(gone)})
+		b.note(cache.CacheEvent{Removed: cache.Shorts(gone)})
 	}
 }
 
 // keptNotes bounds the events that can still be read.
 const keptNotes = 4096
 
-func (b *blockCache) note(n cache.Note) {
+func (b *blockCache) note(n cache.CacheEvent) {
 	b.seq++
 	n.Seq = b.seq
 	b.notes = append(b.notes, timedNote{n, time.Now().Add(b.lag)})
@@ -152,14 +152,14 @@
 }
 
 // after returns the events after seq that show by now.
-func (b *blockCache) after(seq uint64, now time.Time) []cache.Note {
-	var out []cache.Note
+func (b *blockCache) after(seq uint64, now time.Time) []cache.CacheEvent {
+	var out []cache.CacheEvent
 	for _, n := range b.notes {
 		if n.shown.After(now) {
 			break
 		}
 		if n.Seq > seq {
-			out = append(out, n.Note)
+			out = append(out, n.CacheEvent)
 		}
 	}
 	return out
@@ -180,7 +180,7 @@
 	}
 	e.engineMu.Lock()
 	list := e.cache.after(after, time.Now())
-	out := target.News{Load: e.report}
+	out := target.EventBatch{Load: e.report}
 	e.engineMu.Unlock()
 	for _, n := range list {
 		if !e.Take(DropEvents) {
@@ -196,15 +196,15 @@
 	all := cache.Contents{Seq: e.cache.seq}
 	for h, b := range e.cache.blocks {
 		if b.children == 0 {
-			all.Runs = append(all.Runs, e.cache.chainTo(h))
+			all.BlockRuns = append(all.BlockRuns, e.cache.chainTo(h))
 		}
 	}
 	return c.JSON(http.StatusOK, all)
 }
 
 // chainTo returns the chain that ends in a block.
-func (b *blockCache) chainTo(h cache.Hash) cache.Run {
-	var run cache.Run
+func (b *blockCache) chainTo(h cache.Hash) cache.BlockRun {
+	var run cache.BlockRun
 	for c := b.blocks[h]; c != nil; c = b.blocks[h] {
 		run.Blocks = append(run.Blocks, h.Short())
 		run.Parent, h = c.parent.Short(), c.parent
@@ -255,7 +255,7 @@
 	if err != nil || status != http.StatusOK {
 		return c.String(http.StatusBadGateway, "the store did not answer\n")
 	}
-	out := target.Staged{ID: uuid.NewString(), Bytes: int64(len(got.Blocks) * e.o.BlockBytes)}
+	out := target.ImportResult{ID: uuid.NewString(), Bytes: int64(len(got.Blocks) * e.o.BlockBytes)}
 	for i := range got.Blocks {
 		got.Blocks[i].Sum = Sum(got.Blocks[i].Content)
 		out.Blocks = append(out.Blocks, got.Blocks[i].Block)
@@ -322,7 +322,7 @@
 	if err != nil || status != http.StatusOK {
 		return c.String(http.StatusBadGateway, "the store did not answer\n")
 	}
-	out := target.Exported{Bytes: int64(len(got.Blocks) * e.o.BlockBytes)}
+	out := target.ExportResult{Bytes: int64(len(got.Blocks) * e.o.BlockBytes)}
 	for i, b := range got.Blocks {
 		b.Sum = Sum(send.Blocks[i].Content)
 		out.Blocks = append(out.Blocks, b.Block)
--- a/embfake/fake/engine.go
+++ b/embfake/fake/engine.go
@@ -221,7 +221,7 @@
 // measure returns the load as it is now; the caller holds engineMu.
 func (e *Engine) measure() target.Load {
 	l := target.Load{
-		Boot: e.boot, Running: e.running, TotalBlocks: e.o.Blocks, FreeBlocks: e.o.Blocks - len(e.cache.blocks),
+		Incarnation: e.boot, Running: e.running, TotalBlocks: e.o.Blocks, FreeBlocks: e.o.Blocks - len(e.cache.blocks),
 		PrefillTokensPerSecond: e.o.PrefillTokensPerSecond, BlockBytes: e.o.BlockBytes,
 		Weights: slices.Clone(e.weights), Loading: e.loading,
 	}
--- a/embfake/fake/store.go
+++ b/embfake/fake/store.go
@@ -272,9 +272,9 @@
 func (s *Store) usage(c echo.Context) error {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	u := target.Usage{UsedBlocks: len(s.blocks), TotalBlocks: s.o.Blocks, Contexts: []target.KeptContext{}}
+	u := target.Usage{UsedBlocks: len(s.blocks), TotalBlocks: s.o.Blocks, Contexts: []target.StoredContext{}}
 	for root, m := range s.manifests {
-		u.Contexts = append(u.Contexts, target.KeptContext{
+		u.Contexts = append(u.Contexts, target.StoredContext{
 			Root: root, Blocks: len(m.Blocks), IdleSeconds: time.Since(m.used).Seconds(), Reads: m.reads,
 		})
 	}
