--- a/core/cache/sweep.go
+++ b/core/cache/sweep.go
@@ -48,7 +48,7 @@
 	sweepTimeout = time.Second
 )
 
-// CopyFresh is the age of a daemon's view of the desired weights up to which it copies
+// MaxDesiredAge is the age of a daemon's view of the desired weights up to which it copies
 // segments from stores.
 const MaxDesiredAge = 2200 * time.Millisecond
 
--- a/core/conf/sync.go
+++ b/core/conf/sync.go
@@ -15,13 +15,13 @@
 
 // Peers is what the configuration needs of the other daemons.
 type Peers interface {
-	// Ahead returns the peer that has the highest sequence above seq in force,
+	// PeerAhead returns the peer that has the highest sequence above seq in force,
 	// or "" if none has.
 	PeerAhead(seq uint64) string
 	// ConfSince asks a peer for what follows seq. That may be large and take long;
 	// it gives up where nothing comes any more.
 	ConfSince(ctx context.Context, peer string, seq uint64) (Delta, error)
-	// WatchHolder reports whether this daemon watches the service for its cell.
+	// HoldsWatch reports whether this daemon watches the service for its cell.
 	HoldsWatch() bool
 	// Wake returns a channel that receives when a peer may be ahead.
 	Wake() <-chan struct{}
--- a/core/order/swap.go
+++ b/core/order/swap.go
@@ -42,9 +42,9 @@
 
 // Audience hears of swaps for daemons that this one's heartbeats do not reach.
 type Audience interface {
-	// Began tells that a worker is about to change its weights, for about some more time.
+	// UpdateStarted tells that a worker is about to change its weights, for about some more time.
 	UpdateStarted(t *roster.Target, model string, lasts time.Duration)
-	// Ended tells that a worker holds a version of the weights.
+	// UpdateEnded tells that a worker holds a version of the weights.
 	UpdateEnded(t *roster.Target, model string, version int64)
 }
 
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -27,7 +27,7 @@
 	kindPlacementUpdate wire.Kind = "relay.placed"
 )
 
-// Homes queries the owners of contexts in other cells, and decides as an owner for this daemon's
+// ContextOwners queries the owners of contexts in other cells, and decides as an owner for this daemon's
 // own cell.
 //
 // In a large fleet each cell uses a share of the workers and knows which contexts these have
@@ -76,7 +76,7 @@
 	expiryInterval = time.Second
 )
 
-// NewHomes makes a relay query the owners of contexts. It must be called before the fleet runs and
+// NewContextOwners makes a relay query the owners of contexts. It must be called before the fleet runs and
 // the relay serves.
 func NewContextOwners(rl *Relay, f *fleet.Fleet) *ContextOwners {
 	h := &ContextOwners{
