--- a/core/entry/bench_test.go
+++ b/core/entry/bench_test.go
@@ -17,17 +17,16 @@
 	"embertally.dev/core/home"
 )
 
-// BenchmarkToken relays one token: reading the engine's message, checking it
-// and writing the caller's.
+// BenchmarkToken relays one token: reads the engine's message, checks it and writes the caller's.
 func BenchmarkToken(b *testing.B) {
 	s := New(Options{Log: &event.Log{}})
-	p := &run{s: s, q: &request{id: "r"}, body: &common{Model: "m", Stream: true}, form: completionForm{}, deployment: &conf.Deployment{}}
-	p.ask = home.Ask{Request: "r"}
-	p.ask.Salt.WeightVersion = "v1"
-	p.out = writer{c: echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), discard{header: http.Header{}}), run: p}
-	a := &attempt{run: p, id: "r-0"}
-	// The first token also tells the home, which this is not about.
-	a.tokens, a.run.tokens = 1, 1
+	p := &promptRequest{s: s, q: &request{id: "r"}, body: &common{Model: "m", Stream: true}, format: completionFormat{}, deployment: &conf.Deployment{}}
+	p.placement = home.Ask{Request: "r"}
+	p.placement.Salt.WeightVersion = "v1"
+	p.out = writer{c: echo.New().NewContext(httptest.NewRequest(http.MethodPost, "/", nil), discard{header: http.Header{}}), req: p}
+	a := &attempt{promptRequest: p, id: "r-0"}
+	// Start after the first token, which also sends a report to the context owner.
+	a.tokens, a.promptRequest.tokens = 1, 1
 	b.ReportAllocs()
 	for b.Loop() {
 		raw, err := json.Marshal(chunk{ID: "r-0", SystemFingerprint: "v1", Choices: []choice{{Text: "word "}}})
@@ -39,13 +38,13 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := a.take(ev); err != nil {
+		if err := a.handleEvent(ev); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// discard takes what is written.
+// discard is a response writer that drops what is written.
 type discard struct{ header http.Header }
 
 func (d discard) Header() http.Header            { return d.header }
--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-func TestServicePathIsPlain(t *testing.T) {
+func TestServicePathRefusesAmbiguousPaths(t *testing.T) {
 	tests := []struct {
 		url, want string
 		ok        bool
@@ -55,9 +55,9 @@
 		{"carriage returns", "data: a\r\n\r\n", "", "a", true},
 		{"comments and empty lines", ": hi\n\n\ndata: a\n\n", "", "a", true},
 		{"longer than the buffer", "data: " + long + "\n\n", "", long, true},
-		{"cut", "data: a\n", "", "", false},
+		{"truncated", "data: a\n", "", "", false},
 		{"empty", "", "", "", false},
-		{"too long", "data: " + strings.Repeat("x", maxLine) + "\n\n", "", "", false},
+		{"too long", "data: " + strings.Repeat("x", maxEventBytes) + "\n\n", "", "", false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 			if err != nil {
 				return
 			}
-			if ev.data == nil || len(ev.data) > maxLine {
+			if ev.data == nil || len(ev.data) > maxEventBytes {
 				t.Fatalf("event with %d bytes", len(ev.data))
 			}
 		}
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestKeyedRefusalsDoNotClaimMoreThanIsKnown(t *testing.T) {
+func TestRefusalsOfKeyedRequestsSayUnknown(t *testing.T) {
 	tests := []struct {
 		key  string
 		code Code
@@ -108,7 +108,7 @@
 		if tc.key != "" {
 			req.Header.Set(HeaderIdempotency, tc.key)
 		}
-		got := refuse(503, tc.code, NotRun, "").keyed(req)
+		got := refuse(503, tc.code, NotRun, "").forKey(req)
 		gomega.NewWithT(t).Expect(got.Ran).To(gomega.Equal(tc.want))
 	}
 }
@@ -122,19 +122,19 @@
 	return req
 }
 
-func TestStopsTakeBothForms(t *testing.T) {
+func TestStopAcceptsTextOrList(t *testing.T) {
 	tests := []struct {
 		in   string
-		want stops
+		want stopSequences
 		err  error
 	}{
-		{`"a"`, stops{"a"}, nil},
-		{`["a","b"]`, stops{"a", "b"}, nil},
+		{`"a"`, stopSequences{"a"}, nil},
+		{`["a","b"]`, stopSequences{"a", "b"}, nil},
 		{`7`, nil, errors.New("stop must be")},
 	}
 	for _, tc := range tests {
 		g := gomega.NewWithT(t)
-		var s stops
+		var s stopSequences
 		err := s.UnmarshalJSON([]byte(tc.in))
 		if tc.err != nil {
 			g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring(tc.err.Error())))
--- a/core/entry/forms.go
+++ b/core/entry/forms.go
@@ -1,7 +1,7 @@
 package entry
 
-// completionForm is the published form of completions.
-type completionForm struct{}
+// completionFormat is the response format of the completions API.
+type completionFormat struct{}
 
 type completionChoice struct {
 	Index        int     `json:"index"`
@@ -24,22 +24,22 @@
 	return &s
 }
 
-func (completionForm) chunk(id, model, text, finish string, _ bool) any {
+func (completionFormat) chunk(id, model, text, finish string, _ bool) any {
 	return completion{
 		ID: id, Object: "text_completion", Model: model,
 		Choices: []completionChoice{{Text: text, FinishReason: finishOf(finish)}},
 	}
 }
 
-func (completionForm) whole(id, model, text, finish string, u usage) any {
+func (completionFormat) full(id, model, text, finish string, u usage) any {
 	return completion{
 		ID: id, Object: "text_completion", Model: model, Usage: &u,
 		Choices: []completionChoice{{Text: text, FinishReason: finishOf(finish)}},
 	}
 }
 
-// chatForm is the published form of chats.
-type chatForm struct{}
+// chatFormat is the response format of the chat completions API.
+type chatFormat struct{}
 
 type chatDelta struct {
 	Role    string `json:"role,omitempty"`
@@ -61,7 +61,7 @@
 	Usage   *usage       `json:"usage,omitempty"`
 }
 
-func (chatForm) chunk(id, model, text, finish string, first bool) any {
+func (chatFormat) chunk(id, model, text, finish string, first bool) any {
 	d := &chatDelta{Content: text}
 	if first {
 		d.Role = "assistant"
@@ -72,7 +72,7 @@
 	}
 }
 
-func (chatForm) whole(id, model, text, finish string, u usage) any {
+func (chatFormat) full(id, model, text, finish string, u usage) any {
 	m := &chatDelta{Role: "assistant", Content: text}
 	return chatBody{
 		ID: id, Object: "chat.completion", Model: model, Usage: &u,
--- a/core/entry/prompt.go
+++ b/core/entry/prompt.go
@@ -24,20 +24,21 @@
 	"embertally.dev/core/target"
 )
 
-// defaultMaxTokens is used where the caller names no length.
+// defaultMaxTokens bounds the answer, in tokens, if the caller sets no max_tokens.
 const defaultMaxTokens = 256
 
-// common are the fields that both published forms share.
+// common holds the fields that completions and chat completions share. The names of common,
+// streamOptions and message appear in the decoder's errors, which are sent to callers.
 type common struct {
 	Model         string         `json:"model"`
 	MaxTokens     int            `json:"max_tokens"`
 	Temperature   *float64       `json:"temperature"`
 	Seed          *int64         `json:"seed"`
-	Stop          stops          `json:"stop"`
+	Stop          stopSequences  `json:"stop"`
 	Stream        bool           `json:"stream"`
 	StreamOptions *streamOptions `json:"stream_options"`
 	N             int            `json:"n"`
-	// User is taken and not used: the key decides who is calling.
+	// User is accepted and ignored: the key identifies the caller.
 	User string `json:"user"`
 }
 
@@ -45,14 +46,14 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// stops is one text or a list of texts.
-type stops []string
+// stopSequences is decoded from one text or a list of texts.
+type stopSequences []string
 
-// UnmarshalJSON reads both published forms.
-func (s *stops) UnmarshalJSON(raw []byte) error {
+// UnmarshalJSON decodes a single text or a list of texts.
+func (s *stopSequences) UnmarshalJSON(raw []byte) error {
 	var one string
 	if json.Unmarshal(raw, &one) == nil {
-		*s = stops{one}
+		*s = stopSequences{one}
 		return nil
 	}
 	var many []string
@@ -68,7 +69,7 @@
 	Content string `json:"content"`
 }
 
-// completions answers the published completions form.
+// completions handles a request of the completions API.
 func (s *Server) completions(c echo.Context, q *request) *Refusal {
 	var body struct {
 		common
@@ -77,10 +78,10 @@
 	if r := s.decode(c, q, &body); r != nil {
 		return r
 	}
-	return s.prompt(c, q, &body.common, body.Prompt, completionForm{})
+	return s.servePrompt(c, q, &body.common, body.Prompt, completionFormat{})
 }
 
-// chat answers the published chat form.
+// chat handles a request of the chat completions API.
 func (s *Server) chat(c echo.Context, q *request) *Refusal {
 	var body struct {
 		common
@@ -98,27 +99,27 @@
 		if !slices.Contains([]string{"system", "developer", "user", "assistant", "tool"}, m.Role) {
 			return badField(fmt.Sprintf("messages[%d].role", i), "is not a known role")
 		}
-		// The length keeps a message from passing for several.
+		// The length keeps the content of one message from being read as several messages.
 		fmt.Fprintf(&text, "<%s %d>\n%s\n", m.Role, len(m.Content), m.Content)
 	}
 	text.WriteString("<assistant>\n")
 	body.MaxTokens = max(body.MaxTokens, body.MaxCompletionTokens)
-	return s.prompt(c, q, &body.common, text.String(), chatForm{})
+	return s.servePrompt(c, q, &body.common, text.String(), chatFormat{})
 }
 
 func badField(field, text string) *Refusal {
 	return refuse(http.StatusBadRequest, CodeBadRequest, NotRun, field+" "+text)
 }
 
-// decode reads a body strictly: a field that would be passed over is refused.
+// decode reads the body, of which unknown fields are refused, and sets the request digest.
 func (s *Server) decode(c echo.Context, q *request, into any) *Refusal {
 	raw, r := s.readBody(c)
 	if r != nil {
 		return r
 	}
-	// Callers reach each box under a host of its own.
+	// The host is left out: it differs between boxes.
 	req := c.Request()
-	q.asks = poison.Of(&poison.Request{Organisation: q.organisation, Method: req.Method, URI: req.RequestURI, Body: raw})
+	q.digest = poison.Of(&poison.Request{Organisation: q.organisation, Method: req.Method, URI: req.RequestURI, Body: raw})
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -130,14 +131,14 @@
 	return nil
 }
 
-// mostTokens bounds the length of an answer.
-const mostTokens = 1 << 16
+// maxAnswerTokens bounds max_tokens.
+const maxAnswerTokens = 1 << 16
 
-func (b *common) check() *Refusal {
+func (b *common) validate() *Refusal {
 	switch {
 	case b.Model == "":
 		return badField("model", "is required")
-	case b.MaxTokens < 0 || b.MaxTokens > mostTokens:
+	case b.MaxTokens < 0 || b.MaxTokens > maxAnswerTokens:
 		return badField("max_tokens", "must be from 1 to 65536")
 	case b.N > 1:
 		return badField("n", "must be 1: this system gives one answer")
@@ -148,31 +149,32 @@
 	return nil
 }
 
-// run is one prompt on its way to an answer.
-type run struct {
+// promptRequest is one prompt with the state of its answer, over all attempts.
+type promptRequest struct {
 	s      *Server
 	q      *request
 	body   *common
-	form   form
+	format responseFormat
 	policy *conf.Policy
-	// policyName is what waiting requests are counted under.
-	policyName string
-	deployment *conf.Deployment
-	name       string // of the deployment
-	prompt     string
-	ask        home.Ask
-	out        writer
-
-	// text is the answer so far and tokens its length.
-	text   strings.Builder
-	tokens int
-	finish string
-	usage  usage
-	// first is when the first token came; zero before.
-	first   time.Time
+	// policyName is the policy under which the request is counted while it waits.
+	policyName     string
+	deployment     *conf.Deployment
+	deploymentName string
+	prompt         string
+	placement      home.Ask
+	out            writer
+
+	// text is the answer so far and tokens its number of tokens.
+	text         strings.Builder
+	tokens       int
+	finishReason string
+	usage        usage
+	// firstTokenAt is when the first token arrived; zero before.
+	firstTokenAt time.Time
+	// waiting reports whether the request is counted in Server.waiting.
 	waiting bool
-	// last is how the worker in use was chosen.
-	last home.Answer
+	// decision is the latest placement decision, with the chosen worker.
+	decision home.Answer
 }
 
 type usage struct {
@@ -186,33 +188,33 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// prompt answers one prompt.
-func (s *Server) prompt(c echo.Context, q *request, body *common, text string, f form) *Refusal {
-	if r := body.check(); r != nil {
+// servePrompt validates and answers a prompt.
+func (s *Server) servePrompt(c echo.Context, q *request, body *common, text string, f responseFormat) *Refusal {
+	if r := body.validate(); r != nil {
 		return r
 	}
-	p := &run{s: s, q: q, body: body, form: f, prompt: text}
+	p := &promptRequest{s: s, q: q, body: body, format: f, prompt: text}
 	if r := p.resolve(); r != nil {
 		return r
 	}
 	if r := s.blocked(q); r != nil {
 		return r
 	}
-	if r := p.wait(); r != nil {
+	if r := p.enqueue(); r != nil {
 		return r
 	}
-	defer p.unwait()
-	p.out = writer{c: c, run: p}
+	defer p.dequeue()
+	p.out = writer{c: c, req: p}
 	return p.answer(c.Request().Context())
 }
 
-// resolve finds the deployment, the policy and the weight version.
-func (p *run) resolve() *Refusal {
+// resolve sets the deployment, the policy and the placement request with the weight version.
+func (p *promptRequest) resolve() *Refusal {
 	name, adapter, _ := strings.Cut(p.body.Model, ":")
-	p.name, p.deployment = name, p.q.snap.Deployment(name)
+	p.deploymentName, p.deployment = name, p.q.snap.Deployment(name)
 	p.policyName, p.policy = p.q.snap.Policy(p.q.organisation, conf.KindDeployment, name)
 	if p.deployment == nil || p.policy == nil {
-		// Both cases read the same, so that nobody learns others' names.
+		// Both cases get the same answer, so that callers can't probe for names of other organisations.
 		return refuse(http.StatusNotFound, CodeNotFound, NotRun, "there is no model of this name for your organisation")
 	}
 	if adapter != "" && !slices.Contains(p.deployment.Adapters, adapter) {
@@ -222,9 +224,9 @@
 		Organisation: p.q.organisation, Model: p.deployment.Model,
 		WeightVersion: p.deployment.WeightVersion, Adapter: adapter,
 	}
-	salt.WeightVersion = p.version(salt)
+	salt.WeightVersion = p.chooseVersion(salt)
 	w := p.policy.Weights
-	p.ask = home.Ask{
+	p.placement = home.Ask{
 		Request: p.q.id, Deployment: name, Salt: salt, Roots: p.deployment.Roots(),
 		Chain: cache.Chain(salt.Seed(), p.prompt), Tokens: cache.Tokens(len(p.prompt)),
 		Priority: p.policy.Priority, Targets: p.policy.Targets,
@@ -242,11 +244,11 @@
 	return v
 }
 
-// version chooses the weights while a swap rolls: a share of the contexts that
-// grows with the workers that hold the wanted ones, and all others what the
-// other workers hold.
-func (p *run) version(salt cache.Salt) string {
-	ready, total := p.s.o.Home.Ready(p.q.snap, p.q.view, p.name, salt)
+// chooseVersion returns the weight version that the request uses. During a weight update, a share of
+// the contexts that grows with the number of updated workers uses the new version; the others use a
+// version that the remaining workers have loaded.
+func (p *promptRequest) chooseVersion(salt cache.Salt) string {
+	ready, total := p.s.o.Home.Ready(p.q.snap, p.q.view, p.deploymentName, salt)
 	if ready == total {
 		return salt.WeightVersion
 	}
@@ -256,7 +258,7 @@
 	if route.Version(fraction, ready, total) {
 		return salt.WeightVersion
 	}
-	for _, v := range p.s.o.Home.Versions(p.q.snap, p.q.view, p.name, salt.Model) {
+	for _, v := range p.s.o.Home.Versions(p.q.snap, p.q.view, p.deploymentName, salt.Model) {
 		if v != salt.WeightVersion {
 			return v
 		}
@@ -264,20 +266,21 @@
 	return salt.WeightVersion
 }
 
-// wait counts the request among those without a first token.
-func (p *run) wait() *Refusal {
+// enqueue counts the request among those without a first token.
+func (p *promptRequest) enqueue() *Refusal {
 	s := p.s
 	s.limitMu.Lock()
 	defer s.limitMu.Unlock()
 	if s.waiting[p.policyName] >= p.policy.Queue() {
-		return refuse(http.StatusTooManyRequests, CodeQueueFull, NotRun, "too many requests of the policy wait here").after(queuePause)
+		return refuse(http.StatusTooManyRequests, CodeQueueFull, NotRun, "too many requests of the policy wait here").after(queueFullRetryAfter)
 	}
 	s.waiting[p.policyName]++
 	p.waiting = true
 	return nil
 }
 
-func (p *run) unwait() {
+// dequeue removes the request from those without a first token.
+func (p *promptRequest) dequeue() {
 	if !p.waiting {
 		return
 	}
@@ -291,49 +294,48 @@
 	}
 }
 
-// mostTries bounds the workers that one request is given to.
-const mostTries = 4
+// maxAttempts bounds the targets that one request is sent to.
+const maxAttempts = 4
 
-// errGone says that the caller closed its connection.
-var errGone = errors.New("caller has gone")
+// errCallerGone reports that the caller closed its connection.
+var errCallerGone = errors.New("caller closed its connection")
 
-// answer places the prompt and relays the answer, on another worker where one
-// fails.
-func (p *run) answer(ctx context.Context) *Refusal {
-	var last error
-	for try := 0; try < mostTries; try++ {
+// answer places the prompt and relays the answer. If a worker fails, it continues on another one.
+func (p *promptRequest) answer(ctx context.Context) *Refusal {
+	var lastErr error
+	for try := 0; try < maxAttempts; try++ {
 		if r := p.s.blocked(p.q); r != nil {
-			return p.end(r)
+			return p.fail(r)
 		}
-		if try > 0 && (p.mayEndEngines(try) || !p.s.mayRetry()) {
+		if try > 0 && (p.mayCrashEngines(try) || !p.s.spendRetry()) {
 			break
 		}
 		if r := p.place(ctx); r != nil {
-			if r.Code == CodeNoTarget && p.moved() {
+			if r.Code == CodeNoTarget && p.switchVersion() {
 				continue
 			}
-			return p.end(r)
+			return p.fail(r)
 		}
-		last = p.attempt(ctx)
-		if last == nil {
-			return p.finishUp()
+		lastErr = p.tryWorker(ctx)
+		if lastErr == nil {
+			return p.complete()
 		}
-		if ctx.Err() != nil || errors.Is(last, errGone) {
-			p.s.gone(p.q)
+		if ctx.Err() != nil || errors.Is(lastErr, errCallerGone) {
+			p.s.callerGone(p.q)
 			return nil
 		}
-		p.s.o.Log.Emit(event.RequestRetried, p.ref(), last.Error())
-		exclude := append(p.ask.Exclude, p.last.Worker)
-		p.moved()
-		p.ask.Exclude = exclude
+		p.s.o.Log.Emit(event.RequestRetried, p.ref(), lastErr.Error())
+		exclude := append(p.placement.Exclude, p.decision.Worker)
+		p.switchVersion()
+		p.placement.Exclude = exclude
 	}
-	return p.end(refuse(http.StatusBadGateway, CodeTargetFailed, NotRun, "no worker gave an answer").after(queuePause))
+	return p.fail(refuse(http.StatusBadGateway, CodeTargetFailed, NotRun, "no worker gave an answer").after(queueFullRetryAfter))
 }
 
-// blocked refuses a prompt under which too many engines ended, and returns nil for others. A
-// prompt may be repeated, so that what ran of it does not count.
+// blocked returns a refusal for a prompt that crashed too many engines, and nil for others. The refusal
+// says notRun even after attempts: a prompt may be repeated, so a partial run has no effect.
 func (s *Server) blocked(q *request) *Refusal {
-	left, on := s.o.Poison.Blocked(q.asks)
+	left, on := s.o.Poison.Blocked(q.digest)
 	if !on {
 		return nil
 	}
@@ -341,43 +343,41 @@
 }
 
 const (
-	// endsMost is how many engines may have ended under a prompt before it is given to no
-	// more of them within its try. With four engines to a try, two tries ended all eight of a
-	// site.
-	endsMost = 2
-	// endsWait is how long the word is waited for that an engine ended, before a prompt goes
-	// to a third one: some messages between daemons of a region.
-	endsWait = 30 * time.Millisecond
+	// crashLimit is the number of engines that crashed under a prompt at which the request stops
+	// retrying it. With four engines per request, two requests crashed all eight engines of a site.
+	crashLimit = 2
+	// crashReportWait is how long reports of crashes are waited for before a prompt is sent to a
+	// third engine: time for several messages between daemons of a region.
+	crashReportWait = 30 * time.Millisecond
 )
 
-// mayEndEngines reports whether a prompt that was given to some engines may be what ended
-// them.
-func (p *run) mayEndEngines(tried int) bool {
-	if tried >= endsMost {
-		time.Sleep(endsWait)
+// mayCrashEngines reports whether a prompt that was sent to tried engines may be what crashed them.
+func (p *promptRequest) mayCrashEngines(tried int) bool {
+	if tried >= crashLimit {
+		time.Sleep(crashReportWait)
 	}
-	return p.s.o.Poison.Ends(p.q.asks) >= endsMost
+	return p.s.o.Poison.Ends(p.q.digest) >= crashLimit
 }
 
-// moved reports whether the request goes on under other weights: before its
-// first token, and where a swap has passed it by.
-func (p *run) moved() bool {
+// switchVersion resolves the request again and reports whether it now uses another weight version.
+// That happens only before the first token, after a weight update has overtaken the request.
+func (p *promptRequest) switchVersion() bool {
 	if p.tokens > 0 {
 		return false
 	}
-	before := p.ask.Salt.WeightVersion
-	return p.resolve() == nil && p.ask.Salt.WeightVersion != before
+	before := p.placement.Salt.WeightVersion
+	return p.resolve() == nil && p.placement.Salt.WeightVersion != before
 }
 
-func (p *run) ref() event.Ref {
-	r := p.q.ref(p.last.Worker)
-	r.Context = p.ask.Root().String()
+func (p *promptRequest) ref() event.Ref {
+	r := p.q.ref(p.decision.Worker)
+	r.Context = p.placement.Root().String()
 	return r
 }
 
-// end gives a refusal to the caller: as the answer, or as the last message of
-// a stream that has begun.
-func (p *run) end(r *Refusal) *Refusal {
+// fail returns the refusal as the response, or sends it as the last message of a stream that has
+// tokens already.
+func (p *promptRequest) fail(r *Refusal) *Refusal {
 	if p.tokens == 0 || !p.body.Stream {
 		return r
 	}
@@ -388,56 +388,56 @@
 	return nil
 }
 
-// placeSlack is added to the deadline as the bound on choosing a worker.
+// placeSlack is added to the deadline to bound the choice of a worker.
 const placeSlack = time.Second
 
-// place asks for a worker.
-func (p *run) place(ctx context.Context) *Refusal {
+// place requests a worker from the context owner.
+func (p *promptRequest) place(ctx context.Context) *Refusal {
 	deadline := p.policy.Deadline.Or(conf.DefaultDeadline)
-	p.ask.Deadline = max(time.Millisecond, deadline-time.Since(p.q.began))
+	p.placement.Deadline = max(time.Millisecond, deadline-time.Since(p.q.start))
 	if p.tokens > 0 {
-		p.continueFrom()
-		// The first token has been given; the deadline was for that.
-		p.ask.Deadline = 0
+		p.extendPrompt()
+		// The deadline applies to the first token, which has been sent.
+		p.placement.Deadline = 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline+placeSlack)
 	defer cancel()
-	resting, first := p.s.resting(p.q.snap, func(t *conf.Target) bool { return t.Serves(p.name) })
-	ask := p.ask
-	ask.Exclude = append(resting, p.ask.Exclude...)
-	ans, err := p.s.o.Home.Place(ctx, p.s.o.Fleet.View(), &ask)
+	pushedBack, soonest := p.s.underPushback(p.q.snap, func(t *conf.Target) bool { return t.Serves(p.deploymentName) })
+	req := p.placement
+	req.Exclude = append(pushedBack, p.placement.Exclude...)
+	ans, err := p.s.o.Home.Place(ctx, p.s.o.Fleet.View(), &req)
 	if err != nil {
-		return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "no worker could be chosen").after(queuePause)
+		return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "no worker could be chosen").after(queueFullRetryAfter)
 	}
-	p.last = ans
+	p.decision = ans
 	switch ans.Verdict {
 	case route.NoWorker:
-		if len(resting) > 0 {
-			return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "the workers that hold the model rest").after(first)
+		if len(pushedBack) > 0 {
+			return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "the workers that hold the model rest").after(soonest)
 		}
-		return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "no worker holds the model now").after(noWorkerPause)
+		return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "no worker holds the model now").after(noWorkerRetryAfter)
 	case route.TooLate:
 		text := fmt.Sprintf("the first token would come in %v, later than its deadline", ans.Expected.Round(time.Millisecond))
-		return refuse(http.StatusServiceUnavailable, CodeTooLate, NotRun, text).after(max(ans.RetryAfter, queuePause))
+		return refuse(http.StatusServiceUnavailable, CodeTooLate, NotRun, text).after(max(ans.RetryAfter, queueFullRetryAfter))
 	}
-	p.s.o.Log.Emit(event.RequestPlaced, p.ref(), explain(&p.ask, &ans))
+	p.s.o.Log.Emit(event.RequestPlaced, p.ref(), explain(&p.placement, &ans))
 	return nil
 }
 
-// noWorkerPause is when to come back where no worker holds the model.
-const noWorkerPause = 2 * time.Second
+// noWorkerRetryAfter is the Retry-After if no worker has loaded the model.
+const noWorkerRetryAfter = 2 * time.Second
 
-// continueFrom makes what was answered so far part of the prompt.
-func (p *run) continueFrom() {
+// extendPrompt appends the answer so far to the prompt that is placed.
+func (p *promptRequest) extendPrompt() {
 	text := p.prompt + p.text.String()
-	p.ask.Chain = cache.Chain(p.ask.Salt.Seed(), text)
-	p.ask.Tokens = cache.Tokens(len(text))
+	p.placement.Chain = cache.Chain(p.placement.Salt.Seed(), text)
+	p.placement.Tokens = cache.Tokens(len(text))
 }
 
-// explain writes why a request goes where it goes.
+// explain describes a placement decision for the log.
 func explain(a *home.Ask, ans *home.Answer) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "decided by %s; %d tokens in %d blocks, weights %s; held %d, imported %d blocks; expected first token %v; weighed:",
+	fmt.Fprintf(&b, "decided by %s; %d tokens in %d blocks, weights %s; cached %d, imported %d blocks; expected first token %v; options:",
 		ans.Home, a.Tokens, len(a.Chain), home.Weights(a.Salt), ans.Held, ans.Imported, ans.Expected.Round(100*time.Microsecond))
 	for _, o := range ans.Weighed {
 		fmt.Fprintf(&b, " [%s queue %v import %d blocks in %v prefill %d tokens in %v cost %.4f]",
@@ -447,60 +447,62 @@
 	return b.String()
 }
 
-// tell tells the home of the context how the attempt went.
-func (p *run) tell(prefilled, failed bool) {
+// reportAttempt reports the progress of the attempt to the context owner, in the background.
+// prefilled means that the worker has prefilled the prompt, failed that the worker failed.
+func (p *promptRequest) reportAttempt(prefilled, failed bool) {
 	d := &home.Done{
-		Request: p.q.id, Salt: p.ask.Salt, Roots: p.ask.Roots, Chain: p.ask.Chain, Worker: p.last.Worker,
+		Request: p.q.id, Salt: p.placement.Salt, Roots: p.placement.Roots, Chain: p.placement.Chain, Worker: p.decision.Worker,
 		Prefilled: prefilled, ExportFrom: p.deployment.ExportFrom(), Failed: failed,
 	}
-	go teller{p.s.o.Home, p.q.view, p.last.Home, d}.run()
+	go attemptReport{p.s.o.Home, p.q.view, p.decision.Home, d}.send()
 }
 
-// teller tells a home how a request went, beside the request.
-type teller struct {
-	from *home.Home
-	view *fleet.View
-	home string
-	done *home.Done
+// attemptReport is a report on an attempt for a context owner.
+type attemptReport struct {
+	sender *home.Home
+	view   *fleet.View
+	owner  string
+	done   *home.Done
 }
 
-func (t teller) run() { t.from.Finish(t.view, t.home, t.done) }
+// send sends the report.
+func (t attemptReport) send() { t.sender.Finish(t.view, t.owner, t.done) }
 
-// attempt relays the answer of the chosen worker. After an error the request
-// may go on elsewhere.
-func (p *run) attempt(ctx context.Context) error {
-	t := p.q.snap.Target(p.last.Worker)
+// tryWorker relays the answer of the chosen worker. After an error the request may continue on
+// another worker.
+func (p *promptRequest) tryWorker(ctx context.Context) error {
+	t := p.q.snap.Target(p.decision.Worker)
 	if t == nil {
-		// The home is ahead of the request's snapshot.
-		t = p.s.o.Conf.Snapshot().Target(p.last.Worker)
+		// The context owner has a newer configuration than the request's snapshot.
+		t = p.s.o.Conf.Snapshot().Target(p.decision.Worker)
 	}
 	if t == nil {
-		return errors.New("the chosen worker is not configured here")
+		return errors.New("chosen worker is not in the configuration of this daemon")
 	}
-	a := &attempt{run: p, target: t, engine: target.NewEngine(t.URL, p.s.o.Engines), id: fmt.Sprintf("%s-%d", p.q.id, len(p.ask.Exclude))}
-	if !p.s.rests.Take(p.last.Worker) {
-		p.tell(false, false)
-		return errors.New("the worker rests")
+	a := &attempt{promptRequest: p, target: t, engine: target.NewEngine(t.URL, p.s.o.Engines), id: fmt.Sprintf("%s-%d", p.q.id, len(p.placement.Exclude))}
+	if !p.s.pushbacks.Take(p.decision.Worker) {
+		p.reportAttempt(false, false)
+		return errors.New("chosen worker is under pushback")
 	}
 	err := a.relay(ctx)
-	if rest := target.Rest(err); rest > 0 {
-		p.s.turned(p.q, p.last.Worker, p.s.o.Home.RunOf(p.last.Worker), rest)
+	if pushback := target.Rest(err); pushback > 0 {
+		p.s.recordPushback(p.q, p.decision.Worker, p.s.o.Home.RunOf(p.decision.Worker), pushback)
 	}
 	if err != nil && a.sent {
 		a.cancel()
 	}
-	gone := ctx.Err() != nil || errors.Is(err, errGone)
-	failed := err != nil && !gone && target.Status(err) == 0
+	callerGone := ctx.Err() != nil || errors.Is(err, errCallerGone)
+	failed := err != nil && !callerGone && target.Status(err) == 0
 	if failed || a.tokens == 0 {
-		p.tell(false, failed)
+		p.reportAttempt(false, failed)
 	}
 	return err
 }
 
-// finishUp ends an answer that is whole.
-func (p *run) finishUp() *Refusal {
-	p.s.took(p.q, p.last.Worker)
-	p.s.o.Poison.Good(p.q.asks, p.q.organisation, p.last.Run())
+// complete accounts for a complete answer and sends its end to the caller.
+func (p *promptRequest) complete() *Refusal {
+	p.s.recordAccepted(p.q, p.decision.Worker)
+	p.s.o.Poison.Good(p.q.digest, p.q.organisation, p.decision.Run())
 	p.usage.CompletionTokens = p.tokens
 	p.usage.TotalTokens = p.usage.PromptTokens + p.tokens
 	st := &p.s.stats
@@ -508,10 +510,10 @@
 	st.PromptTokens.Add(int64(p.usage.PromptTokens))
 	st.CachedTokens.Add(int64(p.usage.Details.CachedTokens))
 	if err := p.out.finish(); err != nil {
-		p.s.gone(p.q)
+		p.s.callerGone(p.q)
 		return nil
 	}
 	p.s.o.Log.Emit(event.RequestDone, p.ref(), fmt.Sprintf("%d of %d prompt tokens cached, %d tokens, first after %v",
-		p.usage.Details.CachedTokens, p.usage.PromptTokens, p.tokens, p.first.Sub(p.q.began).Round(100*time.Microsecond)))
+		p.usage.Details.CachedTokens, p.usage.PromptTokens, p.tokens, p.firstTokenAt.Sub(p.q.start).Round(100*time.Microsecond)))
 	return nil
 }
--- a/core/entry/refuse.go
+++ b/core/entry/refuse.go
@@ -12,22 +12,22 @@
 	"embertally.dev/core/event"
 )
 
-// Ran tells whether a refused request ran.
+// Ran says whether a refused request ran.
 type Ran string
 
-// Whether a request ran. NotRun is only said when it is certain: nothing was
-// handed to a target, or what was handed over may be repeated and was thrown
-// away. Of a call with an idempotency key it speaks of all tries with the key.
+// The values of Ran. NotRun is used only when it is certain: nothing was sent to a target, or what
+// was sent may be repeated and its result was discarded. For a call with an idempotency key it covers
+// all attempts with the key.
 const (
 	NotRun  Ran = "notRun"
 	Unknown Ran = "unknown"
 	DidRun  Ran = "ran"
 )
 
-// Code says why a request was refused.
+// Code identifies the reason of a refusal.
 type Code string
 
-// The codes of refusals towards callers.
+// The codes of refusals that callers receive.
 const (
 	CodeNotReady       Code = "notReady"
 	CodeBadKey         Code = "badKey"
@@ -52,13 +52,13 @@
 	CodeEndsTargets    Code = "requestEndsTargets"
 )
 
-// Refusal is the typed answer to a request that gets no other.
+// Refusal is the error response to a request.
 type Refusal struct {
 	Status  int
 	Code    Code
 	Ran     Ran
 	Message string
-	// RetryAfter says when to come back; zero says nothing.
+	// RetryAfter is the time after which the caller may retry; zero sends none.
 	RetryAfter time.Duration
 }
 
@@ -67,13 +67,13 @@
 	return string(r.Code) + " (" + string(r.Ran) + "): " + r.Message
 }
 
-// NewRefusal returns a refusal for slices that answer callers beside this one.
+// NewRefusal returns a refusal, for other packages that answer callers. after becomes RetryAfter.
 func NewRefusal(status int, code Code, ran Ran, message string, after time.Duration) *Refusal {
 	return refuse(status, code, ran, message).after(after)
 }
 
-// Write gives the refusal to a caller of a routed request. The header that
-// says when to come back is the caller's form and is set before.
+// Write sends the refusal to the caller of a routed request. It doesn't set Retry-After: whoever calls
+// Write does, in the format that suits the caller.
 func (r *Refusal) Write(w http.ResponseWriter, request string) error {
 	raw, err := json.Marshal(r.body(request))
 	if err != nil {
@@ -95,9 +95,9 @@
 	return r
 }
 
-// keyed makes the refusal true for a call with an idempotency key as well: an
-// earlier try with the key may have run, and only its claim tells.
-func (r *Refusal) keyed(req *http.Request) *Refusal {
+// forKey adapts the refusal to a request with an idempotency key or a ticket: an earlier attempt with
+// the same key may have run, which only its claim records.
+func (r *Refusal) forKey(req *http.Request) *Refusal {
 	if req.Header.Get(HeaderIdempotency)+req.Header.Get(HeaderTicket) == "" || r.Code == CodeBadKey {
 		return r
 	}
@@ -106,8 +106,7 @@
 	return r
 }
 
-// refusalBody is the wire form, in the published form of errors with more
-// fields.
+// refusalBody is the JSON body of a refusal: the error object of the API with additional fields.
 type refusalBody struct {
 	Error refusalError `json:"error"`
 }
@@ -129,16 +128,16 @@
 	}}
 }
 
-// write gives the refusal to the caller.
+// write sends the refusal to the caller, with Retry-After rounded up to whole seconds.
 func (r *Refusal) write(c echo.Context, request string) error {
 	if r.RetryAfter > 0 {
-		up := (r.RetryAfter + time.Second - 1) / time.Second
-		c.Response().Header().Set("Retry-After", strconv.FormatInt(int64(up), 10))
+		seconds := (r.RetryAfter + time.Second - 1) / time.Second
+		c.Response().Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
 	return c.JSON(r.Status, r.body(request))
 }
 
-// asEvent is the refusal as the last message of a stream that has begun.
+// asEvent returns the refusal as the last message of a stream whose header was sent.
 func (r *Refusal) asEvent(request string) []byte {
 	raw, err := json.Marshal(r.body(request))
 	if err != nil {
@@ -147,13 +146,14 @@
 	return raw
 }
 
-func (s *Server) refused(c echo.Context, q *request, r *Refusal) error {
+// writeRefusal counts and logs the refusal and sends it to the caller.
+func (s *Server) writeRefusal(c echo.Context, q *request, r *Refusal) error {
 	s.stats.Refused.Add(1)
 	s.o.Log.Emit(event.RequestRefused, q.ref(""), r.Error())
 	return r.write(c, q.id)
 }
 
-// isTooLarge reports whether reading a body ended at its limit.
+// isTooLarge reports whether reading a body failed at the size limit.
 func isTooLarge(err error) bool {
 	_, ok := err.(*http.MaxBytesError)
 	return ok
--- a/core/entry/relay.go
+++ b/core/entry/relay.go
@@ -19,23 +19,23 @@
 	"embertally.dev/core/target"
 )
 
-// attempt is one try of a prompt at one worker.
+// attempt is one attempt of a prompt request at one worker.
 type attempt struct {
-	*run
+	*promptRequest
 	target *conf.Target
 	engine *target.Engine
-	// id names the try at the engine, so that a late answer of a former try
-	// is told apart.
+	// id identifies the attempt at the engine, so that a late answer to an earlier attempt is
+	// recognised.
 	id string
-	// sent tells that the engine may know of the try.
+	// sent reports whether the engine may have received the attempt.
 	sent bool
-	// tokens is how many tokens this try gave.
+	// tokens is how many answer tokens this attempt has produced.
 	tokens int
-	// done tells that the engine said that the answer is whole.
+	// done reports whether the engine sent the end of the stream.
 	done bool
 }
 
-// chunk is one message of an engine's stream in the published form.
+// chunk is one message of an engine's stream, in the format of the completions API.
 type chunk struct {
 	ID                string   `json:"id"`
 	SystemFingerprint string   `json:"system_fingerprint"`
@@ -50,34 +50,33 @@
 
 // Bounds of a relayed stream.
 const (
-	// stallLimit is how long a stream may be silent after its first token.
-	stallLimit = 5 * time.Second
-	// firstFactor and firstSlack bound the wait for a first token, from what
-	// was expected.
-	firstFactor = 4
-	firstSlack  = 3 * time.Second
-	// resumes bounds how often a stream is taken up at the same engine.
-	resumes = 2
-	// maxLine bounds one message of a stream.
-	maxLine = 1 << 20
-	// resumePause spaces the tries to take up a stream.
+	// stallTimeout bounds the pause between two messages of a stream.
+	stallTimeout = 5 * time.Second
+	// firstTokenFactor and firstTokenSlack bound the wait for the first token: the expected time
+	// multiplied by the factor, plus the slack.
+	firstTokenFactor = 4
+	firstTokenSlack  = 3 * time.Second
+	// maxResumes bounds the consecutive resumptions of a stream that yield no token.
+	maxResumes = 2
+	// maxEventBytes bounds one message of a stream.
+	maxEventBytes = 1 << 20
+	// resumePause is the pause before each resumption of a stream.
 	resumePause = 50 * time.Millisecond
 )
 
-var errStalled = errors.New("the worker was silent for too long")
+var errStalled = errors.New("stream stalled: no data within the time limit")
 
-// relay passes on the stream of the engine and takes it up again where it
-// breaks.
+// relay forwards the engine's stream to the caller and resumes it at the same engine when it breaks.
 func (a *attempt) relay(ctx context.Context) error {
-	err := a.once(ctx, a.begin)
-	a.ended(ctx, err)
-	for n := 0; n < resumes && a.resumable(ctx, err); n++ {
+	err := a.streamOnce(ctx, a.start)
+	a.recordFailure(ctx, err)
+	for n := 0; n < maxResumes && a.resumable(ctx, err); n++ {
 		time.Sleep(resumePause)
 		a.s.stats.Resumed.Add(1)
-		a.s.o.Log.Emit(event.StreamResumed, a.ref(), "after token "+strconv.Itoa(a.run.tokens)+": "+err.Error())
+		a.s.o.Log.Emit(event.StreamResumed, a.ref(), "after token "+strconv.Itoa(a.promptRequest.tokens)+": "+err.Error())
 		before := a.tokens
-		err = a.once(ctx, a.resume)
-		a.ended(ctx, err)
+		err = a.streamOnce(ctx, a.resume)
+		a.recordFailure(ctx, err)
 		if a.tokens > before {
 			n = 0
 		}
@@ -85,120 +84,121 @@
 	return err
 }
 
-// ended records that the connection to the engine ended, or that it takes none: the engine may
-// have ended of the prompt.
-func (a *attempt) ended(ctx context.Context, err error) {
-	guard, run := a.s.o.Poison, a.last.Run()
+// recordFailure reports a lost or refused connection to the poison guard: the prompt may have crashed
+// the engine.
+func (a *attempt) recordFailure(ctx context.Context, err error) {
+	guard, incarnation := a.s.o.Poison, a.decision.Run()
 	switch {
 	case err == nil, ctx.Err() != nil, target.Status(err) != 0:
-	case errors.Is(err, errGone), errors.Is(err, errForeign), errors.Is(err, errStalled):
+	case errors.Is(err, errCallerGone), errors.Is(err, errWrongResponse), errors.Is(err, errStalled):
 	case errors.Is(err, syscall.ECONNREFUSED):
-		guard.Refused(run, err)
-	case a.q.view.Usable(a.last.Worker, a.target):
+		guard.Refused(incarnation, err)
+	case a.q.view.Usable(a.decision.Worker, a.target):
 		if u, parsed := url.Parse(a.target.URL); parsed == nil {
-			guard.Lost(a.q.asks, a.q.organisation, run, u.Host)
+			guard.Lost(a.q.digest, a.q.organisation, incarnation, u.Host)
 		}
 	}
 }
 
-// resumable reports whether the stream may be taken up at the same engine.
+// resumable reports whether the stream may be resumed at the same engine.
 func (a *attempt) resumable(ctx context.Context, err error) bool {
-	if err == nil || ctx.Err() != nil || a.tokens == 0 || errors.Is(err, errGone) || errors.Is(err, errForeign) {
+	if err == nil || ctx.Err() != nil || a.tokens == 0 || errors.Is(err, errCallerGone) || errors.Is(err, errWrongResponse) {
 		return false
 	}
 	return target.Status(err) == 0
 }
 
-func (a *attempt) begin(ctx context.Context) (*http.Response, error) {
+func (a *attempt) start(ctx context.Context) (*http.Response, error) {
 	a.sent = true
-	return a.engine.Stream(ctx, a.id, a.ask.Salt.WeightVersion, target.Prompt{
-		Model: a.model(), Prompt: a.prompt + a.text.String(), MaxTokens: a.body.MaxTokens - a.run.tokens,
+	return a.engine.Stream(ctx, a.id, a.placement.Salt.WeightVersion, target.Prompt{
+		Model: a.model(), Prompt: a.prompt + a.text.String(), MaxTokens: a.body.MaxTokens - a.promptRequest.tokens,
 		Temperature: a.body.Temperature, Seed: a.body.Seed, Stop: a.body.Stop, Stream: true,
-		StreamOptions: target.StreamOptions{IncludeUsage: true}, CacheSalt: a.ask.Salt.Seed().String(),
-		Priority: -a.ask.Priority,
+		StreamOptions: target.StreamOptions{IncludeUsage: true}, CacheSalt: a.placement.Salt.Seed().String(),
+		Priority: -a.placement.Priority,
 	})
 }
 
 func (a *attempt) model() string {
-	if a.ask.Salt.Adapter == "" {
-		return a.ask.Salt.Model
+	if a.placement.Salt.Adapter == "" {
+		return a.placement.Salt.Model
 	}
-	return a.ask.Salt.Model + ":" + a.ask.Salt.Adapter
+	return a.placement.Salt.Model + ":" + a.placement.Salt.Adapter
 }
 
 func (a *attempt) resume(ctx context.Context) (*http.Response, error) {
 	return a.engine.Resume(ctx, a.id, a.tokens)
 }
 
-// cancelLimit bounds the telling of an engine to stop.
-const cancelLimit = time.Second
+// cancelTimeout bounds the request that cancels an attempt at its engine.
+const cancelTimeout = time.Second
 
 func (a *attempt) cancel() {
-	ctx, stop := context.WithTimeout(context.Background(), cancelLimit)
+	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
-	// An engine that does not hear it stops when nobody takes the stream up.
+	// An engine that misses this request stops by itself when the stream is not resumed.
 	_ = a.engine.Cancel(ctx, a.id)
 }
 
-// once opens the stream and passes it on until it ends or breaks.
-func (a *attempt) once(ctx context.Context, open func(context.Context) (*http.Response, error)) error {
+// streamOnce opens the stream and forwards it until it ends or breaks.
+func (a *attempt) streamOnce(ctx context.Context, open func(context.Context) (*http.Response, error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := stallLimit
+	limit := stallTimeout
 	if a.tokens == 0 {
-		limit = firstFactor*a.last.Expected + firstSlack
+		limit = firstTokenFactor*a.decision.Expected + firstTokenSlack
 	}
 	watch := time.AfterFunc(limit, func() { cancel(errStalled) })
 	defer watch.Stop()
 	resp, err := open(ctx)
 	if err != nil {
-		return cause(ctx, err)
+		return stallCause(ctx, err)
 	}
 	defer resp.Body.Close()
 	r := bufio.NewReaderSize(resp.Body, 4<<10)
 	for !a.done {
 		ev, err := readEvent(r)
 		if err != nil {
-			return cause(ctx, err)
+			return stallCause(ctx, err)
 		}
 		a.s.stats.RelayedBytes.Add(int64(len(ev.data)))
-		watch.Reset(stallLimit)
-		if err := a.take(ev); err != nil {
+		watch.Reset(stallTimeout)
+		if err := a.handleEvent(ev); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func cause(ctx context.Context, err error) error {
+// stallCause returns errStalled if that ended ctx, else err.
+func stallCause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil && errors.Is(c, errStalled) {
 		return c
 	}
 	return err
 }
 
-// serverEvent is one event of a stream.
+// serverEvent is one server-sent event.
 type serverEvent struct {
 	id   string
 	data []byte
 }
 
-var errLine = errors.New("a message of the stream is too long")
+var errEventTooLong = errors.New("message of the stream exceeds the size limit")
 
-// readEvent reads one server-sent event.
+// readEvent reads one server-sent event of at most maxEventBytes.
 func readEvent(r *bufio.Reader) (serverEvent, error) {
 	var ev serverEvent
 	size := 0
 	for {
 		line, err := r.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			line, err = longLine(r, line)
+			line, err = readLongLine(r, line)
 		}
 		if err != nil {
 			return ev, errors.WithStack(err)
 		}
-		if size += len(line); size > maxLine {
-			return ev, errors.WithStack(errLine)
+		if size += len(line); size > maxEventBytes {
+			return ev, errors.WithStack(errEventTooLong)
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		switch {
@@ -217,14 +217,15 @@
 	}
 }
 
-// longLine reads the rest of a line that did not fit the reader's buffer.
-func longLine(r *bufio.Reader, head []byte) ([]byte, error) {
+// readLongLine reads the remainder of a line that did not fit into the reader's buffer and returns
+// the whole line.
+func readLongLine(r *bufio.Reader, head []byte) ([]byte, error) {
 	out := append([]byte(nil), head...)
 	for {
 		more, err := r.ReadSlice('\n')
 		out = append(out, more...)
-		if len(out) > maxLine {
-			return nil, errLine
+		if len(out) > maxEventBytes {
+			return nil, errEventTooLong
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return out, err
@@ -232,30 +233,30 @@
 	}
 }
 
-// errForeign says that an answer belongs to another request or other weights.
-var errForeign = errors.New("the worker gave the answer of another request")
+// errWrongResponse reports an answer that belongs to another request or to other weights.
+var errWrongResponse = errors.New("target returned the answer of another request")
 
 var (
-	errGap   = errors.New("the stream left out a token")
-	errShort = errors.New("the stream ended before the answer was whole")
+	errTokenGap  = errors.New("stream skipped a token")
+	errTruncated = errors.New("stream ended before the answer was complete")
 )
 
-// take passes on one message of the engine's stream.
-func (a *attempt) take(ev serverEvent) error {
+// handleEvent processes one message of the engine's stream.
+func (a *attempt) handleEvent(ev serverEvent) error {
 	if string(ev.data) == "[DONE]" {
-		if a.finish == "" {
-			return errors.WithStack(errShort)
+		if a.finishReason == "" {
+			return errors.WithStack(errTruncated)
 		}
 		a.done = true
 		return nil
 	}
 	var c chunk
 	if err := json.Unmarshal(ev.data, &c); err != nil {
-		return errors.Wrap(err, "stream")
+		return errors.Wrap(err, "decode stream message")
 	}
-	if c.ID != a.id || c.SystemFingerprint != a.ask.Salt.WeightVersion {
+	if c.ID != a.id || c.SystemFingerprint != a.placement.Salt.WeightVersion {
 		a.s.o.Log.Emit(event.AnswerRejected, a.ref(), "answer "+c.ID+" with weights "+c.SystemFingerprint)
-		return errors.WithStack(errForeign)
+		return errors.WithStack(errWrongResponse)
 	}
 	if c.Usage != nil && a.usage.PromptTokens == 0 {
 		a.usage = *c.Usage
@@ -266,72 +267,75 @@
 	return a.token(ev.id, c.Choices[0])
 }
 
-// token passes on one token, whose number in this try is the event's id.
+// token forwards one token to the caller. The id of its event is the token's number within the
+// attempt, from 1; after a resumption, tokens that were received before are skipped.
 func (a *attempt) token(id string, ch choice) error {
 	if ch.FinishReason != nil {
-		a.finish = *ch.FinishReason
+		a.finishReason = *ch.FinishReason
 	}
 	if ch.Text == "" {
 		return nil
 	}
 	n, err := strconv.Atoi(id)
 	if err != nil {
-		return errors.Wrap(err, "number of a token")
+		return errors.Wrap(err, "token number in event id")
 	}
 	if n <= a.tokens {
 		return nil
 	}
 	if n != a.tokens+1 {
-		return errors.WithStack(errGap)
+		return errors.WithStack(errTokenGap)
 	}
 	a.tokens++
-	a.run.tokens++
+	a.promptRequest.tokens++
 	if a.tokens == 1 {
-		// The worker has computed the prompt: its blocks can be exported while
-		// it still holds them.
-		a.tell(true, false)
+		// The worker has prefilled the prompt: its blocks can be exported while they are still
+		// cached there.
+		a.reportAttempt(true, false)
 	}
-	if a.first.IsZero() {
-		a.first = time.Now()
-		a.unwait()
+	if a.firstTokenAt.IsZero() {
+		a.firstTokenAt = time.Now()
+		a.dequeue()
 	}
 	a.text.WriteString(ch.Text)
 	return a.out.token(ch.Text)
 }
 
-// form writes answers in one of the published forms.
-type form interface {
-	// chunk is one message of a stream; finish is empty before the end.
+// responseFormat builds responses in the format of one API.
+type responseFormat interface {
+	// chunk returns one message of a stream. finish is the finish reason, empty before the end;
+	// first marks the first message.
 	chunk(id, model, text, finish string, first bool) any
-	// whole is an answer that is not streamed.
-	whole(id, model, text, finish string, u usage) any
+	// full returns a response that is not streamed.
+	full(id, model, text, finish string, u usage) any
 }
 
-// writer gives an answer to the caller.
+// writer sends the answer to the caller.
 type writer struct {
-	c     echo.Context
-	run   *run
-	begun bool
+	c   echo.Context
+	req *promptRequest
+	// headerSent reports whether the header of the stream was sent.
+	headerSent bool
 }
 
-// writeLimit bounds the writing of one message to a slow caller.
-const writeLimit = 20 * time.Second
+// writeTimeout bounds the writing of one message to a slow caller.
+const writeTimeout = 20 * time.Second
 
-// token gives one token to the caller, if it wants a stream.
+// token sends one token to the caller if it requested a stream.
 func (w *writer) token(text string) error {
-	if !w.run.body.Stream {
+	if !w.req.body.Stream {
 		return nil
 	}
-	first := !w.begun
-	w.begin()
-	return w.message(w.run.form.chunk(w.run.q.id, w.run.body.Model, text, "", first))
+	first := !w.headerSent
+	w.writeHeader()
+	return w.message(w.req.format.chunk(w.req.q.id, w.req.body.Model, text, "", first))
 }
 
-func (w *writer) begin() {
-	if w.begun {
+func (w *writer) writeHeader() {
+	if w.headerSent {
 		return
 	}
-	w.begun = true
+	w.headerSent = true
 	h := w.c.Response().Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
@@ -348,7 +352,7 @@
 
 func (w *writer) event(raw []byte) error {
 	rc := http.NewResponseController(w.c.Response().Writer)
-	if err := rc.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+	if err := rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.WithStack(err)
 	}
 	line := make([]byte, 0, len(raw)+8)
@@ -356,22 +360,22 @@
 	line = append(line, raw...)
 	line = append(line, "\n\n"...)
 	if _, err := w.c.Response().Write(line); err != nil {
-		return errors.Wrap(errGone, err.Error())
+		return errors.Wrap(errCallerGone, err.Error())
 	}
 	if err := rc.Flush(); err != nil {
-		return errors.Wrap(errGone, err.Error())
+		return errors.Wrap(errCallerGone, err.Error())
 	}
 	return nil
 }
 
-// finish ends the answer.
+// finish sends the full answer, or the end of a stream.
 func (w *writer) finish() error {
-	p := w.run
+	p := w.req
 	if !p.body.Stream {
-		return w.c.JSON(http.StatusOK, p.form.whole(p.q.id, p.body.Model, p.text.String(), p.finish, p.usage))
+		return w.c.JSON(http.StatusOK, p.format.full(p.q.id, p.body.Model, p.text.String(), p.finishReason, p.usage))
 	}
-	w.begin()
-	if err := w.message(p.form.chunk(p.q.id, p.body.Model, "", p.finish, false)); err != nil {
+	w.writeHeader()
+	if err := w.message(p.format.chunk(p.q.id, p.body.Model, "", p.finishReason, false)); err != nil {
 		return err
 	}
 	if p.body.StreamOptions != nil && p.body.StreamOptions.IncludeUsage {
--- a/core/entry/rest.go
+++ b/core/entry/rest.go
@@ -7,32 +7,33 @@
 	"embertally.dev/core/event"
 )
 
-// turned records that a run of a target turned a request away and asked for rest. An engine that
-// holds a context is the first choice for it, and got every other one of 20 prompts in a rest.
-func (s *Server) turned(q *request, name, run string, rest time.Duration) {
-	if s.rests.Turned(name, run, rest) {
-		s.o.Log.Emit(event.TargetRests, q.ref(name), "asked for "+rest.String())
+// recordPushback records that an incarnation of a target rejected a request with Retry-After. Without
+// the record, the engine that has a context cached stays the first choice for it: one under pushback
+// got every other one of 20 prompts.
+func (s *Server) recordPushback(q *request, name, incarnation string, pushback time.Duration) {
+	if s.pushbacks.Turned(name, incarnation, pushback) {
+		s.o.Log.Emit(event.TargetRests, q.ref(name), "under pushback for "+pushback.String())
 	}
 }
 
-// took records that a target has taken a request.
-func (s *Server) took(q *request, name string) {
-	if s.rests.Took(name) {
-		s.o.Log.Emit(event.TargetRested, q.ref(name), "takes requests again")
+// recordAccepted records that a target accepted a request.
+func (s *Server) recordAccepted(q *request, name string) {
+	if s.pushbacks.Took(name) {
+		s.o.Log.Emit(event.TargetRested, q.ref(name), "accepts requests after a pushback")
 	}
 }
 
-// resting returns the targets of one purpose that may get nothing from this daemon now, and when the
-// first of them may again.
-func (s *Server) resting(snap *conf.Snapshot, serves func(*conf.Target) bool) (names []string, first time.Duration) {
-	for name, left := range s.rests.Left(s.o.Home.RunOf) {
+// underPushback returns the targets selected by serves that may get no attempt from this daemon now,
+// and the time until the first of them may.
+func (s *Server) underPushback(snap *conf.Snapshot, serves func(*conf.Target) bool) (names []string, soonest time.Duration) {
+	for name, left := range s.pushbacks.Left(s.o.Home.RunOf) {
 		if t := snap.Target(name); t == nil || !serves(t) {
 			continue
 		}
-		if names == nil || left < first {
-			first = left
+		if names == nil || left < soonest {
+			soonest = left
 		}
 		names = append(names, name)
 	}
-	return names, first
+	return names, soonest
 }
--- a/core/entry/server.go
+++ b/core/entry/server.go
@@ -1,7 +1,7 @@
-// Package entry owns the callers' side: who is calling, the identity of each
-// request, the relaying of whole answers, and refusals that are true.
+// Package entry serves callers. It owns their authentication, the request IDs, the relaying of
+// answers from targets, and refusals that say whether the request ran.
 //
-// It must not know how a target is chosen or how claims are kept.
+// It must not know how a target is chosen or how claims are stored.
 package entry
 
 import (
@@ -26,48 +26,48 @@
 	"embertally.dev/core/route"
 )
 
-// Options of a server for callers.
+// Options configures a Server.
 type Options struct {
 	Conf  *conf.Store
 	Fleet *fleet.Fleet
 	Home  *home.Home
 	Once  *once.Once
-	// Poison keeps prompts from engines that end of them; nil stands for none.
+	// Poison blocks prompts that crash engines; nil blocks none.
 	Poison *poison.Guard
 	Log    *event.Log
-	// Engines reaches engines, Calls what may be repeated at plain services,
-	// and Single what may not.
+	// Engines is the client for engines, Calls the client for repeatable calls of plain services, and
+	// Single the client for calls that may not be repeated.
 	Engines, Calls, Single *http.Client
-	// MaxBody bounds a request's body in bytes.
+	// MaxBody bounds the body of a request, in bytes.
 	MaxBody int64
-	// MaxRunning bounds the requests of one organisation in this daemon.
+	// MaxRunning bounds the running requests of one organisation in this daemon, unless the
+	// organisation has a bound of its own.
 	MaxRunning int
-	// Ready says why no requests are taken, or "".
+	// Ready returns the reason why the daemon accepts no requests, or "" if it is ready.
 	Ready func() string
 }
 
-// Server answers callers.
+// Server handles callers' requests.
 type Server struct {
 	o     Options
 	stats Stats
 
-	// running counts the requests that have not ended.
+	// running counts the requests in progress.
 	running atomic.Int64
 
 	limitMu sync.Mutex
-	// waiting counts, by policy, the requests without a first token. Guarded
-	// by limitMu.
+	// waiting counts the requests without a first token, by policy. Guarded by limitMu.
 	waiting map[string]int
-	// perOrg counts the running requests of each organisation. Guarded by
-	// limitMu.
+	// perOrg counts the running requests, by organisation. Guarded by limitMu.
 	perOrg  map[string]int
 	retries route.Budget // guarded by limitMu
 	calls   inflight
-	// rests are what engines and targets of plain services asked this daemon for.
-	rests roster.RestList
+	// pushbacks holds the pushback that this daemon received from engines and targets of plain services.
+	pushbacks roster.RestList
 }
 
-// Stats counts what a server did since it started.
+// Stats holds a server's counters since its start. Resumed and Broken count streams; Calls and
+// CallsUnknown count calls of plain services, CallsUnknown those with an unknown outcome.
 type Stats struct {
 	Requests, Done, Refused, Retried, Resumed, Broken, CallerGone atomic.Int64
 	Calls, CallsUnknown                                           atomic.Int64
@@ -79,13 +79,13 @@
 	return &Server{o: o, waiting: map[string]int{}, perOrg: map[string]int{}}
 }
 
-// Stats returns the counts; they go on counting.
+// Stats returns the live counters.
 func (s *Server) Stats() *Stats { return &s.stats }
 
-// Running returns how many requests have not ended.
+// Running returns how many requests are in progress.
 func (s *Server) Running() int64 { return s.running.Load() }
 
-// Register adds the callers' paths to e.
+// Register adds the routes for callers to e.
 func (s *Server) Register(e *echo.Echo) {
 	e.GET("/v1/models", s.handle(s.models))
 	e.POST("/v1/completions", s.handle(s.completions))
@@ -95,53 +95,53 @@
 	e.Any("/services/:service/*", s.handle(s.service))
 	e.RouteNotFound("/*", func(c echo.Context) error {
 		q := &request{id: uuid.NewString()}
-		return s.refused(c, q, refuse(http.StatusNotFound, CodeNotFound, NotRun, "there is no such path"))
+		return s.writeRefusal(c, q, refuse(http.StatusNotFound, CodeNotFound, NotRun, "there is no such path"))
 	})
 }
 
-// request is one caller's request with the snapshots that it uses.
+// request is one request of a caller with the snapshots that it uses.
 type request struct {
 	id           string
 	organisation string
 	snap         *conf.Snapshot
 	view         *fleet.View
-	began        time.Time
-	// asks is the fingerprint of a prompt.
-	asks poison.Fingerprint
+	start        time.Time
+	// digest is the request digest of a prompt, by which crashes are counted.
+	digest poison.Fingerprint
 }
 
 func (q *request) ref(target string) event.Ref {
 	return event.Ref{Request: q.id, Organisation: q.organisation, Target: target}
 }
 
-// HeaderRequest names the header that carries the request's name to callers
-// and targets.
+// HeaderRequest is the header that carries the request ID to callers and targets.
 const HeaderRequest = "X-Request-Id"
 
-// handle finds out who is calling before f runs. A refusal that f returns is
-// given to the caller.
+// handle returns a handler that authenticates and admits a request before it calls f. A refusal that
+// f returns is sent to the caller.
 func (s *Server) handle(f func(echo.Context, *request) *Refusal) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		s.running.Add(1)
 		defer s.running.Add(-1)
 		s.stats.Requests.Add(1)
-		q := &request{id: uuid.NewString(), snap: s.o.Conf.Snapshot(), view: s.o.Fleet.View(), began: time.Now()}
+		q := &request{id: uuid.NewString(), snap: s.o.Conf.Snapshot(), view: s.o.Fleet.View(), start: time.Now()}
 		c.Response().Header().Set(HeaderRequest, q.id)
 		if r := s.admit(c, q); r != nil {
-			return s.refused(c, q, r.keyed(c.Request()))
+			return s.writeRefusal(c, q, r.forKey(c.Request()))
 		}
-		defer s.release(q)
+		defer s.releaseSlot(q)
 		s.o.Log.Emit(event.RequestAccepted, q.ref(""), c.Request().Method+" "+c.Path())
-		if r := s.guarded(f, c, q); r != nil {
-			return s.refused(c, q, r)
+		if r := s.callRecovering(f, c, q); r != nil {
+			return s.writeRefusal(c, q, r)
 		}
 		s.stats.Done.Add(1)
 		return nil
 	}
 }
 
-// guarded makes a broken invariant cost one request, not the process.
-func (s *Server) guarded(f func(echo.Context, *request) *Refusal, c echo.Context, q *request) (r *Refusal) {
+// callRecovering calls f and turns a panic into a refusal, so that a broken invariant costs one
+// request and not the process.
+func (s *Server) callRecovering(f func(echo.Context, *request) *Refusal, c echo.Context, q *request) (r *Refusal) {
 	defer func() {
 		if why := recover(); why != nil {
 			bugs.Report("request %s: %v", q.id, why)
@@ -151,14 +151,15 @@
 	return f(c, q)
 }
 
-// notReadyPause is when to come back to a daemon that is not ready; the
-// balancer then leads to another.
-const notReadyPause = time.Second
+// notReadyRetryAfter is the Retry-After of a daemon that is not ready. By then the load balancer
+// routes to another one.
+const notReadyRetryAfter = time.Second
 
+// admit identifies the caller's organisation by its key and reserves a slot for the request.
 func (s *Server) admit(c echo.Context, q *request) *Refusal {
 	if why := s.o.Ready(); why != "" {
 		c.Response().Header().Set("Connection", "close")
-		return refuse(http.StatusServiceUnavailable, CodeNotReady, NotRun, why).after(notReadyPause)
+		return refuse(http.StatusServiceUnavailable, CodeNotReady, NotRun, why).after(notReadyRetryAfter)
 	}
 	key, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -168,11 +169,11 @@
 	if !ok {
 		return refuse(http.StatusUnauthorized, CodeBadKey, NotRun, "the key belongs to no organisation")
 	}
-	return s.take(q)
+	return s.reserveSlot(q)
 }
 
-// take counts the request against the bound of its organisation.
-func (s *Server) take(q *request) *Refusal {
+// reserveSlot counts the request against the bound of its organisation.
+func (s *Server) reserveSlot(q *request) *Refusal {
 	limit := s.o.MaxRunning
 	if o := q.snap.Organisation(q.organisation); o != nil && o.MaxRunning > 0 {
 		limit = o.MaxRunning
@@ -181,16 +182,16 @@
 	defer s.limitMu.Unlock()
 	s.retries.Earn()
 	if s.perOrg[q.organisation] >= limit {
-		return refuse(http.StatusTooManyRequests, CodeQueueFull, NotRun, "the organisation has too many requests running here").after(queuePause)
+		return refuse(http.StatusTooManyRequests, CodeQueueFull, NotRun, "the organisation has too many requests running here").after(queueFullRetryAfter)
 	}
 	s.perOrg[q.organisation]++
 	return nil
 }
 
-// queuePause is when to come back after a full queue.
-const queuePause = 500 * time.Millisecond
+// queueFullRetryAfter is the Retry-After for a full queue, and the least one without a target.
+const queueFullRetryAfter = 500 * time.Millisecond
 
-func (s *Server) release(q *request) {
+func (s *Server) releaseSlot(q *request) {
 	s.limitMu.Lock()
 	defer s.limitMu.Unlock()
 	s.perOrg[q.organisation]--
@@ -199,8 +200,8 @@
 	}
 }
 
-// mayRetry takes one retry from the budget.
-func (s *Server) mayRetry() bool {
+// spendRetry takes one retry from the retry budget and reports whether there was one.
+func (s *Server) spendRetry() bool {
 	s.limitMu.Lock()
 	defer s.limitMu.Unlock()
 	if !s.retries.Spend() {
@@ -210,13 +211,13 @@
 	return true
 }
 
-// bodyLimit bounds the time in which a body arrives.
-const bodyLimit = 30 * time.Second
+// bodyTimeout bounds the time in which a body arrives.
+const bodyTimeout = 30 * time.Second
 
-// readBody reads the whole body within the limit.
+// readBody reads the whole body within the limits on time and size.
 func (s *Server) readBody(c echo.Context) ([]byte, *Refusal) {
 	rc := http.NewResponseController(c.Response().Writer)
-	if err := rc.SetReadDeadline(time.Now().Add(bodyLimit)); err == nil {
+	if err := rc.SetReadDeadline(time.Now().Add(bodyTimeout)); err == nil {
 		defer rc.SetReadDeadline(time.Time{})
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, s.o.MaxBody))
@@ -229,8 +230,7 @@
 	return body, nil
 }
 
-// models lists the deployments that the organisation may use, in the
-// published form.
+// models lists the deployments that the organisation may use, in the format of the models API.
 func (s *Server) models(c echo.Context, q *request) *Refusal {
 	type model struct {
 		ID      string `json:"id"`
@@ -248,13 +248,13 @@
 		Data   []model `json:"data"`
 	}{"list", list}
 	if err := c.JSON(http.StatusOK, body); err != nil {
-		s.gone(q)
+		s.callerGone(q)
 	}
 	return nil
 }
 
-// gone records that the caller closed its connection.
-func (s *Server) gone(q *request) {
+// callerGone records that the caller closed its connection.
+func (s *Server) callerGone(q *request) {
 	s.stats.CallerGone.Add(1)
 	s.o.Log.Emit(event.CallerGone, q.ref(""), "")
 }
--- a/core/entry/service.go
+++ b/core/entry/service.go
@@ -32,57 +32,59 @@
 	headerPrefix       = "X-Embertally-"
 )
 
-// defaultCallTimeout bounds a call whose route sets no time.
+// defaultCallTimeout bounds a call whose route sets no timeout.
 const defaultCallTimeout = 10 * time.Second
 
-// maxAnswer bounds the answer of a plain service, which is read whole before
-// any of it is given to the caller.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds the answer of a plain service, which is read completely before any of it
+// is passed to the caller.
+const maxAnswerBytes = 16 << 20
 
-// inflight counts the calls at each target. The zero value is ready.
+// inflight counts the calls in progress at each target of plain services. The zero value is ready.
 type inflight struct {
-	callsMu sync.Mutex
-	counts  map[string]int       // guarded by callsMu
-	failed  map[string]time.Time // until when not chosen; guarded by callsMu
-	turn    int                  // guarded by callsMu
+	inflightMu sync.Mutex
+	running    map[string]int       // by target; guarded by inflightMu
+	avoidUntil map[string]time.Time // end of the pause after a failure, by target; guarded by inflightMu
+	offset     int                  // where the next search starts; guarded by inflightMu
 }
 
-// failPause is how long a service target that could not be reached is passed
-// over while there are others.
-const failPause = time.Second
+// failurePause is how long a target after a failed call is avoided while there are others.
+const failurePause = time.Second
 
-// choose takes the target with the fewest calls, in turn among equals.
+// choose returns the target with the fewest calls in progress, round robin among equals, and counts
+// a call at it.
 func (f *inflight) choose(names []string, now time.Time) string {
-	f.callsMu.Lock()
-	defer f.callsMu.Unlock()
-	if f.counts == nil {
-		f.counts, f.failed = map[string]int{}, map[string]time.Time{}
+	f.inflightMu.Lock()
+	defer f.inflightMu.Unlock()
+	if f.running == nil {
+		f.running, f.avoidUntil = map[string]int{}, map[string]time.Time{}
 	}
-	f.turn++
+	f.offset++
 	best, least := "", 0
 	for i := range names {
-		n := names[(i+f.turn)%len(names)]
-		load := f.counts[n]
-		if now.Before(f.failed[n]) {
+		n := names[(i+f.offset)%len(names)]
+		load := f.running[n]
+		if now.Before(f.avoidUntil[n]) {
 			load += failedLoad
 		}
 		if best == "" || load < least {
 			best, least = n, load
 		}
 	}
-	f.counts[best]++
+	f.running[best]++
 	return best
 }
 
-// failedLoad makes a failed target the last choice.
+// failedLoad is added to the load of a target that is avoided: it exceeds any real load, so that the
+// target is chosen last.
 const failedLoad = 1 << 20
 
+// done counts the end of a call that choose counted.
 func (f *inflight) done(name string, failed bool, now time.Time) {
-	f.callsMu.Lock()
-	defer f.callsMu.Unlock()
-	f.counts[name]--
+	f.inflightMu.Lock()
+	defer f.inflightMu.Unlock()
+	f.running[name]--
 	if failed {
-		f.failed[name] = now.Add(failPause)
+		f.avoidUntil[name] = now.Add(failurePause)
 	}
 }
 
@@ -91,16 +93,16 @@
 	s       *Server
 	q       *request
 	service string
-	path    string
+	path    string // escaped, below the service
 	route   conf.Route
 	policy  *conf.Policy
 	method  string
-	query   string
+	query   string // escaped
 	header  http.Header
 	body    []byte
 }
 
-// service relays a call to a plain service.
+// service handles a call of a plain service.
 func (s *Server) service(c echo.Context, q *request) *Refusal {
 	s.stats.Calls.Add(1)
 	name := c.Param("service")
@@ -127,12 +129,12 @@
 		return r
 	}
 	if err := ans.write(c); err != nil {
-		s.gone(q)
+		s.callerGone(q)
 	}
 	return nil
 }
 
-// ticket gives out a ticket for one call of a service.
+// ticket issues a ticket for one call of a plain service.
 func (s *Server) ticket(c echo.Context, q *request) *Refusal {
 	var body struct {
 		Service string `json:"service"`
@@ -147,13 +149,13 @@
 		Ticket string `json:"ticket"`
 	}{s.o.Once.NewTicket(q.organisation, body.Service)}
 	if err := c.JSON(http.StatusOK, reply); err != nil {
-		s.gone(q)
+		s.callerGone(q)
 	}
 	return nil
 }
 
-// servicePath returns the path below the service. A path that a target might
-// read in another way than the routes were matched is refused.
+// servicePath returns the path below the service. A path that a target might interpret differently
+// from the route matching is refused.
 func servicePath(u *url.URL, service string) (string, *Refusal) {
 	path := strings.TrimPrefix(u.EscapedPath(), "/services/"+service)
 	if path == "" {
@@ -168,7 +170,7 @@
 	return path, nil
 }
 
-// answer is the whole answer of a target.
+// answer is the complete HTTP response of a target.
 type answer struct {
 	status int
 	header http.Header
@@ -187,7 +189,7 @@
 	return err
 }
 
-// HopHeader reports whether a header belongs to one connection only.
+// HopHeader reports whether a header is hop-by-hop: it applies to one connection only.
 func HopHeader(name string) bool { return hopHeader(name) }
 
 func hopHeader(name string) bool {
@@ -197,96 +199,100 @@
 	}, name)
 }
 
+// run executes the call: repeatedly if its route allows that, else at most once.
 func (k *call) run(ctx context.Context) (*answer, *Refusal) {
 	if k.route.Repeatable {
-		return k.repeat(ctx)
+		return k.runRepeatable(ctx)
 	}
-	// What was handed to a target goes on when the caller leaves, so that its
-	// outcome is known to a repeated call.
+	// A call that was sent to a target continues after the caller has disconnected, so that its
+	// outcome can be returned to a repeated call.
 	ctx = context.WithoutCancel(ctx)
 	key, ticket := k.header.Get(HeaderIdempotency), k.header.Get(HeaderTicket)
 	switch {
 	case ticket != "":
-		return k.ticketed(ctx, ticket)
+		return k.runWithTicket(ctx, ticket)
 	case key != "":
-		return k.claimed(ctx, key)
+		return k.runWithKey(ctx, key)
 	}
-	ans, end, r := k.single(ctx)
-	k.record(end)
+	ans, result, r := k.runOnce(ctx)
+	k.countUnknown(result)
 	return ans, r
 }
 
-// ended says what is known of a call that may not be repeated.
-type ended int
+// callResult says what is known of a call that may not be repeated.
+type callResult int
 
 const (
-	notSent ended = iota
-	sentUnknown
-	sentDone
+	// notSent means that no target received anything.
+	notSent callResult = iota
+	// resultUnknown means that a target may have received the call and gave no complete answer.
+	resultUnknown
+	// answered means that a target answered.
+	answered
 )
 
-// record counts a call whose outcome is not known.
-func (k *call) record(end ended) {
-	if end == sentUnknown {
+// countUnknown counts a call whose outcome is not known.
+func (k *call) countUnknown(result callResult) {
+	if result == resultUnknown {
 		k.s.stats.CallsUnknown.Add(1)
 	}
 }
 
-// claimed runs a call under a claim.
-func (k *call) claimed(ctx context.Context, key string) (*answer, *Refusal) {
+// runWithKey runs a call that carries an idempotency key, if its claim is granted.
+func (k *call) runWithKey(ctx context.Context, key string) (*answer, *Refusal) {
 	at, err := once.KeyTime(key)
 	if err != nil {
 		return nil, refuse(http.StatusBadRequest, CodeBadIdempotency, NotRun,
 			"the header Idempotency-Key must be a UUID of version 7: it carries the time until which a repeated call is known")
 	}
-	a, ans := k.s.o.Once.Claim(ctx, once.NewKey(k.q.organisation, k.service, key), at, k.print())
+	a, ans := k.s.o.Once.Claim(ctx, once.NewKey(k.q.organisation, k.service, key), at, k.digest())
 	if a == nil {
-		return k.unclaimed(ans)
+		return k.answerWithoutRunning(ans)
 	}
-	return k.granted(ctx, a)
+	return k.runGranted(ctx, a)
 }
 
-// ticketed runs a call under a ticket.
-func (k *call) ticketed(ctx context.Context, ticket string) (*answer, *Refusal) {
-	a, ans, err := k.s.o.Once.ClaimTicket(ctx, k.q.organisation, k.service, ticket, k.print())
+// runWithTicket runs a call that carries a ticket, if its claim is granted.
+func (k *call) runWithTicket(ctx context.Context, ticket string) (*answer, *Refusal) {
+	a, ans, err := k.s.o.Once.ClaimTicket(ctx, k.q.organisation, k.service, ticket, k.digest())
 	if err != nil {
 		return nil, refuse(http.StatusBadRequest, CodeBadIdempotency, NotRun, "the header "+HeaderTicket+" must be a ticket of POST /v1/tickets")
 	}
 	if a == nil {
-		return k.unclaimed(ans)
+		return k.answerWithoutRunning(ans)
 	}
-	return k.granted(ctx, a)
+	return k.runGranted(ctx, a)
 }
 
-// granted runs a call that nobody else may run, and records its end.
-func (k *call) granted(ctx context.Context, a *once.Attempt) (*answer, *Refusal) {
+// runGranted runs a call whose claim was granted and records its outcome with the claim.
+func (k *call) runGranted(ctx context.Context, a *once.Attempt) (*answer, *Refusal) {
 	k.s.o.Log.Emit(event.ClaimGranted, k.q.ref(""), "")
-	got, end, r := k.single(ctx)
-	k.record(end)
-	switch end {
+	got, result, r := k.runOnce(ctx)
+	k.countUnknown(result)
+	switch result {
 	case notSent:
 		a.NotRun()
-	case sentUnknown:
+	case resultUnknown:
 		a.Unknown()
-	case sentDone:
+	case answered:
 		a.Ran(once.Outcome{Status: got.status, ContentType: got.header.Get("Content-Type"), Body: got.body})
 	}
 	return got, r
 }
 
-// inProgressPause is when to ask again for a call that still runs.
-const inProgressPause = time.Second
+// inProgressRetryAfter is the Retry-After for a call that is still running.
+const inProgressRetryAfter = time.Second
 
-// unclaimed answers a call that may not run.
-func (k *call) unclaimed(ans once.Answer) (*answer, *Refusal) {
+// answerWithoutRunning answers a call whose claim was not granted, from the state of the claim.
+func (k *call) answerWithoutRunning(ans once.Answer) (*answer, *Refusal) {
 	if ans.State == once.Ran {
 		k.s.o.Log.Emit(event.ClaimAnswered, k.q.ref(""), "")
-		return recorded(ans.Outcome)
+		return replay(ans.Outcome)
 	}
 	k.s.o.Log.Emit(event.ClaimRefused, k.q.ref(""), string(ans.State))
 	switch ans.State {
 	case once.Running:
-		return nil, refuse(http.StatusConflict, CodeInProgress, Unknown, "a call with this key is running").after(inProgressPause)
+		return nil, refuse(http.StatusConflict, CodeInProgress, Unknown, "a call with this key is running").after(inProgressRetryAfter)
 	case once.Unknown:
 		return nil, refuse(http.StatusConflict, CodeOutcomeUnknown, Unknown, "a call with this key was handed out and its outcome is not known")
 	case once.Mismatch:
@@ -296,16 +302,17 @@
 			"the key's time is outside the window in which repeated calls are known; this try did not run")
 	}
 	return nil, refuse(http.StatusServiceUnavailable, CodeNoClaim, Unknown,
-		"the call could not be claimed; this try did not run, and the same key may be sent again").after(claimPause)
+		"the call could not be claimed; this try did not run, and the same key may be sent again").after(noClaimRetryAfter)
 }
 
-// claimPause is when to come back where a claim could not be committed.
-const claimPause = time.Second
+// noClaimRetryAfter is the Retry-After for a claim that could not be committed.
+const noClaimRetryAfter = time.Second
 
-// headerReplayed marks an answer that was recorded from an earlier call.
+// headerReplayed marks an answer that was recorded during an earlier call with the same key.
 const headerReplayed = "X-Embertally-Replayed"
 
-func recorded(o once.Outcome) (*answer, *Refusal) {
+// replay returns the recorded answer of an earlier call.
+func replay(o once.Outcome) (*answer, *Refusal) {
 	if o.Cut {
 		text := fmt.Sprintf("the call ran with status %d; its answer was too large to be kept", o.Status)
 		return nil, refuse(http.StatusConflict, CodeAlreadyRan, DidRun, text)
@@ -317,8 +324,8 @@
 	return &answer{status: o.Status, header: h, body: o.Body}, nil
 }
 
-// print tells whether a repeated call is the same one.
-func (k *call) print() uint64 {
+// digest returns the hash by which a reused key with a different call is detected.
+func (k *call) digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range []string{k.method, k.path, k.query} {
@@ -329,89 +336,90 @@
 	return d.Sum64()
 }
 
-// serves reports whether a target is one of the service.
+// serves reports whether a target belongs to the service.
 func (k *call) serves(t *conf.Target) bool {
 	return t.Type == conf.TypeService && t.Service == k.service
 }
 
-// targets returns the service's targets that may get new work now.
-func (k *call) targets(exclude []string) []string {
+// usableTargets returns the targets of the service that may get a call now, without those in exclude.
+func (k *call) usableTargets(exclude []string) []string {
 	view := k.s.o.Fleet.View()
-	resting, _ := k.s.resting(k.q.snap, k.serves)
+	pushedBack, _ := k.s.underPushback(k.q.snap, k.serves)
 	var out []string
 	for _, r := range k.q.snap.List(conf.KindTarget) {
 		t := r.Spec().(*conf.Target)
 		if k.serves(t) && k.policy.Allows(r.Name()) &&
-			view.Usable(r.Name(), t) && !slices.Contains(exclude, r.Name()) && !slices.Contains(resting, r.Name()) {
+			view.Usable(r.Name(), t) && !slices.Contains(exclude, r.Name()) && !slices.Contains(pushedBack, r.Name()) {
 			out = append(out, r.Name())
 		}
 	}
 	return out
 }
 
-// choose takes a target, and reports whether it may get a call: another one may have been the one
-// that it gets after a rest.
-func (k *call) choose(names []string) (name string, may bool) {
+// choose picks a target and reports whether a call may be sent to it. It may not if another request
+// has taken the single attempt that the target gets after its pushback.
+func (k *call) choose(names []string) (name string, ok bool) {
 	name = k.s.calls.choose(names, time.Now())
-	if may = k.s.rests.Take(name); !may {
+	if ok = k.s.pushbacks.Take(name); !ok {
 		k.s.calls.done(name, false, time.Now())
 	}
-	return name, may
+	return name, ok
 }
 
-// noTarget refuses a call that no target may get, until the first of those that rest may again.
+// noTarget returns the refusal for a call without a usable target. Its Retry-After is the time until
+// the first pushback ends.
 func (k *call) noTarget() *Refusal {
-	_, first := k.s.resting(k.q.snap, k.serves)
-	return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "no target of the service can be used now").after(max(first, queuePause))
+	_, soonest := k.s.underPushback(k.q.snap, k.serves)
+	return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "no target of the service can be used now").after(max(soonest, queueFullRetryAfter))
 }
 
-// single hands the call to one target at most once. A target that could not
-// even be reached did not get it, so another may.
-func (k *call) single(ctx context.Context) (*answer, ended, *Refusal) {
+// runOnce sends the call to at most one target. A target to which no connection was made did not
+// receive the call, so the next one is tried.
+func (k *call) runOnce(ctx context.Context) (*answer, callResult, *Refusal) {
 	var tried []string
-	for len(tried) < mostTries {
-		names := k.targets(tried)
+	for len(tried) < maxAttempts {
+		names := k.usableTargets(tried)
 		if len(names) == 0 {
 			break
 		}
-		name, may := k.choose(names)
-		if !may {
+		name, ok := k.choose(names)
+		if !ok {
 			tried = append(tried, name)
 			continue
 		}
 		ans, sent, err := k.send(ctx, k.s.o.Single, name)
 		k.s.calls.done(name, err != nil, time.Now())
 		if err == nil {
-			return ans, sentDone, nil
+			return ans, answered, nil
 		}
 		if sent {
 			k.s.o.Log.Emit(event.CallUnknown, k.q.ref(name), err.Error())
-			return nil, sentUnknown, refuse(http.StatusBadGateway, CodeOutcomeUnknown, Unknown, "the call was cut; whether it ran is not known")
+			return nil, resultUnknown, refuse(http.StatusBadGateway, CodeOutcomeUnknown, Unknown, "the call was cut; whether it ran is not known")
 		}
 		tried = append(tried, name)
 	}
 	return nil, notSent, k.noTarget()
 }
 
-// repeat hands the call to targets until one answers.
-func (k *call) repeat(ctx context.Context) (*answer, *Refusal) {
+// runRepeatable sends the call to one target after another until one answers.
+func (k *call) runRepeatable(ctx context.Context) (*answer, *Refusal) {
 	var tried []string
-	for len(tried) < mostTries {
-		names := k.targets(tried)
+	for len(tried) < maxAttempts {
+		names := k.usableTargets(tried)
 		if len(names) == 0 {
-			names = k.targets(nil)
+			names = k.usableTargets(nil)
 		}
-		if len(names) == 0 || (len(tried) > 0 && !k.s.mayRetry()) {
+		if len(names) == 0 || (len(tried) > 0 && !k.s.spendRetry()) {
 			break
 		}
-		name, may := k.choose(names)
-		if !may {
+		name, ok := k.choose(names)
+		if !ok {
 			tried = append(tried, name)
 			continue
 		}
 		ans, _, err := k.send(ctx, k.s.o.Calls, name)
 		k.s.calls.done(name, err != nil, time.Now())
-		if err == nil && !passing(ans.status) {
+		if err == nil && !isTransient(ans.status) {
 			return ans, nil
 		}
 		if ctx.Err() != nil {
@@ -422,15 +430,15 @@
 	if len(tried) == 0 {
 		return nil, k.noTarget()
 	}
-	return nil, refuse(http.StatusBadGateway, CodeTargetFailed, Unknown, "no target gave an answer; the call may be repeated").after(queuePause)
+	return nil, refuse(http.StatusBadGateway, CodeTargetFailed, Unknown, "no target gave an answer; the call may be repeated").after(queueFullRetryAfter)
 }
 
-// passing reports whether a status asks for a later or other try.
-func passing(status int) bool {
+// isTransient reports whether another attempt may succeed after an answer with this status.
+func isTransient(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// send hands the call to a target. sent tells that any byte may have left.
+// send sends the call to a target. sent reports whether any byte may have reached it.
 func (k *call) send(ctx context.Context, client *http.Client, name string) (ans *answer, sent bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, k.route.Timeout.Or(defaultCallTimeout))
 	defer cancel()
@@ -438,7 +446,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	req, err := k.build(ctx, k.q.snap.Target(name))
+	req, err := k.newRequest(ctx, k.q.snap.Target(name))
 	if err != nil {
 		return nil, false, err
 	}
@@ -450,25 +458,26 @@
 	defer resp.Body.Close()
 	if id := resp.Header.Get(HeaderRequest); id != "" && id != k.q.id {
 		k.s.o.Log.Emit(event.AnswerRejected, k.q.ref(name), "answer "+id)
-		return nil, true, errors.WithStack(errForeign)
+		return nil, true, errors.WithStack(errWrongResponse)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, true, errors.WithStack(err)
 	}
-	if len(body) > maxAnswer {
-		return nil, true, errors.New("the answer is too large")
+	if len(body) > maxAnswerBytes {
+		return nil, true, errors.New("answer exceeds the size limit")
 	}
 	k.s.stats.RelayedBytes.Add(int64(len(body)))
-	if rest, _ := target.AskedRest(resp.StatusCode, resp.Header); rest > 0 {
-		k.s.turned(k.q, name, "", rest)
+	if pushback, _ := target.AskedRest(resp.StatusCode, resp.Header); pushback > 0 {
+		k.s.recordPushback(k.q, name, "", pushback)
 	} else {
-		k.s.took(k.q, name)
+		k.s.recordAccepted(k.q, name)
 	}
 	return &answer{status: resp.StatusCode, header: resp.Header, body: body}, true, nil
 }
 
-func (k *call) build(ctx context.Context, t *conf.Target) (*http.Request, error) {
+// newRequest returns the request to a target, without hop-by-hop headers and the caller's credentials.
+func (k *call) newRequest(ctx context.Context, t *conf.Target) (*http.Request, error) {
 	u := strings.TrimSuffix(t.URL, "/") + k.path
 	if k.query != "" {
 		u += "?" + k.query
@@ -477,7 +486,7 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	// Without this the transport might send the body a second time by itself.
+	// With GetBody set, the transport might resend the request by itself.
 	req.GetBody = nil
 	hop := strings.Split(k.header.Get("Connection"), ",")
 	for name, values := range k.header {
