--- a/core/once/msgs.go
+++ b/core/once/msgs.go
@@ -17,8 +17,8 @@
 	kindSettle wire.Kind = "once.settle"
 )
 
-// Key names one call that may not be repeated, by its organisation, service
-// and idempotency key.
+// Key identifies one call that may not be repeated: a hash of its organisation, service and
+// idempotency key.
 type Key [16]byte
 
 // NewKey returns the key of a call.
@@ -35,22 +35,21 @@
 	return k
 }
 
-// shard returns which shard owns the key.
-func (k Key) shard() int { return int(k[0]) % shards }
+// shard returns the number of the shard that holds the key.
+func (k Key) shard() int { return int(k[0]) % shardCount }
 
-// shards is how many owners claims are spread over. It bounds the writes to
-// the key-value service: shards divided by pace.
-const shards = 8
+// shardCount is the number of shards. It bounds the writes of claims to the coordination store: one
+// for each shard and claimInterval.
+const shardCount = 8
 
-// KeyTime returns the time that an idempotency key carries. Only keys of the
-// published form UUID version 7 carry one.
+// KeyTime returns the time that an idempotency key carries, which must be a UUID of version 7.
 func KeyTime(idempotencyKey string) (time.Time, error) {
 	u, err := uuid.Parse(idempotencyKey)
 	if err != nil {
 		return time.Time{}, errors.Wrap(err, "idempotency key")
 	}
-	const timed = 7
-	if u.Version() != timed {
+	const timeOrdered = 7
+	if u.Version() != timeOrdered {
 		return time.Time{}, errors.Errorf("idempotency key is a UUID of version %d, not 7", u.Version())
 	}
 	var ms int64
@@ -60,92 +59,92 @@
 	return time.UnixMilli(ms), nil
 }
 
-// State is what became of a claim.
+// State is the state of a claim.
 type State string
 
 // The states of claims.
 const (
-	// Granted means that the asker may run the call, and nobody else.
+	// Granted means that the requester may run the call, and nobody else.
 	Granted State = "granted"
-	// Running means that another daemon runs the call now.
+	// Running means that the call is running for another attempt.
 	Running State = "running"
-	// Ran means that the call ran; the answer has its outcome.
+	// Ran means that the call ran; the answer holds its outcome.
 	Ran State = "ran"
-	// Unknown means that the call was handed out and its outcome was lost.
+	// Unknown means that the right to run the call was granted and its outcome is not known.
 	Unknown State = "unknown"
-	// Mismatch means that the key was used for another call.
+	// Mismatch means that the key was used for a different call.
 	Mismatch State = "mismatch"
-	// Expired means that the key's time is outside the window.
+	// Expired means that the key's time is outside the window of valid keys.
 	Expired State = "expired"
 	// Unavailable means that the claim could not be committed.
 	Unavailable State = "unavailable"
-	// notOwner means that the asked daemon does not own the shard; the asker
-	// looks for the owner again.
+	// notOwner means that the daemon doesn't own the shard; the requester looks up the owner again.
 	notOwner State = "notOwner"
 )
 
-// Claim asks for the right to run a call.
+// Claim requests the right to run a call.
 type Claim struct {
 	Key Key `msgpack:"k"`
-	// KeyMillis is the time that the idempotency key carries.
+	// KeyMillis is the time that the idempotency key carries, in Unix milliseconds.
 	KeyMillis int64 `msgpack:"t"`
-	// Attempt names this try, so that its asker can give it back.
+	// Attempt identifies this attempt, so that its requester can release the claim.
 	Attempt string `msgpack:"a"`
-	// Asker and Incarnation name the daemon that would run the call.
-	Asker       string `msgpack:"e"`
+	// Requester and Incarnation identify the daemon that would run the call.
+	Requester   string `msgpack:"e"`
 	Incarnation string `msgpack:"i"`
-	// Print tells whether a repeated call is the same one.
-	Print uint64 `msgpack:"p"`
+	// Digest is the hash of the call by which the reuse of a key for a different call is detected.
+	Digest uint64 `msgpack:"p"`
 }
 
-// Answer says what became of a claim.
+// Answer is the reply to a claim.
 type Answer struct {
 	State State `msgpack:"s"`
 	// Outcome is set for Ran.
 	Outcome Outcome `msgpack:"o"`
 }
 
-// Outcome is how a call ended.
+// Outcome is the recorded response to a call.
 type Outcome struct {
 	Status      int    `msgpack:"s"`
 	ContentType string `msgpack:"t,omitempty"`
 	Body        []byte `msgpack:"b,omitempty"`
-	// Cut tells that the body was too large to be kept.
+	// Cut reports that the body was too large to be recorded.
 	Cut bool `msgpack:"c,omitempty"`
 }
 
-// MaxKeptBody bounds the body of a kept outcome.
-const MaxKeptBody = 1 << 10
+// MaxOutcomeBody bounds the body of a recorded outcome, in bytes.
+const MaxOutcomeBody = 1 << 10
 
-// settle tells how an attempt ended.
-type settle struct {
-	Key     Key     `msgpack:"k"`
-	Attempt string  `msgpack:"a"`
-	End     end     `msgpack:"e"`
-	Outcome Outcome `msgpack:"o"`
-	// issuer is who granted a ticket; empty for claims.
+// settlement reports the result of an attempt.
+type settlement struct {
+	Key     Key           `msgpack:"k"`
+	Attempt string        `msgpack:"a"`
+	Result  attemptResult `msgpack:"e"`
+	Outcome Outcome       `msgpack:"o"`
+	// issuer is the daemon that issued the ticket; empty for a claim by idempotency key.
 	issuer string
 }
 
-// end is how an attempt ended.
-type end uint8
+// attemptResult is how an attempt ended; zero while it has no result.
+type attemptResult uint8
 
 const (
-	endRan end = iota + 1
-	// endNotRun gives the claim back: nothing was sent to a target.
-	endNotRun
-	// endUnknown says that it is not known whether the call ran.
-	endUnknown
+	// resultRan means that the call ran; its outcome is recorded.
+	resultRan attemptResult = iota + 1
+	// resultNotRun means that nothing was sent to a target: the claim is released.
+	resultNotRun
+	// resultUnknown means that it is not known whether the call ran.
+	resultUnknown
 )
 
-// entry is one line of a shard's log.
+// entry is one record of a shard's log: a claim, or the result of its attempt if Result is set.
 type entry struct {
-	Key         Key     `msgpack:"k"`
-	KeyMillis   int64   `msgpack:"t"`
-	Attempt     string  `msgpack:"a"`
-	Asker       string  `msgpack:"e,omitempty"`
-	Incarnation string  `msgpack:"i,omitempty"`
-	Print       uint64  `msgpack:"p,omitempty"`
-	End         end     `msgpack:"n,omitempty"`
-	Outcome     Outcome `msgpack:"o,omitempty"`
+	Key         Key           `msgpack:"k"`
+	KeyMillis   int64         `msgpack:"t"`
+	Attempt     string        `msgpack:"a"`
+	Requester   string        `msgpack:"e,omitempty"`
+	Incarnation string        `msgpack:"i,omitempty"`
+	Digest      uint64        `msgpack:"p,omitempty"`
+	Result      attemptResult `msgpack:"n,omitempty"`
+	Outcome     Outcome       `msgpack:"o,omitempty"`
 }
--- a/core/once/once.go
+++ b/core/once/once.go
@@ -1,8 +1,8 @@
-// Package once owns the requests that may not be repeated: the claims that
-// must be committed before a call is handed to a target, and their outcomes.
+// Package once ensures that calls which may not be repeated run at most once. It owns the claims that
+// must be committed before a call is sent to a target, and the recorded outcomes.
 //
-// It must not know what a call does or how it is relayed. At most once rests
-// on guarded writes alone; clocks only decide how long a claim is remembered.
+// It must not know what a call does or how it is relayed. The guarantee depends on guarded writes
+// only; clocks only determine how long a claim is stored.
 package once
 
 import (
@@ -22,28 +22,28 @@
 	"embertally.dev/core/wire"
 )
 
-// kv is what claims need of the key-value service.
+// kv is the part of the coordination store's client that claims use.
 type kv interface {
 	lease.KV
 	Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error)
 }
 
-// peers is what claims need of the other daemons.
+// peers is the interface to the other daemons.
 type peers interface {
-	// Owner returns who has the duty of owning a shard.
+	// Owner returns the daemon to which a shard is assigned, or "".
 	Owner(shard int) string
-	// Running reports whether a daemon still runs in the incarnation.
+	// Running reports whether the incarnation of a daemon is alive.
 	Running(name, incarnation string) bool
 	Call(ctx context.Context, peer string, kind wire.Kind, req, resp any) error
 }
 
-// fleetPeers are the peers as the fleet knows them.
+// fleetPeers implements peers by the fleet's membership.
 type fleetPeers struct{ *fleet.Fleet }
 
-// Owner returns who has the duty of owning a shard.
-func (p fleetPeers) Owner(shard int) string { return p.View().DutyOf(fleet.Key(duty(shard))) }
+// Owner returns the daemon to which a shard is assigned, or "".
+func (p fleetPeers) Owner(shard int) string { return p.View().DutyOf(fleet.Key(assignment(shard))) }
 
-// Running reports whether a daemon still runs in the incarnation.
+// Running reports whether the incarnation of a daemon is alive.
 func (p fleetPeers) Running(name, incarnation string) bool {
 	for _, peer := range p.View().Peers() {
 		if peer.Name == name {
@@ -53,21 +53,22 @@
 	return false
 }
 
-// DefaultWindow is how long a key may be used.
+// DefaultWindow is how long an idempotency key is valid after the time that it carries.
 const DefaultWindow = 10 * time.Minute
 
-// Options of Once.
+// Options configures Once.
 type Options struct {
+	// Name and Incarnation identify this daemon.
 	Name        string
 	Incarnation string
-	// Window is how long a key may be used; zero means DefaultWindow.
+	// Window is how long an idempotency key is valid; zero means DefaultWindow.
 	Window time.Duration
 	Fleet  *fleet.Fleet
 	KV     kv
 	Log    *event.Log
 }
 
-// Once claims calls and owns this daemon's shards of claims.
+// Once claims calls for this daemon and owns the shards of claims that are assigned to it.
 type Once struct {
 	name        string
 	incarnation string
@@ -75,32 +76,32 @@
 	peers       peers
 	kv          kv
 	log         *event.Log
-	shards      [shards]*shard
+	shards      [shardCount]*shard
 	writes      atomic.Int64
-	settling    chan *settle
-	// limit bounds the wait for a claim to be committed.
-	limit   time.Duration
-	tickets *tickets
+	settlements chan *settlement
+	// claimTimeout bounds the wait for a claim to be committed.
+	claimTimeout time.Duration
+	tickets      *tickets
 }
 
-// maxSettling bounds the ends of attempts that wait to be told to an owner.
-const maxSettling = 4096
+// maxSettlements bounds the results of attempts that wait to be sent to an owner.
+const maxSettlements = 4096
 
-// New returns Once and registers its messages with the fleet.
+// New returns a Once and registers its message handlers with the fleet.
 func New(o Options) *Once {
 	c := newOnce(o, fleetPeers{o.Fleet})
 	o.Fleet.Mux().Register(kindClaim, wire.Handle(func(ctx context.Context, _ string, m *Claim) (Answer, error) {
-		ctx, cancel := context.WithTimeout(ctx, c.limit)
+		ctx, cancel := context.WithTimeout(ctx, c.claimTimeout)
 		defer cancel()
 		return c.shards[m.Key.shard()].claim(ctx, m), nil
 	}))
-	o.Fleet.Mux().Register(kindSettle, wire.Handle(func(ctx context.Context, _ string, m *settle) (bool, error) {
-		return c.shards[m.Key.shard()].settled(ctx, m), nil
+	o.Fleet.Mux().Register(kindSettle, wire.Handle(func(ctx context.Context, _ string, m *settlement) (bool, error) {
+		return c.shards[m.Key.shard()].settleAndWait(ctx, m), nil
 	}))
-	o.Fleet.Mux().Register(kindTicket, wire.Handle(func(_ context.Context, _ string, m *ticketAsk) (Answer, error) {
+	o.Fleet.Mux().Register(kindTicket, wire.Handle(func(_ context.Context, _ string, m *ticketClaim) (Answer, error) {
 		return c.grantTicket(m), nil
 	}))
-	o.Fleet.Mux().Register(kindTicketSettle, wire.Handle(func(_ context.Context, _ string, m *settle) (bool, error) {
+	o.Fleet.Mux().Register(kindTicketSettle, wire.Handle(func(_ context.Context, _ string, m *settlement) (bool, error) {
 		c.tickets.settle(m)
 		return true, nil
 	}))
@@ -110,33 +111,33 @@
 func newOnce(o Options, p peers) *Once {
 	c := &Once{
 		name: o.Name, incarnation: o.Incarnation, window: o.Window, peers: p, kv: o.KV, log: o.Log,
-		settling: make(chan *settle, maxSettling), limit: claimLimit, tickets: newTickets(),
+		settlements: make(chan *settlement, maxSettlements), claimTimeout: defaultClaimTimeout, tickets: newTickets(),
 	}
 	if c.window == 0 {
 		c.window = DefaultWindow
 	}
 	for i := range c.shards {
-		c.shards[i] = &shard{n: i, owner: c, kick: make(chan struct{}, 1)}
+		c.shards[i] = &shard{n: i, owner: c, wakeup: make(chan struct{}, 1)}
 	}
 	return c
 }
 
-// Run owns shards and tells ends until ctx ends.
+// Run owns the assigned shards and sends results of attempts to owners, until ctx ends.
 func (c *Once) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, s := range c.shards {
 		wg.Go(func() { s.run(ctx) })
 	}
-	for range settlers {
+	for range settlerCount {
 		wg.Go(func() { settler{c}.run(ctx) })
 	}
 	wg.Wait()
 }
 
-// settlers is how many ends of attempts are told at once.
-const settlers = 64
+// settlerCount is how many results of attempts are sent concurrently.
+const settlerCount = 64
 
-// Writes returns how many batches this daemon committed.
+// Writes returns how many batches this daemon has committed.
 func (c *Once) Writes() int64 { return c.writes.Load() }
 
 // Owned returns how many shards this daemon owns.
@@ -150,22 +151,23 @@
 	return n
 }
 
-func duty(shard int) string { return "once/" + strconv.Itoa(shard) }
+// assignment returns the name of the assignment of a shard.
+func assignment(shard int) string { return "once/" + strconv.Itoa(shard) }
 
-// Duties returns the names of the duties of owning shards.
+// Duties returns the names of the assignments of all shards.
 func Duties() []string {
-	out := make([]string, shards)
+	out := make([]string, shardCount)
 	for i := range out {
-		out[i] = duty(i)
+		out[i] = assignment(i)
 	}
 	return out
 }
 
-func (c *Once) hasDuty(shard int) bool { return c.ownerOf(shard) == c.name }
+func (c *Once) isAssigned(shard int) bool { return c.ownerOf(shard) == c.name }
 
 func (c *Once) ownerOf(shard int) string { return c.peers.Owner(shard) }
 
-// running reports whether a daemon still runs in the incarnation.
+// running reports whether the incarnation of a daemon is alive.
 func (c *Once) running(name, incarnation string) bool {
 	if name == c.name {
 		return incarnation == c.incarnation
@@ -173,31 +175,31 @@
 	return c.peers.Running(name, incarnation)
 }
 
-// claimLimit bounds the wait for a claim to be committed.
-const claimLimit = 3 * time.Second
+// defaultClaimTimeout bounds the wait for a claim to be committed.
+const defaultClaimTimeout = 3 * time.Second
 
 // Attempt is a granted claim. Exactly one of its methods must be called.
 type Attempt struct {
 	once *Once
 	key  Key
 	id   string
-	// issuer is who granted a ticket; empty for claims.
+	// issuer is the daemon that issued the ticket; empty for a claim by idempotency key.
 	issuer string
 }
 
-// Claim asks for the right to run a call. With any answer but Granted the
-// call must not be run, and this try has not run it.
+// Claim requests the right to run a call. Unless the answer is Granted, the call must not be run and
+// this attempt has not run it.
 func (c *Once) Claim(ctx context.Context, key Key, keyTime time.Time, digest uint64) (*Attempt, Answer) {
-	ctx, cancel := context.WithTimeout(ctx, c.limit)
+	ctx, cancel := context.WithTimeout(ctx, c.claimTimeout)
 	defer cancel()
 	m := &Claim{
 		Key: key, KeyMillis: keyTime.UnixMilli(), Attempt: uuid.NewString(),
-		Asker: c.name, Incarnation: c.incarnation, Print: digest,
+		Requester: c.name, Incarnation: c.incarnation, Digest: digest,
 	}
 	a := &Attempt{once: c, key: key, id: m.Attempt}
-	ans := c.askOwner(ctx, m)
+	ans := c.claimFromOwner(ctx, m)
 	if ans.State == Unavailable {
-		// The claim may be committed all the same: give it back.
+		// The claim may have been committed nevertheless: release it.
 		a.NotRun()
 	}
 	if ans.State != Granted {
@@ -206,18 +208,18 @@
 	return a, ans
 }
 
-// askOwner asks until a daemon that owns the shard answers. Asking again is
-// safe: the claim of one attempt is granted to this asker alone.
-func (c *Once) askOwner(ctx context.Context, m *Claim) Answer {
+// claimFromOwner sends the claim until a daemon that owns the shard answers. Resending is safe: the
+// claim of one attempt is granted to this requester only.
+func (c *Once) claimFromOwner(ctx context.Context, m *Claim) Answer {
 	for {
-		ans, err := c.ask(ctx, m)
+		ans, err := c.requestClaim(ctx, m)
 		if err == nil && ans.State != notOwner {
 			return ans
 		}
 		if err != nil && !errors.Is(err, wire.ErrNotSent) {
 			return Answer{State: Unavailable}
 		}
-		t := time.NewTimer(ownerPause)
+		t := time.NewTimer(ownerRetryInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -227,10 +229,10 @@
 	}
 }
 
-// ownerPause spaces the looks for the owner of a shard that changes hands.
-const ownerPause = 50 * time.Millisecond
+// ownerRetryInterval is the pause between requests while a shard changes its owner.
+const ownerRetryInterval = 50 * time.Millisecond
 
-func (c *Once) ask(ctx context.Context, m *Claim) (Answer, error) {
+func (c *Once) requestClaim(ctx context.Context, m *Claim) (Answer, error) {
 	n := m.Key.shard()
 	owner := c.ownerOf(n)
 	if owner == c.name {
@@ -245,51 +247,51 @@
 
 // Ran records the outcome of the call.
 func (a *Attempt) Ran(o Outcome) {
-	if len(o.Body) > MaxKeptBody {
+	if len(o.Body) > MaxOutcomeBody {
 		o.Body, o.Cut = nil, true
 	}
-	a.tell(endRan, o)
+	a.settle(resultRan, o)
 }
 
-// NotRun gives the claim back: nothing was sent to a target.
-func (a *Attempt) NotRun() { a.tell(endNotRun, Outcome{}) }
+// NotRun releases the claim: nothing was sent to a target.
+func (a *Attempt) NotRun() { a.settle(resultNotRun, Outcome{}) }
 
 // Unknown records that it is not known whether the call ran.
-func (a *Attempt) Unknown() { a.tell(endUnknown, Outcome{}) }
+func (a *Attempt) Unknown() { a.settle(resultUnknown, Outcome{}) }
 
-func (a *Attempt) tell(e end, o Outcome) {
+func (a *Attempt) settle(r attemptResult, o Outcome) {
 	select {
-	case a.once.settling <- &settle{Key: a.key, Attempt: a.id, End: e, Outcome: o, issuer: a.issuer}:
+	case a.once.settlements <- &settlement{Key: a.key, Attempt: a.id, Result: r, Outcome: o, issuer: a.issuer}:
 	default:
-		// Without its end the claim reads as running or unknown, which is safe.
+		// A claim without a result counts as running or unknown, which is safe.
 	}
 }
 
-// settler tells the ends of attempts to the owners of their shards.
+// settler sends results of attempts to the owners of their shards and to the issuers of tickets.
 type settler struct{ *Once }
 
-// settleLimit bounds how long one end is tried to be told.
-const settleLimit = 20 * time.Second
+// settleTimeout bounds the delivery of one result, with all retries.
+const settleTimeout = 20 * time.Second
 
-// settleWait bounds one telling, which ends when the service holds it.
-const settleWait = 5 * time.Second
+// settleCallTimeout bounds one request to an owner, which answers once the result is committed.
+const settleCallTimeout = 5 * time.Second
 
 func (s settler) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-s.settling:
+		case m := <-s.settlements:
 			s.handle(ctx, m)
 		}
 	}
 }
 
-func (s settler) handle(ctx context.Context, m *settle) {
-	ctx, cancel := context.WithTimeout(ctx, settleLimit)
+func (s settler) handle(ctx context.Context, m *settlement) {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	for !s.tell(ctx, m) {
-		t := time.NewTimer(retryPause)
+	for !s.deliver(ctx, m) {
+		t := time.NewTimer(retryInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -299,7 +301,8 @@
 	}
 }
 
-func (s settler) tell(ctx context.Context, m *settle) bool {
+// deliver sends a result once and reports whether it was accepted.
+func (s settler) deliver(ctx context.Context, m *settlement) bool {
 	n := m.Key.shard()
 	to, kind := s.ownerOf(n), kindSettle
 	if m.issuer != "" {
@@ -310,10 +313,10 @@
 		s.tickets.settle(m)
 		return true
 	case to == s.name:
-		return s.shards[n].settled(ctx, m)
+		return s.shards[n].settleAndWait(ctx, m)
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleWait)
+	ctx, cancel := context.WithTimeout(ctx, settleCallTimeout)
 	defer cancel()
-	var taken bool
-	return s.peers.Call(ctx, to, kind, m, &taken) == nil && taken
+	var accepted bool
+	return s.peers.Call(ctx, to, kind, m, &accepted) == nil && accepted
 }
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -19,7 +19,8 @@
 	"embertally.dev/core/wire"
 )
 
-// mesh joins several Once without a network. Owner is what each believes.
+// mesh connects several Once without a network. owner is the daemon to which all shards are assigned in
+// the local view of each node.
 type mesh struct {
 	mu    sync.Mutex
 	nodes map[string]*Once
@@ -55,21 +56,21 @@
 	switch m := req.(type) {
 	case *Claim:
 		*resp.(*Answer) = n.shards[m.Key.shard()].claim(ctx, m)
-	case *settle:
+	case *settlement:
 		if m.issuer != "" {
 			n.tickets.settle(m)
 			*resp.(*bool) = true
 			return nil
 		}
-		*resp.(*bool) = n.shards[m.Key.shard()].settled(ctx, m)
-	case *ticketAsk:
+		*resp.(*bool) = n.shards[m.Key.shard()].settleAndWait(ctx, m)
+	case *ticketClaim:
 		*resp.(*Answer) = n.grantTicket(m)
 	}
 	return nil
 }
 
-// believe makes every node believe that owner has the duty.
-func (m *mesh) believe(owner string) {
+// assign assigns all shards to owner in the view of every node.
+func (m *mesh) assign(owner string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name := range m.nodes {
@@ -81,7 +82,7 @@
 	m := &mesh{nodes: map[string]*Once{}, owner: map[string]string{}, dead: map[string]bool{}}
 	for _, n := range names {
 		m.nodes[n] = newOnce(Options{Name: n, Incarnation: n + "-1", KV: kv, Log: &event.Log{}}, meshPeers{m, n})
-		m.nodes[n].limit = 200 * time.Millisecond
+		m.nodes[n].claimTimeout = 200 * time.Millisecond
 		m.owner[n] = names[0]
 	}
 	return m
@@ -96,7 +97,7 @@
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-func v7(t *testing.T) (string, time.Time) {
+func newIdempotencyKey(t *testing.T) (string, time.Time) {
 	t.Helper()
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -109,8 +110,8 @@
 	return id.String(), at
 }
 
-// claimSoon claims until the answer is another than unavailable.
-func claimSoon(g *gomega.WithT, c *Once, key Key, at time.Time, digest uint64) (a *Attempt, ans Answer) {
+// claimUntilAvailable repeats a claim until the answer is not Unavailable.
+func claimUntilAvailable(g *gomega.WithT, c *Once, key Key, at time.Time, digest uint64) (a *Attempt, ans Answer) {
 	g.Eventually(func() State {
 		a, ans = c.Claim(context.Background(), key, at, digest)
 		return ans.State
@@ -122,13 +123,13 @@
 	g := gomega.NewWithT(t)
 	m := newMesh(&memkv.KV{}, "a", "b")
 	m.start(t)
-	id, at := v7(t)
+	id, at := newIdempotencyKey(t)
 	key := NewKey("org", "pay", id)
-	first, ans := claimSoon(g, m.nodes["b"], key, at, 7)
+	first, ans := claimUntilAvailable(g, m.nodes["b"], key, at, 7)
 	g.Expect(ans.State).To(gomega.Equal(Granted))
-	_, ans = claimSoon(g, m.nodes["a"], key, at, 7)
+	_, ans = claimUntilAvailable(g, m.nodes["a"], key, at, 7)
 	g.Expect(ans.State).To(gomega.Equal(Running))
-	_, ans = claimSoon(g, m.nodes["a"], key, at, 8)
+	_, ans = claimUntilAvailable(g, m.nodes["a"], key, at, 8)
 	g.Expect(ans.State).To(gomega.Equal(Mismatch))
 	first.Ran(Outcome{Status: 200, Body: []byte("paid")})
 	g.Eventually(func() Answer {
@@ -145,20 +146,20 @@
 	}{
 		{"ran", func(a *Attempt) { a.Ran(Outcome{Status: 201}) }, Ran},
 		{"unknown", func(a *Attempt) { a.Unknown() }, Unknown},
-		{"given back", func(a *Attempt) { a.NotRun() }, Granted},
+		{"released", func(a *Attempt) { a.NotRun() }, Granted},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			m := newMesh(&memkv.KV{}, "a", "b", "c")
 			m.start(t)
-			id, at := v7(t)
+			id, at := newIdempotencyKey(t)
 			key := NewKey("org", "pay", id)
-			a, ans := claimSoon(g, m.nodes["c"], key, at, 1)
+			a, ans := claimUntilAvailable(g, m.nodes["c"], key, at, 1)
 			g.Expect(ans.State).To(gomega.Equal(Granted))
 			tc.end(a)
-			g.Eventually(func() int { return len(m.nodes["c"].settling) }, "20s").Should(gomega.BeZero())
-			m.believe("b")
+			g.Eventually(func() int { return len(m.nodes["c"].settlements) }, "20s").Should(gomega.BeZero())
+			m.assign("b")
 			g.Eventually(func() State {
 				_, ans := m.nodes["c"].Claim(context.Background(), key, at, 1)
 				return ans.State
@@ -167,55 +168,55 @@
 	}
 }
 
-func TestClaimOfDeadAskerReadsUnknown(t *testing.T) {
+func TestClaimOfStoppedRequesterIsUnknown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := newMesh(&memkv.KV{}, "a", "b")
 	m.start(t)
-	id, at := v7(t)
+	id, at := newIdempotencyKey(t)
 	key := NewKey("org", "pay", id)
-	_, ans := claimSoon(g, m.nodes["b"], key, at, 1)
+	_, ans := claimUntilAvailable(g, m.nodes["b"], key, at, 1)
 	g.Expect(ans.State).To(gomega.Equal(Granted))
 	m.mu.Lock()
 	m.dead["b"] = true
 	m.mu.Unlock()
-	_, ans = claimSoon(g, m.nodes["a"], key, at, 1)
+	_, ans = claimUntilAvailable(g, m.nodes["a"], key, at, 1)
 	g.Expect(ans.State).To(gomega.Equal(Unknown))
 }
 
-func TestServiceDownRefusesAndRecovers(t *testing.T) {
+func TestClaimsAreRefusedWhileTheStoreIsDown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	m := newMesh(kv, "a")
 	m.start(t)
-	id, at := v7(t)
+	id, at := newIdempotencyKey(t)
 	key := NewKey("org", "pay", id)
-	other, otherAt := v7(t)
-	claimSoon(g, m.nodes["a"], NewKey("org", "pay", other), otherAt, 1)
+	other, otherAt := newIdempotencyKey(t)
+	claimUntilAvailable(g, m.nodes["a"], NewKey("org", "pay", other), otherAt, 1)
 	kv.SetDown(true)
 	_, ans := m.nodes["a"].Claim(context.Background(), key, at, 1)
 	g.Expect(ans.State).To(gomega.Equal(Unavailable))
 	kv.SetDown(false)
-	_, ans = claimSoon(g, m.nodes["a"], key, at, 1)
+	_, ans = claimUntilAvailable(g, m.nodes["a"], key, at, 1)
 	g.Expect(ans.State).To(gomega.Equal(Granted))
 }
 
-// A shard that changes hands while a claim waits answers it all the same.
-func TestClaimOutlivesAChangeOfOwner(t *testing.T) {
+// A pending claim is answered even if its shard changes its owner meanwhile.
+func TestPendingClaimSurvivesAChangeOfOwner(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := newMesh(&memkv.KV{}, "a", "b")
 	for _, n := range m.nodes {
-		n.limit = 20 * time.Second
+		n.claimTimeout = 20 * time.Second
 	}
 	m.start(t)
 	const claims = 40
 	states := make(chan State, claims)
 	for i := range claims {
-		id, at := v7(t)
+		id, at := newIdempotencyKey(t)
 		go func() {
 			_, ans := m.nodes["b"].Claim(context.Background(), NewKey("org", "pay", id), at, 1)
 			states <- ans.State
 		}()
-		m.believe([]string{"a", "b"}[i/10%2])
+		m.assign([]string{"a", "b"}[i/10%2])
 	}
 	for range claims {
 		g.Eventually(states, "30s").Should(gomega.Receive(gomega.Equal(Granted)))
@@ -223,7 +224,7 @@
 }
 
 func TestKeyTime(t *testing.T) {
-	now, nowAt := v7(t)
+	now, nowAt := newIdempotencyKey(t)
 	tests := []struct {
 		name, key string
 		ok        bool
@@ -255,7 +256,7 @@
 		{"now", now, ""},
 		{"just inside", now.Add(-DefaultWindow + time.Second), ""},
 		{"too old", now.Add(-DefaultWindow - time.Second), Expired},
-		{"from the future", now.Add(2 * maxAhead), Expired},
+		{"from the future", now.Add(2 * maxClockSkew), Expired},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -266,9 +267,8 @@
 	}
 }
 
-// A key that was given up is never granted again, whatever the clock of a
-// later owner says.
-func TestFloorHoldsUnderAnyClock(t *testing.T) {
+// An expired key is never granted again, whatever the clock of a later owner shows.
+func TestExpiredKeysAreRefusedUnderAnyClock(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := time.UnixMilli(1_700_000_000_000)
 		clock := func(label string) time.Time {
@@ -282,23 +282,23 @@
 		}
 		tb.apply(&entry{KeyMillis: c.KeyMillis, Attempt: "1"})
 		tb.expire(clock("expiring"), DefaultWindow)
-		again := tb.check(c, clock("later"), DefaultWindow, func(string, string) bool { return true })
-		if again.State == "" {
+		second := tb.check(c, clock("later"), DefaultWindow, func(string, string) bool { return true })
+		if second.State == "" {
 			t.Fatalf("a key was granted twice; floor %d, key %d", tb.floor, c.KeyMillis)
 		}
 	})
 }
 
-// Whatever answers are lost and however often the duty moves, also to several
-// daemons at a time, no key is granted twice.
+// No key is granted twice when replies of the store are lost and shards are reassigned often, also to
+// several daemons at a time.
 func TestNoKeyIsGrantedTwiceUnderFaults(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			rnd := rand.New(rand.NewPCG(seed, 1))
+			rng := rand.New(rand.NewPCG(seed, 1))
 			kv := &memkv.KV{}
-			fates := []memkv.Fate{memkv.Answered, memkv.Answered, memkv.Answered, memkv.Lost, memkv.Dropped, memkv.Late}
-			kv.SetFate(func() memkv.Fate { return fates[rnd.IntN(len(fates))] })
+			outcomes := []memkv.Fate{memkv.Answered, memkv.Answered, memkv.Answered, memkv.Lost, memkv.Dropped, memkv.Late}
+			kv.SetFate(func() memkv.Fate { return outcomes[rng.IntN(len(outcomes))] })
 			names := []string{"a", "b", "c"}
 			m := newMesh(kv, names...)
 			m.start(t)
@@ -308,7 +308,7 @@
 			id := make([]string, keys)
 			at := make([]time.Time, keys)
 			for i := range keys {
-				id[i], at[i] = v7(t)
+				id[i], at[i] = newIdempotencyKey(t)
 			}
 			var wg sync.WaitGroup
 			for i := range keys {
@@ -330,14 +330,14 @@
 			moved := make(chan struct{})
 			go func() {
 				defer close(moved)
-				for turn := 0; ; turn++ {
+				for step := 0; ; step++ {
 					select {
 					case <-stop:
 						return
 					case <-time.After(30 * time.Millisecond):
 					}
 					m.mu.Lock()
-					m.owner[names[turn%3]] = names[(turn/3)%3]
+					m.owner[names[step%3]] = names[(step/3)%3]
 					m.mu.Unlock()
 				}
 			}()
@@ -352,26 +352,26 @@
 	}
 }
 
-// Writes depend on shards and pace, not on the number of claims.
-func TestClaimsShareWrites(t *testing.T) {
+// The number of writes depends on shards and intervals, not on the number of claims.
+func TestClaimsAreBatched(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	m := newMesh(kv, "a")
 	m.start(t)
-	warm, at := v7(t)
-	claimSoon(g, m.nodes["a"], NewKey("org", "pay", warm), at, 1)
+	firstID, at := newIdempotencyKey(t)
+	claimUntilAvailable(g, m.nodes["a"], NewKey("org", "pay", firstID), at, 1)
 	const claims = 400
 	var wg sync.WaitGroup
 	for range claims {
-		id, at := v7(t)
+		id, at := newIdempotencyKey(t)
 		wg.Go(func() { m.nodes["a"].Claim(context.Background(), NewKey("org", "pay", id), at, 1) })
 	}
 	wg.Wait()
 	g.Expect(kv.Writes()).To(gomega.BeNumerically("<", claims/4))
 }
 
-// A ticket is granted once, through any daemon, without the service, and never
-// after its issuer's incarnation has ended.
+// A ticket is granted once, through any daemon, without the coordination store, and never after its
+// issuer's incarnation has ended.
 func TestTickets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
@@ -411,12 +411,12 @@
 	m.nodes["a"].incarnation = "a-2"
 	m.mu.Unlock()
 	_, state := claim("b", "org", second, 1)
-	g.Expect(state).To(gomega.Equal(Unknown), "the issuer has started anew")
+	g.Expect(state).To(gomega.Equal(Unknown), "the issuer was restarted")
 	m.mu.Lock()
 	m.dead["a"] = true
 	m.mu.Unlock()
 	_, state = claim("b", "org", second, 1)
-	g.Expect(state).To(gomega.Equal(Unavailable), "the issuer is gone")
+	g.Expect(state).To(gomega.Equal(Unavailable), "the issuer is down")
 	_, _, err := m.nodes["b"].ClaimTicket(context.Background(), "org", "pay", "no ticket", 1)
 	g.Expect(err).To(gomega.HaveOccurred())
 }
--- a/core/once/shard.go
+++ b/core/once/shard.go
@@ -16,61 +16,60 @@
 	"embertally.dev/core/plat"
 )
 
-// KeyRoot is the prefix of everything that claims keep in the service.
-const KeyRoot = "embertally/once/"
+// KeyPrefix is the prefix of all keys of claims in the coordination store.
+const KeyPrefix = "embertally/once/"
 
-func shardKey(shard int) string { return KeyRoot + strconv.Itoa(shard) + "/" }
+func shardKey(shard int) string { return KeyPrefix + strconv.Itoa(shard) + "/" }
 
-// batch is one key of a shard's log.
+// batch is the value of one key of a shard's log.
 type batch struct {
 	Entries []entry `msgpack:"e"`
-	// MaxMillis is the highest key time in it.
+	// MaxMillis is the highest time of its entries' idempotency keys, in Unix milliseconds.
 	MaxMillis int64 `msgpack:"m"`
 }
 
-// Pace of a shard's writes.
+// Intervals and bounds of a shard's writes.
 const (
-	// claimPace is the least time between two writes with claims.
-	claimPace = 40 * time.Millisecond
-	// endPace is how long the ends of attempts wait for a write.
-	endPace = 400 * time.Millisecond
-	// expirePace is the time between two writes that give up old claims.
-	expirePace = 30 * time.Second
-	// maxBatch bounds the entries of one write, and so its size.
+	// claimInterval is the minimum time between two writes with claims.
+	claimInterval = 40 * time.Millisecond
+	// resultInterval is the minimum time between two writes that only hold results of attempts.
+	resultInterval = 400 * time.Millisecond
+	// expireInterval is the minimum time between two writes that remove expired claims.
+	expireInterval = 30 * time.Second
+	// maxBatch bounds the entries of one write and thereby its size.
 	maxBatch = 256
 	// maxPending bounds the entries that wait for a write.
 	maxPending = 8192
 )
 
-// shard is one share of all claims. Its owner is the only daemon that grants
-// them; that it is the owner is proven by each write.
+// shard is one partition of the claims. Only its owner grants them; each write is guarded by the
+// owner's leadership lease.
 type shard struct {
 	n     int
 	owner *Once
 
 	shardMu sync.Mutex
-	// lease is what this daemon owns the shard by. Guarded by shardMu.
+	// lease is this daemon's leadership lease for the shard. Guarded by shardMu.
 	lease lease.Lease
-	// owned tells that table is complete. Guarded by shardMu.
+	// owned reports whether this daemon owns the shard and table is complete. Guarded by shardMu.
 	owned bool
 	table table // guarded by shardMu
-	// pending are entries that wait for a write, oldest first. Guarded by
-	// shardMu.
+	// pending holds the entries that wait for a write, oldest first. Guarded by shardMu.
 	pending []pendingEntry
-	// logged is the highest key time of each log key, oldest first. Guarded by
-	// shardMu.
+	// logged lists the batches in the coordination store, oldest first. Guarded by shardMu.
 	logged []loggedBatch
 	seq    uint64 // number of the last log key; guarded by shardMu
-	// kick wakes run.
-	kick chan struct{}
+	// wakeup wakes run.
+	wakeup chan struct{}
 }
 
 type pendingEntry struct {
 	entry
-	// done receives whether the entry was committed; it has room for that.
+	// done receives whether the entry was committed; its buffer holds that value.
 	done chan bool
 }
 
+// loggedBatch is a committed batch: the number of its log key and its MaxMillis.
 type loggedBatch struct {
 	seq       uint64
 	maxMillis int64
@@ -82,61 +81,62 @@
 func (s *shard) logPrefix() string      { return s.key() + "log/" }
 func (s *shard) logKey(n uint64) string { return fmt.Sprintf("%s%020d", s.logPrefix(), n) }
 
-// run owns the shard while this daemon has the duty.
+// run acquires and writes the shard while it is assigned to this daemon, until ctx ends.
 func (s *shard) run(ctx context.Context) {
-	t := time.NewTicker(dutyPause)
+	t := time.NewTicker(assignmentInterval)
 	defer t.Stop()
-	last := time.Time{}
-	expired := time.Now()
+	lastWrite := time.Time{}
+	lastExpire := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-s.kick:
+		case <-s.wakeup:
 		}
-		if !s.owner.hasDuty(s.n) {
-			s.drop()
+		if !s.owner.isAssigned(s.n) {
+			s.loseOwnership()
 			continue
 		}
 		if !s.isOwned() {
-			s.take(ctx)
+			s.acquire(ctx)
 			continue
 		}
-		if time.Since(expired) > expirePace {
+		if time.Since(lastExpire) > expireInterval {
 			s.expire(ctx)
-			expired = time.Now()
+			lastExpire = time.Now()
 		}
-		if !s.wait(ctx, last) {
+		if !s.awaitInterval(ctx, lastWrite) {
 			continue
 		}
-		last = time.Now()
+		lastWrite = time.Now()
 		s.flush(ctx)
 	}
 }
 
-// dutyPause is the time between looks at whether the duty changed.
-const dutyPause = 500 * time.Millisecond
+// assignmentInterval is how often the shard's assignment is checked.
+const assignmentInterval = 500 * time.Millisecond
 
-// wait keeps the pace of writes; it reports whether there is one to make.
-func (s *shard) wait(ctx context.Context, last time.Time) bool {
-	claims, ends := s.waiting()
-	if claims+ends == 0 {
+// awaitInterval waits until the next write is due after lastWrite, and reports whether there is
+// one to make. If only results are pending, it doesn't block but schedules a wakeup.
+func (s *shard) awaitInterval(ctx context.Context, lastWrite time.Time) bool {
+	claims, results := s.countPending()
+	if claims+results == 0 {
 		return false
 	}
-	pace := claimPace
+	interval := claimInterval
 	if claims == 0 {
-		pace = endPace
+		interval = resultInterval
 	}
-	rest := pace - time.Since(last)
-	if rest <= 0 {
+	remaining := interval - time.Since(lastWrite)
+	if remaining <= 0 {
 		return true
 	}
 	if claims == 0 {
-		time.AfterFunc(rest, s.wake)
+		time.AfterFunc(remaining, s.wake)
 		return false
 	}
-	t := time.NewTimer(rest)
+	t := time.NewTimer(remaining)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -146,22 +146,23 @@
 	}
 }
 
-func (s *shard) waiting() (claims, ends int) {
+// countPending returns how many claims and results wait for a write.
+func (s *shard) countPending() (claims, results int) {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
 	for _, p := range s.pending {
-		if p.End == 0 {
+		if p.Result == 0 {
 			claims++
 		} else {
-			ends++
+			results++
 		}
 	}
-	return claims, ends
+	return claims, results
 }
 
 func (s *shard) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -172,8 +173,8 @@
 	return s.owned
 }
 
-// drop ends the ownership; claims that wait are not granted.
-func (s *shard) drop() {
+// loseOwnership ends the ownership of the shard; pending claims are not granted.
+func (s *shard) loseOwnership() {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
 	if !s.owned && len(s.pending) == 0 {
@@ -189,8 +190,8 @@
 	s.pending = nil
 }
 
-// take becomes the owner and reads what former owners wrote.
-func (s *shard) take(ctx context.Context) {
+// acquire takes the leadership lease and loads what former owners committed.
+func (s *shard) acquire(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
 	l, err := lease.Take(ctx, s.owner.kv, s.leaseKey(), s.owner.name)
@@ -208,6 +209,7 @@
 	s.owner.log.Emit(event.ShardTaken, event.Ref{}, fmt.Sprintf("%d, epoch %d", s.n, l.Epoch()))
 }
 
+// load fills the table from the stored floor and log, and makes this daemon the owner.
 func (s *shard) load(l lease.Lease, pairs []plat.Pair) error {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
@@ -228,6 +230,7 @@
 	return nil
 }
 
+// replay applies one batch of the log to the table.
 func (s *shard) replay(p plat.Pair) error {
 	var b batch
 	if err := msgpack.Unmarshal(p.Value, &b); err != nil {
@@ -245,7 +248,7 @@
 	return nil
 }
 
-// claim commits a claim or says why it cannot be granted.
+// claim commits a claim, or returns the state for which it is not granted.
 func (s *shard) claim(ctx context.Context, c *Claim) Answer {
 	done, ans := s.enqueue(c)
 	if ans.State != "" {
@@ -257,14 +260,16 @@
 		if ok {
 			return Answer{State: Granted}
 		}
-		// The shard has passed to another, who knows whether it is committed.
+		// Another daemon owns the shard now, and has loaded whether the claim was committed.
 		return Answer{State: notOwner}
 	case <-ctx.Done():
-		s.settle(&settle{Key: c.Key, Attempt: c.Attempt, End: endNotRun})
+		s.settle(&settlement{Key: c.Key, Attempt: c.Attempt, Result: resultNotRun})
 		return Answer{State: Unavailable}
 	}
 }
 
+// enqueue checks a claim and adds it to the pending entries. An answer with a state means that it was
+// not added.
 func (s *shard) enqueue(c *Claim) (chan bool, Answer) {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
@@ -278,8 +283,8 @@
 		return nil, ans
 	}
 	e := entry{
-		Key: c.Key, KeyMillis: c.KeyMillis, Attempt: c.Attempt, Asker: c.Asker,
-		Incarnation: c.Incarnation, Print: c.Print,
+		Key: c.Key, KeyMillis: c.KeyMillis, Attempt: c.Attempt, Requester: c.Requester,
+		Incarnation: c.Incarnation, Digest: c.Digest,
 	}
 	s.table.apply(&e)
 	s.table.claims[c.Key].committed = false
@@ -288,9 +293,9 @@
 	return done, Answer{}
 }
 
-// settle takes the end of an attempt. The channel receives whether it was
-// committed; it is nil if this daemon does not own the shard.
-func (s *shard) settle(m *settle) chan bool {
+// settle adds the result of an attempt to the pending entries. The channel receives whether it was
+// committed; it is nil if this daemon doesn't own the shard or too many entries are pending.
+func (s *shard) settle(m *settlement) chan bool {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
 	if !s.owned || len(s.pending) >= maxPending {
@@ -298,19 +303,19 @@
 	}
 	done := make(chan bool, 1)
 	c := s.table.claims[m.Key]
-	if c == nil || c.attempt != m.Attempt || c.end != 0 {
+	if c == nil || c.attempt != m.Attempt || c.result != 0 {
 		done <- true
 		return done
 	}
-	e := entry{Key: m.Key, KeyMillis: c.keyMillis, Attempt: m.Attempt, End: m.End, Outcome: m.Outcome}
+	e := entry{Key: m.Key, KeyMillis: c.keyMillis, Attempt: m.Attempt, Result: m.Result, Outcome: m.Outcome}
 	s.table.apply(&e)
 	s.pending = append(s.pending, pendingEntry{entry: e, done: done})
 	s.wake()
 	return done
 }
 
-// settled takes the end of an attempt and reports whether it was committed.
-func (s *shard) settled(ctx context.Context, m *settle) bool {
+// settleAndWait adds the result of an attempt and reports whether it was committed.
+func (s *shard) settleAndWait(ctx context.Context, m *settlement) bool {
 	done := s.settle(m)
 	if done == nil {
 		return false
@@ -323,8 +328,8 @@
 	}
 }
 
-// flush writes what waits. A write whose answer was lost is written again as
-// it was: it is guarded by the lease, and writing it twice changes nothing.
+// flush writes up to maxBatch pending entries. A write whose reply was lost is repeated unchanged: it
+// is guarded by the lease and idempotent.
 func (s *shard) flush(ctx context.Context) {
 	s.shardMu.Lock()
 	n := min(len(s.pending), maxBatch)
@@ -346,19 +351,20 @@
 		return
 	}
 	txn := plat.Txn{Compares: []plat.Compare{guard}, Puts: []plat.Put{{Key: s.logKey(seq), Value: raw}}}
-	held, ok := s.commit(ctx, txn)
+	guardHeld, ok := s.commit(ctx, txn)
 	switch {
 	case !ok:
-	case !held:
-		s.drop()
+	case !guardHeld:
+		s.loseOwnership()
 	default:
 		s.written(seq, n, b.MaxMillis)
 	}
 }
 
-// commit writes until the outcome is known, the duty or the daemon ends.
-func (s *shard) commit(ctx context.Context, txn plat.Txn) (held, known bool) {
-	told := false
+// commit repeats a write until its outcome is known, the shard is assigned elsewhere or ctx ends.
+// guardHeld reports whether the write was applied; known is false if ctx ended first.
+func (s *shard) commit(ctx context.Context, txn plat.Txn) (guardHeld, known bool) {
+	reported := false
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 		out, err := s.owner.kv.Commit(callCtx, txn)
@@ -366,26 +372,27 @@
 		if err == nil {
 			return out.Succeeded, true
 		}
-		if !told {
+		if !reported {
 			s.owner.log.Emit(event.ClaimUnsettled, event.Ref{}, fmt.Sprintf("shard %d: %v", s.n, err))
-			told = true
+			reported = true
 		}
-		t := time.NewTimer(retryPause)
+		t := time.NewTimer(retryInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return false, false
 		case <-t.C:
 		}
-		if !s.owner.hasDuty(s.n) {
+		if !s.owner.isAssigned(s.n) {
 			return false, true
 		}
 	}
 }
 
-// retryPause spaces the tries of a write.
-const retryPause = 200 * time.Millisecond
+// retryInterval is the pause between attempts of a write, and between deliveries of a result.
+const retryInterval = 200 * time.Millisecond
 
+// written records that the first n pending entries were committed under log key seq.
 func (s *shard) written(seq uint64, n int, maxMillis int64) {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
@@ -407,33 +414,33 @@
 	}
 }
 
-// expire gives up claims whose keys are too old, with their log keys.
+// expire removes claims whose keys are too old, and the log keys that hold no others.
 func (s *shard) expire(ctx context.Context) {
 	s.shardMu.Lock()
 	s.table.expire(time.Now(), s.owner.window)
 	floor, guard := s.table.floor, s.lease.Guard()
-	gone := 0
-	for gone < len(s.logged) && s.logged[gone].maxMillis <= floor {
-		gone++
+	expired := 0
+	for expired < len(s.logged) && s.logged[expired].maxMillis <= floor {
+		expired++
 	}
-	if gone == 0 {
+	if expired == 0 {
 		s.shardMu.Unlock()
 		return
 	}
-	upTo := s.logged[gone-1].seq
+	upTo := s.logged[expired-1].seq
 	s.shardMu.Unlock()
 	txn := plat.Txn{
 		Compares:    []plat.Compare{guard},
 		Puts:        []plat.Put{{Key: s.floorKey(), Value: []byte(strconv.FormatInt(floor, 10))}},
 		DeleteRange: &plat.Span{From: s.logKey(0), To: s.logKey(upTo + 1)},
 	}
-	held, known := s.commit(ctx, txn)
-	if known && !held {
-		s.drop()
+	guardHeld, known := s.commit(ctx, txn)
+	if known && !guardHeld {
+		s.loseOwnership()
 	}
-	if known && held {
+	if known && guardHeld {
 		s.shardMu.Lock()
-		s.logged = append([]loggedBatch(nil), s.logged[min(gone, len(s.logged)):]...)
+		s.logged = append([]loggedBatch(nil), s.logged[min(expired, len(s.logged)):]...)
 		s.shardMu.Unlock()
 	}
 }
--- a/core/once/table.go
+++ b/core/once/table.go
@@ -2,75 +2,74 @@
 
 import "time"
 
-// claim is what a shard knows of one call.
+// claim is the state of one claimed call.
 type claim struct {
 	keyMillis   int64
 	attempt     string
-	asker       string
+	requester   string
 	incarnation string
-	print       uint64
-	end         end
+	digest      uint64
+	result      attemptResult
 	outcome     Outcome
-	// committed tells that the service holds the claim.
+	// committed reports whether the claim is in the coordination store.
 	committed bool
 }
 
-// table is the claims of one shard. It is pure: time comes in as a value.
-// The zero value is empty.
+// table holds the claims of one shard or of a daemon's tickets. It does no I/O and gets the time as a
+// parameter. The zero value is empty.
 type table struct {
 	claims map[Key]*claim
-	// floor is the highest key time in milliseconds that was given up; keys
-	// at or below it are refused for ever, whatever any clock says.
+	// floor is a key time in Unix milliseconds: keys at or below it have expired and are refused for
+	// ever, independently of any clock.
 	floor int64
-	// kept is the bytes of outcomes' bodies.
-	kept int
+	// bodyBytes is the total size of the recorded bodies.
+	bodyBytes int
 }
 
-// Bounds of a table.
+// Bounds of a table. maxBodyBytes bounds the recorded bodies in total.
 const (
 	maxClaims    = 1 << 16
-	maxKeptBytes = 2 << 20
+	maxBodyBytes = 2 << 20
 )
 
-// apply takes one line of the log.
+// apply applies one record of the log.
 func (t *table) apply(e *entry) {
 	if t.claims == nil {
 		t.claims = map[Key]*claim{}
 	}
 	c := t.claims[e.Key]
 	switch {
-	case e.End == 0:
+	case e.Result == 0:
 		t.claims[e.Key] = &claim{
-			keyMillis: e.KeyMillis, attempt: e.Attempt, asker: e.Asker, incarnation: e.Incarnation,
-			print: e.Print, committed: true,
+			keyMillis: e.KeyMillis, attempt: e.Attempt, requester: e.Requester, incarnation: e.Incarnation,
+			digest: e.Digest, committed: true,
 		}
-	case c == nil || c.attempt != e.Attempt || c.end != 0:
-		// The end of an attempt that was given back, or a second end.
-	case e.End == endNotRun:
+	case c == nil || c.attempt != e.Attempt || c.result != 0:
+		// The result of an attempt that was released, or a second result.
+	case e.Result == resultNotRun:
 		delete(t.claims, e.Key)
 	default:
-		c.end, c.outcome = e.End, e.Outcome
-		t.keep(c)
+		c.result, c.outcome = e.Result, e.Outcome
+		t.limitBody(c)
 	}
 }
 
-// keep bounds the bodies that are held.
-func (t *table) keep(c *claim) {
-	if t.kept+len(c.outcome.Body) > maxKeptBytes {
+// limitBody drops the claim's body if the recorded bodies would exceed maxBodyBytes.
+func (t *table) limitBody(c *claim) {
+	if t.bodyBytes+len(c.outcome.Body) > maxBodyBytes {
 		c.outcome.Body, c.outcome.Cut = nil, true
 	}
-	t.kept += len(c.outcome.Body)
+	t.bodyBytes += len(c.outcome.Body)
 }
 
-// check returns what becomes of a claim, or "" if it can be committed. An
-// attempt that is committed already is granted: nobody but its asker asks for
-// it, and it asks until it is answered once.
-// running tells whether an asker's incarnation is alive.
-func (t *table) check(c *Claim, now time.Time, window time.Duration, running func(asker, incarnation string) bool) Answer {
+// check returns the answer to a claim, with an empty state if the claim can be committed. An attempt
+// that is committed already is granted: only its requester sends it, and stops at the first answer.
+// running reports whether a requester's incarnation is alive.
+func (t *table) check(c *Claim, now time.Time, window time.Duration, running func(requester, incarnation string) bool) Answer {
 	at := time.UnixMilli(c.KeyMillis)
-	old := t.claims[c.Key]
-	if old == nil {
-		if c.KeyMillis <= t.floor || now.Sub(at) > window || at.Sub(now) > maxAhead {
+	recorded := t.claims[c.Key]
+	if recorded == nil {
+		if c.KeyMillis <= t.floor || now.Sub(at) > window || at.Sub(now) > maxClockSkew {
 			return Answer{State: Expired}
 		}
 		if len(t.claims) >= maxClaims {
@@ -79,35 +78,35 @@
 		return Answer{}
 	}
 	switch {
-	case old.attempt == c.Attempt && old.end == 0 && old.committed:
-		// The asker was not answered when it asked a former owner.
+	case recorded.attempt == c.Attempt && recorded.result == 0 && recorded.committed:
+		// A former owner committed the claim, and its answer did not reach the requester.
 		return Answer{State: Granted}
-	case old.print != c.Print:
+	case recorded.digest != c.Digest:
 		return Answer{State: Mismatch}
-	case old.end == endRan:
-		return Answer{State: Ran, Outcome: old.outcome}
-	case old.end == endUnknown:
+	case recorded.result == resultRan:
+		return Answer{State: Ran, Outcome: recorded.outcome}
+	case recorded.result == resultUnknown:
 		return Answer{State: Unknown}
-	case running(old.asker, old.incarnation):
+	case running(recorded.requester, recorded.incarnation):
 		return Answer{State: Running}
 	}
 	return Answer{State: Unknown}
 }
 
-// maxAhead is how far in the future a key's time may lie, for callers' clocks.
-const maxAhead = time.Minute
+// maxClockSkew is how far in the future a key's time may be, because callers' clocks differ.
+const maxClockSkew = time.Minute
 
-// expire gives up the claims whose keys are too old and returns the new
-// floor. Nothing at or below the floor is ever granted again.
+// expire removes the claims whose keys are too old and raises the floor. No key at or below the floor
+// is granted again.
 func (t *table) expire(now time.Time, window time.Duration) {
-	floor := now.Add(-window - maxAhead).UnixMilli()
+	floor := now.Add(-window - maxClockSkew).UnixMilli()
 	if floor <= t.floor {
 		return
 	}
 	t.floor = floor
 	for k, c := range t.claims {
 		if c.keyMillis <= floor {
-			t.kept -= len(c.outcome.Body)
+			t.bodyBytes -= len(c.outcome.Body)
 			delete(t.claims, k)
 		}
 	}
