--- a/core/table/table.go
+++ b/core/table/table.go
@@ -1,8 +1,8 @@
-// Package table owns the routing table of a site: which route a request takes,
-// which organisation a key belongs to, and what each service is.
+// Package table owns the routing table of a site: the routes of requests, the organisations with
+// their keys, and the services.
 //
-// A Table never changes; a new configuration makes a new one. The package must
-// not know where a configuration comes from or how it is written there.
+// A Table is immutable; each new configuration gets a new one. The package must not know where a
+// configuration comes from or how it is encoded there.
 package table
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Kind says how often a request may run.
+// Kind says whether the requests of a route may run more than once.
 type Kind int
 
 // The kinds of routes.
@@ -22,12 +22,11 @@
 	Once Kind = iota
 	// Repeatable may run more than once.
 	Repeatable
-	// Stream answers with events and may run at most once, unless the route is
-	// resumable.
+	// Stream is answered with events. It may run at most once, unless the route is resumable.
 	Stream
 )
 
-// String returns the kind as it stands in log lines.
+// String returns the kind's name in log lines.
 func (k Kind) String() string { return [...]string{"once", "repeatable", "stream"}[k] }
 
 // Split is the share of a route's requests that goes to one service.
@@ -36,86 +35,88 @@
 	Weight  int
 }
 
-// Route says what requests under one path of one host get.
+// Route says how the requests under one path prefix of one host are served.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable tells that a stream may be continued by another worker.
+	// Resumable reports whether another worker may continue a stream.
 	Resumable bool
-	// Timeout is how long a request may be held; 0 means no bound of its own.
+	// Timeout bounds the total time of a request; 0 means that the route sets no bound.
 	Timeout time.Duration
-	// Aim is the time within which an answer is in time.
+	// Aim is the latency objective of an answer.
 	Aim time.Duration
-	// GapAim is the longest pause between events of a stream in time.
+	// GapAim is the objective for the pause between two events of a stream.
 	GapAim   time.Duration
 	Priority int
-	// Attempts is how many targets one try of a caller may run on, at least 1.
+	// Attempts bounds the targets to which one request of a caller is sent, at least 1.
 	Attempts int
-	// Public tells that no key is needed.
+	// Public reports whether requests need no key.
 	Public bool
 	// Splits holds at least one entry; weights are not negative.
 	Splits []Split
-	// Regions are those where requests may run and their context may be kept; none stands
-	// for all. They bind beside the organisation's.
+	// Regions are the regions where requests may run and their context may be cached; empty means
+	// all. The organisation's regions restrict requests as well.
 	Regions []string
 }
 
 // MayRepeat reports whether a request may be sent again after it may have run.
 func (r *Route) MayRepeat() bool { return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable) }
 
-// Service returns the service for a draw from [0, 1).
-func (r *Route) Service(draw float64) string {
+// Service picks a service by weight for a random number from [0, 1).
+func (r *Route) Service(random float64) string {
 	total := 0
 	for _, s := range r.Splits {
 		total += s.Weight
 	}
-	at := draw * float64(total)
+	position := random * float64(total)
 	for _, s := range r.Splits {
-		if at -= float64(s.Weight); at < 0 {
+		if position -= float64(s.Weight); position < 0 {
 			return s.Service
 		}
 	}
 	return r.Splits[0].Service
 }
 
-// Engine is what the configuration says of a service's model workers.
+// Engine describes the model workers of a service.
 type Engine struct {
-	// Models are the names of the models that the workers hold.
+	// Models are the names of the models that the workers serve.
 	Models []string
-	// Slots is how many requests a worker runs at once.
+	// Slots is how many requests a worker runs concurrently.
 	Slots int
-	// MemoryTokens is how many tokens of context fit into a worker.
+	// MemoryTokens is the capacity of a worker's KV cache, in tokens.
 	MemoryTokens int
-	// TokenBytes is the size of one token of kept context.
+	// TokenBytes is the size of one token in the KV cache, in bytes.
 	TokenBytes int
-	// LinkBits is the rate of a worker's link, in bits a second.
+	// LinkBits is the bandwidth of a worker's link, in bits per second.
 	LinkBits float64
 }
 
-// Store is what the configuration says of a store of kept context.
+// Store describes a KV-cache store.
 type Store struct {
 	// Address is IP and port.
 	Address string
-	Domain  string
-	// Tokens is how many tokens fit.
-	Tokens   int
+	// Domain is the failure domain.
+	Domain string
+	// Tokens is the capacity in tokens.
+	Tokens int
+	// LinkBits is the bandwidth of the store's link, in bits per second.
 	LinkBits float64
-	// First is the time that each transfer waits before its first byte.
+	// First is the latency of each transfer until its first byte.
 	First time.Duration
-	// Managed tells that the store frees nothing by itself.
+	// Managed reports whether the store evicts nothing by itself.
 	Managed bool
-	// Watchers is how many daemons may follow the store's events at a time.
+	// Watchers bounds the daemons that follow the store's events at a time.
 	Watchers int
 }
 
-// bitsPerByte turns sizes into what a link carries.
+// bitsPerByte converts sizes in bytes to bits on a link.
 const bitsPerByte = 8
 
-// LinkTime returns how long some bytes take over a link with a rate in bits a
-// second; 0 where the rate is not known.
+// LinkTime returns how long the transfer of size bytes takes over a link with a bandwidth in bits per
+// second; 0 if the bandwidth is not known.
 func LinkTime(size int, linkBits float64) time.Duration {
 	if linkBits <= 0 {
 		return 0
@@ -123,25 +124,23 @@
 	return time.Duration(float64(size) * bitsPerByte / linkBits * float64(time.Second))
 }
 
-// Cold is what the configuration says of targets that have just started. The zero value
-// stands for targets that bear everything from the start.
+// Cold describes the warm-up of targets that have just started. The zero value means no warm-up.
 type Cold struct {
-	// Start is how long a target stays cold.
+	// Start is how long the warm-up lasts after a target's start.
 	Start time.Duration
-	// PerSecond is how many requests a second a cold target bears; 0 means no bound.
+	// PerSecond bounds the requests per second to a target that is warming up; 0 means no bound.
 	PerSecond float64
 }
 
-// Service is one service of the site.
+// Service is one service of a site.
 type Service struct {
 	Name string
 	Cold Cold
-	// MaxConns bounds the connections to one target from all callers; 0 means
-	// no bound.
+	// MaxConns bounds the connections to one target from all clients; 0 means no bound.
 	MaxConns int
-	// Engine is nil for plain services and stores.
+	// Engine is nil for plain services and KV-cache stores.
 	Engine *Engine
-	// Store is nil for everything but stores.
+	// Store is nil for all services but KV-cache stores.
 	Store *Store
 }
 
@@ -150,21 +149,23 @@
 	Name     string
 	Keys     []string
 	Priority int
-	// Isolated tells that no kept context is shared with other organisations.
+	// Isolated reports that no cached context is shared with other organisations.
 	Isolated bool
-	// Regions bind its requests like those of a route.
+	// Regions restrict its requests like those of a route.
 	Regions []string
 }
 
-// Limits bound callers' requests. Zero means no bound.
+// Limits bounds callers' requests. Zero means no bound.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	// HeaderTime bounds the time in which a header arrives.
+	HeaderTime time.Duration
+	// IdleTime bounds the time that a connection stays open without a request.
+	IdleTime time.Duration
 }
 
-// Spec is everything that a table is made from.
+// Spec is the content of a table.
 type Spec struct {
 	Version       int64
 	Routes        []Route
@@ -173,7 +174,7 @@
 	Limits        Limits
 }
 
-// Table is one configuration in force. It never changes.
+// Table is the routing table of one configuration. It is immutable.
 type Table struct {
 	version int64
 	// hosts holds the routes of each host, longest prefix first.
@@ -181,16 +182,15 @@
 	services map[string]*Service
 	keys     map[string]*Organisation
 	limits   Limits
-	// keyed tells that the configuration names organisations, so that requests
-	// need keys.
-	keyed bool
+	// requiresKeys reports whether the configuration has organisations, so that requests need keys.
+	requiresKeys bool
 }
 
-// New returns the table of a spec, which must not be changed afterwards.
+// New returns the table of a spec, which must not be modified afterwards.
 func New(s Spec) *Table {
 	t := &Table{
 		version: s.Version, hosts: map[string][]*Route{}, services: map[string]*Service{},
-		keys: map[string]*Organisation{}, limits: s.Limits, keyed: len(s.Organisations) > 0,
+		keys: map[string]*Organisation{}, limits: s.Limits, requiresKeys: len(s.Organisations) > 0,
 	}
 	for i := range s.Routes {
 		r := &s.Routes[i]
@@ -211,16 +211,16 @@
 	return t
 }
 
-// Version returns the number of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.version }
 
 // Limits returns the bounds of callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Keyed reports whether requests on routes that are not public need a key.
-func (t *Table) Keyed() bool { return t.keyed }
+func (t *Table) Keyed() bool { return t.requiresKeys }
 
-// Match returns the route of a request, or nil.
+// Match returns the route with the longest matching prefix of the host, or nil. A port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -239,7 +239,7 @@
 // Service returns a service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Stores returns the stores of kept context, ordered by address.
+// Stores returns the KV-cache stores, ordered by address.
 func (t *Table) Stores() []*Store {
 	var out []*Store
 	for _, s := range t.services {
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -47,11 +47,11 @@
 	}
 }
 
-func TestSplitsAreTakenByWeight(t *testing.T) {
+func TestServiceIsPickedByWeight(t *testing.T) {
 	tests := []struct {
-		route string
-		draw  float64
-		want  string
+		route  string
+		random float64
+		want   string
 	}{
 		{"/x/", 0, "s1"},
 		{"/x/", 0.74, "s1"},
@@ -61,11 +61,11 @@
 	}
 	tbl := New(spec())
 	for _, tc := range tests {
-		gomega.NewWithT(t).Expect(tbl.Match("a.example", tc.route).Service(tc.draw)).To(gomega.Equal(tc.want))
+		gomega.NewWithT(t).Expect(tbl.Match("a.example", tc.route).Service(tc.random)).To(gomega.Equal(tc.want))
 	}
 }
 
-func TestTableAnswersByName(t *testing.T) {
+func TestTableLookups(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tbl := New(spec())
 	g.Expect(tbl.Version()).To(gomega.Equal(int64(7)))
@@ -79,7 +79,7 @@
 	g.Expect(New(Spec{}).Keyed()).To(gomega.BeFalse())
 }
 
-func TestOnlyWhatMayRepeatIsSentAgain(t *testing.T) {
+func TestMayRepeat(t *testing.T) {
 	tests := []struct {
 		route Route
 		want  bool
@@ -102,9 +102,9 @@
 		linkBits float64
 		want     time.Duration
 	}{
-		{"a second", 125, 1000, time.Second},
-		{"nothing", 0, 1000, 0},
-		{"the rate is not known", 125, 0, 0},
+		{"one second", 125, 1000, time.Second},
+		{"no bytes", 0, 1000, 0},
+		{"unknown bandwidth", 125, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := LinkTime(tc.size, tc.linkBits); got != tc.want {
--- a/core/wait/backoff.go
+++ b/core/wait/backoff.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Backoff says for how long something that failed is passed over: for First, and twice
-// as long with each failure in a row, up to Most. The zero value with both set is ready.
+// Backoff keeps an exponential backoff for each key: First after a failure, doubled with each further
+// failure in a row, up to Most. A Backoff is ready once both are set.
 type Backoff[K comparable] struct {
 	First, Most time.Duration
 
@@ -14,16 +14,16 @@
 	failures  map[K]failure // guarded by backoffMu
 }
 
-// failure is how often a thing failed in a row.
+// failure is the state of a key that failed: the failures in a row and the end of its backoff.
 type failure struct {
 	count int
 	until time.Time
 }
 
-// doublings bounds how often the pause is doubled, so that it cannot wrap.
-const doublings = 16
+// maxDoublings bounds the doublings of the backoff, so that it can't overflow.
+const maxDoublings = 16
 
-// Failed records that a thing failed.
+// Failed records a failure of k.
 func (b *Backoff[K]) Failed(k K, now time.Time) {
 	b.backoffMu.Lock()
 	defer b.backoffMu.Unlock()
@@ -31,19 +31,19 @@
 		b.failures = map[K]failure{}
 	}
 	f := b.failures[k]
-	f.until = now.Add(min(b.First<<min(f.count, doublings), b.Most))
+	f.until = now.Add(min(b.First<<min(f.count, maxDoublings), b.Most))
 	f.count++
 	b.failures[k] = f
 }
 
-// Worked records that a thing worked.
+// Worked records a success of k, which ends its backoff.
 func (b *Backoff[K]) Worked(k K) {
 	b.backoffMu.Lock()
 	defer b.backoffMu.Unlock()
 	delete(b.failures, k)
 }
 
-// Open reports whether a thing may be tried.
+// Open reports whether k may be tried: it is not in a backoff.
 func (b *Backoff[K]) Open(k K, now time.Time) bool {
 	b.backoffMu.Lock()
 	defer b.backoffMu.Unlock()
--- a/core/wait/patience.go
+++ b/core/wait/patience.go
@@ -8,35 +8,34 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSilent says that nothing of an answer came for too long.
-var ErrSilent = errors.New("nothing came any more")
+// ErrSilent reports that no data of an answer arrived within the idle timeout.
+var ErrSilent = errors.New("no data received within the idle timeout")
 
-// Patience ends a call once nothing of its answer has come for too long, however long
-// the whole takes: a time limit for the whole would have to fit its size.
+// Patience is an idle timeout: it cancels a call when no data of its answer has arrived for too long.
+// It doesn't bound the total time, because a bound for that would depend on the size of the answer.
 type Patience struct {
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	silence time.Duration
-	timer   *time.Timer
+	ctx    context.Context
+	cancel context.CancelCauseFunc
+	idle   time.Duration
+	timer  *time.Timer
 }
 
-// Patiently returns the context of a call that ends after a silence; first bounds the
-// wait for the beginning of the answer. Stop must be called in the end.
-func Patiently(ctx context.Context, first, silence time.Duration) (context.Context, *Patience) {
-	p := &Patience{silence: silence}
+// Patiently returns the context of a call with an idle timeout. firstByte bounds the wait for the start
+// of the answer, idle each later wait for data. Stop must be called at the end.
+func Patiently(ctx context.Context, firstByte, idle time.Duration) (context.Context, *Patience) {
+	p := &Patience{idle: idle}
 	p.ctx, p.cancel = context.WithCancelCause(ctx)
-	p.timer = time.AfterFunc(first, func() { p.cancel(ErrSilent) })
+	p.timer = time.AfterFunc(firstByte, func() { p.cancel(ErrSilent) })
 	return p.ctx, p
 }
 
-// Stop ends the call's context.
+// Stop cancels the call's context.
 func (p *Patience) Stop() {
 	p.timer.Stop()
 	p.cancel(nil)
 }
 
-// Reason returns ErrSilent for the error of a call that ended after a silence, else the
-// error.
+// Reason returns ErrSilent if err comes from a call that the idle timeout cancelled, else err.
 func (p *Patience) Reason(err error) error {
 	if err != nil && errors.Is(context.Cause(p.ctx), ErrSilent) {
 		return errors.WithStack(ErrSilent)
@@ -44,20 +43,20 @@
 	return err
 }
 
-// Reader returns a reader of the call's answer.
-func (p *Patience) Reader(r io.Reader) io.Reader { return &patientReader{r, p} }
+// Reader returns a reader of the call's answer that restarts the idle timeout with each read of data.
+func (p *Patience) Reader(r io.Reader) io.Reader { return &idleReader{r, p} }
 
-// patientReader begins the silence anew with each piece that comes.
-type patientReader struct {
-	from     io.Reader
-	patience *Patience
+// idleReader restarts the idle timeout whenever data arrives.
+type idleReader struct {
+	source  io.Reader
+	timeout *Patience
 }
 
-// Read reads a piece.
-func (r *patientReader) Read(b []byte) (int, error) {
-	n, err := r.from.Read(b)
+// Read reads from the source.
+func (r *idleReader) Read(b []byte) (int, error) {
+	n, err := r.source.Read(b)
 	if n > 0 {
-		r.patience.timer.Reset(r.patience.silence)
+		r.timeout.timer.Reset(r.timeout.idle)
 	}
 	return n, err
 }
--- a/core/wait/wait.go
+++ b/core/wait/wait.go
@@ -1,7 +1,7 @@
-// Package wait pauses a goroutine for a time that its context can cut short, and ends
-// calls whose answers no longer come.
+// Package wait owns pauses that a context can cancel, periodic calls, exponential backoff and idle
+// timeouts of calls.
 //
-// It holds no state, and must not know what is waited for.
+// It has no global state and must not know what is waited for.
 package wait
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// For returns after d, or when ctx ends; it reports whether d has passed.
+// For waits until d has passed or ctx is done, and reports whether d has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -21,8 +21,8 @@
 	}
 }
 
-// Every calls f after each d until ctx ends. Calls that fall into a longer one
-// are left out.
+// Every calls f at intervals of d until ctx is done. Calls that would start while f still runs are
+// skipped.
 func Every(ctx context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
--- a/core/wait/wait_test.go
+++ b/core/wait/wait_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestFor(t *testing.T) {
-	ended, end := context.WithCancel(context.Background())
-	end()
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
 	for _, tc := range []struct {
 		name   string
 		ctx    context.Context
@@ -19,7 +19,7 @@
 		passed bool
 	}{
 		{"the time passes", context.Background(), time.Millisecond, true},
-		{"the context has ended", ended, time.Hour, false},
+		{"the context is cancelled", cancelled, time.Hour, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := For(tc.ctx, tc.d); got != tc.passed {
@@ -29,12 +29,12 @@
 	}
 }
 
-func TestEveryCallsUntilTheContextEnds(t *testing.T) {
-	ctx, end := context.WithCancel(context.Background())
+func TestEveryStopsWithItsContext(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
 	calls := 0
 	Every(ctx, time.Millisecond, func() {
 		if calls++; calls == 3 {
-			end()
+			cancel()
 		}
 	})
 	if calls < 3 {
@@ -42,15 +42,15 @@
 	}
 }
 
-// drip is an answer of which a piece comes after each pause, and then nothing.
-type drip struct {
+// slowReader returns one byte after each pause, and then blocks until ctx is done.
+type slowReader struct {
 	ctx    context.Context
 	pause  time.Duration
-	pieces int
+	chunks int
 }
 
-func (d *drip) Read(b []byte) (int, error) {
-	if d.pieces--; d.pieces < 0 {
+func (d *slowReader) Read(b []byte) (int, error) {
+	if d.chunks--; d.chunks < 0 {
 		<-d.ctx.Done()
 		return 0, context.Cause(d.ctx)
 	}
@@ -60,26 +60,26 @@
 	return copy(b, "x"), nil
 }
 
-func TestPatiencePassesOnlyInSilence(t *testing.T) {
-	const silence, pause, pieces = 400 * time.Millisecond, 50 * time.Millisecond, 20
-	ctx, p := Patiently(context.Background(), silence, silence)
+func TestPatienceEndsOnlyIdleCalls(t *testing.T) {
+	const idle, pause, chunks = 400 * time.Millisecond, 50 * time.Millisecond, 20
+	ctx, p := Patiently(context.Background(), idle, idle)
 	defer p.Stop()
-	got, err := io.ReadAll(p.Reader(&drip{ctx, pause, pieces}))
-	if len(got) != pieces {
-		t.Errorf("read %d pieces in more than twice the silence, want %d", len(got), pieces)
+	got, err := io.ReadAll(p.Reader(&slowReader{ctx, pause, chunks}))
+	if len(got) != chunks {
+		t.Errorf("read %d bytes in more than twice the idle timeout, want %d", len(got), chunks)
 	}
 	if err = p.Reason(err); !errors.Is(err, ErrSilent) {
 		t.Errorf("ended with %v, want ErrSilent", err)
 	}
 	if err := p.Reason(nil); err != nil {
-		t.Errorf("a call that went well has the reason %v", err)
+		t.Errorf("Reason(nil) = %v, want nil", err)
 	}
 }
 
-func TestPatienceLeavesOtherErrorsAlone(t *testing.T) {
+func TestPatienceKeepsOtherErrors(t *testing.T) {
 	_, p := Patiently(context.Background(), time.Hour, time.Hour)
 	p.Stop()
 	if err := p.Reason(io.ErrUnexpectedEOF); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("reason %v", err)
+		t.Errorf("Reason(io.ErrUnexpectedEOF) = %v, want it unchanged", err)
 	}
 }
