--- a/core/entry/entry_test.go
+++ b/core/entry/entry_test.go
@@ -95,7 +95,7 @@
 	tests := []struct {
 		key  string
 		code Code
-		want Ran
+		want RunState
 	}{
 		{"", CodeNotReady, NotRun},
 		{"", CodeQueueFull, NotRun},
@@ -106,7 +106,7 @@
 	for _, tc := range tests {
 		req := httpRequest(t)
 		if tc.key != "" {
-			req.Header.Set(HeaderIdempotency, tc.key)
+			req.Header.Set(HeaderIdempotencyKey, tc.key)
 		}
 		got := refuse(503, tc.code, NotRun, "").forKey(req)
 		gomega.NewWithT(t).Expect(got.Ran).To(gomega.Equal(tc.want))
--- a/core/entry/prompt.go
+++ b/core/entry/prompt.go
@@ -111,7 +111,7 @@
 	return refuse(http.StatusBadRequest, CodeBadRequest, NotRun, field+" "+text)
 }
 
-// decode reads the body, of which unknown fields are refused, and sets the request digest.
+// decode decodes the body into into and sets the request digest. Unknown fields are refused.
 func (s *Server) decode(c echo.Context, q *request, into any) *Refusal {
 	raw, r := s.readBody(c)
 	if r != nil {
@@ -418,7 +418,7 @@
 		return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "no worker holds the model now").after(noWorkerRetryAfter)
 	case route.TooLate:
 		text := fmt.Sprintf("the first token would come in %v, later than its deadline", ans.Expected.Round(time.Millisecond))
-		return refuse(http.StatusServiceUnavailable, CodeTooLate, NotRun, text).after(max(ans.RetryAfter, queueFullRetryAfter))
+		return refuse(http.StatusServiceUnavailable, CodeDeadlineCannotBeMet, NotRun, text).after(max(ans.RetryAfter, queueFullRetryAfter))
 	}
 	p.s.o.Log.Emit(event.RequestPlaced, p.ref(), explain(&p.placement, &ans))
 	return nil
--- a/core/entry/refusal.go
+++ b/core/entry/refusal.go
@@ -12,16 +12,16 @@
 	"embertally.dev/core/event"
 )
 
-// Ran says whether a refused request ran.
-type Ran string
+// RunState says whether a refused request ran.
+type RunState string
 
-// The values of Ran. NotRun is used only when it is certain: nothing was sent to a target, or what
+// The values of RunState. NotRun is used only when it is certain: nothing was sent to a target, or what
 // was sent may be repeated and its result was discarded. For a call with an idempotency key it covers
 // all attempts with the key.
 const (
-	NotRun  Ran = "notRun"
-	Unknown Ran = "unknown"
-	DidRun  Ran = "ran"
+	NotRun  RunState = "notRun"
+	Unknown RunState = "unknown"
+	DidRun  RunState = "ran"
 )
 
 // Code identifies the reason of a refusal.
@@ -29,34 +29,34 @@
 
 // The codes of refusals that callers receive.
 const (
-	CodeNotReady       Code = "notReady"
-	CodeBadKey         Code = "badKey"
-	CodeBadRequest     Code = "badRequest"
-	CodeTooLarge       Code = "bodyTooLarge"
-	CodeNotFound       Code = "notFound"
-	CodeNotAllowed     Code = "notAllowed"
-	CodeQueueFull      Code = "queueFull"
-	CodeTooLate        Code = "deadlineCannotBeMet"
-	CodeNoTarget       Code = "noTarget"
-	CodeTargetFailed   Code = "targetFailed"
-	CodeStreamBroken   Code = "streamBroken"
-	CodeOutcomeUnknown Code = "outcomeUnknown"
-	CodeInProgress     Code = "inProgress"
-	CodeKeyReused      Code = "keyReused"
-	CodeKeyExpired     Code = "keyExpired"
-	CodeBadIdempotency Code = "badIdempotencyKey"
-	CodeNoClaim        Code = "claimUnavailable"
-	CodeAlreadyRan     Code = "alreadyRan"
-	CodeAnswerTooLarge Code = "answerTooLarge"
-	CodeTimeout        Code = "timeLimitReached"
-	CodeEndsTargets    Code = "requestEndsTargets"
+	CodeNotReady            Code = "notReady"
+	CodeBadKey              Code = "badKey"
+	CodeBadRequest          Code = "badRequest"
+	CodeTooLarge            Code = "bodyTooLarge"
+	CodeNotFound            Code = "notFound"
+	CodeNotAllowed          Code = "notAllowed"
+	CodeQueueFull           Code = "queueFull"
+	CodeDeadlineCannotBeMet Code = "deadlineCannotBeMet"
+	CodeNoTarget            Code = "noTarget"
+	CodeTargetFailed        Code = "targetFailed"
+	CodeStreamBroken        Code = "streamBroken"
+	CodeOutcomeUnknown      Code = "outcomeUnknown"
+	CodeInProgress          Code = "inProgress"
+	CodeKeyReused           Code = "keyReused"
+	CodeKeyExpired          Code = "keyExpired"
+	CodeBadIdempotencyKey   Code = "badIdempotencyKey"
+	CodeClaimUnavailable    Code = "claimUnavailable"
+	CodeAlreadyRan          Code = "alreadyRan"
+	CodeAnswerTooLarge      Code = "answerTooLarge"
+	CodeTimeout             Code = "timeLimitReached"
+	CodeEndsTargets         Code = "requestEndsTargets"
 )
 
 // Refusal is the error response to a request.
 type Refusal struct {
 	Status  int
 	Code    Code
-	Ran     Ran
+	Ran     RunState
 	Message string
 	// RetryAfter is the time after which the caller may retry; zero sends none.
 	RetryAfter time.Duration
@@ -68,7 +68,7 @@
 }
 
 // NewRefusal returns a refusal, for other packages that answer callers. after becomes RetryAfter.
-func NewRefusal(status int, code Code, ran Ran, message string, after time.Duration) *Refusal {
+func NewRefusal(status int, code Code, ran RunState, message string, after time.Duration) *Refusal {
 	return refuse(status, code, ran, message).after(after)
 }
 
@@ -86,7 +86,7 @@
 	return errors.WithStack(err)
 }
 
-func refuse(status int, code Code, ran Ran, message string) *Refusal {
+func refuse(status int, code Code, ran RunState, message string) *Refusal {
 	return &Refusal{Status: status, Code: code, Ran: ran, Message: message}
 }
 
@@ -98,7 +98,7 @@
 // forKey adapts the refusal to a request with an idempotency key or a ticket: an earlier attempt with
 // the same key may have run, which only its claim records.
 func (r *Refusal) forKey(req *http.Request) *Refusal {
-	if req.Header.Get(HeaderIdempotency)+req.Header.Get(HeaderTicket) == "" || r.Code == CodeBadKey {
+	if req.Header.Get(HeaderIdempotencyKey)+req.Header.Get(HeaderTicket) == "" || r.Code == CodeBadKey {
 		return r
 	}
 	r.Ran = Unknown
@@ -116,9 +116,9 @@
 	Type    string `json:"type"`
 	Message string `json:"message"`
 	// Ran is notRun, unknown or ran.
-	Ran              Ran    `json:"ran"`
-	Request          string `json:"request"`
-	RetryAfterMillis int64  `json:"retryAfterMillis,omitempty"`
+	Ran              RunState `json:"ran"`
+	Request          string   `json:"request"`
+	RetryAfterMillis int64    `json:"retryAfterMillis,omitempty"`
 }
 
 func (r *Refusal) body(request string) refusalBody {
--- a/core/entry/server.go
+++ b/core/entry/server.go
@@ -114,8 +114,8 @@
 	return event.Ref{Request: q.id, Organisation: q.organisation, Target: target}
 }
 
-// HeaderRequest is the header that carries the request ID to callers and targets.
-const HeaderRequest = "X-Request-Id"
+// HeaderRequestID is the header that carries the request ID to callers and targets.
+const HeaderRequestID = "X-Request-Id"
 
 // handle returns a handler that authenticates and admits a request before it calls f. A refusal that
 // f returns is sent to the caller.
@@ -125,7 +125,7 @@
 		defer s.running.Add(-1)
 		s.stats.Requests.Add(1)
 		q := &request{id: uuid.NewString(), snap: s.o.Conf.Snapshot(), view: s.o.Fleet.View(), start: time.Now()}
-		c.Response().Header().Set(HeaderRequest, q.id)
+		c.Response().Header().Set(HeaderRequestID, q.id)
 		if r := s.admit(c, q); r != nil {
 			return s.writeRefusal(c, q, r.forKey(c.Request()))
 		}
--- a/core/entry/service.go
+++ b/core/entry/service.go
@@ -26,10 +26,10 @@
 
 // Headers of calls to plain services.
 const (
-	HeaderIdempotency  = "Idempotency-Key"
-	HeaderTicket       = "X-Embertally-Ticket"
-	HeaderOrganisation = "X-Embertally-Organisation"
-	headerPrefix       = "X-Embertally-"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderTicket         = "X-Embertally-Ticket"
+	HeaderOrganisation   = "X-Embertally-Organisation"
+	headerPrefix         = "X-Embertally-"
 )
 
 // defaultCallTimeout bounds a call whose route sets no timeout.
@@ -180,7 +180,7 @@
 func (a *answer) write(c echo.Context) error {
 	h := c.Response().Header()
 	for name, values := range a.header {
-		if !hopHeader(name) && name != "Content-Length" && name != HeaderRequest {
+		if !hopHeader(name) && name != "Content-Length" && name != HeaderRequestID {
 			h[name] = values
 		}
 	}
@@ -207,7 +207,7 @@
 	// A call that was sent to a target continues after the caller has disconnected, so that its
 	// outcome can be returned to a repeated call.
 	ctx = context.WithoutCancel(ctx)
-	key, ticket := k.header.Get(HeaderIdempotency), k.header.Get(HeaderTicket)
+	key, ticket := k.header.Get(HeaderIdempotencyKey), k.header.Get(HeaderTicket)
 	switch {
 	case ticket != "":
 		return k.runWithTicket(ctx, ticket)
@@ -242,7 +242,7 @@
 func (k *call) runWithKey(ctx context.Context, key string) (*answer, *Refusal) {
 	at, err := once.KeyTime(key)
 	if err != nil {
-		return nil, refuse(http.StatusBadRequest, CodeBadIdempotency, NotRun,
+		return nil, refuse(http.StatusBadRequest, CodeBadIdempotencyKey, NotRun,
 			"the header Idempotency-Key must be a UUID of version 7: it carries the time until which a repeated call is known")
 	}
 	a, ans := k.s.o.Once.Claim(ctx, once.NewKey(k.q.organisation, k.service, key), at, k.digest())
@@ -256,7 +256,7 @@
 func (k *call) runWithTicket(ctx context.Context, ticket string) (*answer, *Refusal) {
 	a, ans, err := k.s.o.Once.ClaimTicket(ctx, k.q.organisation, k.service, ticket, k.digest())
 	if err != nil {
-		return nil, refuse(http.StatusBadRequest, CodeBadIdempotency, NotRun, "the header "+HeaderTicket+" must be a ticket of POST /v1/tickets")
+		return nil, refuse(http.StatusBadRequest, CodeBadIdempotencyKey, NotRun, "the header "+HeaderTicket+" must be a ticket of POST /v1/tickets")
 	}
 	if a == nil {
 		return k.answerWithoutRunning(ans)
@@ -301,7 +301,7 @@
 		return nil, refuse(http.StatusBadRequest, CodeKeyExpired, Unknown,
 			"the key's time is outside the window in which repeated calls are known; this try did not run")
 	}
-	return nil, refuse(http.StatusServiceUnavailable, CodeNoClaim, Unknown,
+	return nil, refuse(http.StatusServiceUnavailable, CodeClaimUnavailable, Unknown,
 		"the call could not be claimed; this try did not run, and the same key may be sent again").after(noClaimRetryAfter)
 }
 
@@ -456,7 +456,7 @@
 		return nil, connected.Load(), errors.WithStack(err)
 	}
 	defer resp.Body.Close()
-	if id := resp.Header.Get(HeaderRequest); id != "" && id != k.q.id {
+	if id := resp.Header.Get(HeaderRequestID); id != "" && id != k.q.id {
 		k.s.o.Log.Emit(event.AnswerRejected, k.q.ref(name), "answer "+id)
 		return nil, true, errors.WithStack(errWrongResponse)
 	}
@@ -497,7 +497,7 @@
 			req.Header[name] = values
 		}
 	}
-	req.Header.Set(HeaderRequest, k.q.id)
+	req.Header.Set(HeaderRequestID, k.q.id)
 	req.Header.Set(HeaderOrganisation, k.q.organisation)
 	return req, nil
 }
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -51,7 +51,7 @@
 	// GapAim is the objective for the pause between two events of a stream.
 	GapAim   time.Duration
 	Priority int
-	// Attempts bounds the targets to which one request of a caller is sent, at least 1.
+	// Attempts bounds the attempts of one request that may have run at a target, at least 1.
 	Attempts int
 	// Public reports whether requests need no key.
 	Public bool
