--- a/core/once/shard.go
+++ b/core/once/shard.go
@@ -362,7 +362,8 @@
 }
 
 // commit repeats a write until its outcome is known, the shard is assigned elsewhere or ctx ends.
-// guardHeld reports whether the write was applied; known is false if ctx ended first.
+// guardHeld reports whether the write was applied, and is false for a shard that is assigned elsewhere;
+// known is false if ctx ended first.
 func (s *shard) commit(ctx context.Context, txn plat.Txn) (guardHeld, known bool) {
 	reported := false
 	for {
