--- a/core/admin/admin.go
+++ b/core/admin/admin.go
@@ -96,7 +96,7 @@
 			return true
 		}
 	}
-	return s.o.Conf.Snapshot().OperatorAllowed(key)
+	return s.o.Conf.Snapshot().IsOperatorKey(key)
 }
 
 var statusOf = map[conf.Code]int{
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -20,13 +20,13 @@
 	"embertally.dev/core/wait"
 )
 
-// daemon is a store with its writer, as one daemon has them.
+// daemon is the store and the writer of one daemon.
 type daemon struct {
 	store  *Store
 	writer *Writer
 }
 
-func newDaemon(t interface{ Fatalf(string, ...any) }, kv kv) *daemon {
+func newDaemon(t interface{ Fatalf(string, ...any) }, kv coordinationStore) *daemon {
 	log := &event.Log{}
 	d := &daemon{store: NewStore(log)}
 	d.writer = NewWriter(d.store, kv, log)
@@ -49,7 +49,7 @@
 	modelSpec = `{"model":"m","weightVersion":"v1"}`
 )
 
-func TestBadResourcesAreRefusedWithTheirField(t *testing.T) {
+func TestInvalidResourcesAreRejectedWithTheirField(t *testing.T) {
 	tests := []struct {
 		name    string
 		kind    Kind
@@ -61,23 +61,23 @@
 	}{
 		{"unknown field", KindOrganisation, "o", `{"keyHashes":["` + hashB + `"],"color":"red"}`, 0, CodeInvalid, "spec.color"},
 		{"wrong type", KindDeployment, "d", `{"model":7,"weightVersion":"v1"}`, 0, CodeInvalid, "spec.model"},
-		{"no JSON", KindDeployment, "d", `{`, 0, CodeInvalid, "spec"},
-		{"more after the end", KindDeployment, "d", modelSpec + "{}", 0, CodeInvalid, "spec"},
-		{"key in place of its sum", KindOrganisation, "o", `{"keyHashes":["secret"]}`, 0, CodeInvalid, "spec.keyHashes[0]"},
+		{"invalid JSON", KindDeployment, "d", `{`, 0, CodeInvalid, "spec"},
+		{"data after the end", KindDeployment, "d", modelSpec + "{}", 0, CodeInvalid, "spec"},
+		{"key instead of its hash", KindOrganisation, "o", `{"keyHashes":["secret"]}`, 0, CodeInvalid, "spec.keyHashes[0]"},
 		{"key of another organisation", KindOrganisation, "o", orgSpec, 0, CodeInvalid, "spec.keyHashes[0]"},
 		{"duration without a unit", KindPolicy, "p", `{"organisation":"one","deployments":["d1"],"deadline":"5"}`, 0, CodeInvalid, "spec.deadline"},
 		{"duration as a number", KindPolicy, "p", `{"organisation":"one","deployments":["d1"],"deadline":5}`, 0, CodeInvalid, "spec.deadline"},
 		{"duration in parsecs", KindPolicy, "p", `{"organisation":"one","deployments":["d1"],"deadline":"5 parsecs"}`, 0, CodeInvalid, "spec.deadline"},
 		{"priority out of range", KindPolicy, "p", `{"organisation":"one","deployments":["d1"],"priority":10}`, 0, CodeInvalid, "spec.priority"},
-		{"reference to nothing", KindPolicy, "p", `{"organisation":"two","deployments":["d1"]}`, 0, CodeReference, "spec.organisation"},
-		{"second reference to nothing", KindPolicy, "p", `{"organisation":"one","deployments":["d1","d2"]}`, 0, CodeReference, "spec.deployments[1]"},
-		{"bad URL", KindTarget, "t", `{"type":"store","url":"10.0.0.1:80"}`, 0, CodeInvalid, "spec.url"},
+		{"missing reference", KindPolicy, "p", `{"organisation":"two","deployments":["d1"]}`, 0, CodeReference, "spec.organisation"},
+		{"missing second reference", KindPolicy, "p", `{"organisation":"one","deployments":["d1","d2"]}`, 0, CodeReference, "spec.deployments[1]"},
+		{"invalid URL", KindTarget, "t", `{"type":"store","url":"10.0.0.1:80"}`, 0, CodeInvalid, "spec.url"},
 		{"engine without deployment", KindTarget, "t", `{"type":"engine","url":"http://10.0.0.1"}`, 0, CodeInvalid, "spec.deployments"},
-		{"bad name", KindDeployment, "Big Model", modelSpec, 0, CodeInvalid, "name"},
+		{"invalid name", KindDeployment, "Big Model", modelSpec, 0, CodeInvalid, "name"},
 		{"too many loads", KindDeployment, "d", `{"model":"m","weightVersion":"v1","maxLoads":4}`, 0, CodeInvalid, "spec.maxLoads"},
 		{"exists", KindDeployment, "d1", modelSpec, 0, CodeExists, "resourceVersion"},
-		{"stale", KindDeployment, "d1", modelSpec, 1, CodeStale, "resourceVersion"},
-		{"not there", KindDeployment, "d9", modelSpec, 4, CodeNotFound, ""},
+		{"stale version", KindDeployment, "d1", modelSpec, 1, CodeStale, "resourceVersion"},
+		{"not found", KindDeployment, "d9", modelSpec, 4, CodeNotFound, ""},
 		{"unknown kind", "boxes", "d", `{}`, 0, CodeUnknownKind, ""},
 	}
 	kv := &memkv.KV{}
@@ -105,13 +105,13 @@
 				}
 				g.Expect(fields).To(gomega.ContainElement(tc.field))
 			}
-			g.Expect(kv.Writes()).To(gomega.Equal(before), "a refused write changes nothing")
+			g.Expect(kv.Writes()).To(gomega.Equal(before), "a rejected write changes nothing")
 			g.Expect(d.store.Snapshot().Seq()).To(gomega.Equal(seq))
 		})
 	}
 }
 
-func TestUsedResourcesCannotBeDeleted(t *testing.T) {
+func TestReferencedResourcesCannotBeDeleted(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := newDaemon(t, &memkv.KV{})
 	for _, w := range []Write{
@@ -130,12 +130,12 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-func TestServiceDownIsSaidAndChangesNothing(t *testing.T) {
+func TestStoreOutageIsReportedAndChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	d := newDaemon(t, kv)
 	kv.SetDown(true)
-	ctx, cancel := context.WithTimeout(context.Background(), settlePause/2)
+	ctx, cancel := context.WithTimeout(context.Background(), commitRetryDelay/2)
 	defer cancel()
 	_, err := d.writer.Commit(ctx, Write{Kind: KindDeployment, Name: "d1", Spec: []byte(modelSpec)})
 	var rej *Rejection
@@ -145,9 +145,9 @@
 	g.Expect(d.store.Snapshot().Seq()).To(gomega.BeZero())
 }
 
-// Writers of several daemons race with every fate of a commit. Every write
-// that is reported as committed is there, once, and none is undone by another.
-func TestRacingWritersLoseNothing(t *testing.T) {
+// Several daemons write at once, and commits are answered, lost, dropped or late.
+// Every write reported as committed is present once and not undone by another.
+func TestConcurrentWritersLoseNoCommittedWrite(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -191,9 +191,9 @@
 	}
 }
 
-// A store takes changes in any order, doubled and with gaps, and never goes
-// back, never skips one, and ends where the service is.
-func TestStoreNeverGoesBack(t *testing.T) {
+// A store that receives changes out of order, twice and with gaps never goes back
+// to an older sequence or skips a change, and ends with the committed configuration.
+func TestStoreSequenceNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kv := &memkv.KV{}
 		source := newDaemon(t, kv)
@@ -212,27 +212,27 @@
 			from := rapid.IntRange(0, n-1).Draw(t, "from")
 			to := rapid.IntRange(from+1, n).Draw(t, "to")
 			before := s.Snapshot().Seq()
-			ok := s.Apply(slices.Clone(all[from:to]))
+			applied := s.Apply(slices.Clone(all[from:to]))
 			after := s.Snapshot().Seq()
 			if after < before {
-				t.Fatalf("went back from %d to %d", before, after)
+				t.Fatalf("went back from sequence %d to %d", before, after)
 			}
-			if want := uint64(from) <= before; ok != want {
-				t.Fatalf("at %d, changes %d to %d: taken %v", before, from+1, to, ok)
+			if want := uint64(from) <= before; applied != want {
+				t.Fatalf("at sequence %d, changes %d to %d: applied %v", before, from+1, to, applied)
 			}
 		}
 		s.Apply(all)
-		mine, err := s.Full()
+		local, err := s.Full()
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		theirs, err := source.store.Full()
+		remote, err := source.store.Full()
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		a, b := encodeFull(mine), encodeFull(theirs)
-		if a != b {
-			t.Fatalf("ended with %s, not %s", a, b)
+		localText, remoteText := encodeFull(local), encodeFull(remote)
+		if localText != remoteText {
+			t.Fatalf("ended with %s, not %s", localText, remoteText)
 		}
 	})
 }
@@ -252,7 +252,7 @@
 	return 0
 }
 
-func TestOldSnapshotStaysAsItWas(t *testing.T) {
+func TestSnapshotIsImmutable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := newDaemon(t, &memkv.KV{})
 	_, err := d.put(KindDeployment, "d1", modelSpec, 0)
@@ -281,24 +281,24 @@
 	}
 }
 
-// peersFunc are peers that only this test's syncer knows.
-type lonePeers struct{ wake chan struct{} }
+// noPeers implements Peers for a daemon without live peers.
+type noPeers struct{ wake chan struct{} }
 
-func (lonePeers) Ahead(uint64) string { return "" }
-func (lonePeers) ConfSince(context.Context, string, uint64) (Delta, error) {
+func (noPeers) Ahead(uint64) string { return "" }
+func (noPeers) ConfSince(context.Context, string, uint64) (Delta, error) {
 	return Delta{}, errors.New("no peer")
 }
-func (lonePeers) WatchHolder() bool       { return true }
-func (p lonePeers) Wake() <-chan struct{} { return p.wake }
+func (noPeers) WatchHolder() bool       { return true }
+func (p noPeers) Wake() <-chan struct{} { return p.wake }
 
-func TestSyncerFollowsThroughOutage(t *testing.T) {
+func TestSyncerFollowsChangesAfterOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	writer := newDaemon(t, kv)
 	s := NewStore(&event.Log{})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { NewSyncer(s, kv, lonePeers{make(chan struct{})}, &event.Log{}).Run(ctx) })
+	wg.Go(func() { NewSyncer(s, kv, noPeers{make(chan struct{})}, &event.Log{}).Run(ctx) })
 	defer wg.Wait()
 	defer cancel()
 	_, err := writer.put(KindDeployment, "d1", modelSpec, 0)
@@ -312,18 +312,18 @@
 	g.Expect(s.Confirmed()).NotTo(gomega.BeZero())
 }
 
-// longKV is a service that a whole configuration takes longer from than a small call
-// may take.
-type longKV struct{ *memkv.KV }
+// slowKV is a coordination store whose read of the full configuration takes longer
+// than plat.CallTimeout.
+type slowKV struct{ *memkv.KV }
 
-func (k longKV) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
-	if span.To == plat.Prefix(keyRes).To && !wait.For(ctx, plat.CallTimeout*5/4) {
+func (k slowKV) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
+	if span.To == plat.Prefix(keyResources).To && !wait.For(ctx, plat.CallTimeout*5/4) {
 		return nil, 0, errors.WithStack(ctx.Err())
 	}
 	return k.KV.Range(ctx, span)
 }
 
-func TestAWholeConfigurationMayTakeLongerThanASmallCall(t *testing.T) {
+func TestFullReadMayExceedCallTimeout(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	_, err := newDaemon(t, kv).put(KindDeployment, "d1", modelSpec, 0)
@@ -331,15 +331,15 @@
 	s := NewStore(&event.Log{})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { NewSyncer(s, longKV{kv}, lonePeers{make(chan struct{})}, &event.Log{}).Run(ctx) })
+	wg.Go(func() { NewSyncer(s, slowKV{kv}, noPeers{make(chan struct{})}, &event.Log{}).Run(ctx) })
 	defer wg.Wait()
 	defer cancel()
 	g.Eventually(func() uint64 { return s.Snapshot().Seq() }, "20s", "10ms").Should(gomega.Equal(uint64(1)))
 }
 
-// A store that has nothing takes everything from a peer, also where the peer
-// still keeps all changes from the first on.
-func TestEmptyStoreStartsFromPeer(t *testing.T) {
+// A store that has loaded nothing gets the full configuration from a peer, also
+// when the peer still keeps every change.
+func TestEmptyStoreGetsFullConfigurationFromPeer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := newDaemon(t, &memkv.KV{})
 	_, err := d.put(KindDeployment, "d1", modelSpec, 0)
@@ -351,7 +351,7 @@
 	g.Expect(s.Replace(*delta.Full)).To(gomega.BeTrue())
 	g.Expect(s.Snapshot().Deployment("d1")).NotTo(gomega.BeNil())
 	_, err = NewStore(&event.Log{}).Delta(0)
-	g.Expect(err).To(gomega.HaveOccurred(), "who has nothing gives nothing")
+	g.Expect(err).To(gomega.HaveOccurred(), "a store without a configuration sends none")
 }
 
 func FuzzDecodeSpec(f *testing.F) {
@@ -364,16 +364,16 @@
 		spec, rej := decodeSpec(Kind(kind), []byte(raw))
 		if rej != nil {
 			if spec != nil || rej.Code == "" {
-				t.Fatalf("rejected without a code, or taken as well: %v", rej)
+				t.Fatalf("rejected without a code, or with a spec: %v", rej)
 			}
 			return
 		}
-		again, err := json.Marshal(spec)
+		encoded, err := json.Marshal(spec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, rej := decodeSpec(Kind(kind), again); rej != nil {
-			t.Fatalf("%s is taken, and then not: %v", again, rej)
+		if _, rej := decodeSpec(Kind(kind), encoded); rej != nil {
+			t.Fatalf("the encoding of an accepted spec, %s, is rejected: %v", encoded, rej)
 		}
 	})
 }
--- a/core/conf/fault.go
+++ b/core/conf/fault.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// Code classifies why a write or read of resources was refused.
+// Code classifies why a write or read of resources was rejected.
 type Code string
 
-// The codes of refusals.
+// The codes of rejections.
 const (
 	CodeInvalid     Code = "invalid"
 	CodeNotFound    Code = "notFound"
@@ -28,23 +28,23 @@
 	CodeUnknown Code = "outcomeUnknown"
 )
 
-// Fault is one thing wrong with one field.
+// Fault describes why a field is invalid.
 type Fault struct {
 	Field string `json:"field"`
 	Text  string `json:"text"`
 }
 
-// Rejection says why a request on resources was refused. Unless its code is
-// CodeUnknown, nothing was changed.
+// Rejection is the error of a rejected read or write of resources. Unless its code
+// is CodeUnknown, nothing was changed.
 type Rejection struct {
 	Code   Code    `json:"code"`
 	Text   string  `json:"text"`
 	Faults []Fault `json:"faults,omitempty"`
-	// WriteID finds the change later when the code is CodeUnknown.
+	// WriteID identifies the change in the log when the code is CodeUnknown.
 	WriteID string `json:"writeId,omitempty"`
 }
 
-// Error describes the rejection with all its faults.
+// Error returns the code, the text and all faults.
 func (r *Rejection) Error() string {
 	var b strings.Builder
 	b.WriteString(string(r.Code) + ": " + r.Text)
@@ -58,7 +58,7 @@
 	return &Rejection{Code: code, Text: text, Faults: faults}
 }
 
-// faults collects what is wrong with one resource.
+// faults collects the invalid fields of one resource.
 type faults struct{ list []Fault }
 
 func (f *faults) add(field, text string) { f.list = append(f.list, Fault{Field: field, Text: text}) }
@@ -76,27 +76,27 @@
 }
 
 func (f *faults) duration(field string, d Duration) {
-	if d.bad != "" {
-		f.add(field, "is not a duration with a unit, such as \"1.5s\" or \"200ms\": "+d.bad)
+	if d.invalid != "" {
+		f.add(field, "is not a duration with a unit, such as \"1.5s\" or \"200ms\": "+d.invalid)
 	}
 }
 
-var nameForm = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
 func (f *faults) name(field, v string) {
-	if !nameForm.MatchString(v) {
+	if !namePattern.MatchString(v) {
 		f.add(field, "must be 1 to 63 lower-case letters, digits, dots and dashes, with a letter or digit at both ends")
 	}
 }
 
-// decodeSpec reads a spec strictly and reports the field of each fault.
+// decodeSpec decodes and validates a spec. Unknown fields are rejected.
 func decodeSpec(kind Kind, raw []byte) (Spec, *Rejection) {
 	spec := newSpec(kind)
 	if spec == nil {
 		return nil, reject(CodeUnknownKind, "there is no kind "+string(kind))
 	}
 	if err := decodeStrict(raw, spec); err != nil {
-		return nil, reject(CodeInvalid, "the spec cannot be read", Fault{Field: faultField("spec", err), Text: err.Error()})
+		return nil, reject(CodeInvalid, "the spec cannot be read", Fault{Field: fieldOfError("spec", err), Text: err.Error()})
 	}
 	var f faults
 	spec.check(&f)
@@ -118,15 +118,15 @@
 	return nil
 }
 
-var unknownField = regexp.MustCompile(`unknown field "([^"]+)"`)
+var unknownFieldPattern = regexp.MustCompile(`unknown field "([^"]+)"`)
 
-// faultField finds the field that a decoding error speaks of.
-func faultField(prefix string, err error) string {
+// fieldOfError returns the field that a decoding error refers to, below prefix.
+func fieldOfError(prefix string, err error) string {
 	var typ *json.UnmarshalTypeError
 	if errors.As(err, &typ) && typ.Field != "" {
 		return prefix + "." + typ.Field
 	}
-	if m := unknownField.FindStringSubmatch(err.Error()); m != nil {
+	if m := unknownFieldPattern.FindStringSubmatch(err.Error()); m != nil {
 		return prefix + "." + m[1]
 	}
 	return prefix
--- a/core/conf/kinds.go
+++ b/core/conf/kinds.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Kind names a sort of resource.
+// Kind is a kind of resource, as written in the paths of the resource API.
 type Kind string
 
-// The kinds of resources, in the order in which references need them.
+// The kinds of resources; each refers only to kinds above it.
 const (
 	KindOperator     Kind = "operators"
 	KindOrganisation Kind = "organisations"
@@ -22,16 +22,16 @@
 	KindPolicy       Kind = "policies"
 )
 
-// Kinds returns all kinds in the order in which references need them.
+// Kinds returns all kinds; each refers only to kinds before it.
 func Kinds() []Kind {
 	return []Kind{KindOperator, KindOrganisation, KindDeployment, KindService, KindTarget, KindPolicy}
 }
 
 // Spec is the content of a resource of one kind.
 type Spec interface {
-	// check reports the faults of the content itself.
+	// check adds the invalid fields of the content to f.
 	check(f *faults)
-	// refs lists the resources that must exist for this one.
+	// refs returns the references to resources that must exist.
 	refs() []ref
 }
 
@@ -42,7 +42,7 @@
 	name  string
 }
 
-// newSpec returns an empty spec of the kind, or nil for an unknown kind.
+// newSpec returns an empty spec of kind k, or nil if the kind is unknown.
 func newSpec(k Kind) Spec {
 	switch k {
 	case KindOperator:
@@ -61,20 +61,20 @@
 	return nil
 }
 
-// Duration is a length of time written with its unit, such as "1.5s". It
-// keeps what it could not read, so that the check can name the field.
+// Duration is a duration that is written with its unit, such as "1.5s". An
+// invalid one is kept as text, so that the check can name its field.
 type Duration struct {
-	d   time.Duration
-	bad string
+	d       time.Duration
+	invalid string
 }
 
 // Seconds returns a Duration of s seconds.
 func Seconds(s float64) Duration { return Duration{d: time.Duration(s * float64(time.Second))} }
 
-// Value returns the length of time.
+// Value returns d as a time.Duration.
 func (d Duration) Value() time.Duration { return d.d }
 
-// Or returns the length of time, or def if none is set.
+// Or returns d as a time.Duration, or def if d is zero.
 func (d Duration) Or(def time.Duration) time.Duration {
 	if d.d == 0 {
 		return def
@@ -82,7 +82,7 @@
 	return d.d
 }
 
-// MarshalJSON writes the duration with its unit.
+// MarshalJSON writes the duration with its unit, and zero as "".
 func (d Duration) MarshalJSON() ([]byte, error) {
 	if d.d == 0 {
 		return []byte(`""`), nil
@@ -90,11 +90,11 @@
 	return json.Marshal(d.d.String())
 }
 
-// UnmarshalJSON reads a duration; it keeps a bad one for the check.
+// UnmarshalJSON reads a duration; it keeps an invalid one for the check.
 func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		d.bad = string(raw)
+		d.invalid = string(raw)
 		return nil
 	}
 	if text == "" {
@@ -102,28 +102,28 @@
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil || v < 0 {
-		d.bad = text
+		d.invalid = text
 		return nil
 	}
 	d.d = v
 	return nil
 }
 
-// Operator is someone who may use the resource API.
+// Operator is a user of the resource API.
 type Operator struct {
-	// KeyHashes are the hexadecimal SHA-256 sums of the operator's keys.
+	// KeyHashes are the hexadecimal SHA-256 hashes of the operator's keys.
 	KeyHashes []string `json:"keyHashes"`
 }
 
 func (o *Operator) check(f *faults) { checkHashes(f, o.KeyHashes) }
 func (o *Operator) refs() []ref     { return nil }
 
-// Organisation is one customer whose context never meets another's.
+// Organisation is a customer. Contexts are never shared between organisations.
 type Organisation struct {
-	// KeyHashes are the hexadecimal SHA-256 sums of the callers' keys.
+	// KeyHashes are the hexadecimal SHA-256 hashes of the callers' keys.
 	KeyHashes []string `json:"keyHashes"`
-	// MaxRunning bounds the requests of the organisation that one daemon
-	// handles at once; zero means the daemon's own bound.
+	// MaxRunning limits the requests of the organisation that one daemon
+	// handles at once; zero means the daemon's own limit.
 	MaxRunning int `json:"maxRunning,omitempty"`
 }
 
@@ -133,45 +133,45 @@
 }
 func (o *Organisation) refs() []ref { return nil }
 
-var hashForm = regexp.MustCompile(`^[0-9a-f]{64}$`)
+var hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
 func checkHashes(f *faults, hashes []string) {
 	if len(hashes) == 0 {
 		f.add("spec.keyHashes", "needs at least one SHA-256 sum of a key")
 	}
 	for i, h := range hashes {
-		if !hashForm.MatchString(h) {
+		if !hashPattern.MatchString(h) {
 			f.add(index("spec.keyHashes", i), "is not a hexadecimal SHA-256 sum; write the sum of the key, never the key")
 		}
 	}
 }
 
-// Deployment is a model with the weights that new requests use.
+// Deployment is a model with the weights version that new requests use.
 type Deployment struct {
-	// Model is the name that engines know the model by.
+	// Model is the name of the model at the engines.
 	Model string `json:"model"`
-	// WeightVersion names the weights for new requests.
+	// WeightVersion is the weights version for new requests.
 	WeightVersion string `json:"weightVersion"`
-	// Adapters may be named by requests as "deployment:adapter".
+	// Adapters are selected by requests as "deployment:adapter".
 	Adapters []string `json:"adapters,omitempty"`
-	// RootBlocks is how many first blocks of a prompt name its context, so
-	// that prompts which share more than a preamble share a home. Zero means
-	// the default, 4.
+	// RootBlocks is how many first KV-cache blocks of a prompt identify its
+	// context, so that prompts that share more than a preamble have the same
+	// context owner. Zero means the default, 4.
 	RootBlocks int `json:"rootBlocks,omitempty"`
-	// MinExportBlocks is the shortest context worth keeping in a store. Zero
-	// means the default, 16.
+	// MinExportBlocks is the length, in KV-cache blocks, of the shortest context
+	// that is exported to a KV-cache store. Zero means the default, 16.
 	MinExportBlocks int `json:"minExportBlocks,omitempty"`
 	// MaxLoads is how many workers may load weights at once. Zero means the
 	// default, 2.
 	MaxLoads int `json:"maxLoads,omitempty"`
 }
 
-// Defaults of a deployment.
+// Defaults and limits of a deployment.
 const (
 	defaultRootBlocks      = 4
 	defaultMinExportBlocks = 16
 	defaultMaxLoads        = 2
-	mostLoads              = 3
+	maxLoadsLimit          = 3
 )
 
 func (d *Deployment) check(f *faults) {
@@ -182,19 +182,19 @@
 	}
 	f.notNegative("spec.rootBlocks", d.RootBlocks)
 	f.notNegative("spec.minExportBlocks", d.MinExportBlocks)
-	if d.MaxLoads < 0 || d.MaxLoads > mostLoads {
+	if d.MaxLoads < 0 || d.MaxLoads > maxLoadsLimit {
 		f.add("spec.maxLoads", "must be from 0 to 3: loading slows once more workers load at once")
 	}
 }
 func (d *Deployment) refs() []ref { return nil }
 
-// Roots returns how many first blocks name a context.
+// Roots returns RootBlocks or its default.
 func (d *Deployment) Roots() int { return orDefault(d.RootBlocks, defaultRootBlocks) }
 
-// ExportFrom returns the shortest context worth keeping, in blocks.
+// ExportFrom returns MinExportBlocks or its default.
 func (d *Deployment) ExportFrom() int { return orDefault(d.MinExportBlocks, defaultMinExportBlocks) }
 
-// Loads returns how many workers may load weights at once.
+// Loads returns MaxLoads or its default.
 func (d *Deployment) Loads() int { return orDefault(d.MaxLoads, defaultMaxLoads) }
 
 func orDefault(v, def int) int {
@@ -204,22 +204,22 @@
 	return v
 }
 
-// Service is a plain service that targets offer beside the engines.
+// Service is a service other than inference that targets offer.
 type Service struct {
-	// Routes are tried in order; the first whose path and method fit counts.
-	// A call that no route fits may not be repeated.
+	// Routes are matched in order; the first match applies. A call that
+	// matches no route must not run more than once.
 	Routes []Route `json:"routes,omitempty"`
 }
 
-// Route says how calls of one path are treated.
+// Route defines how calls to one path are handled.
 type Route struct {
-	// Path is the beginning of the path below the service.
+	// Path is a prefix of the path below the service's root.
 	Path string `json:"path"`
-	// Methods restricts the route; empty means every method.
+	// Methods are the HTTP methods that match; empty means every method.
 	Methods []string `json:"methods,omitempty"`
-	// Repeatable tells that a call may run more than once.
+	// Repeatable means that a call may run more than once.
 	Repeatable bool `json:"repeatable,omitempty"`
-	// Timeout bounds one call; empty means the default, 10s.
+	// Timeout limits one call; empty means the default, 10s.
 	Timeout Duration `json:"timeout,omitzero"`
 }
 
@@ -234,7 +234,7 @@
 }
 func (s *Service) refs() []ref { return nil }
 
-// Match returns the route of a call; the zero Route may not be repeated.
+// Match returns the route of a call, or the zero Route, which is not repeatable.
 func (s *Service) Match(method, path string) Route {
 	for _, r := range s.Routes {
 		if strings.HasPrefix(path, r.Path) && r.allows(method) {
@@ -253,7 +253,7 @@
 	return len(r.Methods) == 0
 }
 
-// TargetType is what a target does.
+// TargetType is the type of a target.
 type TargetType string
 
 // The types of targets.
@@ -263,35 +263,35 @@
 	TypeService TargetType = "service"
 )
 
-// Target is one process that the system routes to: an engine, a store of kept
-// cache or an instance of a plain service.
+// Target is a process that the system routes to: an engine, a KV-cache store or
+// an instance of a plain service.
 type Target struct {
 	Type TargetType `json:"type"`
 	URL  string     `json:"url"`
-	// Domain is the failure domain.
+	// Domain is the target's failure domain.
 	Domain string `json:"domain,omitempty"`
-	// Box is the name in the platform's box list; empty if it is not listed.
+	// Box is the target's name in the platform's box list; empty if not listed.
 	Box string `json:"box,omitempty"`
-	// Deployments are what an engine serves.
+	// Deployments are the deployments that an engine serves.
 	Deployments []string `json:"deployments,omitempty"`
-	// Service is what a service target offers.
+	// Service is the plain service that a service target offers.
 	Service string `json:"service,omitempty"`
-	// ChecksFence tells that an engine refuses orders with an old fence.
+	// ChecksFence means that an engine rejects orders with an old fencing token.
 	ChecksFence bool `json:"checksFence,omitempty"`
-	// PrefillTokensPerSecond is an engine's speed on new prompt tokens until
+	// PrefillTokensPerSecond is an engine's prefill speed assumed until it is
 	// measured. Zero means the default, 8000.
 	PrefillTokensPerSecond float64 `json:"prefillTokensPerSecond,omitempty"`
-	// LinkBytesPerSecond is the capacity of the link to a store. Zero means
+	// LinkBytesPerSecond is the capacity of the link to a KV-cache store. Zero means
 	// the default, 125 MB a second.
 	LinkBytesPerSecond float64 `json:"linkBytesPerSecond,omitempty"`
-	// Drain tells that the target gets no new work.
+	// Drain means that the target gets no new work.
 	Drain bool `json:"drain,omitempty"`
 }
 
-// Defaults of a target.
+// Defaults of a target: prompt tokens per second and bytes per second.
 const (
-	defaultPrefill = 8000
-	defaultLink    = 125e6
+	defaultPrefillSpeed = 8000
+	defaultLinkCapacity = 125e6
 )
 
 func (t *Target) check(f *faults) {
@@ -329,18 +329,18 @@
 	return out
 }
 
-// Prefill returns the engine's speed in prompt tokens a second.
+// Prefill returns PrefillTokensPerSecond or its default.
 func (t *Target) Prefill() float64 {
 	if t.PrefillTokensPerSecond == 0 {
-		return defaultPrefill
+		return defaultPrefillSpeed
 	}
 	return t.PrefillTokensPerSecond
 }
 
-// Link returns the capacity of the link to a store in bytes a second.
+// Link returns LinkBytesPerSecond or its default.
 func (t *Target) Link() float64 {
 	if t.LinkBytesPerSecond == 0 {
-		return defaultLink
+		return defaultLinkCapacity
 	}
 	return t.LinkBytesPerSecond
 }
@@ -355,43 +355,43 @@
 	return false
 }
 
-// Policy says which targets an organisation may use, and how its requests
-// are weighed.
+// Policy defines what an organisation may use, and the priority, limits and
+// placement costs of its requests.
 type Policy struct {
 	Organisation string `json:"organisation"`
 	// Deployments that the organisation may use.
 	Deployments []string `json:"deployments,omitempty"`
 	// Services that the organisation may use.
 	Services []string `json:"services,omitempty"`
-	// Targets restricts the targets; empty means every target of the
+	// Targets that the organisation may use; empty means every target of the
 	// deployments and services.
 	Targets []string `json:"targets,omitempty"`
-	// Priority of the requests from 0 (lowest) to 9; higher goes first.
+	// Priority of the requests, from 0 (lowest) to 9 (highest).
 	Priority int `json:"priority,omitempty"`
 	// Deadline for the first token; empty means the default, 30s.
 	Deadline Duration `json:"deadline,omitzero"`
-	// MaxQueue bounds the requests of the policy that wait for a first token
-	// in one daemon. Zero means the default, 256.
+	// MaxQueue limits the requests of the policy that wait for a first token in
+	// one daemon. Zero means the default, 256.
 	MaxQueue int     `json:"maxQueue,omitempty"`
 	Weights  Weights `json:"weights,omitzero"`
 }
 
-// Weights are the prices by which placements are compared. All are in
-// seconds of first-token time, so that the cost of a placement is one sum.
+// Weights are the coefficients of the cost model that compares placements. Costs
+// are in seconds of time to first token, so that they can be added up.
 type Weights struct {
-	// FirstToken multiplies the expected time to first token. Zero means 1.
+	// FirstToken is the factor of the expected time to first token. Zero means 1.
 	FirstToken float64 `json:"firstToken,omitempty"`
-	// RecomputedSeconds is the price of 1,000 recomputed tokens.
+	// RecomputedSeconds is the cost of 1,000 recomputed prompt tokens.
 	RecomputedSeconds float64 `json:"recomputedSeconds,omitempty"`
-	// LinkSeconds is the price of a megabyte over a store's link.
+	// LinkSeconds is the cost of one megabyte over the link of a KV-cache store.
 	LinkSeconds float64 `json:"linkSeconds,omitempty"`
 }
 
-// Defaults of a policy.
+// Defaults and limits of a policy.
 const (
 	DefaultDeadline = 30 * time.Second
 	DefaultMaxQueue = 256
-	highestPriority = 9
+	maxPriority     = 9
 )
 
 func (p *Policy) check(f *faults) {
@@ -399,7 +399,7 @@
 	if len(p.Deployments)+len(p.Services) == 0 {
 		f.add("spec.deployments", "a policy needs at least one deployment or service")
 	}
-	if p.Priority < 0 || p.Priority > highestPriority {
+	if p.Priority < 0 || p.Priority > maxPriority {
 		f.add("spec.priority", "must be from 0 to 9")
 	}
 	f.duration("spec.deadline", p.Deadline)
@@ -423,10 +423,10 @@
 	return out
 }
 
-// Queue returns the bound on requests that wait for their first token.
+// Queue returns MaxQueue or its default.
 func (p *Policy) Queue() int { return orDefault(p.MaxQueue, DefaultMaxQueue) }
 
-// Allows reports whether the policy lets requests use the target.
+// Allows reports whether the policy permits the target.
 func (p *Policy) Allows(target string) bool {
 	for _, t := range p.Targets {
 		if t == target {
--- a/core/conf/snap.go
+++ b/core/conf/snap.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Resource is one named piece of configuration.
+// Resource is one named, versioned object of the configuration.
 type Resource struct {
 	kind    Kind
 	name    string
@@ -19,7 +19,7 @@
 	spec    Spec
 }
 
-// Kind returns the sort of the resource.
+// Kind returns the kind of the resource.
 func (r *Resource) Kind() Kind { return r.kind }
 
 // Name returns the name, unique within the kind.
@@ -28,15 +28,15 @@
 // Version returns the sequence of the change that wrote the resource.
 func (r *Resource) Version() uint64 { return r.version }
 
-// Spec returns the content, which must not be changed.
+// Spec returns the content, which must not be modified.
 func (r *Resource) Spec() Spec { return r.spec }
 
-// Change is one committed change of the configuration. Sequences are dense:
-// the change after n is n+1, so a gap is always seen.
+// Change is one committed change of the configuration. Sequences are
+// consecutive, so that a gap is always detected.
 type Change struct {
 	Seq uint64 `json:"seq" msgpack:"s"`
-	// HeadRevision is the service's revision of the commit, which the next
-	// write compares with.
+	// HeadRevision is the coordination store's revision of the commit; the next
+	// write compares the revision of keyHead with it.
 	HeadRevision int64           `json:"headRevision,omitempty" msgpack:"h"`
 	Kind         Kind            `json:"kind" msgpack:"k"`
 	Name         string          `json:"name" msgpack:"n"`
@@ -45,141 +45,141 @@
 	WriteID      string          `json:"writeId" msgpack:"w"`
 }
 
-// Snapshot is the whole configuration at one sequence. It never changes; a
+// Snapshot is the full configuration at one sequence. It is immutable; a
 // request uses one snapshot from start to end.
 type Snapshot struct {
 	seq          uint64
 	headRevision int64
-	// kinds maps each kind to its resources by name; maps are replaced, not
-	// edited.
-	kinds map[Kind]map[string]*Resource
-	// lists are the resources of each kind ordered by name.
-	lists map[Kind][]*Resource
-	// callers maps the sums of callers' keys to organisations.
-	callers map[string]string
-	// policies maps organisations to the names of their policies, sorted.
-	policies map[string][]string
+	// byKind maps each kind to its resources by name. Inner maps are shared with
+	// other snapshots: they are replaced, never modified.
+	byKind map[Kind]map[string]*Resource
+	// sortedByKind holds the resources of each kind, ordered by name.
+	sortedByKind map[Kind][]*Resource
+	// orgByKeyHash maps the SHA-256 hashes of callers' keys to organisations.
+	orgByKeyHash map[string]string
+	// policiesByOrg maps organisations to the names of their policies, sorted.
+	policiesByOrg map[string][]string
 }
 
 var emptySnapshot = &Snapshot{}
 
-// Seq returns the sequence of the last change contained.
+// Seq returns the sequence of the latest change that the snapshot includes.
 func (s *Snapshot) Seq() uint64 { return s.seq }
 
-// Resource returns a resource, or nil.
-func (s *Snapshot) Resource(k Kind, name string) *Resource { return s.kinds[k][name] }
+// Resource returns the named resource, or nil.
+func (s *Snapshot) Resource(k Kind, name string) *Resource { return s.byKind[k][name] }
 
-// List returns the resources of a kind ordered by name. It must not be
-// changed.
-func (s *Snapshot) List(k Kind) []*Resource { return s.lists[k] }
+// List returns the resources of a kind, ordered by name. The slice must not be
+// modified.
+func (s *Snapshot) List(k Kind) []*Resource { return s.sortedByKind[k] }
 
-// Count returns how many resources of a kind there are.
-func (s *Snapshot) Count(k Kind) int { return len(s.kinds[k]) }
+// Count returns the number of resources of a kind.
+func (s *Snapshot) Count(k Kind) int { return len(s.byKind[k]) }
 
-// Deployment returns a deployment, or nil.
+// Deployment returns the named deployment, or nil.
 func (s *Snapshot) Deployment(name string) *Deployment {
 	d, _ := s.spec(KindDeployment, name).(*Deployment)
 	return d
 }
 
-// Service returns a plain service, or nil.
+// Service returns the named plain service, or nil.
 func (s *Snapshot) Service(name string) *Service {
 	v, _ := s.spec(KindService, name).(*Service)
 	return v
 }
 
-// Target returns a target, or nil.
+// Target returns the named target, or nil.
 func (s *Snapshot) Target(name string) *Target {
 	t, _ := s.spec(KindTarget, name).(*Target)
 	return t
 }
 
-// Organisation returns an organisation, or nil.
+// Organisation returns the named organisation, or nil.
 func (s *Snapshot) Organisation(name string) *Organisation {
 	o, _ := s.spec(KindOrganisation, name).(*Organisation)
 	return o
 }
 
 func (s *Snapshot) spec(k Kind, name string) Spec {
-	if r := s.kinds[k][name]; r != nil {
+	if r := s.byKind[k][name]; r != nil {
 		return r.spec
 	}
 	return nil
 }
 
-// HashKey returns the sum under which a key is kept.
+// HashKey returns the hexadecimal SHA-256 hash by which a key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Caller returns the organisation that a caller's key belongs to.
+// Caller returns the organisation that a caller's key belongs to, if any.
 func (s *Snapshot) Caller(key string) (organisation string, ok bool) {
-	organisation, ok = s.callers[HashKey(key)]
+	organisation, ok = s.orgByKeyHash[HashKey(key)]
 	return organisation, ok
 }
 
-// OperatorAllowed reports whether key belongs to an operator.
-func (s *Snapshot) OperatorAllowed(key string) bool {
-	sum := HashKey(key)
-	for _, r := range s.kinds[KindOperator] {
-		if slices.Contains(r.spec.(*Operator).KeyHashes, sum) {
+// IsOperatorKey reports whether key belongs to an operator.
+func (s *Snapshot) IsOperatorKey(key string) bool {
+	hash := HashKey(key)
+	for _, r := range s.byKind[KindOperator] {
+		if slices.Contains(r.spec.(*Operator).KeyHashes, hash) {
 			return true
 		}
 	}
 	return false
 }
 
-// Policy returns the policy under which an organisation uses a deployment or
-// service: the first by name that names it, or nil.
+// Policy returns the policy that lets an organisation use a deployment or
+// service, with its name: the first in name order that lists it, or nil.
 func (s *Snapshot) Policy(organisation string, kind Kind, name string) (string, *Policy) {
-	for _, n := range s.policies[organisation] {
+	for _, n := range s.policiesByOrg[organisation] {
 		p, ok := s.spec(KindPolicy, n).(*Policy)
 		if !ok {
 			continue
 		}
-		list := p.Deployments
+		allowed := p.Deployments
 		if kind == KindService {
-			list = p.Services
+			allowed = p.Services
 		}
-		if slices.Contains(list, name) {
+		if slices.Contains(allowed, name) {
 			return n, p
 		}
 	}
 	return "", nil
 }
 
-// with returns a snapshot that contains the changes as well. Changes must
-// follow s without a gap. A change whose content cannot be read leaves the
-// resource as it was and is returned in bad.
-func (s *Snapshot) with(changes []Change) (next *Snapshot, bad []error) {
+// with returns a snapshot that includes the changes, which must follow s without
+// a gap. A change whose content cannot be decoded leaves the resource as it was;
+// its error is returned in undecodable.
+func (s *Snapshot) with(changes []Change) (next *Snapshot, undecodable []error) {
 	next = &Snapshot{
 		seq: s.seq, headRevision: s.headRevision,
-		kinds: maps.Clone(s.kinds), lists: maps.Clone(s.lists), callers: s.callers, policies: s.policies,
+		byKind: maps.Clone(s.byKind), sortedByKind: maps.Clone(s.sortedByKind), orgByKeyHash: s.orgByKeyHash, policiesByOrg: s.policiesByOrg,
 	}
-	if next.kinds == nil {
-		next.kinds, next.lists = map[Kind]map[string]*Resource{}, map[Kind][]*Resource{}
+	if next.byKind == nil {
+		next.byKind, next.sortedByKind = map[Kind]map[string]*Resource{}, map[Kind][]*Resource{}
 	}
 	cloned := map[Kind]bool{}
 	for _, c := range changes {
 		next.seq, next.headRevision = c.Seq, c.HeadRevision
 		if !cloned[c.Kind] {
-			next.kinds[c.Kind] = cloneOrMake(next.kinds[c.Kind])
+			next.byKind[c.Kind] = cloneOrMake(next.byKind[c.Kind])
 			cloned[c.Kind] = true
 		}
 		if c.Deleted {
-			delete(next.kinds[c.Kind], c.Name)
+			delete(next.byKind[c.Kind], c.Name)
 			continue
 		}
 		r, err := c.resource()
 		if err != nil {
-			bad = append(bad, err)
+			undecodable = append(undecodable, err)
 			continue
 		}
-		next.kinds[c.Kind][c.Name] = r
+		next.byKind[c.Kind][c.Name] = r
 	}
-	next.derive(cloned)
-	return next, bad
+	next.rebuildIndexes(cloned)
+	return next, undecodable
 }
 
 func cloneOrMake(m map[string]*Resource) map[string]*Resource {
@@ -194,39 +194,40 @@
 	if spec == nil {
 		return nil, errors.Errorf("change %d has the unknown kind %q", c.Seq, c.Kind)
 	}
-	// Unknown fields are let pass here: a newer daemon may have written them.
+	// Unknown fields are accepted here: a newer daemon may have written them.
 	if err := json.Unmarshal(c.Spec, spec); err != nil {
 		return nil, errors.Wrapf(err, "change %d of %s/%s", c.Seq, c.Kind, c.Name)
 	}
 	return &Resource{kind: c.Kind, name: c.Name, version: c.Seq, spec: spec}, nil
 }
 
-// derive rebuilds the indexes whose kinds changed.
-func (s *Snapshot) derive(changed map[Kind]bool) {
+// rebuildIndexes rebuilds the indexes of the kinds that changed.
+func (s *Snapshot) rebuildIndexes(changed map[Kind]bool) {
 	for k := range changed {
-		list := slices.Collect(maps.Values(s.kinds[k]))
+		list := slices.Collect(maps.Values(s.byKind[k]))
 		sort.Slice(list, func(i, j int) bool { return list[i].name < list[j].name })
-		s.lists[k] = list
+		s.sortedByKind[k] = list
 	}
 	if changed[KindOrganisation] {
-		s.callers = make(map[string]string, len(s.kinds[KindOrganisation]))
-		for name, r := range s.kinds[KindOrganisation] {
+		s.orgByKeyHash = make(map[string]string, len(s.byKind[KindOrganisation]))
+		for name, r := range s.byKind[KindOrganisation] {
 			for _, h := range r.spec.(*Organisation).KeyHashes {
-				s.callers[h] = name
+				s.orgByKeyHash[h] = name
 			}
 		}
 	}
 	if changed[KindPolicy] {
-		s.policies = map[string][]string{}
+		s.policiesByOrg = map[string][]string{}
 		for _, r := range s.List(KindPolicy) {
 			org := r.spec.(*Policy).Organisation
-			s.policies[org] = append(s.policies[org], r.name)
+			s.policiesByOrg[org] = append(s.policiesByOrg[org], r.name)
 		}
 	}
 }
 
-// All returns the whole snapshot as changes, for a daemon that starts anew.
-func (s *Snapshot) All() ([]Change, error) {
+// AsChanges returns every resource as a change, for a daemon that needs the full
+// configuration.
+func (s *Snapshot) AsChanges() ([]Change, error) {
 	var out []Change
 	for _, k := range Kinds() {
 		for _, r := range s.List(k) {
--- a/core/conf/store.go
+++ b/core/conf/store.go
@@ -1,11 +1,11 @@
-// Package conf owns the configuration: the resources, their checks, the
-// committed sequence of changes in the key-value service, and the snapshot
-// that is in force in this daemon.
+// Package conf owns the configuration: the resources, their validation, the
+// committed sequence of changes in the coordination store, and the snapshot
+// that this daemon has applied.
 //
-// A change is committed when the service holds it, and accepted when every
-// live daemon has it in force. The package must not know how requests use the
-// configuration, nor how peers are reached: what it needs of them it declares
-// as interfaces.
+// A change is committed when the coordination store contains it, and has
+// converged when every live daemon has applied it. The package must not know
+// how requests use the configuration, nor how peers are reached: it declares
+// what it needs of peers and of the coordination store as interfaces.
 package conf
 
 import (
@@ -17,35 +17,35 @@
 	"embertally.dev/core/event"
 )
 
-// keptChanges bounds the changes kept for watches that resume and for peers
-// that lag.
-const keptChanges = 1024
+// keptChanges is the number of latest changes kept for resumed watches and for
+// peers that are behind.
+const maxRecentChanges = 1024
 
-// Store holds the snapshot in force. The zero value holds the empty one.
+// Store holds the applied snapshot; in the zero value it is empty.
 //
-// Lock order: storeMu is taken alone.
+// Lock order: no other lock is taken while storeMu is locked.
 type Store struct {
 	log *event.Log
 
 	snap atomic.Pointer[Snapshot]
 
 	storeMu sync.Mutex
-	// recent holds the latest changes with dense sequences, the last one
-	// being that of the snapshot. Guarded by storeMu.
+	// recent holds the latest changes with consecutive sequences, up to that
+	// of the snapshot. Guarded by storeMu.
 	recent []Change
 	// changed is closed and replaced at each change. Guarded by storeMu.
 	changed chan struct{}
-	// confirmed is when the snapshot was last known to be the latest that the
-	// service holds. Guarded by storeMu.
+	// confirmed is when the snapshot was last verified to be the latest in
+	// the coordination store. Guarded by storeMu.
 	confirmed clock.Time
-	// loaded tells that a whole configuration was read. Guarded by storeMu.
+	// loaded is set once a full configuration was applied. Guarded by storeMu.
 	loaded bool
 }
 
-// NewStore returns an empty store that reports to log.
+// NewStore returns an empty store that emits its events to log.
 func NewStore(log *event.Log) *Store { return &Store{log: log} }
 
-// Snapshot returns the configuration in force.
+// Snapshot returns the applied configuration.
 func (s *Store) Snapshot() *Snapshot {
 	if snap := s.snap.Load(); snap != nil {
 		return snap
@@ -53,7 +53,7 @@
 	return emptySnapshot
 }
 
-// Loaded reports whether a whole configuration was ever read.
+// Loaded reports whether a full configuration was ever applied.
 func (s *Store) Loaded() bool {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
@@ -70,7 +70,8 @@
 	return s.changed
 }
 
-// Confirm records that at time t the snapshot with sequence seq was the latest.
+// Confirm records that seq was the latest committed sequence at time t. It has
+// no effect if the applied snapshot is older than seq.
 func (s *Store) Confirm(seq uint64, t clock.Time) {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
@@ -79,16 +80,15 @@
 	}
 }
 
-// Confirmed returns when the snapshot was last known to be the latest.
+// Confirmed returns when the snapshot was last verified to be the latest.
 func (s *Store) Confirmed() clock.Time {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	return s.confirmed
 }
 
-// Apply puts changes in force. Those that are in force already are passed
-// over; it returns false, changing nothing, if the rest does not follow the
-// snapshot without a gap.
+// Apply applies changes and skips those already applied. It returns false and
+// changes nothing if the rest does not follow the snapshot without a gap.
 func (s *Store) Apply(changes []Change) bool {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
@@ -99,24 +99,24 @@
 	if len(changes) == 0 {
 		return true
 	}
-	if !s.loaded || !dense(snap.seq, changes) {
+	if !s.loaded || !consecutive(snap.seq, changes) {
 		return false
 	}
-	next, bad := snap.with(changes)
-	s.reportBad(bad)
+	next, undecodable := snap.with(changes)
+	s.reportUndecodable(undecodable)
 	s.recent = append(s.recent, changes...)
-	if extra := len(s.recent) - keptChanges; extra > 0 {
+	if extra := len(s.recent) - maxRecentChanges; extra > 0 {
 		s.recent = append([]Change(nil), s.recent[extra:]...)
 	}
-	s.put(next)
+	s.setSnapshot(next)
 	for _, c := range changes {
 		s.log.Emit(event.ConfApplied, event.Ref{Resource: string(c.Kind) + "/" + c.Name}, "sequence "+version(c.Seq))
 	}
 	return true
 }
 
-// dense reports whether changes follow seq without a gap.
-func dense(seq uint64, changes []Change) bool {
+// consecutive reports whether changes follow seq without a gap.
+func consecutive(seq uint64, changes []Change) bool {
 	for _, c := range changes {
 		if c.Seq != seq+1 {
 			return false
@@ -126,48 +126,48 @@
 	return true
 }
 
-// Full is a whole configuration read from the service or a peer.
+// Full is a full configuration, read from the coordination store or a peer.
 type Full struct {
 	Seq          uint64   `msgpack:"s"`
 	HeadRevision int64    `msgpack:"h"`
 	Resources    []Change `msgpack:"r"`
 }
 
-// Replace puts a whole configuration in force if it is newer than the one in
-// force, or the first.
+// Replace applies a full configuration if it is the first, or newer than the
+// applied one. It reports whether it did.
 func (s *Store) Replace(f Full) bool {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	if s.loaded && f.Seq <= s.Snapshot().seq {
 		return false
 	}
-	next, bad := emptySnapshot.with(f.Resources)
+	next, undecodable := emptySnapshot.with(f.Resources)
 	next.seq, next.headRevision = f.Seq, f.HeadRevision
-	s.reportBad(bad)
+	s.reportUndecodable(undecodable)
 	s.recent = nil
 	s.loaded = true
-	s.put(next)
+	s.setSnapshot(next)
 	s.log.Emit(event.ConfResynced, event.Ref{}, "sequence "+version(f.Seq))
 	return true
 }
 
-// Full returns the whole configuration in force.
+// Full returns the full applied configuration.
 func (s *Store) Full() (Full, error) {
 	snap := s.Snapshot()
-	all, err := snap.All()
-	return Full{Seq: snap.seq, HeadRevision: snap.headRevision, Resources: all}, err
+	resources, err := snap.AsChanges()
+	return Full{Seq: snap.seq, HeadRevision: snap.headRevision, Resources: resources}, err
 }
 
-func (s *Store) reportBad(bad []error) {
-	for _, err := range bad {
+func (s *Store) reportUndecodable(errs []error) {
+	for _, err := range errs {
 		s.log.Emit(event.ConfUnderived, event.Ref{}, err.Error())
 	}
 }
 
-// put makes next the snapshot; the caller holds storeMu.
-func (s *Store) put(next *Snapshot) {
+// setSnapshot makes next the applied snapshot; the caller holds storeMu.
+func (s *Store) setSnapshot(next *Snapshot) {
 	if s.Snapshot().seq > next.seq {
-		bugs.Report("configuration would go back from %d to %d", s.Snapshot().seq, next.seq)
+		bugs.Report("configuration sequence would go back from %d to %d", s.Snapshot().seq, next.seq)
 		return
 	}
 	s.snap.Store(next)
@@ -177,15 +177,15 @@
 	}
 }
 
-// Since returns the changes after seq, or ok false if they are not kept.
+// Since returns the changes after seq; ok is false if they are no longer kept.
 func (s *Store) Since(seq uint64) (changes []Change, ok bool) {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	now := s.Snapshot().seq
-	if seq >= now {
+	current := s.Snapshot().seq
+	if seq >= current {
 		return nil, true
 	}
-	missing := now - seq
+	missing := current - seq
 	if missing > uint64(len(s.recent)) {
 		return nil, false
 	}
--- a/core/conf/sync.go
+++ b/core/conf/sync.go
@@ -15,31 +15,32 @@
 
 // Peers is what the configuration needs of the other daemons.
 type Peers interface {
-	// Ahead returns the peer that has the highest sequence above seq in force,
-	// or "" if none has.
+	// Ahead returns the peer that has applied the highest sequence above seq, or
+	// "" if there is none.
 	Ahead(seq uint64) string
-	// ConfSince asks a peer for what follows seq. That may be large and take long;
-	// it gives up where nothing comes any more.
+	// ConfSince requests from a peer what follows seq. The response may be large
+	// and take long; the request fails when no more data arrives.
 	ConfSince(ctx context.Context, peer string, seq uint64) (Delta, error)
-	// WatchHolder reports whether this daemon watches the service for its cell.
+	// WatchHolder reports whether this daemon watches the coordination store for
+	// its cell.
 	WatchHolder() bool
 	// Wake returns a channel that receives when a peer may be ahead.
 	Wake() <-chan struct{}
 }
 
-// Delta is what follows a sequence: changes, or everything where the changes
-// are no longer kept.
+// Delta is what follows a sequence: the changes, or the full configuration if
+// the changes are no longer kept.
 type Delta struct {
 	Changes []Change `msgpack:"c"`
 	Full    *Full    `msgpack:"f"`
 }
 
-// Delta returns what a peer at seq lacks.
+// Delta returns what a peer that has applied seq is missing.
 func (s *Store) Delta(seq uint64) (Delta, error) {
 	if !s.Loaded() {
-		return Delta{}, errors.New("no configuration is loaded here")
+		return Delta{}, errors.New("this daemon has not loaded a configuration")
 	}
-	// A peer at zero has nothing that changes could follow.
+	// A peer at zero has no configuration to which changes could be applied.
 	if changes, ok := s.Since(seq); ok && seq > 0 {
 		return Delta{Changes: changes}, nil
 	}
@@ -47,61 +48,62 @@
 	return Delta{Full: &full}, err
 }
 
-// pollPause is how often a daemon that does not watch reads the head, so that
+// pollInterval is how often a daemon that does not watch reads the head, so that
 // a stalled watch of another daemon delays a change by no more than this.
-const pollPause = 5 * time.Second
+const pollInterval = 5 * time.Second
 
-// retryPause spaces tries against a service that does not answer.
-const retryPause = 500 * time.Millisecond
+// syncRetryDelay is the delay before the retry of a failed synchronisation.
+const syncRetryDelay = 500 * time.Millisecond
 
-// stallLimit is how long a watch may be silent before it is opened anew.
-const stallLimit = 4 * time.Second
+// watchStallTimeout is how long a watch may be silent before it is reopened.
+const watchStallTimeout = 4 * time.Second
 
-// Syncer keeps a store current from the service and from peers.
+// Syncer keeps a Store up to date from the coordination store and from peers.
 type Syncer struct {
 	store *Store
-	kv    kv
+	kv    coordinationStore
 	peers Peers
 	log   *event.Log
-	// down tells that the last call of the service failed; only loop uses it.
+	// down is set while the latest synchronisation has failed; used only by Run.
 	down bool
 }
 
 // NewSyncer returns a syncer for store.
-func NewSyncer(store *Store, kv kv, peers Peers, log *event.Log) *Syncer {
+func NewSyncer(store *Store, kv coordinationStore, peers Peers, log *event.Log) *Syncer {
 	return &Syncer{store: store, kv: kv, peers: peers, log: log}
 }
 
-// Run keeps the store current until ctx ends.
+// Run keeps the store up to date until ctx is done.
 func (s *Syncer) Run(ctx context.Context) {
 	p := puller{Syncer: s, done: make(chan struct{})}
 	go p.run(ctx)
 	s.awaitPeers(ctx)
 	for ctx.Err() == nil {
-		pause := pollPause
+		delay := pollInterval
 		err := s.step(ctx)
-		s.report(ctx, err)
+		s.reportContact(ctx, err)
 		if err != nil {
-			pause = retryPause
+			delay = syncRetryDelay
 		}
-		wait.For(ctx, pause)
+		wait.For(ctx, delay)
 	}
 	<-p.done
 }
 
-// peersFirst is how long a new daemon waits for a peer's configuration before
-// it reads the whole from the service. When a failure domain comes back at
-// once, its daemons would else all read everything from the small service.
-const peersFirst = 1500 * time.Millisecond
+// peerConfigWait is how long a daemon that has started waits for a peer's
+// configuration before it reads the full one from the coordination store. When a
+// whole failure domain restarts at once, all its daemons would otherwise read
+// everything from the coordination store, which has little capacity.
+const peerConfigWait = 1500 * time.Millisecond
 
 func (s *Syncer) awaitPeers(ctx context.Context) {
-	end := time.Now().Add(peersFirst)
-	for !s.store.Loaded() && time.Now().Before(end) && ctx.Err() == nil {
-		wait.For(ctx, peersFirst/30)
+	deadline := time.Now().Add(peerConfigWait)
+	for !s.store.Loaded() && time.Now().Before(deadline) && ctx.Err() == nil {
+		wait.For(ctx, peerConfigWait/30)
 	}
 }
 
-func (s *Syncer) report(ctx context.Context, err error) {
+func (s *Syncer) reportContact(ctx context.Context, err error) {
 	if ctx.Err() != nil || (err != nil) == s.down {
 		return
 	}
@@ -113,8 +115,8 @@
 	s.log.Emit(event.ServiceUp, event.Ref{}, "")
 }
 
-// step brings the store to what the service holds and, where this daemon is
-// the cell's watch holder, follows the changes until the watch ends.
+// step brings the store up to date with the coordination store. If this daemon is
+// the cell's watch holder, it then follows the changes until the watch ends.
 func (s *Syncer) step(ctx context.Context) error {
 	if err := s.catchUp(ctx); err != nil {
 		return err
@@ -125,44 +127,44 @@
 	return nil
 }
 
-// catchUp reads the head and what is missing up to it.
+// catchUp reads the head and applies what is missing up to it.
 func (s *Syncer) catchUp(ctx context.Context) error {
-	asked := clock.Now()
+	requestedAt := clock.Now()
 	head, err := s.head(ctx)
 	if err != nil {
 		return err
 	}
 	var seq uint64
 	if head != nil {
-		heads, err := changesOf([]plat.Pair{*head})
+		heads, err := decodeChanges([]plat.Pair{*head})
 		if err != nil {
 			return err
 		}
 		seq = heads[0].Seq
 	}
-	if err := s.reach(ctx, seq); err != nil {
+	if err := s.catchUpTo(ctx, seq); err != nil {
 		return err
 	}
-	s.store.Confirm(seq, asked)
+	s.store.Confirm(seq, requestedAt)
 	return nil
 }
 
-// head reads what the service holds as the latest change, or nil.
+// head reads the latest committed change, or nil if there is none.
 func (s *Syncer) head(ctx context.Context) (*plat.Pair, error) {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
 	return s.kv.Read(ctx, keyHead)
 }
 
-// reach puts everything up to seq in force. What has to be read for that may be large
-// and take long; the service's client gives it up where nothing comes any more.
-func (s *Syncer) reach(ctx context.Context, seq uint64) error {
-	have := s.store.Snapshot().seq
-	if s.store.Loaded() && have >= seq {
+// catchUpTo applies everything up to seq. Its reads may be large and take long, so
+// they have no timeout here: the store's client fails them when no more data arrives.
+func (s *Syncer) catchUpTo(ctx context.Context, seq uint64) error {
+	current := s.store.Snapshot().seq
+	if s.store.Loaded() && current >= seq {
 		return nil
 	}
 	if s.store.Loaded() {
-		changes, err := readLog(ctx, s.kv, have)
+		changes, err := readLog(ctx, s.kv, current)
 		if err != nil {
 			return err
 		}
@@ -178,28 +180,28 @@
 	return nil
 }
 
-// largeConf is the number of resources from which reading them all leaves much
-// garbage behind.
-const largeConf = 2000
+// largeConfig is the number of resources above which reading them all leaves much
+// garbage.
+const largeConfig = 2000
 
-// replace puts a whole configuration in force and gives back the memory that
-// reading it took, which the daemon does not need again.
+// replace applies a full configuration. After a large one it returns freed memory
+// to the operating system, as the daemon does not need it again.
 func (s *Syncer) replace(full Full) {
-	if s.store.Replace(full) && len(full.Resources) > largeConf {
+	if s.store.Replace(full) && len(full.Resources) > largeConfig {
 		debug.FreeOSMemory()
 	}
 }
 
-// watch follows the log until the stream ends, stalls or this daemon is no
-// longer the watch holder.
+// watch applies the changes under keyLog until the stream ends or stalls, or this
+// daemon is no longer the watch holder.
 func (s *Syncer) watch(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stall := time.AfterFunc(stallLimit, cancel)
-	defer stall.Stop()
+	stallTimer := time.AfterFunc(watchStallTimeout, cancel)
+	defer stallTimer.Stop()
 	from := s.store.Snapshot().headRevision + 1
 	err := s.kv.Watch(ctx, plat.Prefix(keyLog), from, func(changes []plat.Change, _ int64) error {
-		stall.Reset(stallLimit)
+		stallTimer.Reset(watchStallTimeout)
 		return s.applyWatched(changes)
 	})
 	if ctx.Err() != nil || errors.Is(err, plat.ErrCompacted) || errors.Is(err, errNotHolder) {
@@ -208,7 +210,7 @@
 	return err
 }
 
-var errNotHolder = errors.New("another daemon watches for the cell")
+var errNotHolder = errors.New("another daemon is the watch holder of the cell")
 
 func (s *Syncer) applyWatched(changes []plat.Change) error {
 	var pairs []plat.Pair
@@ -217,12 +219,12 @@
 			pairs = append(pairs, c.Pair)
 		}
 	}
-	got, err := changesOf(pairs)
+	decoded, err := decodeChanges(pairs)
 	if err != nil {
 		return err
 	}
-	if !s.store.Apply(got) {
-		return errors.New("the watch left out a change")
+	if !s.store.Apply(decoded) {
+		return errors.New("the watch skipped a change")
 	}
 	s.store.Confirm(s.store.Snapshot().seq, clock.Now())
 	if !s.peers.WatchHolder() {
@@ -231,7 +233,7 @@
 	return nil
 }
 
-// puller takes from peers what they have in force and this daemon lacks.
+// puller fetches from peers what they have applied and this daemon has not.
 type puller struct {
 	*Syncer
 	done chan struct{}
--- a/core/conf/write.go
+++ b/core/conf/write.go
@@ -15,80 +15,80 @@
 	"embertally.dev/core/wait"
 )
 
-// Keys of the configuration in the key-value service.
+// Keys of the configuration in the coordination store.
 const (
-	// KeyRoot is the prefix of everything that the configuration keeps.
+	// KeyRoot is the prefix of all keys of the configuration.
 	KeyRoot = "embertally/conf/"
-	// keyHead holds the latest change; its revision guards each write. It
-	// sorts right before the resources, so that one read returns both at one
-	// revision.
+	// keyHead holds the latest change. Every write compares its revision, so
+	// that of concurrent writes only one succeeds. It sorts right before the
+	// resources, so that one range read returns both at one revision.
 	keyHead = KeyRoot + "res-head"
-	// keyLog is the prefix of the latest changes by sequence.
+	// keyLog is the prefix of the latest changes, by sequence.
 	keyLog = KeyRoot + "log/"
-	// keyRes is the prefix of the resources by kind and name.
-	keyRes = KeyRoot + "res/"
+	// keyResources is the prefix of the resources, by kind and name.
+	keyResources = KeyRoot + "res/"
 )
 
-// loggedChanges bounds the changes kept in the service for watches.
-const loggedChanges = 1000
+// maxLoggedChanges is the number of changes kept under keyLog for watches.
+const maxLoggedChanges = 1000
 
 func version(seq uint64) string { return strconv.FormatUint(seq, 10) }
 
-func logKey(seq uint64) string {
-	text := version(seq)
+func changeKey(seq uint64) string {
+	digits := version(seq)
 	const width = 20
-	return keyLog + "00000000000000000000"[:width-len(text)] + text
+	return keyLog + "00000000000000000000"[:width-len(digits)] + digits
 }
 
-func resKey(k Kind, name string) string { return keyRes + string(k) + "/" + name }
+func resourceKey(k Kind, name string) string { return keyResources + string(k) + "/" + name }
 
-// kv is what the configuration needs of the key-value service.
-type kv interface {
+// coordinationStore is what the configuration needs of the coordination store.
+type coordinationStore interface {
 	Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error)
 	Read(ctx context.Context, key string) (*plat.Pair, error)
 	Commit(ctx context.Context, t plat.Txn) (plat.Outcome, error)
 	Watch(ctx context.Context, span plat.Span, from int64, f func([]plat.Change, int64) error) error
 }
 
-// Writer commits changes.
+// Writer validates changes and commits them to the coordination store.
 type Writer struct {
 	store *Store
-	kv    kv
+	kv    coordinationStore
 	log   *event.Log
 }
 
-// NewWriter returns a writer that commits to kv and puts what it committed in
-// force in store.
-func NewWriter(store *Store, kv kv, log *event.Log) *Writer {
+// NewWriter returns a writer that commits to kv and applies committed changes to
+// store.
+func NewWriter(store *Store, kv coordinationStore, log *event.Log) *Writer {
 	return &Writer{store: store, kv: kv, log: log}
 }
 
-// Write is a wanted change of one resource.
+// Write is a requested change of one resource.
 type Write struct {
 	Kind Kind
 	Name string
 	// Spec is the new content; nil deletes the resource.
 	Spec []byte
-	// Version is the version that the resource must have: zero for one that
-	// must not exist. It is not looked at when Any is set.
+	// Version is the version that the resource must have; zero means that it
+	// must not exist. It is ignored when Any is set.
 	Version uint64
-	// Any lets the write replace any version or create the resource.
+	// Any lets the write replace any version, or create the resource.
 	Any bool
 }
 
-// writeLimit bounds the time in which a write is tried and settled.
-const writeLimit = 8 * time.Second
+// writeTimeout bounds a write, with its retries and reading back its outcome.
+const writeTimeout = 8 * time.Second
 
-// settlePause spaces the tries of a write whose outcome is unknown.
-const settlePause = 100 * time.Millisecond
+// commitRetryDelay is the delay before the retry of a failed commit.
+const commitRetryDelay = 100 * time.Millisecond
 
-// Commit checks and commits w, and returns the change with its sequence. The
-// error is a *Rejection.
+// Commit validates and commits want, and returns the change with its sequence.
+// The error is a *Rejection.
 func (w *Writer) Commit(ctx context.Context, want Write) (Change, error) {
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	id := uuid.NewString()
-	sent := false
+	outcomeUnknown := false
 	for {
 		snap := w.store.Snapshot()
 		change, rej := prepare(snap, want)
@@ -97,13 +97,13 @@
 			return Change{}, rej
 		}
 		change.WriteID = id
-		done, err := w.attempt(ctx, snap, &change)
-		sent = sent || errors.Is(err, plat.ErrUnknown)
+		committed, err := w.tryCommit(ctx, snap, &change)
+		outcomeUnknown = outcomeUnknown || errors.Is(err, plat.ErrUnknown)
 		switch {
-		case err == nil && done:
-			w.finish(change)
+		case err == nil && committed:
+			w.applyCommitted(change)
 			return change, nil
-		case ctx.Err() != nil && sent:
+		case ctx.Err() != nil && outcomeUnknown:
 			w.log.Emit(event.ConfUnknown, event.Ref{Resource: string(want.Kind) + "/" + want.Name}, "write "+id)
 			return Change{}, &Rejection{
 				Code: CodeUnknown, WriteID: id,
@@ -112,68 +112,69 @@
 		case ctx.Err() != nil:
 			return Change{}, reject(CodeUnavailable, "the key-value service does not answer; nothing was changed")
 		case err != nil:
-			wait.For(ctx, settlePause)
+			wait.For(ctx, commitRetryDelay)
 		}
 	}
 }
 
-func (w *Writer) finish(c Change) {
+func (w *Writer) applyCommitted(c Change) {
 	w.store.Apply([]Change{c})
 	w.log.Emit(event.ConfWritten, event.Ref{Resource: string(c.Kind) + "/" + c.Name}, "sequence "+version(c.Seq))
 }
 
-// attempt commits change on top of snap. It returns done false when another
-// change came first, after putting that one in force. A write whose answer
-// was lost may be sent again: every try compares with the same revision of the
-// head, so at most one of them takes effect, and the log tells which.
-func (w *Writer) attempt(ctx context.Context, snap *Snapshot, change *Change) (done bool, err error) {
-	body, err := json.Marshal(change)
+// tryCommit commits change on top of snap. It returns committed false when another
+// change was committed first, after applying that one. A write whose response was
+// lost may be sent again: every attempt compares the same revision of the head, so
+// at most one takes effect, and the log shows whether one did.
+func (w *Writer) tryCommit(ctx context.Context, snap *Snapshot, change *Change) (committed bool, err error) {
+	encoded, err := json.Marshal(change)
 	if err != nil {
 		return false, errors.WithStack(err)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
-	out, err := w.kv.Commit(callCtx, w.txn(snap, change, body))
+	outcome, err := w.kv.Commit(callCtx, w.txn(snap, change, encoded))
 	cancel()
-	if err == nil && out.Succeeded {
-		change.HeadRevision = out.Revision
+	if err == nil && outcome.Succeeded {
+		change.HeadRevision = outcome.Revision
 		return true, nil
 	}
-	// Either another change came first, or the answer was lost: the log tells.
-	later, readErr := w.readLog(ctx, snap.seq)
+	// Either another change was committed first, or the response was lost: the log
+	// shows which.
+	newer, readErr := w.readLog(ctx, snap.seq)
 	if readErr != nil {
 		if err == nil {
 			err = readErr
 		}
 		return false, err
 	}
-	for _, c := range later {
+	for _, c := range newer {
 		if c.WriteID == change.WriteID {
 			*change = c
-			w.store.Apply(later)
+			w.store.Apply(newer)
 			return true, nil
 		}
 	}
-	if !w.store.Apply(later) || (err == nil && len(later) == 0) {
+	if !w.store.Apply(newer) || (err == nil && len(newer) == 0) {
 		return false, w.reload(ctx)
 	}
 	return false, err
 }
 
-func (w *Writer) txn(snap *Snapshot, change *Change, body []byte) plat.Txn {
+func (w *Writer) txn(snap *Snapshot, change *Change, encoded []byte) plat.Txn {
 	t := plat.Txn{
 		Compares: []plat.Compare{{Key: keyHead, ModRevision: snap.headRevision}},
 		Puts: []plat.Put{
-			{Key: keyHead, Value: body},
-			{Key: logKey(change.Seq), Value: body},
+			{Key: keyHead, Value: encoded},
+			{Key: changeKey(change.Seq), Value: encoded},
 		},
 	}
 	if change.Deleted {
-		t.Deletes = append(t.Deletes, resKey(change.Kind, change.Name))
+		t.Deletes = append(t.Deletes, resourceKey(change.Kind, change.Name))
 	} else {
-		t.Puts = append(t.Puts, plat.Put{Key: resKey(change.Kind, change.Name), Value: body})
+		t.Puts = append(t.Puts, plat.Put{Key: resourceKey(change.Kind, change.Name), Value: encoded})
 	}
-	if change.Seq > loggedChanges {
-		t.Deletes = append(t.Deletes, logKey(change.Seq-loggedChanges))
+	if change.Seq > maxLoggedChanges {
+		t.Deletes = append(t.Deletes, changeKey(change.Seq-maxLoggedChanges))
 	}
 	return t
 }
@@ -185,25 +186,25 @@
 	return readLog(ctx, w.kv, seq)
 }
 
-func readLog(ctx context.Context, kv kv, seq uint64) ([]Change, error) {
-	pairs, _, err := kv.Range(ctx, plat.Span{From: logKey(seq + 1), To: plat.Prefix(keyLog).To})
+func readLog(ctx context.Context, kv coordinationStore, seq uint64) ([]Change, error) {
+	pairs, _, err := kv.Range(ctx, plat.Span{From: changeKey(seq + 1), To: plat.Prefix(keyLog).To})
 	if err != nil {
 		return nil, err
 	}
-	return changesOf(pairs)
+	return decodeChanges(pairs)
 }
 
-func changesOf(pairs []plat.Pair) ([]Change, error) {
-	out := make([]Change, 0, len(pairs))
+func decodeChanges(pairs []plat.Pair) ([]Change, error) {
+	changes := make([]Change, 0, len(pairs))
 	for _, p := range pairs {
 		var c Change
 		if err := json.Unmarshal(p.Value, &c); err != nil {
 			return nil, errors.Wrapf(err, "key %s", p.Key)
 		}
 		c.HeadRevision = p.ModRevision
-		out = append(out, c)
+		changes = append(changes, c)
 	}
-	return out, nil
+	return changes, nil
 }
 
 func (w *Writer) reload(ctx context.Context) error {
@@ -217,24 +218,24 @@
 	return nil
 }
 
-// readFull reads the whole configuration at one revision.
-func readFull(ctx context.Context, kv kv) (Full, error) {
-	pairs, _, err := kv.Range(ctx, plat.Span{From: keyHead, To: plat.Prefix(keyRes).To})
+// readFull reads the full configuration at one revision.
+func readFull(ctx context.Context, kv coordinationStore) (Full, error) {
+	pairs, _, err := kv.Range(ctx, plat.Span{From: keyHead, To: plat.Prefix(keyResources).To})
 	if err != nil {
 		return Full{}, err
 	}
-	changes, err := changesOf(pairs)
+	changes, err := decodeChanges(pairs)
 	if err != nil || len(pairs) == 0 {
 		return Full{}, err
 	}
 	if pairs[0].Key != keyHead {
-		return Full{}, errors.New("the configuration in the service has no head")
+		return Full{}, errors.New("the coordination store has resources of the configuration but no head")
 	}
 	head := changes[0]
 	return Full{Seq: head.Seq, HeadRevision: head.HeadRevision, Resources: changes[1:]}, nil
 }
 
-// prepare checks want against snap and returns the change that would follow.
+// prepare validates want against snap and returns the change to commit.
 func prepare(snap *Snapshot, want Write) (Change, *Rejection) {
 	if newSpec(want.Kind) == nil {
 		return Change{}, reject(CodeUnknownKind, "there is no kind "+string(want.Kind))
@@ -252,7 +253,7 @@
 	if rej != nil {
 		return Change{}, rej
 	}
-	if rej := checkAgainst(snap, want, spec); rej != nil {
+	if rej := checkAgainstSnapshot(snap, want, spec); rej != nil {
 		return Change{}, rej
 	}
 	var compact bytes.Buffer
@@ -264,7 +265,7 @@
 }
 
 func checkVersion(old *Resource, want Write) *Rejection {
-	field := Fault{Field: "resourceVersion"}
+	fault := Fault{Field: "resourceVersion"}
 	switch {
 	case old == nil && want.Spec == nil:
 		return reject(CodeNotFound, "there is no "+string(want.Kind)+"/"+want.Name)
@@ -273,22 +274,23 @@
 	case old == nil && want.Version != 0:
 		return reject(CodeNotFound, "there is no "+string(want.Kind)+"/"+want.Name)
 	case old != nil && want.Version == 0:
-		field.Text = "the resource exists with version " + version(old.version)
-		return reject(CodeExists, "a resource of this name exists", field)
+		fault.Text = "the resource exists with version " + version(old.version)
+		return reject(CodeExists, "a resource of this name exists", fault)
 	case old != nil && want.Version != old.version:
-		field.Text = "is " + version(want.Version) + ", but the resource has version " + version(old.version)
-		return reject(CodeStale, "the resource was changed in the meantime", field)
+		fault.Text = "is " + version(want.Version) + ", but the resource has version " + version(old.version)
+		return reject(CodeStale, "the resource was changed in the meantime", fault)
 	}
 	return nil
 }
 
-// checkAgainst checks what a spec alone cannot show.
-func checkAgainst(snap *Snapshot, want Write, spec Spec) *Rejection {
+// checkAgainstSnapshot checks the name, that no key belongs to two organisations,
+// and that referenced resources exist.
+func checkAgainstSnapshot(snap *Snapshot, want Write, spec Spec) *Rejection {
 	var f faults
 	f.name("name", want.Name)
 	if org, ok := spec.(*Organisation); ok {
 		for i, h := range org.KeyHashes {
-			if owner, used := snap.callers[h]; used && owner != want.Name {
+			if owner, used := snap.orgByKeyHash[h]; used && owner != want.Name {
 				f.add(index("spec.keyHashes", i), "belongs to another organisation")
 			}
 		}
@@ -310,10 +312,10 @@
 func checkUnused(snap *Snapshot, want Write) *Rejection {
 	for _, k := range Kinds() {
 		for _, r := range snap.List(k) {
-			for _, to := range r.spec.refs() {
-				if to.kind == want.Kind && to.name == want.Name {
-					at := Fault{Field: string(k) + "/" + r.name + " " + to.field, Text: "names this resource"}
-					return reject(CodeInUse, "another resource names this one", at)
+			for _, reference := range r.spec.refs() {
+				if reference.kind == want.Kind && reference.name == want.Name {
+					fault := Fault{Field: string(k) + "/" + r.name + " " + reference.field, Text: "names this resource"}
+					return reject(CodeInUse, "another resource names this one", fault)
 				}
 			}
 		}
