--- a/core/event/codes.go
+++ b/core/event/codes.go
@@ -1,10 +1,10 @@
 package event
 
-// Code numbers one kind of event. The number never changes its meaning, so
-// that logs of different versions can be read together.
+// Code is the number of one kind of event. The meaning of a number never changes,
+// so that logs of different versions can be read together.
 type Code int
 
-// The codes of all events. docs/EVENTS.md is written from the catalogue below.
+// The codes of all events. docs/EVENTS.md is generated from the catalogue below.
 const (
 	DaemonStarted    Code = 1001
 	DaemonReady      Code = 1002
@@ -98,7 +98,7 @@
 // Level is the severity of an event.
 type Level string
 
-// The levels of events, in rising order.
+// The levels of events, in order of increasing severity.
 const (
 	Debug   Level = "debug"
 	Info    Level = "info"
@@ -116,94 +116,94 @@
 
 var catalogue = []Entry{
 	{DaemonStarted, "daemonStarted", Info, "The daemon has read its settings and opened its listeners."},
-	{DaemonReady, "daemonReady", Info, "The daemon knows a configuration that it may serve under, and takes requests."},
-	{DaemonNotReady, "daemonNotReady", Warning, "The daemon takes no requests; the text says why."},
-	{DaemonDraining, "daemonDraining", Info, "A planned stop has begun: no new requests, running ones go on."},
-	{DaemonStopped, "daemonStopped", Info, "The last request has ended, or the drain limit has passed; the process ends."},
+	{DaemonReady, "daemonReady", Info, "The daemon has a configuration that it may serve under, and accepts requests."},
+	{DaemonNotReady, "daemonNotReady", Warning, "The daemon accepts no requests; the text has the reason."},
+	{DaemonDraining, "daemonDraining", Info, "A planned shutdown has begun: no new requests are accepted, running ones continue."},
+	{DaemonStopped, "daemonStopped", Info, "The last request has finished, or the drain limit has passed; the process exits."},
 	{KeysReloaded, "keysReloaded", Info, "Changed TLS files were read and are in use."},
-	{KeysRejected, "keysRejected", Error, "Changed TLS files do not fit together; the former ones stay in use."},
-	{InvariantBroken, "invariantBroken", Error, "A state was met that the program rules out. Please report it with the stack."},
-	{SettingsReloaded, "settingsReloaded", Info, "A changed settings file was read; the text says what of it is in force."},
-	{SettingsRejected, "settingsRejected", Error, "A changed settings file has faults; the former settings stay in force."},
+	{KeysRejected, "keysRejected", Error, "Changed TLS files do not match each other; the former ones stay in use."},
+	{InvariantBroken, "invariantBroken", Error, "The program has reached a state that its invariants exclude. Please report it with the stack."},
+	{SettingsReloaded, "settingsReloaded", Info, "A changed settings file was read; the text lists the settings that are applied."},
+	{SettingsRejected, "settingsRejected", Error, "A changed settings file is invalid; the former settings stay applied."},
 
 	{PeerUp, "peerUp", Info, "Heartbeats of another daemon arrive."},
 	{PeerDown, "peerDown", Warning, "No heartbeat of another daemon arrived within the suspicion time."},
 	{PeerRefused, "peerRefused", Error, "A connection to the peer port did not prove that it comes from a daemon."},
-	{BoxAppeared, "boxAppeared", Info, "The box list names a new box."},
-	{BoxLeaving, "boxLeaving", Info, "The box list says that a box is leaving; its target gets no new work."},
-	{BoxGone, "boxGone", Info, "The box list no longer names a box."},
-	{BoxListFailed, "boxListFailed", Warning, "The box list could not be read; the last known one stays in use."},
-	{TargetLeaving, "targetLeaving", Info, "An operator's drain order for a target is in force here."},
-	{TargetReturning, "targetReturning", Info, "An operator's drain order for a target was taken back."},
-	{TargetSuspect, "targetSuspect", Warning, "A target did not answer; it gets no new work until it answers again."},
-	{TargetHealthy, "targetHealthy", Info, "A suspected target answers again."},
-	{DomainEvacuated, "domainEvacuated", Warning, "Operators ask to send nothing to the targets of a failure domain; the resource names it."},
-	{DomainReturned, "domainReturned", Info, "An evacuation was taken back; the domain's targets get few requests until they count as warm."},
-	{TargetEnded, "targetEnded", Warning, "A run of a target ended under requests of this daemon, not as planned; the text counts them."},
-	{TargetSaysLeaving, "targetSaysLeaving", Info, "A run of a target said in an answer that it leaves, and gets no new work whatever its entry says; the text has whose answer: this daemon's or a peer's."},
-	{TargetRests, "targetRests", Info, "A target turned a request of this daemon away and asked for rest; it gets nothing for the time in the text. At most one line a second and target."},
-	{TargetRested, "targetRested", Info, "A target that rested has taken a request of this daemon again."},
-	{TargetUnreadable, "targetUnreadable", Warning, "A target asked for rest or named a limit in a way that can't be read, which is passed over; one line for each run."},
-	{TargetLimits, "targetLimits", Info, "A run of a target named the request rate that it takes from all daemons together, or another one than before; the text has the rate and whose answer: this daemon's or a peer's. At most one line a second and target."},
-	{TargetUnlimited, "targetUnlimited", Info, "A run of a target no longer names a request rate. Lines of limits are at most one a second and target."},
-
-	{ConfApplied, "confApplied", Debug, "A configuration change is in force in this daemon."},
+	{BoxAppeared, "boxAppeared", Info, "The box list has a new box."},
+	{BoxLeaving, "boxLeaving", Info, "The box list reports that a box is shutting down; its target gets no new work."},
+	{BoxGone, "boxGone", Info, "A box was removed from the box list."},
+	{BoxListFailed, "boxListFailed", Warning, "The box list could not be read; the last one that was read stays in use."},
+	{TargetLeaving, "targetLeaving", Info, "An operator's order to drain a target is applied in this daemon."},
+	{TargetReturning, "targetReturning", Info, "An operator's order to drain a target was withdrawn."},
+	{TargetSuspect, "targetSuspect", Warning, "A target did not respond; it gets no new work until it responds again."},
+	{TargetHealthy, "targetHealthy", Info, "A suspected target responds again."},
+	{DomainEvacuated, "domainEvacuated", Warning, "Operators have ordered the evacuation of a failure domain: its targets get no requests; the resource names it."},
+	{DomainReturned, "domainReturned", Info, "An evacuation was withdrawn; the failure domain's targets get few requests until they have warmed up."},
+	{TargetEnded, "targetEnded", Warning, "An incarnation of a target crashed while it processed requests of this daemon; the text has their number."},
+	{TargetSaysLeaving, "targetSaysLeaving", Info, "An incarnation of a target reported in a response that it is shutting down, and gets no new work whatever its list entry says; the text says whether this daemon or a peer received the response."},
+	{TargetRests, "targetRests", Info, "A target rejected a request of this daemon with Retry-After and is under pushback: it gets no requests for the time in the text. At most one line per second and target."},
+	{TargetRested, "targetRested", Info, "A target that was under pushback has accepted a request of this daemon again."},
+	{TargetUnreadable, "targetUnreadable", Warning, "A target sent pushback or a rate limit that cannot be parsed, which is ignored; one line for each incarnation."},
+	{TargetLimits, "targetLimits", Info, "An incarnation of a target reported a rate limit, shared by all daemons, or changed it; the text has the rate and says whether this daemon or a peer received the response. At most one line per second and target."},
+	{TargetUnlimited, "targetUnlimited", Info, "An incarnation of a target no longer reports a rate limit. At most one line about rate limits per second and target."},
+
+	{ConfApplied, "confApplied", Debug, "A configuration change was applied by this daemon."},
 	{ConfWritten, "confWritten", Info, "A configuration change was committed through this daemon."},
-	{ConfRejected, "confRejected", Info, "A configuration change was refused; nothing was changed."},
-	{ConfUnknown, "confUnknown", Warning, "The answer to a configuration write was lost and reading back has not settled it yet."},
-	{ConfResynced, "confResynced", Info, "The whole configuration was read anew, from the service or from a peer."},
-	{ConfStale, "confStale", Warning, "This daemon cannot confirm that its configuration is current."},
-	{ServiceDown, "serviceDown", Warning, "The key-value service does not answer."},
-	{ServiceUp, "serviceUp", Info, "The key-value service answers again."},
-	{ConfPending, "confPending", Warning, "A committed change is not yet in force in every live daemon; the text names them."},
-	{ConfUnderived, "confUnderived", Error, "A stored resource cannot be read; the former state of it stays in force."},
-	{PeerNotTold, "peerNotTold", Info, "A peer did not tell what has changed in the key-value service; the text names it, the time that this took and the reason."},
-	{ValueFetched, "valueFetched", Info, "A large value was fetched by itself; the text names its revision and sizes, where it came from and the time that this took."},
-	{RolloutStep, "rolloutStep", Info, "A roll-out has gone on, by decision of this daemon; the resource is the service, the text names phase, version and what decided it."},
-	{ListShardTaken, "listShardTaken", Info, "This daemon holds another shard of the list of targets than before; the text has the peer that told it, the cell and the number of entries that it took."},
-	{ConfDropped, "confDropped", Info, "A copy of what the key-value service holds was older than what is known and was dropped; the text has both revisions."},
-	{ServiceRestored, "serviceRestored", Warning, "The key-value service has come back from an older copy; the text has the era and revision of the copy, and the highest known before: what lies between is lost until its writers write it again."},
-	{ValueInForce, "valueInForce", Warning, "The key-value service holds an older value than the one that a peer has in force; the text has the version taken from the peer."},
+	{ConfRejected, "confRejected", Info, "A configuration change was rejected; nothing was changed."},
+	{ConfUnknown, "confUnknown", Warning, "The response to a configuration write was lost, and reading back has not yet shown whether it was committed."},
+	{ConfResynced, "confResynced", Info, "The full configuration was read again, from the coordination store or from a peer."},
+	{ConfStale, "confStale", Warning, "This daemon cannot confirm that its configuration is up to date."},
+	{ServiceDown, "serviceDown", Warning, "The coordination store does not respond."},
+	{ServiceUp, "serviceUp", Info, "The coordination store responds again."},
+	{ConfPending, "confPending", Warning, "A committed change is not yet applied by every live daemon; the text lists those that have not applied it."},
+	{ConfUnderived, "confUnderived", Error, "A stored resource cannot be decoded; its former state stays applied."},
+	{PeerNotTold, "peerNotTold", Info, "Changes of the coordination store could not be received from a peer; the text has the peer, the elapsed time and the reason."},
+	{ValueFetched, "valueFetched", Info, "A large value was fetched separately; the text has its revision and size, its source and the elapsed time."},
+	{RolloutStep, "rolloutStep", Info, "This daemon has moved a roll-out to its next phase; the resource is the service, the text has the phase, the version and the reason."},
+	{ListShardTaken, "listShardTaken", Info, "This daemon caches another shard of the list of targets than before; the text has the peer that sent it, the cell and the number of entries."},
+	{ConfDropped, "confDropped", Info, "A received copy of the coordination store's data was older than the cached data and was discarded; the text has both revisions."},
+	{ServiceRestored, "serviceRestored", Warning, "The coordination store was restored from an older copy; the text has the store incarnation and revision of the copy, and the highest revision seen before: what was written in between is lost until its writers write it again."},
+	{ValueInForce, "valueInForce", Warning, "The coordination store has an older value than the one that a peer has applied; the text has the version taken from the peer."},
 
 	{RequestAccepted, "requestAccepted", Debug, "A caller's request was authenticated and read."},
-	{RequestPlaced, "requestPlaced", Info, "A target was chosen; the text gives the reasons and the candidates weighed."},
-	{RequestDone, "requestDone", Info, "The whole answer was given to the caller."},
-	{RequestRefused, "requestRefused", Info, "The request was refused; the text gives code and whether it ran."},
-	{RequestRetried, "requestRetried", Warning, "The chosen target failed before its answer began; another is chosen."},
-	{StreamResumed, "streamResumed", Warning, "A broken stream goes on from the token after the last one delivered."},
+	{RequestPlaced, "requestPlaced", Info, "A target was chosen; the text has the reasons and the candidates that were compared."},
+	{RequestDone, "requestDone", Info, "The whole response was sent to the caller."},
+	{RequestRefused, "requestRefused", Info, "The request was rejected; the text has the code and whether the request ran."},
+	{RequestRetried, "requestRetried", Warning, "The chosen target failed before its response began; another one is chosen."},
+	{StreamResumed, "streamResumed", Warning, "A broken stream continues after the last token that was delivered."},
 	{StreamBroken, "streamBroken", Warning, "A stream could not be resumed and was ended with an explicit error."},
-	{CallerGone, "callerGone", Info, "The caller closed its connection; the target was told to stop."},
-	{AnswerRejected, "answerRejected", Error, "A target's answer belongs to another request or weight version and was thrown away."},
-	{RequestSuspected, "requestSuspected", Warning, "Two runs of targets ended while the same request was there; the text has its fingerprint and the runs."},
-	{RequestBlocked, "requestBlocked", Error, "A request is not sent any more, since runs of targets end under it; the text has its fingerprint, for how long, how often before, and who told or what ended."},
-	{RequestReleased, "requestReleased", Info, "A blocked request may be sent again; the text says why."},
-
-	{ContextImported, "contextImported", Info, "Kept blocks were read from a store into a worker and passed their checks."},
-	{ImportRejected, "importRejected", Warning, "Blocks read from a store failed their checks; they are computed again."},
-	{ContextExported, "contextExported", Info, "Blocks were written to a store and committed by a manifest."},
-	{ExportFailed, "exportFailed", Warning, "An export did not finish; no manifest names its blocks."},
-	{CacheGap, "cacheGap", Warning, "A worker's cache events have a gap; nothing known before it is trusted."},
-	{CacheResynced, "cacheResynced", Info, "A worker's cache contents were read anew."},
-	{StoreReclaimed, "storeReclaimed", Info, "A full store gave up kept contexts."},
+	{CallerGone, "callerGone", Info, "The caller closed its connection; the request is cancelled at the target."},
+	{AnswerRejected, "answerRejected", Error, "A target's response belongs to another request or weights version and was discarded."},
+	{RequestSuspected, "requestSuspected", Warning, "Two incarnations of targets crashed while they processed the same request; the text has the request digest and the incarnations."},
+	{RequestBlocked, "requestBlocked", Error, "A request is no longer sent, because incarnations of targets crash under it; the text has the request digest, how long it is blocked, how often it was blocked so far, and the crashes or the daemon that reported it."},
+	{RequestReleased, "requestReleased", Info, "A blocked request may be sent again; the text has the reason."},
+
+	{ContextImported, "contextImported", Info, "KV-cache blocks were read from a KV-cache store into a worker and passed their checks."},
+	{ImportRejected, "importRejected", Warning, "Blocks read from a KV-cache store failed their checks; they are recomputed."},
+	{ContextExported, "contextExported", Info, "Blocks were written to a KV-cache store and committed by a manifest."},
+	{ExportFailed, "exportFailed", Warning, "An export did not finish; no manifest refers to its blocks."},
+	{CacheGap, "cacheGap", Warning, "A worker's cache events have a gap; nothing recorded before it is trusted."},
+	{CacheResynced, "cacheResynced", Info, "The contents of a worker's cache were read again."},
+	{StoreReclaimed, "storeReclaimed", Info, "A full KV-cache store evicted cached contexts."},
 
 	{ClaimGranted, "claimGranted", Debug, "A call with an idempotency key may run; its claim is committed."},
-	{ClaimRefused, "claimRefused", Info, "A call with an idempotency key may not run; the text says why."},
-	{ClaimAnswered, "claimAnswered", Debug, "A repeated call got the recorded outcome of the first one."},
+	{ClaimRefused, "claimRefused", Info, "A call with an idempotency key may not run; the text has the reason."},
+	{ClaimAnswered, "claimAnswered", Debug, "A repeated call received the recorded outcome of the first one."},
 	{ShardTaken, "shardTaken", Info, "This daemon owns a shard of claims."},
 	{ShardLost, "shardLost", Warning, "Another daemon owns a shard of claims that this one owned."},
-	{ClaimUnsettled, "claimUnsettled", Warning, "The answer to a claim write was lost; no claim of it is granted until it is read back."},
-	{CallSent, "callSent", Debug, "A call that may not be repeated was handed to a target."},
-	{CallUnknown, "callUnknown", Warning, "A call that may not be repeated was cut; whether it ran is unknown."},
-
-	{LeaseTaken, "leaseTaken", Info, "This daemon holds a lease; the text names it and its epoch."},
-	{LeaseLost, "leaseLost", Warning, "A lease of this daemon was found to have passed to another."},
-	{OrderSent, "orderSent", Info, "A fenced order was sent to a worker."},
-	{OrderDone, "orderDone", Info, "A worker reports the ordered state."},
-	{OrderRejected, "orderRejected", Warning, "A worker or the service refused an order, for example for its fence."},
-	{OrderDeferred, "orderDeferred", Debug, "An order waits because enough workers are loading."},
+	{ClaimUnsettled, "claimUnsettled", Warning, "The response to a claim write was lost; none of its claims is granted until the write's outcome is known."},
+	{CallSent, "callSent", Debug, "A call that must not be repeated was sent to a target."},
+	{CallUnknown, "callUnknown", Warning, "A call that must not be repeated was interrupted; whether it ran is unknown."},
+
+	{LeaseTaken, "leaseTaken", Info, "This daemon has acquired a lease; the text has its name and epoch."},
+	{LeaseLost, "leaseLost", Warning, "A lease of this daemon was given back or found to have passed to another daemon."},
+	{OrderSent, "orderSent", Info, "An order with a fencing token was sent to a worker."},
+	{OrderDone, "orderDone", Info, "A worker reports that it has reached the ordered state."},
+	{OrderRejected, "orderRejected", Warning, "A worker or the coordination store rejected an order, for example for its fencing token."},
+	{OrderDeferred, "orderDeferred", Debug, "An order waits because enough workers are loading weights."},
 }
 
-// Catalogue returns a copy of the descriptions of all events, in numeric order.
+// Catalogue returns a copy of the entries of all events, in numeric order.
 func Catalogue() []Entry {
 	return append([]Entry(nil), catalogue...)
 }
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -1,9 +1,9 @@
 // Package event owns the numbered events of a process: their catalogue, the
-// log lines written from them, the bounded ring that the time line reads, and
-// the merging of several processes' events into one ordered time line.
+// log lines written from them, the ring buffer that the timeline is read from, and
+// the merging of several processes' events into one ordered timeline.
 //
-// It must not know what any event is about: callers pass identifiers, never
-// prompts, answers or keys.
+// It must not know what an event is about: callers pass identifiers, never
+// prompts, responses or keys.
 package event
 
 import (
@@ -20,9 +20,9 @@
 
 // Event is one numbered event of one process.
 type Event struct {
-	// Seq rises by one with each event of a process.
+	// Seq increases by one with each event of a process.
 	Seq uint64 `json:"seq"`
-	// At is the process's wall clock; it orders the time line, nothing else.
+	// At is the process's wall clock; it is used only to order the timeline.
 	At           time.Time `json:"at"`
 	Process      string    `json:"process"`
 	Code         Code      `json:"code"`
@@ -34,11 +34,11 @@
 	Organisation string    `json:"organisation,omitempty"`
 	Target       string    `json:"target,omitempty"`
 	Resource     string    `json:"resource,omitempty"`
-	// Forecast is what was expected of a request; nil for other events.
+	// Forecast is the prediction made for a request; nil for other events.
 	Forecast *Forecast `json:"forecast,omitempty"`
 }
 
-// Ref names what an event is about. Empty fields are left out.
+// Ref identifies what an event is about. Empty fields are omitted.
 type Ref struct {
 	Request      string
 	Context      string
@@ -47,43 +47,43 @@
 	Resource     string
 }
 
-// ringSize bounds the events kept for the time line: about 1 MB.
+// ringSize is the number of events kept for the timeline, about 1 MB.
 const ringSize = 4096
 
-// Log writes events and keeps the latest. The zero value keeps events and
-// writes no lines.
+// Log writes events as log lines and keeps the latest events in memory. The zero
+// value keeps events and writes no lines.
 type Log struct {
 	process string
 	out     *logrus.Logger
-	// pace bounds the lines written; nil bounds nothing.
-	pace *Pace
+	// limiter limits the rate of log lines; nil means no limit.
+	limiter *Pace
 
 	ringMu sync.Mutex
-	// ring holds the latest events; the event with sequence s is at
+	// ring holds the latest events; the event with sequence s is at index
 	// s % ringSize. Guarded by ringMu.
 	ring []Event
 	// next is the sequence of the next event. Guarded by ringMu.
 	next uint64
 }
 
-// Format names the form of log lines.
+// Format is the format of log lines.
 type Format string
 
-// The forms of log lines.
+// The formats of log lines.
 const (
 	FormatJSON Format = "json"
 	FormatText Format = "text"
 )
 
-// NewLog returns a log for the named process that writes lines of the given
-// form to w, leaving out those below least.
-func NewLog(process string, w io.Writer, form Format, least Level) *Log {
+// NewLog returns a log for the named process that writes lines of at least
+// minLevel to w in the given format.
+func NewLog(process string, w io.Writer, format Format, minLevel Level) *Log {
 	out := logrus.New()
 	out.SetOutput(w)
-	if form == FormatJSON {
+	if format == FormatJSON {
 		out.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	}
-	lvl, err := logrus.ParseLevel(string(least))
+	lvl, err := logrus.ParseLevel(string(minLevel))
 	if err != nil {
 		lvl = logrus.InfoLevel
 	}
@@ -91,16 +91,16 @@
 	return &Log{process: process, out: out}
 }
 
-// SetPace bounds the lines that are written. It must be called before the
-// first event.
-func (l *Log) SetPace(p *Pace) { l.pace = p }
+// SetPace limits the rate of log lines. It must be called before the first event.
+func (l *Log) SetPace(p *Pace) { l.limiter = p }
 
-// SetRate changes how many lines of one code are written in a second.
-func (l *Log) SetRate(perSecond int) { l.pace.setRate(perSecond) }
+// SetRate changes how many lines of one code are written per second; 0 means no
+// limit.
+func (l *Log) SetRate(perSecond int) { l.limiter.setRate(perSecond) }
 
-// SetLevel changes the least severity of the lines that are written.
-func (l *Log) SetLevel(least Level) {
-	lvl, err := logrus.ParseLevel(string(least))
+// SetLevel changes the minimum level of the lines that are written.
+func (l *Log) SetLevel(minLevel Level) {
+	lvl, err := logrus.ParseLevel(string(minLevel))
 	if err != nil || l.out == nil {
 		return
 	}
@@ -110,7 +110,7 @@
 // Emit records one event.
 func (l *Log) Emit(code Code, ref Ref, text string) { l.EmitForecast(code, ref, text, nil) }
 
-// EmitForecast records one event with what was expected of its request, which may
+// EmitForecast records one event with the prediction made for its request, which may
 // be nil.
 func (l *Log) EmitForecast(code Code, ref Ref, text string, f *Forecast) {
 	entry, ok := byCode[code]
@@ -123,11 +123,11 @@
 		Text: text, Request: ref.Request, Context: ref.Context, Organisation: ref.Organisation,
 		Target: ref.Target, Resource: ref.Resource, Forecast: f,
 	}
-	l.keep(&ev)
+	l.record(&ev)
 	l.write(&ev)
 }
 
-func (l *Log) keep(ev *Event) {
+func (l *Log) record(ev *Event) {
 	l.ringMu.Lock()
 	defer l.ringMu.Unlock()
 	ev.Seq = l.next
@@ -147,7 +147,7 @@
 	if err != nil || !l.out.IsLevelEnabled(lvl) {
 		return
 	}
-	allowed, skipped := l.pace.allow(ev.Code, ev.Level, ev.At)
+	allowed, skipped := l.limiter.allow(ev.Code, ev.Level, ev.At)
 	if !allowed {
 		return
 	}
@@ -178,8 +178,8 @@
 	}
 }
 
-// Since returns the kept events with a sequence of at least from, oldest
-// first, at most limit of them.
+// Since returns at most limit of the kept events with a sequence of at least
+// from, oldest first.
 func (l *Log) Since(from uint64, limit int) []Event {
 	l.ringMu.Lock()
 	defer l.ringMu.Unlock()
@@ -194,10 +194,10 @@
 	return out
 }
 
-// Filter selects events of a time line. Empty fields select everything.
+// Filter selects events of a timeline. Empty fields select everything.
 type Filter struct {
 	Ref
-	// Code selects one kind of event when it is not zero.
+	// Code selects the events of one code if it is not zero.
 	Code Code
 }
 
@@ -218,8 +218,9 @@
 	return true
 }
 
-// Merge orders the events of several processes into one time line. Events of
-// one process keep their own order even where its clock was set back.
+// Merge merges lists of events, one for each process, into one timeline of the
+// events that f selects. Events of one process keep their order even if its clock
+// was set back: such an event gets the time of the one before it.
 func Merge(lists [][]Event, f Filter) []Event {
 	var out []Event
 	for _, list := range lists {
@@ -238,5 +239,5 @@
 	return out
 }
 
-// String returns the code as it is written in documents.
+// String returns the code in decimal.
 func (c Code) String() string { return strconv.Itoa(int(c)) }
--- a/core/event/event_test.go
+++ b/core/event/event_test.go
@@ -11,7 +11,7 @@
 	"embertally.dev/core/bugs"
 )
 
-func TestCatalogueIsSound(t *testing.T) {
+func TestCatalogueIsOrderedAndUnique(t *testing.T) {
 	g := gomega.NewWithT(t)
 	names, last := map[string]bool{}, Code(0)
 	for _, e := range Catalogue() {
@@ -22,19 +22,19 @@
 	}
 }
 
-func TestUnknownCodeIsAnInvariant(t *testing.T) {
+func TestUnknownCodeIsReportedAsBug(t *testing.T) {
 	var got string
 	defer bugs.Handle(func(text string, _ []byte) { got = text })()
 	(&Log{}).Emit(1, Ref{}, "")
 	gomega.NewWithT(t).Expect(got).To(gomega.ContainSubstring("event code 1"))
 }
 
-func TestLinesAreNumberedAndLevelled(t *testing.T) {
+func TestLinesHaveCodeAndMinimumLevel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
 	l := NewLog("box", &out, FormatJSON, Warning)
 	l.Emit(RequestDone, Ref{}, "not written")
-	l.Emit(PeerDown, Ref{Target: "t"}, "gone")
+	l.Emit(PeerDown, Ref{Target: "t"}, "no heartbeat")
 	var line struct {
 		Code                               int
 		Event, Msg, Level, Process, Target string
@@ -42,11 +42,11 @@
 	g.Expect(json.Unmarshal(out.Bytes(), &line)).To(gomega.Succeed())
 	g.Expect(line.Code).To(gomega.Equal(int(PeerDown)))
 	g.Expect([]string{line.Event, line.Msg, line.Level, line.Process, line.Target}).To(
-		gomega.Equal([]string{"peerDown", "gone", "warning", "box", "t"}))
-	g.Expect(l.Since(0, 10)).To(gomega.HaveLen(2), "the time line has both")
+		gomega.Equal([]string{"peerDown", "no heartbeat", "warning", "box", "t"}))
+	g.Expect(l.Since(0, 10)).To(gomega.HaveLen(2), "the timeline has both")
 }
 
-func TestRingKeepsTheLatest(t *testing.T) {
+func TestRingKeepsLatestEvents(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Log
 	for range ringSize + 10 {
--- a/core/event/lines.go
+++ b/core/event/lines.go
@@ -10,35 +10,35 @@
 	"github.com/pkg/errors"
 )
 
-// lineMost bounds one log line.
-const lineMost = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// ReadLines reads the events of log lines in JSON form, one list for each
-// process. What stands before a line's first brace is passed over, as
-// collectors of logs put times and names there; lines of other programs are
-// counted and left out.
+// ReadLines reads the events of log lines in JSON format, one list for each
+// process. Text before a line's first brace is ignored, as log collectors put
+// times and names there. Lines that are not events are counted in foreign.
 func ReadLines(r io.Reader) (lists [][]Event, foreign int, err error) {
-	at := map[string]int{}
+	index := map[string]int{}
 	scan := bufio.NewScanner(r)
-	scan.Buffer(make([]byte, 0, 64<<10), lineMost)
+	scan.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scan.Scan() {
 		ev, ok := ParseLine(scan.Bytes())
 		if !ok {
 			foreign++
 			continue
 		}
-		n, known := at[ev.Process]
-		if !known {
-			n = len(lists)
-			at[ev.Process] = n
+		i, seen := index[ev.Process]
+		if !seen {
+			i = len(lists)
+			index[ev.Process] = i
 			lists = append(lists, nil)
 		}
-		lists[n] = append(lists[n], ev)
+		lists[i] = append(lists[i], ev)
 	}
 	return lists, foreign, errors.WithStack(scan.Err())
 }
 
-// ParseLine reads one log line in JSON form, from its first brace on; it reports false where that is no event.
+// ParseLine parses one log line in JSON format from its first brace on. It reports
+// false if the line is not an event.
 func ParseLine(line []byte) (Event, bool) {
 	start := bytes.IndexByte(line, '{')
 	if start < 0 {
--- a/core/event/pace.go
+++ b/core/event/pace.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// Pace bounds the lines of each code that are written in a second, so that the
-// log stays bounded under load. Warnings and errors are the last to go. The
-// zero value bounds nothing.
+// Pace limits the rate of log lines of each event code, so that the size of the log
+// stays bounded under load. Warnings and errors have a higher limit. The zero value
+// sets no limit.
 type Pace struct {
-	// PerSecond is how many lines of one code are written in a second; 0 bounds
-	// nothing. Set before the first event, afterwards guarded by paceMu.
+	// PerSecond is how many lines of one code are written per second; 0 means no
+	// limit. It is set before the first event and guarded by limiterMu afterwards.
 	PerSecond int
 
-	paceMu sync.Mutex
-	second int64        // guarded by paceMu
-	counts map[Code]int // lines of this second; guarded by paceMu
-	// skipped counts the lines left out since the last one written, by code.
-	// Guarded by paceMu.
+	limiterMu sync.Mutex
+	second    int64        // Unix time that counts refers to; guarded by limiterMu
+	counts    map[Code]int // lines of this second, by code; guarded by limiterMu
+	// skipped counts the lines omitted since the last one written, by code.
+	// Guarded by limiterMu.
 	skipped map[Code]int
 }
 
-// setRate changes how many lines are written; a nil pace bounds nothing.
+// setRate changes PerSecond; it has no effect on a nil p.
 func (p *Pace) setRate(perSecond int) {
 	if p == nil {
 		return
 	}
-	p.paceMu.Lock()
-	defer p.paceMu.Unlock()
+	p.limiterMu.Lock()
+	defer p.limiterMu.Unlock()
 	p.PerSecond = perSecond
 }
 
-// urgentFactor is how many times more warnings and errors are written.
+// urgentFactor multiplies PerSecond for warnings and errors.
 const urgentFactor = 5
 
-// allow reports whether a line may be written, and how many of its code were
-// left out before it.
+// allow reports whether a line may be written, and how many lines of its code were
+// omitted since the last one written.
 func (p *Pace) allow(code Code, level Level, now time.Time) (bool, int) {
 	if p == nil {
 		return true, 0
 	}
-	p.paceMu.Lock()
-	defer p.paceMu.Unlock()
+	p.limiterMu.Lock()
+	defer p.limiterMu.Unlock()
 	if p.PerSecond == 0 {
 		return true, 0
 	}
-	if s := now.Unix(); s != p.second || p.counts == nil {
-		p.second, p.counts = s, map[Code]int{}
+	if second := now.Unix(); second != p.second || p.counts == nil {
+		p.second, p.counts = second, map[Code]int{}
 	}
 	if p.skipped == nil {
 		p.skipped = map[Code]int{}
 	}
-	most := p.PerSecond
+	limit := p.PerSecond
 	if level == Warning || level == Error {
-		most *= urgentFactor
+		limit *= urgentFactor
 	}
 	p.counts[code]++
-	if p.counts[code] > most {
+	if p.counts[code] > limit {
 		p.skipped[code]++
 		return false, 0
 	}
--- a/core/event/spool.go
+++ b/core/event/spool.go
@@ -6,7 +6,7 @@
 )
 
 // Spool writes lines from its own goroutine, so that a slow reader of the log
-// never holds up the program. Lines that do not fit are counted and left out.
+// never blocks the program. Lines that exceed its buffer are counted and dropped.
 type Spool struct {
 	out     io.Writer
 	lines   chan []byte
@@ -14,7 +14,7 @@
 	done    chan struct{}
 }
 
-// spoolLines bounds the lines that wait: about half a megabyte.
+// spoolLines is the number of buffered lines, about half a megabyte.
 const spoolLines = 2048
 
 // NewSpool returns a spool that writes to out until Close.
@@ -28,12 +28,13 @@
 func (s *Spool) run() {
 	defer close(s.done)
 	for line := range s.lines {
-		// There is nowhere to report that the log cannot be written.
+		// A failure to write the log cannot be reported anywhere.
 		_, _ = s.out.Write(line)
 	}
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write buffers one line, or drops it if the buffer is full. It never blocks or
+// fails.
 func (s *Spool) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), line...):
@@ -43,10 +44,11 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (s *Spool) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what waits and ends the spool; nothing may be written after.
+// Close writes the buffered lines and stops the goroutine; Write must not be called
+// afterwards.
 func (s *Spool) Close() {
 	close(s.lines)
 	<-s.done
