--- a/core/admin/admin.go
+++ b/core/admin/admin.go
@@ -1,7 +1,7 @@
-// Package admin owns the operators' side: the resource API with its watches,
-// drain orders, status and the process's part of the time line.
+// Package admin owns the HTTP API for operators: resources and watches of them,
+// drain orders, status, blocked requests, and the timeline of all daemons' events.
 //
-// It must not know how resources are kept or spread.
+// It must not know how resources are stored or replicated.
 package admin
 
 import (
@@ -21,7 +21,7 @@
 	"embertally.dev/core/wire"
 )
 
-// Options of the operators' side.
+// Options configure a Server.
 type Options struct {
 	Conf   *conf.Store
 	Writer *conf.Writer
@@ -30,40 +30,41 @@
 	Home   *home.Home
 	Poison *poison.Guard
 	Log    *event.Log
-	// Duties are the names of the duties that the status shows.
+	// Duties are the names of the assignments that the status shows.
 	Duties []string
-	// KeyHashes are operators' keys from the settings, for the first access.
+	// KeyHashes are the SHA-256 hashes of operators' keys from the settings. They
+	// give access also while the configuration has no operator.
 	KeyHashes []string
-	// Ready says why no requests are taken, or "".
+	// Ready returns the reason why no requests are accepted, or "".
 	Ready func() string
-	// Running returns how many callers' requests have not ended.
+	// Running returns the number of callers' requests in progress.
 	Running func() int64
 }
 
-// Server answers operators.
+// Server handles operators' requests.
 type Server struct{ o Options }
 
-// New returns a server for operators and registers its messages with the fleet.
+// New returns a server and registers its handler of peers' messages with the fleet.
 func New(o Options) *Server {
 	s := &Server{o}
 	o.Fleet.Mux().Register(kindEvents, wire.Handle(func(_ context.Context, _ string, f *event.Filter) ([]event.Event, error) {
-		return s.own(*f), nil
+		return s.localEvents(*f), nil
 	}))
 	return s
 }
 
-// maxBody bounds the body of one resource.
-const maxBody = 256 << 10
+// maxBodyBytes is the maximum size of a request body.
+const maxBodyBytes = 256 << 10
 
-// Register adds the operators' paths to e.
+// Register adds the routes of the operators' API to e.
 func (s *Server) Register(e *echo.Echo) {
-	g := e.Group("/v1", s.guard)
+	g := e.Group("/v1", s.authenticate)
 	g.GET("/status", s.status)
 	g.GET("/events", s.events)
 	g.GET("/timeline", s.timeline)
 	g.POST("/drains/:target", s.drain)
-	g.GET("/blocked", s.blocked)
-	g.DELETE("/blocked/:asks", s.release)
+	g.GET("/blocked", s.listBlocked)
+	g.DELETE("/blocked/:asks", s.releaseBlocked)
 	g.GET("/resources/:kind", s.list)
 	g.GET("/resources/:kind/:name", s.read)
 	g.POST("/resources/:kind", s.create)
@@ -71,35 +72,35 @@
 	g.DELETE("/resources/:kind/:name", s.remove)
 }
 
-// errorBody is the wire form of a refusal.
+// errorBody is the JSON body of a rejection.
 type errorBody struct {
 	Error *conf.Rejection `json:"error"`
 }
 
-// codeBadKey is the refusal of a key that belongs to no operator.
+// codeBadKey is the code of the rejection of a key that belongs to no operator.
 const codeBadKey conf.Code = "badKey"
 
-func (s *Server) guard(next echo.HandlerFunc) echo.HandlerFunc {
+func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		key, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
-		if !ok || !s.allowed(key) {
+		if !ok || !s.isOperatorKey(key) {
 			return c.JSON(http.StatusUnauthorized, errorBody{&conf.Rejection{Code: codeBadKey, Text: "the key belongs to no operator"}})
 		}
 		return next(c)
 	}
 }
 
-func (s *Server) allowed(key string) bool {
-	sum := conf.HashKey(key)
+func (s *Server) isOperatorKey(key string) bool {
+	hash := conf.HashKey(key)
 	for _, h := range s.o.KeyHashes {
-		if subtle.ConstantTimeCompare([]byte(h), []byte(sum)) == 1 {
+		if subtle.ConstantTimeCompare([]byte(h), []byte(hash)) == 1 {
 			return true
 		}
 	}
 	return s.o.Conf.Snapshot().IsOperatorKey(key)
 }
 
-var statusOf = map[conf.Code]int{
+var httpStatusByCode = map[conf.Code]int{
 	conf.CodeInvalid: http.StatusUnprocessableEntity, conf.CodeNotFound: http.StatusNotFound,
 	conf.CodeExists: http.StatusConflict, conf.CodeStale: http.StatusConflict,
 	conf.CodeReference: http.StatusUnprocessableEntity, conf.CodeInUse: http.StatusConflict,
@@ -107,14 +108,14 @@
 	conf.CodeUnavailable: http.StatusServiceUnavailable, conf.CodeUnknown: http.StatusServiceUnavailable,
 }
 
-func refuse(c echo.Context, r *conf.Rejection) error {
-	code, ok := statusOf[r.Code]
+func writeRejection(c echo.Context, r *conf.Rejection) error {
+	httpStatus, ok := httpStatusByCode[r.Code]
 	if !ok {
-		code = http.StatusBadRequest
+		httpStatus = http.StatusBadRequest
 	}
-	return c.JSON(code, errorBody{r})
+	return c.JSON(httpStatus, errorBody{r})
 }
 
-func invalid(field, text string) *conf.Rejection {
+func invalidField(field, text string) *conf.Rejection {
 	return &conf.Rejection{Code: conf.CodeInvalid, Text: "the request has faults", Faults: []conf.Fault{{Field: field, Text: text}}}
 }
--- a/core/admin/blocked.go
+++ b/core/admin/blocked.go
@@ -9,24 +9,25 @@
 	"embertally.dev/core/poison"
 )
 
-// blocked lists the requests that are given to no target, since targets end of them.
-func (s *Server) blocked(c echo.Context) error {
+// listBlocked returns the requests that are sent to no target because targets crash
+// under them.
+func (s *Server) listBlocked(c echo.Context) error {
 	body := struct {
 		Blocked []poison.BlockedRequest `json:"blocked"`
 	}{s.o.Poison.List()}
 	return c.JSON(http.StatusOK, body)
 }
 
-// release lets a blocked request go, in all daemons.
-func (s *Server) release(c echo.Context) error {
-	f, ok := poison.Parse(c.Param("asks"))
+// releaseBlocked unblocks a request in all daemons.
+func (s *Server) releaseBlocked(c echo.Context) error {
+	digest, ok := poison.Parse(c.Param("asks"))
 	if !ok {
-		return refuse(c, invalid("asks", "must be a fingerprint, 32 hexadecimal digits"))
+		return writeRejection(c, invalidField("asks", "must be a fingerprint, 32 hexadecimal digits"))
 	}
-	if !s.o.Poison.Release(f, "an operator released it") {
-		return refuse(c, &conf.Rejection{Code: conf.CodeNotFound, Text: "no request of this fingerprint is blocked"})
+	if !s.o.Poison.Release(digest, "an operator released it") {
+		return writeRejection(c, &conf.Rejection{Code: conf.CodeNotFound, Text: "no request of this fingerprint is blocked"})
 	}
 	return c.JSON(http.StatusOK, struct {
 		Released string `json:"released"`
-	}{f.String()})
+	}{digest.String()})
 }
--- a/core/admin/resources.go
+++ b/core/admin/resources.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/event"
 )
 
-// Resource is the wire form of a resource.
+// Resource is the JSON form of a resource.
 type Resource struct {
 	Kind            conf.Kind       `json:"kind"`
 	Name            string          `json:"name"`
@@ -25,29 +25,29 @@
 	Status          *Status         `json:"status,omitempty"`
 }
 
-// Status says where a resource is in force.
+// Status describes whether every live daemon has applied a resource.
 type Status struct {
-	// State is accepted once every live daemon has the resource in force, and
-	// pending before that.
+	// State is "accepted" once every live daemon has applied the resource, and
+	// "pending" before that.
 	State string `json:"state"`
-	// NotYetAt names the live daemons that do not have it in force.
+	// NotYetAt lists the live daemons that have not applied the resource.
 	NotYetAt []string `json:"notYetAt,omitempty"`
 }
 
-// The states of a resource.
+// The states of a resource: converged or not.
 const (
-	stateAccepted = "accepted"
-	statePending  = "pending"
+	stateConverged = "accepted"
+	statePending   = "pending"
 )
 
-func statusFor(missing []string) *Status {
-	if len(missing) == 0 {
-		return &Status{State: stateAccepted}
+func statusFor(lagging []string) *Status {
+	if len(lagging) == 0 {
+		return &Status{State: stateConverged}
 	}
-	return &Status{State: statePending, NotYetAt: missing}
+	return &Status{State: statePending, NotYetAt: lagging}
 }
 
-func encode(r *conf.Resource) (Resource, error) {
+func encodeResource(r *conf.Resource) (Resource, error) {
 	raw, err := json.Marshal(r.Spec())
 	return Resource{
 		Kind: r.Kind(), Name: r.Name(), ResourceVersion: strconv.FormatUint(r.Version(), 10), Spec: raw,
@@ -58,9 +58,9 @@
 	kind, name := conf.Kind(c.Param("kind")), c.Param("name")
 	r := s.o.Conf.Snapshot().Resource(kind, name)
 	if r == nil {
-		return refuse(c, &conf.Rejection{Code: conf.CodeNotFound, Text: "there is no " + string(kind) + "/" + name})
+		return writeRejection(c, &conf.Rejection{Code: conf.CodeNotFound, Text: "there is no " + string(kind) + "/" + name})
 	}
-	out, err := encode(r)
+	out, err := encodeResource(r)
 	if err != nil {
 		return err
 	}
@@ -68,13 +68,13 @@
 	return c.JSON(http.StatusOK, out)
 }
 
-// listBody is the wire form of a list. Its version is where a watch goes on.
+// listBody is the JSON form of a list. A watch from its version continues the list.
 type listBody struct {
 	ResourceVersion string     `json:"resourceVersion"`
 	Items           []Resource `json:"items"`
 }
 
-func knownKind(k conf.Kind) bool {
+func isKind(k conf.Kind) bool {
 	for _, v := range conf.Kinds() {
 		if v == k {
 			return true
@@ -85,8 +85,8 @@
 
 func (s *Server) list(c echo.Context) error {
 	kind := conf.Kind(c.Param("kind"))
-	if !knownKind(kind) {
-		return refuse(c, &conf.Rejection{Code: conf.CodeUnknownKind, Text: "there is no kind " + string(kind)})
+	if !isKind(kind) {
+		return writeRejection(c, &conf.Rejection{Code: conf.CodeUnknownKind, Text: "there is no kind " + string(kind)})
 	}
 	if c.QueryParam("watch") != "" {
 		return s.watch(c, kind)
@@ -94,7 +94,7 @@
 	snap := s.o.Conf.Snapshot()
 	body := listBody{ResourceVersion: strconv.FormatUint(snap.Seq(), 10), Items: []Resource{}}
 	for _, r := range snap.List(kind) {
-		out, err := encode(r)
+		out, err := encodeResource(r)
 		if err != nil {
 			return err
 		}
@@ -103,24 +103,25 @@
 	return c.JSON(http.StatusOK, body)
 }
 
-// watchEvent is one line of a watch.
+// watchEvent is the JSON form of one line of a watch.
 type watchEvent struct {
-	// Type is put, delete or progress. Progress only moves the version on.
+	// Type is "put", "delete" or "progress"; progress only advances the version.
 	Type     string   `json:"type"`
 	Resource Resource `json:"resource"`
 }
 
-// progressPause is the longest silence of a watch.
-const progressPause = 5 * time.Second
+// progressInterval is the maximum time between two lines of a watch.
+const progressInterval = 5 * time.Second
 
-// watch streams the changes of a kind after a version, one line each.
+// watch streams the changes of a kind after the version in the parameter "from", one
+// line each.
 func (s *Server) watch(c echo.Context, kind conf.Kind) error {
 	from, err := strconv.ParseUint(c.QueryParam("from"), 10, 64)
 	if err != nil {
-		return refuse(c, invalid("from", "must be the version after which the watch begins"))
+		return writeRejection(c, invalidField("from", "must be the version after which the watch begins"))
 	}
 	if _, ok := s.o.Conf.Since(from); !ok {
-		return refuse(c, &conf.Rejection{Code: conf.CodeCompacted, Text: "the version is too old: list the kind and watch from there"})
+		return writeRejection(c, &conf.Rejection{Code: conf.CodeCompacted, Text: "the version is too old: list the kind and watch from there"})
 	}
 	c.Response().Header().Set("Content-Type", "application/jsonl")
 	c.Response().WriteHeader(http.StatusOK)
@@ -132,24 +133,26 @@
 		if !ok {
 			return nil
 		}
-		for _, ch := range changes {
-			from = ch.Seq
-			if ch.Kind != kind {
+		for _, change := range changes {
+			from = change.Seq
+			if change.Kind != kind {
 				continue
 			}
-			if err := enc.Encode(eventOf(ch)); err != nil {
+			if err := enc.Encode(watchEventFor(change)); err != nil {
 				return nil
 			}
 		}
-		if !s.progress(c, enc, kind, from, changed) {
+		if !s.awaitChange(c, enc, kind, from, changed) {
 			return nil
 		}
 	}
 }
 
-func (s *Server) progress(c echo.Context, enc *json.Encoder, kind conf.Kind, from uint64, changed <-chan struct{}) bool {
+// awaitChange flushes the watch and waits for a change. After progressInterval without
+// one it writes a progress line. It reports whether the watch goes on.
+func (s *Server) awaitChange(c echo.Context, enc *json.Encoder, kind conf.Kind, from uint64, changed <-chan struct{}) bool {
 	c.Response().Flush()
-	t := time.NewTimer(progressPause)
+	t := time.NewTimer(progressInterval)
 	defer t.Stop()
 	select {
 	case <-c.Request().Context().Done():
@@ -162,38 +165,38 @@
 	}
 }
 
-func eventOf(ch conf.Change) watchEvent {
+func watchEventFor(change conf.Change) watchEvent {
 	ev := watchEvent{Type: "put", Resource: Resource{
-		Kind: ch.Kind, Name: ch.Name, ResourceVersion: strconv.FormatUint(ch.Seq, 10), Spec: ch.Spec,
+		Kind: change.Kind, Name: change.Name, ResourceVersion: strconv.FormatUint(change.Seq, 10), Spec: change.Spec,
 	}}
-	if ch.Deleted {
+	if change.Deleted {
 		ev.Type = "delete"
 	}
 	return ev
 }
 
-// readResource reads a body strictly.
+// readResource decodes a request body. Unknown fields are rejected.
 func readResource(c echo.Context) (Resource, *conf.Rejection) {
 	var r Resource
-	raw, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxBody))
+	raw, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxBodyBytes))
 	if err != nil {
-		return r, invalid("body", "cannot be read whole, or is over "+strconv.Itoa(maxBody)+" bytes")
+		return r, invalidField("body", "cannot be read whole, or is over "+strconv.Itoa(maxBodyBytes)+" bytes")
 	}
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&r); err != nil {
-		return r, invalid(bodyField(err), err.Error())
+		return r, invalidField(bodyField(err), err.Error())
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return r, invalid("body", "has more after its end")
+		return r, invalidField("body", "has more after its end")
 	}
 	if len(r.Spec) == 0 {
-		return r, invalid("spec", "is required")
+		return r, invalidField("spec", "is required")
 	}
 	return r, nil
 }
 
-// bodyField finds the field that a decoding error names.
+// bodyField returns the field that a decoding error refers to.
 func bodyField(err error) string {
 	if _, after, ok := strings.Cut(err.Error(), "unknown field \""); ok {
 		return strings.TrimSuffix(after, "\"")
@@ -204,11 +207,11 @@
 func (s *Server) create(c echo.Context) error {
 	body, rej := readResource(c)
 	if rej != nil {
-		return refuse(c, rej)
+		return writeRejection(c, rej)
 	}
 	kind := conf.Kind(c.Param("kind"))
 	if body.Kind != "" && body.Kind != kind {
-		return refuse(c, invalid("kind", "differs from the path"))
+		return writeRejection(c, invalidField("kind", "differs from the path"))
 	}
 	return s.commit(c, conf.Write{Kind: kind, Name: body.Name, Spec: body.Spec})
 }
@@ -216,19 +219,19 @@
 func (s *Server) update(c echo.Context) error {
 	body, rej := readResource(c)
 	if rej != nil {
-		return refuse(c, rej)
+		return writeRejection(c, rej)
 	}
 	kind, name := conf.Kind(c.Param("kind")), c.Param("name")
 	switch {
 	case body.Kind != "" && body.Kind != kind:
-		return refuse(c, invalid("kind", "differs from the path"))
+		return writeRejection(c, invalidField("kind", "differs from the path"))
 	case body.Name != "" && body.Name != name:
-		return refuse(c, invalid("name", "differs from the path"))
+		return writeRejection(c, invalidField("name", "differs from the path"))
 	}
 	w := conf.Write{Kind: kind, Name: name, Spec: body.Spec, Any: c.QueryParam("force") == "true"}
 	if !w.Any {
 		if w.Version, rej = parseVersion(body.ResourceVersion); rej != nil {
-			return refuse(c, rej)
+			return writeRejection(c, rej)
 		}
 	}
 	return s.commit(c, w)
@@ -239,7 +242,7 @@
 	if !w.Any {
 		var rej *conf.Rejection
 		if w.Version, rej = parseVersion(c.QueryParam("resourceVersion")); rej != nil {
-			return refuse(c, rej)
+			return writeRejection(c, rej)
 		}
 	}
 	return s.commit(c, w)
@@ -248,34 +251,34 @@
 func parseVersion(text string) (uint64, *conf.Rejection) {
 	v, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || v == 0 {
-		return 0, invalid("resourceVersion", "must be the version that was read, or use force=true to replace any")
+		return 0, invalidField("resourceVersion", "must be the version that was read, or use force=true to replace any")
 	}
 	return v, nil
 }
 
-// acceptLimit bounds the wait until a change is in force everywhere.
-const acceptLimit = 12 * time.Second
+// convergeTimeout bounds the wait until every live daemon has applied a change.
+const convergeTimeout = 12 * time.Second
 
-// commit commits a write and answers once it is in force everywhere, or with
-// the daemons where it is not.
+// commit commits a write and responds once every live daemon has applied it, or
+// after convergeTimeout with the daemons that have not.
 func (s *Server) commit(c echo.Context, w conf.Write) error {
 	change, err := s.o.Writer.Commit(context.WithoutCancel(c.Request().Context()), w)
 	if rej, ok := err.(*conf.Rejection); ok {
-		return refuse(c, rej)
+		return writeRejection(c, rej)
 	}
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), acceptLimit)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), convergeTimeout)
 	defer cancel()
-	missing := s.o.Spread.Await(ctx, change.Seq)
+	lagging := s.o.Spread.Await(ctx, change.Seq)
 	out := Resource{
 		Kind: change.Kind, Name: change.Name, ResourceVersion: strconv.FormatUint(change.Seq, 10),
-		Spec: change.Spec, Status: statusFor(missing),
+		Spec: change.Spec, Status: statusFor(lagging),
 	}
-	if len(missing) == 0 {
+	if len(lagging) == 0 {
 		return c.JSON(http.StatusOK, out)
 	}
-	s.o.Log.Emit(event.ConfPending, event.Ref{Resource: string(w.Kind) + "/" + w.Name}, strings.Join(missing, " "))
+	s.o.Log.Emit(event.ConfPending, event.Ref{Resource: string(w.Kind) + "/" + w.Name}, strings.Join(lagging, " "))
 	return c.JSON(http.StatusAccepted, out)
 }
--- a/core/admin/status.go
+++ b/core/admin/status.go
@@ -16,21 +16,22 @@
 	"embertally.dev/core/fleet"
 )
 
-// drain gives or takes back the order that a target gets no new work. It
-// spreads without the key-value service; the configuration keeps it for later.
+// drain orders that a target gets no new work, or withdraws that order. The order
+// reaches other daemons without the coordination store; it is also written to the
+// configuration, so that it persists.
 func (s *Server) drain(c echo.Context) error {
 	var body struct {
 		Leaving bool `json:"leaving"`
 	}
-	dec := json.NewDecoder(io.LimitReader(c.Request().Body, maxBody))
+	dec := json.NewDecoder(io.LimitReader(c.Request().Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&body); err != nil {
-		return refuse(c, invalid("leaving", "must be true or false"))
+		return writeRejection(c, invalidField("leaving", "must be true or false"))
 	}
 	name := c.Param("target")
 	r := s.o.Conf.Snapshot().Resource(conf.KindTarget, name)
 	if r == nil {
-		return refuse(c, &conf.Rejection{Code: conf.CodeNotFound, Text: "there is no targets/" + name})
+		return writeRejection(c, &conf.Rejection{Code: conf.CodeNotFound, Text: "there is no targets/" + name})
 	}
 	s.o.Fleet.SetMark(name, body.Leaving)
 	t := *r.Spec().(*conf.Target)
@@ -40,44 +41,46 @@
 		return err
 	}
 	_, err = s.o.Writer.Commit(c.Request().Context(), conf.Write{Kind: conf.KindTarget, Name: name, Spec: raw, Version: r.Version()})
-	reply := struct {
+	response := struct {
 		Target  string `json:"target"`
 		Leaving bool   `json:"leaving"`
-		// Kept tells that the configuration holds the order as well.
-		Kept bool `json:"kept"`
+		// Committed reports whether the order was also written to the configuration.
+		Committed bool `json:"kept"`
 	}{name, body.Leaving, err == nil}
-	return c.JSON(http.StatusOK, reply)
+	return c.JSON(http.StatusOK, response)
 }
 
-// daemonStatus is one daemon in the status.
+// daemonStatus is the status of one daemon.
 type daemonStatus struct {
-	Name     string `json:"name"`
-	Cell     int    `json:"cell"`
-	Domain   string `json:"domain"`
-	Alive    bool   `json:"alive"`
-	Listed   bool   `json:"listed"`
-	Draining bool   `json:"draining"`
+	Name   string `json:"name"`
+	Cell   int    `json:"cell"`
+	Domain string `json:"domain"`
+	Alive  bool   `json:"alive"`
+	// Listed reports whether the box list shows the daemon as live.
+	Listed   bool `json:"listed"`
+	Draining bool `json:"draining"`
+	// Sequence is the configuration sequence that the daemon has applied.
 	Sequence uint64 `json:"sequence"`
 }
 
-// targetStatus is one target in the status.
+// targetStatus is the status of one target.
 type targetStatus struct {
 	Name   string          `json:"name"`
 	Type   conf.TargetType `json:"type"`
 	Domain string          `json:"domain,omitempty"`
-	// Usable tells that it may get new work.
+	// Usable reports whether the target may get new work.
 	Usable bool `json:"usable"`
-	// Load is what is known of a worker's work.
+	// Load describes a worker's load; empty if none was reported.
 	Load string `json:"load,omitempty"`
 }
 
-// leaseStatus is one duty and who has it.
+// leaseStatus is one assignment and the daemon that holds it.
 type leaseStatus struct {
 	Name   string `json:"name"`
 	Holder string `json:"holder"`
 }
 
-// linkStatus is one store's link.
+// linkStatus is the status of the link to one KV-cache store.
 type linkStatus struct {
 	Store          string  `json:"store"`
 	BacklogBytes   int64   `json:"backlogBytes"`
@@ -86,13 +89,15 @@
 
 func (s *Server) status(c echo.Context) error {
 	snap, view := s.o.Conf.Snapshot(), s.o.Fleet.View()
-	missing := s.o.Spread.NotYet(c.Request().Context(), snap.Seq())
+	lagging := s.o.Spread.NotYet(c.Request().Context(), snap.Seq())
 	body := struct {
-		Daemon    string         `json:"daemon"`
-		NotReady  string         `json:"notReady,omitempty"`
-		Running   int64          `json:"running"`
-		Sequence  uint64         `json:"sequence"`
-		Status    *Status        `json:"configuration"`
+		Daemon   string  `json:"daemon"`
+		NotReady string  `json:"notReady,omitempty"`
+		Running  int64   `json:"running"`
+		Sequence uint64  `json:"sequence"`
+		Status   *Status `json:"configuration"`
+		// Confirmed is the time since the configuration was verified to be the
+		// latest, as a Go duration; empty if it never was.
 		Confirmed string         `json:"confirmedAgo"`
 		Cells     int            `json:"cells"`
 		Daemons   []daemonStatus `json:"daemons"`
@@ -101,7 +106,7 @@
 		Links     []linkStatus   `json:"links"`
 	}{
 		Daemon: view.Self(), NotReady: s.o.Ready(), Running: s.o.Running(), Sequence: snap.Seq(),
-		Status: statusFor(missing), Cells: view.Cells(), Daemons: s.daemons(snap, view),
+		Status: statusFor(lagging), Cells: view.Cells(), Daemons: s.daemons(snap, view),
 	}
 	if at := s.o.Conf.Confirmed(); !at.IsZero() {
 		body.Confirmed = clock.Since(at).Round(time.Millisecond).String()
--- a/core/admin/timeline.go
+++ b/core/admin/timeline.go
@@ -15,15 +15,15 @@
 
 const kindEvents wire.Kind = "admin.events"
 
-// gatherLimit bounds the wait for other daemons' events.
-const gatherLimit = 3 * time.Second
+// collectTimeout bounds the wait for other daemons' events.
+const collectTimeout = 3 * time.Second
 
-// own returns this process's events that the filter selects.
-func (s *Server) own(f event.Filter) []event.Event {
+// localEvents returns the events of this process that f selects.
+func (s *Server) localEvents(f event.Filter) []event.Event {
 	return event.Merge([][]event.Event{s.o.Log.Since(0, maxEvents)}, f)
 }
 
-// timeline merges the events of all daemons into one ordered line.
+// timeline responds with the events of all daemons, merged into one timeline.
 func (s *Server) timeline(c echo.Context) error {
 	f := event.Filter{Ref: event.Ref{
 		Request: c.QueryParam("request"), Context: c.QueryParam("context"),
@@ -32,44 +32,45 @@
 	if text := c.QueryParam("code"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil {
-			return refuse(c, invalid("code", "must be a number of docs/EVENTS.md"))
+			return writeRejection(c, invalidField("code", "must be a number of docs/EVENTS.md"))
 		}
 		f.Code = event.Code(n)
 	}
-	lists, silent := s.gather(c.Request().Context(), f)
+	lists, unreachable := s.collect(c.Request().Context(), f)
 	body := struct {
 		Events []event.Event `json:"events"`
-		// Silent names the daemons whose events could not be had.
-		Silent []string `json:"silent,omitempty"`
-	}{event.Merge(lists, event.Filter{}), silent}
+		// Unreachable lists the daemons whose events could not be fetched.
+		Unreachable []string `json:"silent,omitempty"`
+	}{event.Merge(lists, event.Filter{}), unreachable}
 	return c.JSON(http.StatusOK, body)
 }
 
-// gather asks every daemon for its events.
-func (s *Server) gather(ctx context.Context, f event.Filter) (lists [][]event.Event, silent []string) {
-	ctx, cancel := context.WithTimeout(ctx, gatherLimit)
+// collect requests the selected events from every daemon. It returns one list for each
+// daemon that responded, and the names of the others.
+func (s *Server) collect(ctx context.Context, f event.Filter) (lists [][]event.Event, unreachable []string) {
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
-	lists = append(lists, s.own(f))
+	lists = append(lists, s.localEvents(f))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for _, p := range s.o.Fleet.View().Peers() {
 		wg.Go(func() {
-			var list []event.Event
-			err := s.o.Fleet.Call(ctx, p.Name, kindEvents, &f, &list)
+			var events []event.Event
+			err := s.o.Fleet.Call(ctx, p.Name, kindEvents, &f, &events)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				silent = append(silent, p.Name)
+				unreachable = append(unreachable, p.Name)
 				return
 			}
-			lists = append(lists, list)
+			lists = append(lists, events)
 		})
 	}
 	wg.Wait()
-	return lists, silent
+	return lists, unreachable
 }
 
-// maxEvents bounds one reply of events.
+// maxEvents is the maximum number of events in one response.
 const maxEvents = 4096
 
 func (s *Server) events(c echo.Context) error {
@@ -77,7 +78,7 @@
 	if text := c.QueryParam("from"); text != "" {
 		var err error
 		if from, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return refuse(c, invalid("from", "must be a number"))
+			return writeRejection(c, invalidField("from", "must be a number"))
 		}
 	}
 	body := struct {
--- a/core/bugs/bugs.go
+++ b/core/bugs/bugs.go
@@ -1,7 +1,7 @@
-// Package bugs reports states that the program's own invariants rule out.
+// Package bugs reports violated invariants of the program.
 //
-// It owns the count of such reports and the way they are written. It knows
-// nothing of what the rest of the program does, so every package may use it.
+// It owns the number of such reports and how they are written. It must not depend
+// on any other package of the program, so that every package can use it.
 package bugs
 
 import (
@@ -12,21 +12,22 @@
 	"sync/atomic"
 )
 
-// reported counts the broken invariants of this process.
+// reported counts the reports of this process.
 var reported = expvar.NewInt("bugsReported")
 
-// handler receives each report; tests replace it.
+// handler receives each report if set; tests set it.
 var handler atomic.Pointer[func(text string, stack []byte)]
 
-// Handle makes f the receiver of reports and returns a function that restores
-// the former one.
+// Handle sets f as the handler of reports and returns a function that restores
+// the previous one.
 func Handle(f func(text string, stack []byte)) func() {
-	old := handler.Swap(&f)
-	return func() { handler.Store(old) }
+	previous := handler.Swap(&f)
+	return func() { handler.Store(previous) }
 }
 
-// Report records that an invariant is broken. The caller goes on: it must
-// itself take the safe way out.
+// Report records that an invariant is violated, and writes it with the stack to
+// standard error or passes it to the handler. It returns: the caller must continue
+// in a safe state.
 func Report(format string, args ...any) {
 	reported.Add(1)
 	text := fmt.Sprintf(format, args...)
@@ -38,5 +39,5 @@
 	fmt.Fprintf(os.Stderr, "broken invariant: %s\n%s", text, stack)
 }
 
-// Count returns how many broken invariants this process has reported.
+// Count returns the number of reports of this process.
 func Count() int64 { return reported.Value() }
