--- a/core/conf/fault.go
+++ b/core/conf/fault.go
@@ -40,7 +40,8 @@
 	Code   Code    `json:"code"`
 	Text   string  `json:"text"`
 	Faults []Fault `json:"faults,omitempty"`
-	// WriteID identifies the change in the log when the code is CodeUnknown.
+	// WriteID is set if the code is CodeUnknown. If the write was committed, its
+	// Change has this WriteID.
 	WriteID string `json:"writeId,omitempty"`
 }
 
--- a/core/conf/kinds.go
+++ b/core/conf/kinds.go
@@ -141,7 +141,7 @@
 	}
 	for i, h := range hashes {
 		if !hashPattern.MatchString(h) {
-			f.add(index("spec.keyHashes", i), "is not a hexadecimal SHA-256 sum; write the sum of the key, never the key")
+			f.add(indexedField("spec.keyHashes", i), "is not a hexadecimal SHA-256 sum; write the sum of the key, never the key")
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	f.required("spec.model", d.Model)
 	f.required("spec.weightVersion", d.WeightVersion)
 	for i, a := range d.Adapters {
-		f.name(index("spec.adapters", i), a)
+		f.name(indexedField("spec.adapters", i), a)
 	}
 	f.notNegative("spec.rootBlocks", d.RootBlocks)
 	f.notNegative("spec.minExportBlocks", d.MinExportBlocks)
@@ -204,7 +204,7 @@
 	return v
 }
 
-// Service is a service other than inference that targets offer.
+// Service is a plain service: one that targets other than engines offer.
 type Service struct {
 	// Routes are matched in order; the first match applies. A call that
 	// matches no route must not run more than once.
@@ -217,7 +217,7 @@
 	Path string `json:"path"`
 	// Methods are the HTTP methods that match; empty means every method.
 	Methods []string `json:"methods,omitempty"`
-	// Repeatable means that a call may run more than once.
+	// Repeatable marks calls that may run more than once.
 	Repeatable bool `json:"repeatable,omitempty"`
 	// Timeout limits one call; empty means the default, 10s.
 	Timeout Duration `json:"timeout,omitzero"`
@@ -225,7 +225,7 @@
 
 func (s *Service) check(f *faults) {
 	for i, r := range s.Routes {
-		at := index("spec.routes", i)
+		at := indexedField("spec.routes", i)
 		if !strings.HasPrefix(r.Path, "/") {
 			f.add(at+".path", "must begin with /")
 		}
@@ -321,7 +321,7 @@
 func (t *Target) refs() []ref {
 	var out []ref
 	for i, d := range t.Deployments {
-		out = append(out, ref{index("spec.deployments", i), KindDeployment, d})
+		out = append(out, ref{indexedField("spec.deployments", i), KindDeployment, d})
 	}
 	if t.Service != "" {
 		out = append(out, ref{"spec.service", KindService, t.Service})
@@ -412,13 +412,13 @@
 func (p *Policy) refs() []ref {
 	out := []ref{{"spec.organisation", KindOrganisation, p.Organisation}}
 	for i, d := range p.Deployments {
-		out = append(out, ref{index("spec.deployments", i), KindDeployment, d})
+		out = append(out, ref{indexedField("spec.deployments", i), KindDeployment, d})
 	}
 	for i, s := range p.Services {
-		out = append(out, ref{index("spec.services", i), KindService, s})
+		out = append(out, ref{indexedField("spec.services", i), KindService, s})
 	}
 	for i, t := range p.Targets {
-		out = append(out, ref{index("spec.targets", i), KindTarget, t})
+		out = append(out, ref{indexedField("spec.targets", i), KindTarget, t})
 	}
 	return out
 }
@@ -436,4 +436,4 @@
 	return len(p.Targets) == 0
 }
 
-func index(field string, i int) string { return field + "[" + strconv.Itoa(i) + "]" }
+func indexedField(field string, i int) string { return field + "[" + strconv.Itoa(i) + "]" }
--- a/core/conf/store.go
+++ b/core/conf/store.go
@@ -17,13 +17,13 @@
 	"embertally.dev/core/event"
 )
 
-// keptChanges is the number of latest changes kept for resumed watches and for
+// maxRecentChanges is the number of latest changes kept for resumed watches and for
 // peers that are behind.
 const maxRecentChanges = 1024
 
 // Store holds the applied snapshot; in the zero value it is empty.
 //
-// Lock order: no other lock is taken while storeMu is locked.
+// Lock order: storeMu is taken before the locks of log, and with no others.
 type Store struct {
 	log *event.Log
 
--- a/core/conf/sync.go
+++ b/core/conf/sync.go
@@ -96,6 +96,7 @@
 // everything from the coordination store, which has little capacity.
 const peerConfigWait = 1500 * time.Millisecond
 
+// awaitPeers waits until the store is loaded, at most for peerConfigWait.
 func (s *Syncer) awaitPeers(ctx context.Context) {
 	deadline := time.Now().Add(peerConfigWait)
 	for !s.store.Loaded() && time.Now().Before(deadline) && ctx.Err() == nil {
@@ -103,6 +104,8 @@
 	}
 }
 
+// reportContact emits an event when synchronisation begins to fail and when it
+// succeeds again.
 func (s *Syncer) reportContact(ctx context.Context, err error) {
 	if ctx.Err() != nil || (err != nil) == s.down {
 		return
--- a/core/conf/write.go
+++ b/core/conf/write.go
@@ -76,7 +76,7 @@
 	Any bool
 }
 
-// writeTimeout bounds a write, with its retries and reading back its outcome.
+// writeTimeout bounds a write, including its retries and reading back its outcome.
 const writeTimeout = 8 * time.Second
 
 // commitRetryDelay is the delay before the retry of a failed commit.
@@ -207,6 +207,7 @@
 	return changes, nil
 }
 
+// reload applies the full configuration from the coordination store.
 func (w *Writer) reload(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
@@ -291,7 +292,7 @@
 	if org, ok := spec.(*Organisation); ok {
 		for i, h := range org.KeyHashes {
 			if owner, used := snap.orgByKeyHash[h]; used && owner != want.Name {
-				f.add(index("spec.keyHashes", i), "belongs to another organisation")
+				f.add(indexedField("spec.keyHashes", i), "belongs to another organisation")
 			}
 		}
 	}
