--- a/core/poison/attempts.go
+++ b/core/poison/attempts.go
@@ -9,180 +9,184 @@
 	"embertally.dev/core/clock"
 )
 
-// Bounds of what a daemon keeps of its own sends.
+// Limits on what a daemon records of its own attempts.
 const (
-	// lossTime is for how long a connection's end waits for the word that the run ended:
-	// entries lapse after three of the users' heartbeats of 1.2 s, and word of it takes up
-	// to a second more.
-	lossTime = 6 * time.Second
-	// tailTime is how long before the end of a run a request may have ended well and still be
-	// what ended it: some faults strike as a target cleans up after an answer.
-	tailTime = 150 * time.Millisecond
-	// goodProof is how often in a row a request must have ended well at a run to be no reason for the
-	// run's end soon after: as often as it takes ends to block one.
-	goodProof = runsMost
-	// goodMost bounds the requests that are remembered to have ended well, in each of two
-	// generations; 2,048 are the last 35 s at least of a daemon with 60 requests a second.
-	goodMost = 2048
-	// endedTime is for how long a run is known to have ended.
-	endedTime = time.Minute
-	// togetherTime is the time within which runs that end are taken to have ended of the same
-	// thing: a power supply, a rack, a change of many. Ends of runs that one request brought
-	// down in turn lie as far apart as it takes to run it.
-	togetherTime = 50 * time.Millisecond
+	// lossWindow is how long a broken connection waits for a notice that the incarnation crashed:
+	// entries lapse after three of the users' heartbeats of 1.2 s, and notice of it takes up to a
+	// second more.
+	lossWindow = 6 * time.Second
+	// delayedCrashWindow is how long before a crash a request may have completed and still have
+	// caused it: some bugs strike as a target cleans up after an answer.
+	delayedCrashWindow = 150 * time.Millisecond
+	// minSuccesses is how many consecutive times a request must have completed well at an
+	// incarnation to be ruled out as the cause of a crash soon after: as many as the crashes that
+	// block a request.
+	minSuccesses = maxCrashes
+	// maxSuccesses bounds the requests recorded as completed well, in each of two generations;
+	// 2,048 cover at least the last 35 s of a daemon with 60 requests a second.
+	maxSuccesses = 2048
+	// crashedTTL is how long an incarnation is recorded as crashed.
+	crashedTTL = time.Minute
+	// simultaneousWindow is the time within which crashes are attributed to a common cause: a power
+	// supply, a rack, a change of many targets. Crashes that one request causes in turn are at
+	// least as far apart as the request takes to run.
+	simultaneousWindow = 50 * time.Millisecond
 )
 
-// sent names a request that was sent, for whoever counts.
-type sent struct {
+// sentRequest identifies a request that was sent, for crash counting.
+type sentRequest struct {
 	request      Fingerprint
 	organisation string
 }
 
-// loss is one request that was under way at a run when its connection ended.
-type loss struct {
-	sent
+// connectionLoss is a request that was in flight at an incarnation when its connection broke.
+type connectionLoss struct {
+	sentRequest
 	at clock.Time
 }
 
-// end is one end of a run, and what was there.
-type end struct {
-	run  string
-	at   clock.Time
-	sent []sent
+// crash is one crash of an incarnation, with the requests that were there.
+type crash struct {
+	incarnation string
+	at          clock.Time
+	requests    []sentRequest
 }
 
-// good is the last good end of a request.
-type good struct {
-	run string
-	at  clock.Time
-	sent
-	// times is how often in a row it ended well at the run.
-	times int
+// success is the last time a request completed well.
+type success struct {
+	incarnation string
+	at          clock.Time
+	sentRequest
+	// consecutive is how many times in a row it completed well at the incarnation.
+	consecutive int
 }
 
-// sends remembers what became of this daemon's own sends: those whose connection ended, by
-// run, until it is known whether the run ended, and those that ended well. The zero value is
-// ready.
-type sends struct {
-	sendsMu sync.Mutex
-	losses  map[string][]loss     // by run; guarded by sendsMu
-	ended   map[string]clock.Time // runs that ended; guarded by sendsMu
-	ends    []end                 // the latest ends; guarded by sendsMu
-	// young and old are two generations of good ends. Guarded by sendsMu.
-	young, old map[uint64]good
+// attempts records the outcomes of this daemon's own attempts: broken connections by incarnation,
+// until it is known whether the incarnation crashed, and attempts that completed well. The zero
+// value is ready for use.
+type attempts struct {
+	attemptsMu    sync.Mutex
+	losses        map[string][]connectionLoss // by incarnation; guarded by attemptsMu
+	crashed       map[string]clock.Time       // incarnations that crashed; guarded by attemptsMu
+	recentCrashes []crash                     // guarded by attemptsMu
+	// current and previous are two generations of successes. Guarded by attemptsMu.
+	current, previous map[uint64]success
 }
 
-// key shortens a fingerprint where a mistake costs little.
-func key(f Fingerprint) uint64 { return binary.BigEndian.Uint64(f[:]) }
+// shortKey shortens a digest for uses where a collision costs little.
+func shortKey(f Fingerprint) uint64 { return binary.BigEndian.Uint64(f[:]) }
 
-// lost records that a connection ended under a request. ended tells that the run is known to
-// have ended, first that it is the first loss of the run, so that it is to be found out.
-func (s *sends) lost(run string, who sent) (ended, first bool) {
-	s.sendsMu.Lock()
-	defer s.sendsMu.Unlock()
+// recordLoss records that a connection broke under a request. crashed reports that the incarnation
+// is recorded as crashed, first that this is its first broken connection, so that it must be
+// probed.
+func (s *attempts) recordLoss(incarnation string, sent sentRequest) (crashed, first bool) {
+	s.attemptsMu.Lock()
+	defer s.attemptsMu.Unlock()
 	now := clock.Now()
-	s.forget(now)
-	if _, known := s.ended[run]; known {
+	s.expire(now)
+	if _, known := s.crashed[incarnation]; known {
 		return true, false
 	}
 	if s.losses == nil {
-		s.losses = map[string][]loss{}
+		s.losses = map[string][]connectionLoss{}
 	}
-	s.losses[run] = append(s.losses[run], loss{who, now})
-	return false, len(s.losses[run]) == 1
+	s.losses[incarnation] = append(s.losses[incarnation], connectionLoss{sent, now})
+	return false, len(s.losses[incarnation]) == 1
 }
 
-// forget drops what is too old. It is called with sendsMu held.
-func (s *sends) forget(now clock.Time) {
-	for run, list := range s.losses {
-		if now.Sub(list[len(list)-1].at) > lossTime {
-			delete(s.losses, run)
+// expire drops entries that are too old. It is called with attemptsMu held.
+func (s *attempts) expire(now clock.Time) {
+	for incarnation, list := range s.losses {
+		if now.Sub(list[len(list)-1].at) > lossWindow {
+			delete(s.losses, incarnation)
 		}
 	}
-	for run, at := range s.ended {
-		if now.Sub(at) > endedTime {
-			delete(s.ended, run)
+	for incarnation, at := range s.crashed {
+		if now.Sub(at) > crashedTTL {
+			delete(s.crashed, incarnation)
 		}
 	}
-	s.ends = slices.DeleteFunc(s.ends, func(e end) bool { return now.Sub(e.at) > lossTime })
+	s.recentCrashes = slices.DeleteFunc(s.recentCrashes, func(c crash) bool { return now.Sub(c.at) > lossWindow })
 }
 
-// answers records that a run answers, so that it has not ended: a target may refuse
-// connections for a while.
-func (s *sends) answers(run string) {
-	s.sendsMu.Lock()
-	defer s.sendsMu.Unlock()
-	delete(s.ended, run)
+// markResponsive records that an incarnation responds, so that it has not crashed: a target may
+// refuse connections for a while.
+func (s *attempts) markResponsive(incarnation string) {
+	s.attemptsMu.Lock()
+	defer s.attemptsMu.Unlock()
+	delete(s.crashed, incarnation)
 }
 
-// lives reports whether a run is not known to have ended.
-func (s *sends) lives(run string) bool {
-	s.sendsMu.Lock()
-	defer s.sendsMu.Unlock()
-	_, known := s.ended[run]
+// isAlive reports whether an incarnation is not recorded as crashed.
+func (s *attempts) isAlive(incarnation string) bool {
+	s.attemptsMu.Lock()
+	defer s.attemptsMu.Unlock()
+	_, known := s.crashed[incarnation]
 	return !known
 }
 
-// alone reports whether no other run ended together with one. Those where the request was too
-// don't count: it may have ended them in turn.
-func (s *sends) alone(run string, f Fingerprint) bool {
-	s.sendsMu.Lock()
-	defer s.sendsMu.Unlock()
-	at := slices.IndexFunc(s.ends, func(e end) bool { return e.run == run })
-	if at < 0 {
+// crashedAlone reports whether no other incarnation crashed at the same time. Those that had the
+// request in flight too don't count: it may have crashed them in turn.
+func (s *attempts) crashedAlone(incarnation string, f Fingerprint) bool {
+	s.attemptsMu.Lock()
+	defer s.attemptsMu.Unlock()
+	i := slices.IndexFunc(s.recentCrashes, func(c crash) bool { return c.incarnation == incarnation })
+	if i < 0 {
 		return true
 	}
-	for _, e := range s.ends {
-		apart := e.at.Sub(s.ends[at].at).Abs()
-		there := e.run == run || slices.ContainsFunc(e.sent, func(who sent) bool { return who.request == f })
-		if apart < togetherTime && !there {
+	for _, c := range s.recentCrashes {
+		distance := c.at.Sub(s.recentCrashes[i].at).Abs()
+		sawRequest := c.incarnation == incarnation || slices.ContainsFunc(c.requests, func(sent sentRequest) bool { return sent.request == f })
+		if distance < simultaneousWindow && !sawRequest {
 			return false
 		}
 	}
 	return true
 }
 
-// end records that a run ended, and returns what was under way there or ended well just
-// before. seen tells that it refused a connection, so that it ended a moment ago.
-func (s *sends) end(run string, seen bool) []sent {
-	s.sendsMu.Lock()
-	defer s.sendsMu.Unlock()
+// recordCrash records that an incarnation crashed, and returns the requests that were in flight
+// there or completed well just before. refused states that it refused a connection, so that it
+// crashed a moment ago.
+func (s *attempts) recordCrash(incarnation string, refused bool) []sentRequest {
+	s.attemptsMu.Lock()
+	defer s.attemptsMu.Unlock()
 	now := clock.Now()
-	s.forget(now)
-	if _, known := s.ended[run]; known {
+	s.expire(now)
+	if _, known := s.crashed[incarnation]; known {
 		return nil
 	}
-	if s.ended == nil {
-		s.ended = map[string]clock.Time{}
+	if s.crashed == nil {
+		s.crashed = map[string]clock.Time{}
 	}
-	s.ended[run] = now
-	list := s.losses[run]
-	delete(s.losses, run)
-	var out []sent
+	s.crashed[incarnation] = now
+	list := s.losses[incarnation]
+	delete(s.losses, incarnation)
+	var out []sentRequest
 	for _, l := range list {
-		out = append(out, l.sent)
+		out = append(out, l.sentRequest)
 	}
 	at := now
 	switch {
 	case len(list) > 0:
 		at = list[0].at
-		out = append(out, s.tail(run, at)...)
-	case seen:
-		out = s.tail(run, now)
+		out = append(out, s.takeRecentSuccesses(incarnation, at)...)
+	case refused:
+		out = s.takeRecentSuccesses(incarnation, now)
 	}
 	if len(out) > 0 {
-		s.ends = append(s.ends, end{run, at, out})
+		s.recentCrashes = append(s.recentCrashes, crash{incarnation, at, out})
 	}
 	return out
 }
 
-// tail takes away the good ends at a run just before its own. It is called with sendsMu held.
-func (s *sends) tail(run string, at clock.Time) []sent {
-	var out []sent
-	for _, generation := range []map[uint64]good{s.young, s.old} {
-		for k, g := range generation {
-			if g.run == run && at.Sub(g.at) < tailTime && g.times < goodProof {
-				out = append(out, g.sent)
+// takeRecentSuccesses removes and returns the requests that completed well at an incarnation just
+// before it crashed. It is called with attemptsMu held.
+func (s *attempts) takeRecentSuccesses(incarnation string, at clock.Time) []sentRequest {
+	var out []sentRequest
+	for _, generation := range []map[uint64]success{s.current, s.previous} {
+		for k, last := range generation {
+			if last.incarnation == incarnation && at.Sub(last.at) < delayedCrashWindow && last.consecutive < minSuccesses {
+				out = append(out, last.sentRequest)
 				delete(generation, k)
 			}
 		}
@@ -190,31 +194,32 @@
 	return out
 }
 
-// good records that a request ended well at a run.
-func (s *sends) good(run string, who sent) {
-	s.sendsMu.Lock()
-	defer s.sendsMu.Unlock()
-	if len(s.young) >= goodMost || s.young == nil {
-		s.young, s.old = map[uint64]good{}, s.young
+// recordSuccess records that a request completed well at an incarnation.
+func (s *attempts) recordSuccess(incarnation string, sent sentRequest) {
+	s.attemptsMu.Lock()
+	defer s.attemptsMu.Unlock()
+	if len(s.current) >= maxSuccesses || s.current == nil {
+		s.current, s.previous = map[uint64]success{}, s.current
 	}
-	k := key(who.request)
-	last, found := s.young[k]
+	k := shortKey(sent.request)
+	last, found := s.current[k]
 	if !found {
-		last = s.old[k]
+		last = s.previous[k]
 	}
-	times := 1
-	if last.run == run && last.request == who.request {
-		times = min(last.times+1, goodProof)
+	consecutive := 1
+	if last.incarnation == incarnation && last.request == sent.request {
+		consecutive = min(last.consecutive+1, minSuccesses)
 	}
-	s.young[k] = good{run: run, at: clock.Now(), sent: who, times: times}
+	s.current[k] = success{incarnation: incarnation, at: clock.Now(), sentRequest: sent, consecutive: consecutive}
 }
 
-// wasGood reports whether a request ended well lately, at a run that did not end just after.
-func (s *sends) wasGood(f Fingerprint) bool {
-	s.sendsMu.Lock()
-	defer s.sendsMu.Unlock()
-	for _, generation := range []map[uint64]good{s.young, s.old} {
-		if g, found := generation[key(f)]; found && g.request == f {
+// recentlySucceeded reports whether a request recently completed well at an incarnation that did
+// not crash just after.
+func (s *attempts) recentlySucceeded(f Fingerprint) bool {
+	s.attemptsMu.Lock()
+	defer s.attemptsMu.Unlock()
+	for _, generation := range []map[uint64]success{s.current, s.previous} {
+		if last, found := generation[shortKey(f)]; found && last.request == f {
 			return true
 		}
 	}
--- a/core/poison/attempts_test.go
+++ b/core/poison/attempts_test.go
@@ -7,11 +7,11 @@
 	"github.com/onsi/gomega"
 )
 
-func TestARequestThatARunTookWellSeveralTimesIsNotWhatEndedIt(t *testing.T) {
+func TestRepeatedSuccessesRuleOutARequestAsCause(t *testing.T) {
 	tests := []struct {
-		name string
-		runs []string // those at which it ended well, in order
-		want bool     // that it still counts as one that ran well
+		name         string
+		incarnations []string // those at which it completed well, in order
+		want         bool     // whether it still counts as one that completed well
 	}{
 		{"never", nil, false},
 		{"once, just before", []string{"a"}, false},
@@ -23,14 +23,14 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			var s sends
-			who := sent{asks("the same again"), "org"}
-			for _, run := range tc.runs {
-				s.good(run, who)
+			var s attempts
+			sent := sentRequest{digestOf("the same again"), "org"}
+			for _, incarnation := range tc.incarnations {
+				s.recordSuccess(incarnation, sent)
 			}
-			s.lost("a", who)
-			g.Expect(s.end("a", false)).NotTo(gomega.BeEmpty(), "it was under way")
-			g.Expect(s.wasGood(who.request)).To(gomega.Equal(tc.want), fmt.Sprint(tc.runs))
+			s.recordLoss("a", sent)
+			g.Expect(s.recordCrash("a", false)).NotTo(gomega.BeEmpty(), "it was in flight")
+			g.Expect(s.recentlySucceeded(sent.request)).To(gomega.Equal(tc.want), fmt.Sprint(tc.incarnations))
 		})
 	}
 }
--- a/core/poison/blocks.go
+++ b/core/poison/blocks.go
@@ -12,93 +12,94 @@
 	"embertally.dev/core/event"
 )
 
-// Bounds of blocks.
+// Limits on blocks.
 const (
-	// blockTime is for how long a request is blocked at first, blockMost at most: it
-	// doubles each time the request ends a target after its block. Each try afterwards may
-	// end a target, whose context of some 100,000 tokens is read anew, and a fault of a
-	// target's software is mended in days; who has mended it takes the block back.
-	blockTime = time.Hour
-	blockMost = 24 * time.Hour
-	// blocksMost bounds the blocks kept. One more takes the place of that which ends first
-	// among those of the organisation that has the most, so that nobody can push out
-	// another's. Full, they are 12 KB in a heartbeat.
-	blocksMost = 256
-	// tellTime is for how long heartbeats carry all blocks after a change, or after a peer
-	// turned out to have others: three regular heartbeats and more.
-	tellTime = 500 * time.Millisecond
+	// initialBlockTime is how long a request is blocked the first time. The time doubles each time
+	// the request crashes a target after its block ended, up to maxBlockTime. Each attempt after a
+	// block may crash a target, whose context of some 100,000 tokens is then recomputed, and a bug
+	// in a target's software takes days to fix. Whoever has fixed it releases the block.
+	initialBlockTime = time.Hour
+	maxBlockTime     = 24 * time.Hour
+	// maxBlocks bounds the list. A further block replaces the one that expires first among those of
+	// the organisation with the most blocks, so that no organisation can evict another's. A full
+	// list takes 12 KB in a heartbeat.
+	maxBlocks = 256
+	// publishTime is how long heartbeats carry the whole list after a change, or after a peer
+	// turned out to have a different list. It covers more than three regular heartbeats.
+	publishTime = 500 * time.Millisecond
 )
 
-// block says of one request that it must not be sent, or that this was taken back. Of two
-// of the same request the one with the higher stamp counts.
+// block states that a request must not be sent, or that this was revoked. Of two blocks for the
+// same request the one with the higher stamp applies.
 type block struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack     struct{} `msgpack:",as_array"`
 	Request      Fingerprint
 	Organisation string
-	// Released tells that the block was taken back.
+	// Released reports that the block was revoked.
 	Released bool
 	Stamp    int64
-	// Times counts the blocks of the request in a row.
+	// Times is the number of consecutive blocks of the request.
 	Times int
-	// Left is for how long it goes on, where it is told.
-	Left time.Duration
-	// until is its end here.
+	// Remaining is the time until the block expires, as of when it was sent.
+	Remaining time.Duration
+	// until is the expiry by the local clock.
 	until clock.Time
 }
 
-// lasts returns how long a block lasts in all.
-func (b *block) lasts() time.Duration {
-	return min(blockTime<<max(0, min(b.Times-1, 16)), blockMost)
+// duration returns the total time of a block.
+func (b *block) duration() time.Duration {
+	return min(initialBlockTime<<max(0, min(b.Times-1, 16)), maxBlockTime)
 }
 
-// blocks are the requests that must not be sent, as all daemons tell each other. The zero
-// value is not usable; see newBlocks.
-type blocks struct {
+// blockList holds the requests that must not be sent. All daemons replicate it. The zero value is
+// not usable; see newBlockList.
+type blockList struct {
 	log *event.Log
-	// changed hears that there is something to tell the peers of the cell.
-	changed func()
+	// notify is called when the peers of the cell must receive a change.
+	notify func()
 
 	blocksMu sync.Mutex
-	// known holds blocks in force, those taken back, and those that ended for as long
-	// again as they lasted, so that the next one is longer. Guarded by blocksMu.
-	known map[Fingerprint]block
-	// tellUntil is until when heartbeats carry all blocks. Guarded by blocksMu.
-	tellUntil clock.Time
+	// entries holds active blocks, released ones, and expired ones for as long again as they
+	// lasted, so that the next block is longer. Guarded by blocksMu.
+	entries map[Fingerprint]block
+	// publishUntil is the time until which heartbeats carry the whole list. Guarded by blocksMu.
+	publishUntil clock.Time
 }
 
-func newBlocks(log *event.Log, changed func()) *blocks {
-	return &blocks{log: log, changed: changed, known: map[Fingerprint]block{}}
+func newBlockList(log *event.Log, notify func()) *blockList {
+	return &blockList{log: log, notify: notify, entries: map[Fingerprint]block{}}
 }
 
-// left returns for how much longer a request is blocked.
-func (l *blocks) left(f Fingerprint) (time.Duration, bool) {
+// remaining returns how much longer a request is blocked.
+func (l *blockList) remaining(f Fingerprint) (time.Duration, bool) {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
-	b, found := l.known[f]
+	b, found := l.entries[f]
 	if !found || b.Released {
 		return 0, false
 	}
-	left := clock.Until(b.until)
-	return left, left > 0
+	remaining := clock.Until(b.until)
+	return remaining, remaining > 0
 }
 
-// former returns how often a request was blocked before, where that is not long ago.
-func (l *blocks) former(f Fingerprint) int {
+// previousBlocks returns the number of consecutive blocks of a request, 0 if the last one expired
+// long ago or was released.
+func (l *blockList) previousBlocks(f Fingerprint) int {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
-	if b := l.known[f]; !b.Released {
+	if b := l.entries[f]; !b.Released {
 		return b.Times
 	}
 	return 0
 }
 
-// count returns how many requests are blocked.
-func (l *blocks) count() int {
+// count returns the number of blocked requests.
+func (l *blockList) count() int {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
 	n := 0
-	for _, b := range l.known {
+	for _, b := range l.entries {
 		if !b.Released && clock.Until(b.until) > 0 {
 			n++
 		}
@@ -107,11 +108,11 @@
 }
 
 // add blocks a request.
-func (l *blocks) add(f Fingerprint, organisation, why string) block {
+func (l *blockList) add(f Fingerprint, organisation, why string) block {
 	l.blocksMu.Lock()
-	old := l.known[f]
+	old := l.entries[f]
 	if !old.Released && clock.Until(old.until) > 0 {
-		// The other keeper was first.
+		// The other crash tracker was first.
 		l.blocksMu.Unlock()
 		return old
 	}
@@ -119,163 +120,165 @@
 	if !old.Released {
 		b.Times += old.Times
 	}
-	b.Left = b.lasts()
+	b.Remaining = b.duration()
 	l.blocksMu.Unlock()
 	l.merge([]block{b}, why)
 	return b
 }
 
-// release takes a block back, and returns what others are to be told where there was one.
-func (l *blocks) release(f Fingerprint, why string) (told block, done bool) {
+// release revokes a block, and returns the update for other daemons if there was one.
+func (l *blockList) release(f Fingerprint, why string) (update block, done bool) {
 	l.blocksMu.Lock()
-	b, found := l.known[f]
+	b, found := l.entries[f]
 	l.blocksMu.Unlock()
 	if !found || b.Released || clock.Until(b.until) <= 0 {
 		return block{}, false
 	}
-	b.Released, b.Stamp, b.Left = true, b.Stamp+1, clock.Until(b.until)
+	b.Released, b.Stamp, b.Remaining = true, b.Stamp+1, clock.Until(b.until)
 	return b, l.merge([]block{b}, why)
 }
 
-// merge takes blocks that are newer than those known, and reports whether there were any.
-func (l *blocks) merge(list []block, why string) bool {
-	var taken []block
+// merge applies blocks that are newer than the recorded ones, and reports whether there were any.
+func (l *blockList) merge(list []block, why string) bool {
+	var accepted []block
 	l.blocksMu.Lock()
 	for _, b := range list {
-		if old, found := l.known[b.Request]; found && old.Stamp >= b.Stamp {
+		if old, found := l.entries[b.Request]; found && old.Stamp >= b.Stamp {
 			continue
 		}
-		b.until = clock.Now().Add(min(max(0, b.Left), blockMost))
-		l.known[b.Request] = b
-		taken = append(taken, b)
+		b.until = clock.Now().Add(min(max(0, b.Remaining), maxBlockTime))
+		l.entries[b.Request] = b
+		accepted = append(accepted, b)
 	}
-	l.trim()
-	if len(taken) > 0 {
-		l.tellUntil = clock.Now().Add(tellTime)
+	l.evict()
+	if len(accepted) > 0 {
+		l.publishUntil = clock.Now().Add(publishTime)
 	}
 	l.blocksMu.Unlock()
-	for i := range taken {
-		l.logged(&taken[i], why)
+	for i := range accepted {
+		l.logChange(&accepted[i], why)
 	}
-	if len(taken) > 0 {
-		l.changed()
+	if len(accepted) > 0 {
+		l.notify()
 	}
-	return len(taken) > 0
+	return len(accepted) > 0
 }
 
-// logged writes the line of a change.
-func (l *blocks) logged(b *block, why string) {
+// logChange logs a new or released block.
+func (l *blockList) logChange(b *block, why string) {
 	ref := event.Ref{Organisation: b.Organisation}
 	if b.Released {
 		l.log.Emit(event.RequestReleased, ref, "asks "+b.Request.String()+"; "+why)
 		return
 	}
-	l.log.Emit(event.RequestBlocked, ref, "asks "+b.Request.String()+" for "+b.Left.Round(time.Second).String()+", time "+strconv.Itoa(b.Times)+"; "+why)
+	l.log.Emit(event.RequestBlocked, ref, "asks "+b.Request.String()+" for "+b.Remaining.Round(time.Second).String()+", block "+strconv.Itoa(b.Times)+"; "+why)
 }
 
-// trim forgets what ended long ago and what is too much. It is called with blocksMu held.
-func (l *blocks) trim() {
-	for f, b := range l.known {
-		if -clock.Until(b.until) > b.lasts() {
-			delete(l.known, f)
+// evict removes blocks that expired long ago and those beyond maxBlocks. It is called with blocksMu
+// held.
+func (l *blockList) evict() {
+	for f, b := range l.entries {
+		if -clock.Until(b.until) > b.duration() {
+			delete(l.entries, f)
 		}
 	}
-	for len(l.known) > blocksMost {
-		delete(l.known, l.least())
+	for len(l.entries) > maxBlocks {
+		delete(l.entries, l.evictionCandidate())
 	}
 }
 
-// least returns the request to forget first. It is called with blocksMu held.
-func (l *blocks) least() Fingerprint {
-	held := map[string]int{}
-	for _, b := range l.known {
-		held[b.Organisation]++
+// evictionCandidate returns the request to evict first. It is called with blocksMu held.
+func (l *blockList) evictionCandidate() Fingerprint {
+	perOrganisation := map[string]int{}
+	for _, b := range l.entries {
+		perOrganisation[b.Organisation]++
 	}
 	var out *block
-	for _, b := range l.known {
-		if out == nil || held[b.Organisation] > held[out.Organisation] || (held[b.Organisation] == held[out.Organisation] && b.until.Before(out.until)) {
+	for _, b := range l.entries {
+		if out == nil || perOrganisation[b.Organisation] > perOrganisation[out.Organisation] || (perOrganisation[b.Organisation] == perOrganisation[out.Organisation] && b.until.Before(out.until)) {
 			out = &b
 		}
 	}
 	return out.Request
 }
 
-// list returns the blocks as they are told, those that were taken back or ended included.
-func (l *blocks) list() []block {
+// list returns the blocks in the form in which they are sent, released and expired ones included.
+func (l *blockList) list() []block {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
-	return l.all()
+	return l.listLocked()
 }
 
-// all returns the blocks as they are told. It is called with blocksMu held.
-func (l *blocks) all() []block {
-	out := make([]block, 0, len(l.known))
-	for _, b := range l.known {
-		b.Left = max(0, clock.Until(b.until))
+// listLocked is list for callers that hold blocksMu.
+func (l *blockList) listLocked() []block {
+	out := make([]block, 0, len(l.entries))
+	for _, b := range l.entries {
+		b.Remaining = max(0, clock.Until(b.until))
 		out = append(out, b)
 	}
 	slices.SortFunc(out, func(a, b block) int { return slices.Compare(a.Request[:], b.Request[:]) })
 	return out
 }
 
-// digest tells two lists of blocks apart. It is called with blocksMu held.
-func (l *blocks) digest() uint64 {
+// checksum differs between lists of different blocks. It is called with blocksMu held.
+func (l *blockList) checksum() uint64 {
 	var sum uint64
-	for f, b := range l.known {
+	for f, b := range l.entries {
 		if clock.Until(b.until) <= 0 {
-			// Daemons forget what has ended each in their own time.
+			// Each daemon drops expired blocks in its own time.
 			continue
 		}
-		part := uint64(b.Stamp)
+		mixed := uint64(b.Stamp)
 		for _, c := range f {
-			part = part*digestPrime + uint64(c)
+			mixed = mixed*checksumPrime + uint64(c)
 		}
-		sum ^= part
+		sum ^= mixed
 	}
 	return sum
 }
 
-// digestPrime mixes what a digest is made of (FNV's).
-const digestPrime = 1099511628211
+// checksumPrime is the multiplier of the checksum (the FNV prime).
+const checksumPrime = 1099511628211
 
-// blockBeat is a part of a heartbeat.
-type blockBeat struct {
+// blockHeartbeat is the section of a heartbeat about blocks.
+type blockHeartbeat struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// Digest is that of all blocks of the sender.
-	Digest uint64
-	// Blocks are all of them where something changed, else none.
+	// Checksum covers all blocks of the sender.
+	Checksum uint64
+	// Blocks is the whole list after a change, otherwise empty.
 	Blocks []block
 }
 
-// Collect returns this daemon's part of a heartbeat: what was changed lately or peers lack,
-// and else only a digest, by which a peer that missed it finds out.
-func (l *blocks) Collect(full bool) any {
+// Collect returns this daemon's section of a heartbeat: the whole list if it changed recently, a
+// peer has a different one, or full is set; otherwise only a checksum, by which a peer that missed
+// a change notices.
+func (l *blockList) Collect(full bool) any {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
-	tell := clock.Until(l.tellUntil) > 0
-	if len(l.known) == 0 && !tell {
+	publish := clock.Until(l.publishUntil) > 0
+	if len(l.entries) == 0 && !publish {
 		return nil
 	}
-	out := &blockBeat{Digest: l.digest()}
-	if full || tell {
-		out.Blocks = l.all()
+	out := &blockHeartbeat{Checksum: l.checksum()}
+	if full || publish {
+		out.Blocks = l.listLocked()
 	}
 	return out
 }
 
-// Receive takes a peer's part of a heartbeat.
-func (l *blocks) Receive(peer string, raw []byte) {
-	var b blockBeat
+// Receive processes a peer's section of a heartbeat.
+func (l *blockList) Receive(peer string, raw []byte) {
+	var b blockHeartbeat
 	if err := msgpack.Unmarshal(raw, &b); err != nil {
-		// A peer of another version tells nothing that can be used.
+		// Sections from a peer of another version can't be used.
 		l.log.Emit(event.PeerNotTold, event.Ref{}, peer+": its blocked requests: "+err.Error())
 		return
 	}
-	l.merge(b.Blocks, "told by "+peer)
+	l.merge(b.Blocks, "received from "+peer)
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
-	if l.digest() != b.Digest {
-		l.tellUntil = clock.Now().Add(tellTime)
+	if l.checksum() != b.Checksum {
+		l.publishUntil = clock.Now().Add(publishTime)
 	}
 }
--- a/core/poison/blocks_test.go
+++ b/core/poison/blocks_test.go
@@ -13,10 +13,10 @@
 	"embertally.dev/core/event"
 )
 
-func newTestBlocks() *blocks { return newBlocks(&event.Log{}, func() {}) }
+func newTestBlockList() *blockList { return newBlockList(&event.Log{}, func() {}) }
 
-// told carries a part of a heartbeat from one list to another.
-func told(g *gomega.WithT, from, to *blocks, full bool) {
+// exchange carries a heartbeat section from one list to another.
+func exchange(g *gomega.WithT, from, to *blockList, full bool) {
 	part := from.Collect(full)
 	if part == nil {
 		return
@@ -26,110 +26,110 @@
 	to.Receive("peer", raw)
 }
 
-// Whatever comes first, and however often, lists that were told the same agree.
-func TestListsOfBlocksAgreeInAnyOrder(t *testing.T) {
+// Lists that received the same blocks agree, in whatever order and however often.
+func TestBlockListsAgreeInAnyOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		g := gomega.NewWithT(t)
-		draw := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		var all []block
 		for i := range 40 {
 			all = append(all, block{
-				Request: asks(fmt.Sprint(draw.IntN(8))), Organisation: "org", Stamp: int64(i + 1), Times: 1,
-				Released: draw.IntN(3) == 0, Left: time.Duration(1+draw.IntN(60)) * time.Minute,
+				Request: digestOf(fmt.Sprint(rng.IntN(8))), Organisation: "org", Stamp: int64(i + 1), Times: 1,
+				Released: rng.IntN(3) == 0, Remaining: time.Duration(1+rng.IntN(60)) * time.Minute,
 			})
 		}
-		a, b := newTestBlocks(), newTestBlocks()
+		a, b := newTestBlockList(), newTestBlockList()
 		a.merge(all, "")
-		for _, i := range draw.Perm(len(all)) {
+		for _, i := range rng.Perm(len(all)) {
 			b.merge(all[i:i+1], "")
 			b.merge(all[i:i+1], "")
 		}
 		a.blocksMu.Lock()
 		b.blocksMu.Lock()
-		g.Expect(a.digest()).To(gomega.Equal(b.digest()), "seed %d", seed)
+		g.Expect(a.checksum()).To(gomega.Equal(b.checksum()), "seed %d", seed)
 		a.blocksMu.Unlock()
 		b.blocksMu.Unlock()
 		for i := range 8 {
-			_, onA := a.left(asks(fmt.Sprint(i)))
-			_, onB := b.left(asks(fmt.Sprint(i)))
-			g.Expect(onA).To(gomega.Equal(onB), "seed %d, request %d", seed, i)
+			_, inA := a.remaining(digestOf(fmt.Sprint(i)))
+			_, inB := b.remaining(digestOf(fmt.Sprint(i)))
+			g.Expect(inA).To(gomega.Equal(inB), "seed %d, request %d", seed, i)
 		}
 	}
 }
 
-// A peer that missed a change finds out by the digest, and gets what it lacks; then
+// A peer that missed a change notices by the checksum and receives what it lacks; after that
 // heartbeats are small again.
-func TestAPeerThatMissedAChangeIsToldAgain(t *testing.T) {
+func TestAPeerThatMissedAChangeReceivesItAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a, b := newTestBlocks(), newTestBlocks()
-	f := asks("fatal")
+	a, b := newTestBlockList(), newTestBlockList()
+	f := digestOf("fatal")
 	a.add(f, "org", "test")
-	clock.Suspend(2 * tellTime)
-	told(g, a, b, false)
-	_, on := b.left(f)
-	g.Expect(on).To(gomega.BeFalse())
-	told(g, b, a, false)
-	told(g, a, b, false)
-	_, on = b.left(f)
-	g.Expect(on).To(gomega.BeTrue())
-	clock.Suspend(2 * tellTime)
-	g.Expect(a.Collect(false).(*blockBeat).Blocks).To(gomega.BeEmpty())
-	g.Expect(a.Collect(true).(*blockBeat).Blocks).To(gomega.HaveLen(1))
+	clock.Suspend(2 * publishTime)
+	exchange(g, a, b, false)
+	_, blocked := b.remaining(f)
+	g.Expect(blocked).To(gomega.BeFalse())
+	exchange(g, b, a, false)
+	exchange(g, a, b, false)
+	_, blocked = b.remaining(f)
+	g.Expect(blocked).To(gomega.BeTrue())
+	clock.Suspend(2 * publishTime)
+	g.Expect(a.Collect(false).(*blockHeartbeat).Blocks).To(gomega.BeEmpty())
+	g.Expect(a.Collect(true).(*blockHeartbeat).Blocks).To(gomega.HaveLen(1))
 }
 
-// One organisation cannot push out what others are protected from.
-func TestBlocksGiveWayWithinTheirOrganisation(t *testing.T) {
+// One organisation cannot evict the blocks of another.
+func TestBlocksAreEvictedWithinTheirOrganisation(t *testing.T) {
 	g := gomega.NewWithT(t)
-	l := newTestBlocks()
-	f := asks("of another")
+	l := newTestBlockList()
+	f := digestOf("of another")
 	l.add(f, "small", "test")
-	for i := range blocksMost + 20 {
-		l.add(asks(fmt.Sprint(i)), "large", "test")
+	for i := range maxBlocks + 20 {
+		l.add(digestOf(fmt.Sprint(i)), "large", "test")
 	}
-	_, on := l.left(f)
-	g.Expect(on).To(gomega.BeTrue())
-	g.Expect(l.count()).To(gomega.Equal(blocksMost))
+	_, blocked := l.remaining(f)
+	g.Expect(blocked).To(gomega.BeTrue())
+	g.Expect(l.count()).To(gomega.Equal(maxBlocks))
 }
 
-// What peers of other versions or foreign bytes say changes nothing.
-func TestUnreadablePartsChangeNothing(t *testing.T) {
+// Sections that peers of other versions send, and arbitrary bytes, change nothing.
+func TestInvalidHeartbeatSectionsChangeNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
-	l := newTestBlocks()
+	l := newTestBlockList()
 	for _, raw := range [][]byte{nil, {0xc1}, []byte("text"), {0x92, 0x01, 0x91, 0x90}} {
 		l.Receive("peer", raw)
 	}
-	// The longest time that a peer can name is bounded.
-	l.merge([]block{{Request: asks("a"), Stamp: 1, Times: 1 << 40, Left: 1 << 62}}, "")
-	left, on := l.left(asks("a"))
-	g.Expect(on).To(gomega.BeTrue())
-	g.Expect(left).To(gomega.BeNumerically("<=", blockMost))
+	// The block time that a peer can send is bounded.
+	l.merge([]block{{Request: digestOf("a"), Stamp: 1, Times: 1 << 40, Remaining: 1 << 62}}, "")
+	left, blocked := l.remaining(digestOf("a"))
+	g.Expect(blocked).To(gomega.BeTrue())
+	g.Expect(left).To(gomega.BeNumerically("<=", maxBlockTime))
 	g.Expect(l.count()).To(gomega.Equal(1))
 }
 
-// Suspects with the fewest ends give way first.
-func TestSuspectsGiveWayByTheirEnds(t *testing.T) {
+// Suspects with the fewest crashes are evicted first.
+func TestSuspectsWithFewestCrashesAreEvicted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k := newKeeper(&event.Log{})
-	f := asks("twice")
-	k.count(f, "org", "run-1", whole)
-	k.count(f, "org", "run-2", whole)
-	for i := range suspectsMost + 10 {
-		k.count(asks(fmt.Sprint(i)), "org", "run-1", whole)
+	k := newCrashTracker(&event.Log{})
+	f := digestOf("twice")
+	k.countCrash(f, "org", "inc-1", fullWeight)
+	k.countCrash(f, "org", "inc-2", fullWeight)
+	for i := range maxSuspects + 10 {
+		k.countCrash(digestOf(fmt.Sprint(i)), "org", "inc-1", fullWeight)
 	}
-	g.Expect(k.size()).To(gomega.Equal(suspectsMost))
-	_, over := k.count(f, "org", "run-3", whole)
-	g.Expect(over).To(gomega.BeTrue())
+	g.Expect(k.size()).To(gomega.Equal(maxSuspects))
+	_, block := k.countCrash(f, "org", "inc-3", fullWeight)
+	g.Expect(block).To(gomega.BeTrue())
 }
 
-// An end counts for an hour.
-func TestEndsAreForgotten(t *testing.T) {
+// A crash counts for an hour.
+func TestCrashesExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k := newKeeper(&event.Log{})
-	f := asks("seldom")
-	k.count(f, "org", "run-1", whole)
-	k.count(f, "org", "run-2", whole)
-	clock.Suspend(suspectTime + time.Second)
-	runs, over := k.count(f, "org", "run-3", whole)
-	g.Expect(runs).To(gomega.Equal(1))
-	g.Expect(over).To(gomega.BeFalse())
+	k := newCrashTracker(&event.Log{})
+	f := digestOf("seldom")
+	k.countCrash(f, "org", "inc-1", fullWeight)
+	k.countCrash(f, "org", "inc-2", fullWeight)
+	clock.Suspend(crashWindow + time.Second)
+	crashes, block := k.countCrash(f, "org", "inc-3", fullWeight)
+	g.Expect(crashes).To(gomega.Equal(1))
+	g.Expect(block).To(gomega.BeFalse())
 }
--- a/core/poison/digest.go
+++ b/core/poison/digest.go
@@ -1,9 +1,9 @@
-// Package poison owns which requests end the targets that run them: it knows a request
-// again by what it asks, counts over all daemons how many runs of targets ended under it,
-// and says which requests are not to be sent any more.
+// Package poison owns the detection of requests that crash the targets running them. It identifies
+// repeated requests by a digest of their contents, counts across all daemons how many incarnations
+// of targets crashed under each, and blocks those that crash too many.
 //
-// It must not know how requests are routed, what a target is beyond the name of a run, or
-// how the platform's store is spoken to.
+// It must not know how requests are routed, what a target is beyond the name of an incarnation, or
+// the protocol of the coordination store.
 package poison
 
 import (
@@ -15,18 +15,18 @@
 	"strings"
 )
 
-// Fingerprint names what a request asks: the same from the same organisation has the same
-// fingerprint at each daemon, under whatever ID it comes.
+// Fingerprint is the digest of a request. The same request from the same organisation has the same
+// digest at each daemon, whatever its request ID.
 //
-// It is the first half of a SHA-256, which nobody can aim at another organisation's
-// requests: the organisation is part of what is hashed. A false match would refuse a
-// proper request; among 2^128 values that does not happen by chance.
+// It is the first half of a SHA-256. The organisation is part of the input, so nobody can craft a
+// request that collides with another organisation's. A collision would refuse a harmless request;
+// among 2^128 values that does not happen by accident.
 type Fingerprint [16]byte
 
-// String returns the fingerprint as hexadecimal digits.
+// String returns the digest as hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse reads what String returns.
+// Parse parses the result of String.
 func Parse(s string) (Fingerprint, bool) {
 	var f Fingerprint
 	raw, err := hex.DecodeString(s)
@@ -36,9 +36,9 @@
 	return Fingerprint(raw), true
 }
 
-// Request is what a fingerprint is taken of.
+// Request holds the parts of a request that its digest covers.
 type Request struct {
-	// Organisation is the caller's, or "" where anybody may call.
+	// Organisation is the caller's, or "" if the service admits any caller.
 	Organisation string
 	Method       string
 	Host         string
@@ -47,13 +47,13 @@
 	Body []byte
 }
 
-// Of returns the fingerprint of a request. Headers do not count: IDs and deadlines differ
-// from try to try.
+// Of returns the digest of a request. Headers are left out: IDs and deadlines differ between
+// retries.
 func Of(r *Request) Fingerprint {
 	h := sha256.New()
 	for _, s := range []string{r.Organisation, r.Method, strings.ToLower(r.Host), r.URI} {
 		writeField(h, len(s))
-		// A hash takes all that it is given.
+		// Writing to a hash never fails.
 		_, _ = io.WriteString(h, s)
 	}
 	_, _ = h.Write(r.Body)
@@ -61,7 +61,7 @@
 	return Fingerprint(h.Sum(sum[:0]))
 }
 
-// writeField writes the length of a field, so that no field can pass for part of another.
+// writeField writes the length of a field, so that moving bytes between fields changes the digest.
 func writeField(h hash.Hash, length int) {
 	var n [8]byte
 	binary.BigEndian.PutUint64(n[:], uint64(length))
--- a/core/poison/digest_test.go
+++ b/core/poison/digest_test.go
@@ -6,7 +6,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+func TestDigestsOfDifferentRequestsDiffer(t *testing.T) {
 	base := Request{Organisation: "org", Method: "POST", Host: "h", URI: "/ask/a", Body: []byte("body")}
 	for _, c := range []struct {
 		name   string
@@ -22,8 +22,8 @@
 		{"a query", func(r *Request) { r.URI = "/ask/a?x=1" }, false},
 		{"another body", func(r *Request) { r.Body = []byte("body2") }, false},
 		{"no body", func(r *Request) { r.Body = nil }, false},
-		{"a sign that moves from one field to the next", func(r *Request) { r.Organisation, r.Method = "orgP", "OST" }, false},
-		{"a path that moves into the body", func(r *Request) { r.URI, r.Body = "/ask/", []byte("abody") }, false},
+		{"a character moved from one field to the next", func(r *Request) { r.Organisation, r.Method = "orgP", "OST" }, false},
+		{"part of the path moved into the body", func(r *Request) { r.URI, r.Body = "/ask/", []byte("abody") }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestAFingerprintIsReadAsItIsWritten(t *testing.T) {
+func TestParseReversesString(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := Of(&Request{URI: "/"})
 	got, ok := Parse(f.String())
@@ -46,7 +46,7 @@
 	}
 }
 
-// What a fingerprint costs: 1.0 us for 800 bytes.
+// Baseline: 1.0 us for 800 bytes.
 func BenchmarkOf(b *testing.B) {
 	r := Request{Organisation: "org", Method: "POST", Host: "site.example", URI: "/ask/a", Body: make([]byte, 800)}
 	for b.Loop() {
--- a/core/poison/guard.go
+++ b/core/poison/guard.go
@@ -16,131 +16,133 @@
 )
 
 const (
-	kindEnd   wire.Kind = "poison.end"
+	kindCrash wire.Kind = "poison.end"
 	kindBlock wire.Kind = "poison.block"
 )
 
-// Options of a guard.
+// Options configure a Guard.
 type Options struct {
 	Fleet *fleet.Fleet
-	// Try opens a connection to the address of a run of a target, and keeps it for use.
+	// Try opens a connection to the address of an incarnation of a target and keeps it for use.
 	Try func(ctx context.Context, address string) error
 	Log *event.Log
-	// Store and Mirror are the platform's store and what is known of it: it keeps the
-	// blocks for daemons that start when no other one is there. Both may be nil.
+	// Store is the coordination store and Mirror its watch cache. The store keeps the blocks for
+	// daemons that start while no other one is up. Both may be nil.
 	Store  plat.Writer
 	Mirror *plat.Mirror
 }
 
-// Guard keeps requests from targets that end of them.
+// Guard blocks requests that crash targets.
 //
-// A daemon whose connection to a target ends under a request finds out whether the target's
-// run ended: a new connection is refused, or the platform's list says so. If so it tells the
-// keepers of the request: two daemons of the whole fleet, by rendezvous of the fingerprint,
-// so that the ends are counted in one place whichever daemons saw them. At the third run a
-// keeper blocks the request: it tells two daemons of each cell, whose heartbeats tell the
-// others, and writes it to the platform's store. So it takes a few messages in a row until
-// all daemons know, however many there are, and none of them needs the store.
+// A daemon whose connection to a target breaks under a request finds out whether the target's
+// incarnation crashed: it refuses a new connection, or the platform's list says so. In that case
+// the daemon reports the crash to the crash trackers of the request, two daemons of the whole fleet
+// chosen by rendezvous hashing of the request digest, so that the crashes are counted in one place
+// whichever daemons saw them. At the third incarnation a crash tracker blocks the request: it
+// notifies two daemons of each cell, whose heartbeats notify the others, and writes the block to
+// the coordination store. All daemons receive it after a few consecutive messages, whatever the
+// size of the fleet, and none of them needs the store.
 type Guard struct {
-	o      Options
-	sends  sends
-	keeper *keeper
-	blocks *blocks
-
-	knownMu sync.Mutex
-	// known holds how many runs ended under requests that this daemon told of, by what
-	// keepers answered. Guarded by knownMu.
-	known map[Fingerprint]int
-	// runs counts the runs of targets that ended under requests of this daemon. Guarded by
-	// knownMu.
-	runs int64
+	o        Options
+	attempts attempts
+	tracker  *crashTracker
+	blocks   *blockList
+
+	countsMu sync.Mutex
+	// crashCounts holds the number of incarnations that crashed under each request that this daemon
+	// reported, as answered by crash trackers. Guarded by countsMu.
+	crashCounts map[Fingerprint]int
+	// crashCount is the number of incarnations that crashed under requests of this daemon. Guarded
+	// by countsMu.
+	crashCount int64
 }
 
-// New returns a guard. It must be called before the fleet runs.
+// New returns a Guard. It must be called before the fleet runs.
 func New(o Options) *Guard {
-	b := newBlocks(o.Log, o.Fleet.Kick)
-	g := &Guard{o: o, blocks: b, keeper: newKeeper(o.Log), known: map[Fingerprint]int{}}
+	b := newBlockList(o.Log, o.Fleet.Kick)
+	g := &Guard{o: o, blocks: b, tracker: newCrashTracker(o.Log), crashCounts: map[Fingerprint]int{}}
 	o.Fleet.Attach("blocks", b)
-	o.Fleet.Mux().Register(kindEnd, wire.Handle(g.hearEnd))
-	o.Fleet.Mux().Register(kindBlock, wire.Handle(g.hearBlocks))
+	o.Fleet.Mux().Register(kindCrash, wire.Handle(g.receiveCrash))
+	o.Fleet.Mux().Register(kindBlock, wire.Handle(g.receiveBlocks))
 	return g
 }
 
-// Blocked returns for how much longer a request must not be sent, if it must not.
+// Blocked returns how much longer a request is blocked, and whether it is.
 func (g *Guard) Blocked(f Fingerprint) (time.Duration, bool) {
 	if g == nil {
 		return 0, false
 	}
-	return g.blocks.left(f)
+	return g.blocks.remaining(f)
 }
 
-// Ends returns how many runs of targets ended under a request as far as this daemon heard.
+// Ends returns the number of incarnations that crashed under a request, as far as this daemon was
+// informed.
 func (g *Guard) Ends(f Fingerprint) int {
 	if g == nil {
 		return 0
 	}
-	g.knownMu.Lock()
-	defer g.knownMu.Unlock()
-	return g.known[f]
+	g.countsMu.Lock()
+	defer g.countsMu.Unlock()
+	return g.crashCounts[f]
 }
 
-// Good records that a request ended well at a run of a target. Where it is blocked it was not
-// what the others ended of, unless this run ends as well.
-func (g *Guard) Good(f Fingerprint, organisation, run string) {
+// Good records that a request completed well at an incarnation of a target. If the request is
+// blocked, it did not cause the earlier crashes, unless this incarnation crashes as well.
+func (g *Guard) Good(f Fingerprint, organisation, incarnation string) {
 	if g == nil {
 		return
 	}
-	g.sends.good(run, sent{f, organisation})
-	if _, blocked := g.blocks.left(f); blocked {
-		go prover{g, f, run}.run()
+	g.attempts.recordSuccess(incarnation, sentRequest{f, organisation})
+	if _, blocked := g.blocks.remaining(f); blocked {
+		go unblocker{g, f, incarnation}.run()
 	}
 }
 
-// Answers records that a run of a target answers.
-func (g *Guard) Answers(run string) {
+// Answers records that an incarnation of a target responds.
+func (g *Guard) Answers(incarnation string) {
 	if g != nil {
-		g.sends.answers(run)
+		g.attempts.markResponsive(incarnation)
 	}
 }
 
-// Lost records that the connection to a run of a target ended while a request was there,
-// and finds out whether the run did.
-func (g *Guard) Lost(f Fingerprint, organisation, run, address string) {
+// Lost records that the connection to an incarnation of a target broke while a request was in
+// flight there, and finds out whether the incarnation crashed.
+func (g *Guard) Lost(f Fingerprint, organisation, incarnation, address string) {
 	if g == nil {
 		return
 	}
-	who := sent{f, organisation}
-	ended, first := g.sends.lost(run, who)
+	sent := sentRequest{f, organisation}
+	crashed, first := g.attempts.recordLoss(incarnation, sent)
 	switch {
-	case ended:
-		go teller{g, run, []sent{who}}.run()
+	case crashed:
+		go crashReporter{g, incarnation, []sentRequest{sent}}.run()
 	case first:
-		go prober{g, run, address}.run()
+		go prober{g, incarnation, address}.run()
 	}
 }
 
-// Refused records that a run of a target takes no connections.
-func (g *Guard) Refused(run string, err error) {
+// Refused records a failed connection attempt. Only a refused connection counts as a crash.
+func (g *Guard) Refused(incarnation string, err error) {
 	if g != nil && errors.Is(err, syscall.ECONNREFUSED) {
-		g.ended(run, true)
+		g.recordCrash(incarnation, true)
 	}
 }
 
-// Ended records that the platform's list says that a run of a target ended, not as planned.
-func (g *Guard) Ended(run string) {
+// Ended records that an incarnation of a target ended unplanned, according to the platform's list.
+func (g *Guard) Ended(incarnation string) {
 	if g != nil {
-		g.ended(run, false)
+		g.recordCrash(incarnation, false)
 	}
 }
 
-// ended tells the keepers what was there when a run ended. seen tells that it refused a
-// connection.
-func (g *Guard) ended(run string, seen bool) {
-	if list := g.sends.end(run, seen); len(list) > 0 {
-		g.knownMu.Lock()
-		g.runs++
-		g.knownMu.Unlock()
-		g.o.Log.Emit(event.TargetEnded, event.Ref{Target: run}, "under "+strconv.Itoa(len(list))+" requests of this daemon")
-		go teller{g, run, list}.run()
+// recordCrash reports to the crash trackers the requests that were at an incarnation when it
+// crashed. refused states that it refused a connection.
+func (g *Guard) recordCrash(incarnation string, refused bool) {
+	if list := g.attempts.recordCrash(incarnation, refused); len(list) > 0 {
+		g.countsMu.Lock()
+		g.crashCount++
+		g.countsMu.Unlock()
+		g.o.Log.Emit(event.TargetEnded, event.Ref{Target: incarnation}, "under "+strconv.Itoa(len(list))+" requests of this daemon")
+		go crashReporter{g, incarnation, list}.run()
 	}
 }
--- a/core/poison/operators.go
+++ b/core/poison/operators.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// BlockedRequest is a blocked request as operators see it.
+// BlockedRequest is a blocked request as shown to operators.
 type BlockedRequest struct {
 	Asks         string    `json:"asks"`
 	Organisation string    `json:"organisation"`
@@ -10,32 +10,33 @@
 	Times        int       `json:"times"`
 }
 
-// List returns the blocked requests, ordered by fingerprint.
+// List returns the blocked requests, ordered by digest.
 func (g *Guard) List() []BlockedRequest {
 	out := []BlockedRequest{}
 	for _, b := range g.blocks.list() {
-		if !b.Released && b.Left > 0 {
-			out = append(out, BlockedRequest{b.Request.String(), b.Organisation, time.Now().Add(b.Left).UTC(), b.Times})
+		if !b.Released && b.Remaining > 0 {
+			out = append(out, BlockedRequest{b.Request.String(), b.Organisation, time.Now().Add(b.Remaining).UTC(), b.Times})
 		}
 	}
 	return out
 }
 
-// Release takes a block back in all daemons, and reports whether there was one.
+// Release revokes a block in all daemons, and reports whether there was one.
 func (g *Guard) Release(f Fingerprint, why string) bool {
-	g.keeper.clear(f)
+	g.tracker.forget(f)
 	return g.release(f, why)
 }
 
-// Blocks returns how many requests are blocked.
+// Blocks returns the number of blocked requests.
 func (g *Guard) Blocks() int { return g.blocks.count() }
 
-// Suspects returns how many requests this daemon keeps a count for.
-func (g *Guard) Suspects() int { return g.keeper.size() }
+// Suspects returns the number of requests that this daemon counts crashes for.
+func (g *Guard) Suspects() int { return g.tracker.size() }
 
-// EndedRuns returns how many runs of targets ended under requests of this daemon.
+// EndedRuns returns the number of incarnations of targets that crashed under requests of this
+// daemon.
 func (g *Guard) EndedRuns() int64 {
-	g.knownMu.Lock()
-	defer g.knownMu.Unlock()
-	return g.runs
+	g.countsMu.Lock()
+	defer g.countsMu.Unlock()
+	return g.crashCount
 }
--- a/core/poison/probe.go
+++ b/core/poison/probe.go
@@ -8,49 +8,49 @@
 	"github.com/pkg/errors"
 )
 
-// prover takes a block back where the run that the request ended well at lives on.
-type prover struct {
-	guard   *Guard
-	request Fingerprint
-	name    string
+// unblocker releases a block if the incarnation at which the request completed well survives.
+type unblocker struct {
+	guard       *Guard
+	request     Fingerprint
+	incarnation string
 }
 
-func (p prover) run() {
-	time.Sleep(tailTime + togetherTime)
-	if !p.guard.sends.wasGood(p.request) || !p.guard.sends.lives(p.name) {
+func (p unblocker) run() {
+	time.Sleep(delayedCrashWindow + simultaneousWindow)
+	if !p.guard.attempts.recentlySucceeded(p.request) || !p.guard.attempts.isAlive(p.incarnation) {
 		return
 	}
-	p.guard.keeper.clear(p.request)
-	p.guard.release(p.request, "it ended well at "+p.name)
+	p.guard.tracker.forget(p.request)
+	p.guard.release(p.request, "it completed well at "+p.incarnation)
 }
 
-// prober finds out whether a run of a target ended whose connection did.
+// prober finds out whether an incarnation of a target crashed after its connection broke.
 type prober struct {
-	guard         *Guard
-	name, address string
+	guard                *Guard
+	incarnation, address string
 }
 
-// Times of finding out.
+// Times of probing.
 const (
-	// tryLimit bounds one try to connect: one that hangs tells nothing.
-	tryLimit = time.Second
-	// tryAgain is the pause before the second try: a process that ends closes its
+	// dialTimeout bounds one attempt to connect; an attempt that hangs proves nothing.
+	dialTimeout = time.Second
+	// redialPause is the pause before the second attempt: a process that exits closes its
 	// connections and its listener in any order.
-	tryAgain = 100 * time.Millisecond
+	redialPause = 100 * time.Millisecond
 )
 
 func (p prober) run() {
-	for n := range 2 {
-		if n > 0 {
-			time.Sleep(tryAgain)
+	for try := range 2 {
+		if try > 0 {
+			time.Sleep(redialPause)
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), tryLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		err := p.guard.o.Try(ctx, p.address)
 		cancel()
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			p.guard.ended(p.name, true)
+			p.guard.recordCrash(p.incarnation, true)
 			return
 		}
 	}
-	// The list will say whether it ended.
+	// The platform's list will show whether it crashed.
 }
--- a/core/poison/report.go
+++ b/core/poison/report.go
@@ -13,199 +13,201 @@
 )
 
 const (
-	// keepers is how many daemons count the ends of a request, so that one may be lost, and
-	// keepersTried how many are asked where some do not answer.
-	keepers      = 2
-	keepersTried = 6
-	// audience is how many daemons of each other cell hear of a block, and audienceTried how
-	// many are tried where some do not answer.
-	audience      = 2
-	audienceTried = 5
-	// tellLimit bounds one message.
-	tellLimit = 500 * time.Millisecond
-	// knownMost bounds the counts that a daemon keeps of what keepers answered.
-	knownMost = 1024
+	// trackersPerRequest is how many daemons count the crashes of a request, so that one may be
+	// lost, and maxTrackersTried how many are called if some do not answer.
+	trackersPerRequest = 2
+	maxTrackersTried   = 6
+	// receiversPerCell is how many daemons of each other cell receive a block, and
+	// maxReceiversTried how many are called if some do not answer.
+	receiversPerCell  = 2
+	maxReceiversTried = 5
+	// callTimeout bounds one message.
+	callTimeout = 500 * time.Millisecond
+	// maxCrashCounts bounds the counts that a daemon caches from the answers of crash trackers.
+	maxCrashCounts = 1024
 )
 
-// endNews tells a keeper that a run of a target ended under a request.
-type endNews struct {
+// crashReport reports to a crash tracker that an incarnation of a target crashed under a request.
+type crashReport struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack     struct{} `msgpack:",as_array"`
 	Request      Fingerprint
 	Organisation string
-	Run          string
-	// Good tells that the same request ended well lately at another run, and Alone that no
-	// other run ended together with this one.
-	Good, Alone bool
+	Incarnation  string
+	// Succeeded states that the same request recently completed well at another incarnation, and
+	// Alone that no other incarnation crashed at the same time as this one.
+	Succeeded, Alone bool
 }
 
-// endCount is a keeper's answer.
-type endCount struct {
+// crashReply is a crash tracker's answer.
+type crashReply struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// Runs is how many runs of targets have ended under the request.
-	Runs int
+	// Crashes is the number of incarnations of targets that crashed under the request.
+	Crashes int
 }
 
-// teller tells the keepers what was there when a run ended.
-type teller struct {
-	guard *Guard
-	name  string
-	sent  []sent
+// crashReporter reports the requests that were in flight when an incarnation crashed.
+type crashReporter struct {
+	guard       *Guard
+	incarnation string
+	requests    []sentRequest
 }
 
-// run tells of all at once: a keeper that does not answer must not hold up the word of the
-// one request that is at fault.
-func (t teller) run() {
+// run reports all requests in parallel: a crash tracker that does not answer must not delay the
+// report of the one request that caused the crash.
+func (t crashReporter) run() {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for _, who := range t.sent {
-		wg.Go(func() { t.tell(who) })
+	for _, sent := range t.requests {
+		wg.Go(func() { t.report(sent) })
 	}
 }
 
-// tell tells the keepers of one request. Whether other runs ended together with this one shows
-// a moment later and is told then. Waiting for it would cost targets: a caller that repeats
-// at once ended four more in this time.
-func (t teller) tell(who sent) {
-	if !t.say(who) {
+// report reports one request. Whether other incarnations crashed at the same time only shows a
+// moment later and is reported then. Waiting for it would cost targets: a caller that retried at
+// once crashed four more in this time.
+func (t crashReporter) report(sent sentRequest) {
+	if !t.reportNow(sent) {
 		return
 	}
-	time.Sleep(togetherTime)
-	if !t.guard.sends.alone(t.name, who.request) {
-		t.say(who)
+	time.Sleep(simultaneousWindow)
+	if !t.guard.attempts.crashedAlone(t.incarnation, sent.request) {
+		t.reportNow(sent)
 	}
 }
 
-// say tells the keepers of one request what is known now, and reports whether the run ended
-// alone.
-func (t teller) say(who sent) bool {
-	n := &endNews{
-		Request: who.request, Organisation: who.organisation, Run: t.name,
-		Good: t.guard.sends.wasGood(who.request), Alone: t.guard.sends.alone(t.name, who.request),
+// reportNow reports what is recorded so far of one request, and returns whether the incarnation
+// crashed alone.
+func (t crashReporter) reportNow(sent sentRequest) bool {
+	r := &crashReport{
+		Request: sent.request, Organisation: sent.organisation, Incarnation: t.incarnation,
+		Succeeded: t.guard.attempts.recentlySucceeded(sent.request), Alone: t.guard.attempts.crashedAlone(t.incarnation, sent.request),
 	}
-	t.guard.tellKeepers(n)
-	return n.Alone
+	t.guard.reportCrash(r)
+	return r.Alone
 }
 
-// tellKeepers tells the keepers of a request, the first that answer.
-func (g *Guard) tellKeepers(n *endNews) {
+// reportCrash reports to the crash trackers of a request: the first that answer.
+func (g *Guard) reportCrash(r *crashReport) {
 	view := g.o.Fleet.View()
-	ranked := fleet.Rank(key(n.Request), view.Living())
-	told, most := 0, 0
-	for _, name := range ranked[:min(len(ranked), keepersTried)] {
-		got, err := g.tellKeeper(view.Self(), name, n)
+	ranked := fleet.Rank(shortKey(r.Request), view.Living())
+	acknowledged, crashes := 0, 0
+	for _, name := range ranked[:min(len(ranked), maxTrackersTried)] {
+		reply, err := g.reportTo(view.Self(), name, r)
 		if err != nil {
-			g.o.Log.Emit(event.PeerNotTold, event.Ref{Target: n.Run}, name+": the end of a run: "+err.Error())
+			g.o.Log.Emit(event.PeerNotTold, event.Ref{Target: r.Incarnation}, name+": report of a crash: "+err.Error())
 			continue
 		}
-		most = max(most, got.Runs)
-		if told++; told == keepers {
+		crashes = max(crashes, reply.Crashes)
+		if acknowledged++; acknowledged == trackersPerRequest {
 			break
 		}
 	}
-	g.learn(n.Request, most)
+	g.cacheCount(r.Request, crashes)
 }
 
-// tellKeeper tells one daemon, which may be this one.
-func (g *Guard) tellKeeper(self, name string, n *endNews) (*endCount, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), tellLimit)
+// reportTo reports to one daemon, which may be this one.
+func (g *Guard) reportTo(self, name string, r *crashReport) (*crashReply, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if name == self {
-		return g.hearEnd(ctx, self, n)
+		return g.receiveCrash(ctx, self, r)
 	}
-	var got endCount
-	err := g.o.Fleet.Call(ctx, name, kindEnd, n, &got)
-	return &got, err
+	var reply crashReply
+	err := g.o.Fleet.Call(ctx, name, kindCrash, r, &reply)
+	return &reply, err
 }
 
-// learn remembers how many runs ended under a request.
-func (g *Guard) learn(f Fingerprint, runs int) {
-	g.knownMu.Lock()
-	defer g.knownMu.Unlock()
-	if len(g.known) >= knownMost {
-		clear(g.known)
+// cacheCount caches how many incarnations crashed under a request.
+func (g *Guard) cacheCount(f Fingerprint, crashes int) {
+	g.countsMu.Lock()
+	defer g.countsMu.Unlock()
+	if len(g.crashCounts) >= maxCrashCounts {
+		clear(g.crashCounts)
 	}
-	g.known[f] = runs
+	g.crashCounts[f] = crashes
 }
 
-// hearEnd counts what a daemon tells this one, a keeper.
-func (g *Guard) hearEnd(_ context.Context, from string, n *endNews) (*endCount, error) {
-	if _, blocked := g.blocks.left(n.Request); blocked {
-		if !n.Alone && g.keeper.lower(n.Request, n.Run) {
-			g.release(n.Request, "runs of others ended together with "+n.Run)
+// receiveCrash counts a crash reported to this daemon as a crash tracker.
+func (g *Guard) receiveCrash(_ context.Context, from string, r *crashReport) (*crashReply, error) {
+	if _, blocked := g.blocks.remaining(r.Request); blocked {
+		if !r.Alone && g.tracker.halveCrash(r.Request, r.Incarnation) {
+			g.release(r.Request, "other incarnations crashed at the same time as "+r.Incarnation)
 		}
-		return &endCount{Runs: runsMost}, nil
+		return &crashReply{Crashes: maxCrashes}, nil
 	}
-	if n.Good || g.sends.wasGood(n.Request) {
-		// It is there whenever something ends, and runs well elsewhere.
-		g.keeper.clear(n.Request)
-		return &endCount{}, nil
+	if r.Succeeded || g.attempts.recentlySucceeded(r.Request) {
+		// Other incarnations complete it well: it merely happens to be in flight whenever one
+		// crashes.
+		g.tracker.forget(r.Request)
+		return &crashReply{}, nil
 	}
-	weight := half
-	if n.Alone {
-		weight = whole
+	weight := halfWeight
+	if r.Alone {
+		weight = fullWeight
 	}
-	runs, over := g.keeper.count(n.Request, n.Organisation, n.Run, weight)
-	if over || g.blocks.former(n.Request) > 0 {
-		b := g.blocks.add(n.Request, n.Organisation, "ended under it: "+g.keeper.names(n.Request)+"; last told by "+from)
-		g.tellCells(b)
+	crashes, block := g.tracker.countCrash(r.Request, r.Organisation, r.Incarnation, weight)
+	if block || g.blocks.previousBlocks(r.Request) > 0 {
+		b := g.blocks.add(r.Request, r.Organisation, "crashed under it: "+g.tracker.names(r.Request)+"; last reported by "+from)
+		g.sendToCells(b)
 	}
-	return &endCount{Runs: runs}, nil
+	return &crashReply{Crashes: crashes}, nil
 }
 
-// release takes a block back and tells the other cells; it reports whether there was one.
+// release revokes a block and notifies the other cells; it reports whether there was one.
 func (g *Guard) release(f Fingerprint, why string) bool {
-	b, done := g.blocks.release(f, why)
-	if done {
-		g.tellCells(b)
+	b, released := g.blocks.release(f, why)
+	if released {
+		g.sendToCells(b)
 	}
-	return done
+	return released
 }
 
-// tellCells tells the other cells of a block; heartbeats tell this one.
-func (g *Guard) tellCells(b block) {
+// sendToCells sends a block to the other cells; heartbeats carry it within this one.
+func (g *Guard) sendToCells(b block) {
 	view := g.o.Fleet.View()
 	for cell := range view.Cells() {
 		if cell != view.Cell() {
-			go cellTeller{g, view, cell, b}.run()
+			go cellSender{g, view, cell, b}.run()
 		}
 	}
 }
 
-// cellTeller tells one cell of a block.
-type cellTeller struct {
+// cellSender sends a block to one cell.
+type cellSender struct {
 	guard *Guard
 	view  *fleet.View
 	cell  int
 	block block
 }
 
-func (t cellTeller) run() {
-	told := 0
-	for _, name := range t.view.Homes(t.cell, key(t.block.Request), audienceTried) {
-		ctx, cancel := context.WithTimeout(context.Background(), tellLimit)
-		err := t.guard.o.Fleet.Call(ctx, name, kindBlock, &blockNews{Blocks: []block{t.block}}, &struct{}{})
+func (t cellSender) run() {
+	acknowledged := 0
+	for _, name := range t.view.Homes(t.cell, shortKey(t.block.Request), maxReceiversTried) {
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+		err := t.guard.o.Fleet.Call(ctx, name, kindBlock, &blockUpdate{Blocks: []block{t.block}}, &struct{}{})
 		cancel()
 		if err != nil && !errors.Is(err, wire.ErrRemote) {
 			t.guard.o.Log.Emit(event.PeerNotTold, event.Ref{}, name+": a blocked request: "+err.Error())
 			continue
 		}
-		if told++; told == audience {
+		if acknowledged++; acknowledged == receiversPerCell {
 			return
 		}
 	}
 }
 
-// blockNews tells another cell of blocks.
-type blockNews struct {
+// blockUpdate carries blocks to another cell.
+type blockUpdate struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Blocks   []block
 }
 
-// hearBlocks takes blocks from another cell; this daemon's heartbeats tell its own.
-func (g *Guard) hearBlocks(_ context.Context, from string, n *blockNews) (struct{}, error) {
-	g.blocks.merge(n.Blocks, "told by "+from)
+// receiveBlocks merges blocks from another cell; this daemon's heartbeats pass them on within its
+// own.
+func (g *Guard) receiveBlocks(_ context.Context, from string, u *blockUpdate) (struct{}, error) {
+	g.blocks.merge(u.Blocks, "received from "+from)
 	return struct{}{}, nil
 }
--- a/core/poison/store.go
+++ b/core/poison/store.go
@@ -13,48 +13,49 @@
 	"embertally.dev/core/wait"
 )
 
-// KeyBlocks is the prefix under which blocked requests stand in the platform's store. Who
-// removes a key there takes the block back.
+// KeyBlocks is the prefix of blocked requests in the coordination store. Removing a key there
+// releases the block.
 const KeyBlocks = "embertally/blocked/"
 
 const (
-	// storeLook is the pause between looks whether the store holds what it must, and
-	// storeWait how long the second keeper leaves it to the first.
-	storeLook = time.Second
-	storeWait = 3 * time.Second
-	// storeLimit bounds one write.
-	storeLimit = time.Second
-	// storeFresh is the age up to which the copy of the store says whether a key is there.
-	storeFresh = 2500 * time.Millisecond
+	// storeInterval is the pause between checks of what the store holds, and storeRankDelay how
+	// long the second crash tracker leaves writing to the first.
+	storeInterval  = time.Second
+	storeRankDelay = 3 * time.Second
+	// storeTimeout bounds one write.
+	storeTimeout = time.Second
+	// maxMirrorAge is the age up to which the watch cache is trusted on whether a key exists.
+	maxMirrorAge = 2500 * time.Millisecond
 )
 
-// storedBlock is a block as it stands in the store, for operators and for daemons that start.
+// storedBlock is a block as stored in the coordination store, for operators and for daemons that
+// start.
 type storedBlock struct {
 	Organisation string `json:"organisation"`
-	// Until is its end by the time of day, which may differ by seconds between daemons.
+	// Until is the expiry by wall clock, which may differ by seconds between daemons.
 	Until time.Time `json:"until"`
 	Stamp int64     `json:"stamp"`
 	Times int       `json:"times"`
 }
 
-// Observe takes a change of the platform's store; others than of blocks are passed over.
+// Observe processes a change of the coordination store; it ignores keys other than blocks.
 func (g *Guard) Observe(c plat.Change) {
-	name, ours := strings.CutPrefix(c.Key, KeyBlocks)
-	if !ours {
+	name, isBlock := strings.CutPrefix(c.Key, KeyBlocks)
+	if !isBlock {
 		return
 	}
 	f, ok := Parse(name)
 	if !ok {
-		g.o.Log.Emit(event.ConfUnderived, event.Ref{Resource: c.Key}, "the key names no request")
+		g.o.Log.Emit(event.ConfUnderived, event.Ref{Resource: c.Key}, "the key is not a request digest")
 		return
 	}
 	if c.Restored {
-		// Nobody removed it: its keepers write it again.
+		// Nobody removed it; its crash trackers write it again.
 		return
 	}
 	if c.Deleted {
-		g.keeper.clear(f)
-		g.blocks.release(f, "its key was removed from the platform's store")
+		g.tracker.forget(f)
+		g.blocks.release(f, "its key was removed from the coordination store")
 		return
 	}
 	var s storedBlock
@@ -62,68 +63,68 @@
 		g.o.Log.Emit(event.ConfUnderived, event.Ref{Resource: c.Key}, err.Error())
 		return
 	}
-	b := block{Request: f, Organisation: s.Organisation, Stamp: s.Stamp, Times: min(max(1, s.Times), 16), Left: time.Until(s.Until)}
-	if b.Left > 0 {
-		g.blocks.merge([]block{b}, "it stands in the platform's store")
+	b := block{Request: f, Organisation: s.Organisation, Stamp: s.Stamp, Times: min(max(1, s.Times), 16), Remaining: time.Until(s.Until)}
+	if b.Remaining > 0 {
+		g.blocks.merge([]block{b}, "it is in the coordination store")
 	}
 }
 
-// Run writes the blocks of which this daemon is a keeper to the platform's store and removes
-// those that ended, until ctx ends.
+// Run writes the blocks that this daemon tracks to the coordination store and removes expired ones,
+// until ctx ends.
 func (g *Guard) Run(ctx context.Context) {
 	if g.o.Store == nil {
 		return
 	}
-	wait.Every(ctx, storeLook, func() { g.store(ctx) })
+	wait.Every(ctx, storeInterval, func() { g.syncStore(ctx) })
 }
 
-// store makes the store hold what it must.
-func (g *Guard) store(ctx context.Context) {
-	if g.o.Mirror.Down() || clock.Since(g.o.Mirror.Fresh()) > storeFresh {
+// syncStore brings the store up to date.
+func (g *Guard) syncStore(ctx context.Context) {
+	if g.o.Mirror.Down() || clock.Since(g.o.Mirror.Fresh()) > maxMirrorAge {
 		return
 	}
 	list := g.blocks.list()
 	view := g.o.Fleet.View()
 	for i := range list {
 		b := &list[i]
-		place := fleet.Place(key(b.Request), view.Listed(), view.Self())
-		if place >= keepers {
+		place := fleet.Place(shortKey(b.Request), view.Listed(), view.Self())
+		if place >= trackersPerRequest {
 			continue
 		}
-		// The last keepers wait for the first, so that the store is written to once.
-		if age := b.lasts() - b.Left; age < time.Duration(place)*storeWait {
+		// Lower-ranked crash trackers wait for the first, so that each block is written once.
+		if age := b.duration() - b.Remaining; age < time.Duration(place)*storeRankDelay {
 			continue
 		}
-		if err := g.storeBlock(ctx, b); err != nil {
+		if err := g.syncBlock(ctx, b); err != nil {
 			g.o.Log.Emit(event.ConfUnknown, event.Ref{Resource: KeyBlocks + b.Request.String()}, err.Error())
 		}
 	}
 }
 
-// storeBlock writes or removes one block, unless the store holds what it must.
-func (g *Guard) storeBlock(ctx context.Context, b *block) error {
+// syncBlock writes or removes one block, unless the store is already up to date.
+func (g *Guard) syncBlock(ctx context.Context, b *block) error {
 	name := KeyBlocks + b.Request.String()
-	pair, there := g.o.Mirror.Pair(name)
+	pair, found := g.o.Mirror.Pair(name)
 	txn := plat.Txn{Compares: []plat.Compare{{Key: name, ModRevision: pair.ModRevision}}}
 	var s storedBlock
 	switch {
-	case b.Left <= 0 || b.Released:
-		if !there {
+	case b.Remaining <= 0 || b.Released:
+		if !found {
 			return nil
 		}
 		txn.Deletes = []string{name}
-	case there && json.Unmarshal(pair.Value, &s) == nil && s.Stamp >= b.Stamp:
+	case found && json.Unmarshal(pair.Value, &s) == nil && s.Stamp >= b.Stamp:
 		return nil
 	default:
-		raw, err := json.Marshal(storedBlock{b.Organisation, time.Now().Add(b.Left), b.Stamp, b.Times})
+		raw, err := json.Marshal(storedBlock{b.Organisation, time.Now().Add(b.Remaining), b.Stamp, b.Times})
 		if err != nil {
 			return err
 		}
 		txn.Puts = []plat.Put{{Key: name, Value: raw}}
 	}
-	ctx, cancel := context.WithTimeout(ctx, storeLimit)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	// Where the key is not as the copy says, the next look sees it.
+	// If the key differs from the watch cache, the next check sees it.
 	_, err := g.o.Store.Commit(ctx, txn)
 	return err
 }
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -11,154 +11,154 @@
 )
 
 const (
-	// runsMost is how many runs of targets may end under a request before it is blocked. A
-	// proper request meets ends of others': with 12 workers of which one ends each second,
-	// 2 in 100 requests of 0.25 s do, and 1 in 100,000 three times in a row; the users' rule
-	// counts from the third as well.
+	// maxCrashes is the number of crashes at which a request is blocked. Harmless requests meet
+	// crashes that others cause: with 12 workers of which one crashes each second, 2 in 100
+	// requests of 0.25 s do, and 1 in 100,000 three times in a row. The users' rule counts from the
+	// third as well.
 	//
-	// An end counts half where other runs ended together with it. On a day on which two or
-	// three of 18 workers end at a time, every two seconds, two proper prompts that run for
-	// seconds were blocked with all ends counted alike.
-	runsMost = 3
-	// whole and half are the weights of ends, and weightMost that at which a request is
-	// blocked.
-	whole, half = 2, 1
-	weightMost  = runsMost * whole
-	// suspectsMost bounds the requests under suspicion that a daemon keeps the count for:
-	// some 0.5 MB. What has the fewest ends gives way, the oldest first; who wants to push
-	// out another's must end as many targets.
-	suspectsMost = 2048
-	// suspectTime is for how long an end counts.
-	suspectTime = time.Hour
+	// A crash counts half if other incarnations crashed at the same time. With all crashes weighted
+	// alike, two harmless prompts that take seconds were blocked on a day on which two or three of
+	// 18 workers crashed together every two seconds.
+	maxCrashes = 3
+	// fullWeight and halfWeight are the weights of crashes; a request is blocked at blockWeight.
+	fullWeight, halfWeight = 2, 1
+	blockWeight            = maxCrashes * fullWeight
+	// maxSuspects bounds the suspected requests that a daemon counts crashes for, some 0.5 MB. The
+	// one with the fewest crashes is evicted first, the oldest among equals, so that evicting
+	// another organisation's suspect takes crashing as many targets.
+	maxSuspects = 2048
+	// crashWindow is how long a crash counts.
+	crashWindow = time.Hour
 )
 
-// suspect is what is known of a request that was there when targets ended.
+// suspect is a request that was in flight when targets crashed.
 type suspect struct {
-	// runs holds the ends, by the name of the run.
-	runs map[string]counted
-	last clock.Time
+	// crashes holds the crashes, by incarnation.
+	crashes   map[string]countedCrash
+	lastCrash clock.Time
 }
 
-// counted is one end that counts: when it became known, and how much it weighs.
-type counted struct {
+// countedCrash is a crash that counts: when it was recorded, and its weight.
+type countedCrash struct {
 	at     clock.Time
 	weight int
 }
 
-// weight returns how much all ends weigh.
+// weight returns the sum of the weights of all crashes.
 func (s *suspect) weight() int {
 	sum := 0
-	for _, c := range s.runs {
+	for _, c := range s.crashes {
 		sum += c.weight
 	}
 	return sum
 }
 
-// add counts the end of a run, and reports whether it is a new one.
-func (s *suspect) add(run string, weight int, now clock.Time) bool {
-	if c, known := s.runs[run]; known {
+// add counts the crash of an incarnation, and reports whether it is a new one.
+func (s *suspect) add(incarnation string, weight int, now clock.Time) bool {
+	if c, found := s.crashes[incarnation]; found {
 		c.weight = min(c.weight, weight)
-		s.runs[run] = c
+		s.crashes[incarnation] = c
 		return false
 	}
-	s.runs[run], s.last = counted{now, weight}, now
+	s.crashes[incarnation], s.lastCrash = countedCrash{now, weight}, now
 	return true
 }
 
-// keeper counts, for the requests that fall to this daemon, under how many runs of targets
-// each was there when they ended.
-type keeper struct {
+// crashTracker counts the incarnations of targets that crashed under each request assigned to this
+// daemon.
+type crashTracker struct {
 	log *event.Log
 
-	keeperMu sync.Mutex
-	suspects map[Fingerprint]*suspect // guarded by keeperMu
+	trackerMu sync.Mutex
+	suspects  map[Fingerprint]*suspect // guarded by trackerMu
 }
 
-func newKeeper(log *event.Log) *keeper {
-	return &keeper{log: log, suspects: map[Fingerprint]*suspect{}}
+func newCrashTracker(log *event.Log) *crashTracker {
+	return &crashTracker{log: log, suspects: map[Fingerprint]*suspect{}}
 }
 
-// count takes one daemon's word that a run ended under a request, and returns how many have,
-// and whether that makes it a request to block. A run counts once, whoever saw its end.
-func (k *keeper) count(f Fingerprint, organisation, run string, weight int) (runs int, over bool) {
-	k.keeperMu.Lock()
-	defer k.keeperMu.Unlock()
+// countCrash records one daemon's report that an incarnation crashed under a request. It returns
+// the number of crashes, and whether the request is to be blocked. An incarnation counts once,
+// whichever daemons report it.
+func (k *crashTracker) countCrash(f Fingerprint, organisation, incarnation string, weight int) (crashes int, block bool) {
+	k.trackerMu.Lock()
+	defer k.trackerMu.Unlock()
 	now := clock.Now()
 	s := k.suspects[f]
 	if s == nil {
-		k.makeRoom()
-		s = &suspect{runs: map[string]counted{}}
+		k.evictOne()
+		s = &suspect{crashes: map[string]countedCrash{}}
 		k.suspects[f] = s
 	}
-	for name, c := range s.runs {
-		if now.Sub(c.at) > suspectTime {
-			delete(s.runs, name)
+	for name, c := range s.crashes {
+		if now.Sub(c.at) > crashWindow {
+			delete(s.crashes, name)
 		}
 	}
-	if s.add(run, weight, now) && len(s.runs) == runsMost-1 {
-		k.log.Emit(event.RequestSuspected, event.Ref{Organisation: organisation}, "asks "+f.String()+"; ended under it: "+s.names())
+	if s.add(incarnation, weight, now) && len(s.crashes) == maxCrashes-1 {
+		k.log.Emit(event.RequestSuspected, event.Ref{Organisation: organisation}, "asks "+f.String()+"; crashed under it: "+s.names())
 	}
-	return len(s.runs), s.weight() >= weightMost
+	return len(s.crashes), s.weight() >= blockWeight
 }
 
-// lower makes the end of a run count half, where others ended together with it, and reports
-// whether the request is no longer one to block by that.
-func (k *keeper) lower(f Fingerprint, run string) bool {
-	k.keeperMu.Lock()
-	defer k.keeperMu.Unlock()
+// halveCrash makes a crash that coincided with others count half, and reports whether the request
+// thereby falls below the weight for a block.
+func (k *crashTracker) halveCrash(f Fingerprint, incarnation string) bool {
+	k.trackerMu.Lock()
+	defer k.trackerMu.Unlock()
 	s := k.suspects[f]
 	if s == nil {
 		return false
 	}
-	over := s.weight() >= weightMost
-	s.add(run, half, clock.Now())
-	return over && s.weight() < weightMost
+	block := s.weight() >= blockWeight
+	s.add(incarnation, halfWeight, clock.Now())
+	return block && s.weight() < blockWeight
 }
 
-// clear forgets the ends that were laid to a request.
-func (k *keeper) clear(f Fingerprint) {
-	k.keeperMu.Lock()
-	defer k.keeperMu.Unlock()
+// forget removes the crashes attributed to a request.
+func (k *crashTracker) forget(f Fingerprint) {
+	k.trackerMu.Lock()
+	defer k.trackerMu.Unlock()
 	delete(k.suspects, f)
 }
 
-// names returns the runs that ended under a request, for the log.
-func (k *keeper) names(f Fingerprint) string {
-	k.keeperMu.Lock()
-	defer k.keeperMu.Unlock()
+// names returns the incarnations that crashed under a request, for the log.
+func (k *crashTracker) names(f Fingerprint) string {
+	k.trackerMu.Lock()
+	defer k.trackerMu.Unlock()
 	if s := k.suspects[f]; s != nil {
 		return s.names()
 	}
 	return ""
 }
 
-// size returns how many requests are under suspicion here.
-func (k *keeper) size() int {
-	k.keeperMu.Lock()
-	defer k.keeperMu.Unlock()
+// size returns the number of suspected requests.
+func (k *crashTracker) size() int {
+	k.trackerMu.Lock()
+	defer k.trackerMu.Unlock()
 	return len(k.suspects)
 }
 
-// makeRoom forgets one suspect where there are too many. It is called with keeperMu held.
-func (k *keeper) makeRoom() {
-	if len(k.suspects) < suspectsMost {
+// evictOne evicts one suspect if there are too many. It is called with trackerMu held.
+func (k *crashTracker) evictOne() {
+	if len(k.suspects) < maxSuspects {
 		return
 	}
-	var least Fingerprint
+	var digest Fingerprint
 	var found *suspect
 	for f, s := range k.suspects {
-		if found == nil || len(s.runs) < len(found.runs) || (len(s.runs) == len(found.runs) && s.last.Before(found.last)) {
-			least, found = f, s
+		if found == nil || len(s.crashes) < len(found.crashes) || (len(s.crashes) == len(found.crashes) && s.lastCrash.Before(found.lastCrash)) {
+			digest, found = f, s
 		}
 	}
-	delete(k.suspects, least)
+	delete(k.suspects, digest)
 }
 
-// names returns the runs that ended.
+// names returns the number and names of the incarnations that crashed.
 func (s *suspect) names() string {
-	list := make([]string, 0, len(s.runs))
-	for name := range s.runs {
+	list := make([]string, 0, len(s.crashes))
+	for name := range s.crashes {
 		list = append(list, name)
 	}
-	return strconv.Itoa(len(list)) + " runs, " + strings.Join(list, " ")
+	return strconv.Itoa(len(list)) + " incarnations, " + strings.Join(list, " ")
 }
