--- a/core/order/order.go
+++ b/core/order/order.go
@@ -1,9 +1,10 @@
-// Package order owns the orders to workers: which weights they load, how many
-// load at a time, and that only the holder of a lease gives orders that count.
+// Package order owns the orders that make workers load weights: which weights,
+// how many loads run at a time, and that only orders of the holder of a lease
+// take effect.
 //
-// It must not know how requests are placed. That no request meets the wrong
-// weights does not rest on orders: each request names its version and each
-// answer is checked for it.
+// It must not know how requests are placed. Orders do not ensure that a request
+// runs on the right weights: each request names its version and each answer is
+// checked for it.
 package order
 
 import (
@@ -28,26 +29,27 @@
 	"embertally.dev/core/wait"
 )
 
-// KeyRoot is the prefix of everything that orders keep in the service.
-const KeyRoot = "embertally/order/"
+// KeyPrefix is the prefix of all keys of this package in the coordination
+// store.
+const KeyPrefix = "embertally/order/"
 
-// slotRoot is the prefix of the slots, one for each load that may run at a
-// time in the whole fleet.
-const slotRoot = KeyRoot + "slots/"
+// slotPrefix is the prefix of the slots. Each load that runs in the fleet
+// occupies one.
+const slotPrefix = KeyPrefix + "slots/"
 
 type kv interface {
 	lease.KV
 	Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error)
 }
 
-// workers is what orders need to know of workers.
+// workers provides the state of workers.
 type workers interface {
 	Worker(name string) (home.WorkerStatus, bool)
 	// Workers returns the engines of this cell.
 	Workers(snap *conf.Snapshot, view *fleet.View) []string
 }
 
-// Options of a holder.
+// Options configure a Holder.
 type Options struct {
 	Name    string
 	Conf    *conf.Store
@@ -58,95 +60,99 @@
 	Client  *http.Client
 }
 
-// Holder gives the orders for the workers of a cell while this daemon has the
-// duty. The zero value is not usable; see New.
+// Holder sends orders to the workers of a cell while this daemon has the
+// assignment to do so. The zero value is not usable; see New.
 type Holder struct {
 	o     Options
 	lease lease.Lease
-	// took is when the lease was taken.
-	took time.Time
-	// sent is when each worker was last sent an order.
-	sent map[string]time.Time
+	// takenAt is when the lease was taken.
+	takenAt time.Time
+	// lastSent is when each worker was last sent an order.
+	lastSent map[string]time.Time
 }
 
-// New returns a holder.
-func New(o Options) *Holder { return &Holder{o: o, sent: map[string]time.Time{}} }
+// New returns a Holder.
+func New(o Options) *Holder { return &Holder{o: o, lastSent: map[string]time.Time{}} }
 
 const (
-	// lookPause is the time between looks at what workers hold.
-	lookPause = 500 * time.Millisecond
-	// orderLife is how long after it was committed an order may be sent. A
-	// worker that does not check fences gets no order of a new holder before
-	// the last order of the former one has outlived this.
-	orderLife = 5 * time.Second
-	// sendAgain is how long a worker may take to show that it loads.
-	sendAgain = 4 * time.Second
+	// checkInterval is the time between checks of the weights that workers
+	// hold.
+	checkInterval = 500 * time.Millisecond
+	// orderTTL is how long after its commit an order may be sent. A worker that
+	// does not check fences gets no order of a new holder until the last order
+	// of the former one has expired.
+	orderTTL = 5 * time.Second
+	// resendAfter is how long a worker may take to report that it is loading
+	// before the order is sent again.
+	resendAfter = 4 * time.Second
 )
 
-// Duty returns the name of the duty of giving orders in a cell.
+// Duty returns the name of the assignment to send orders in a cell.
 func Duty(cell int) string { return "order/" + strconv.Itoa(cell) }
 
-// Run gives orders while this daemon has the duty, until ctx ends.
+// Run sends orders while this daemon has the assignment, until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
-	wait.Every(ctx, lookPause, func() { h.step(ctx) })
+	wait.Every(ctx, checkInterval, func() { h.step(ctx) })
 }
 
-// slot is a running load.
+// slot is the stored record of a running load.
 type slot struct {
 	Worker     string `json:"worker"`
 	Deployment string `json:"deployment"`
 	Version    string `json:"version"`
 	Fence      uint64 `json:"fence"`
 
+	// key and revision are those of the record in the store.
 	key      string
 	revision int64
 }
 
-// want is a load that is wanted of a worker.
-type want struct {
+// wantedLoad is a load that a worker still has to do.
+type wantedLoad struct {
 	worker     string
 	target     *conf.Target
 	deployment string
 	spec       *conf.Deployment
 }
 
-func (w *want) order(fence uint64, expires time.Time) target.Order {
+func (w *wantedLoad) order(fence uint64, expires time.Time) target.Order {
 	return target.Order{
 		Fence: fence, Expires: expires, Model: w.spec.Model, Version: w.spec.WeightVersion, Adapters: w.spec.Adapters,
 	}
 }
 
-// step looks once. Where nothing is wanted it does not call the service.
+// step checks once. If no load is wanted, it does not call the coordination
+// store.
 func (h *Holder) step(ctx context.Context) {
 	snap, view := h.o.Conf.Snapshot(), h.o.Fleet.View()
 	if view.Duty(fleet.Key(Duty(view.Cell()))) != view.Self() {
 		h.lease = lease.Lease{}
 		return
 	}
-	wants := h.wants(snap, view)
-	if len(wants) == 0 && len(h.sent) == 0 {
+	missing := h.wantedLoads(snap, view)
+	if len(missing) == 0 && len(h.lastSent) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
-	if !h.hold(ctx, view) {
+	if !h.ensureLease(ctx, view) {
 		return
 	}
-	slots, err := h.slots(ctx)
+	slots, err := h.readSlots(ctx)
 	if err != nil {
 		return
 	}
-	slots = h.release(ctx, view, slots, wants)
-	for _, w := range wants {
-		if slots = h.give(ctx, w, slots); !h.lease.Held() {
+	slots = h.releaseSlots(ctx, view, slots, missing)
+	for _, w := range missing {
+		if slots = h.startLoad(ctx, w, slots); !h.lease.Held() {
 			return
 		}
 	}
 }
 
-// wants returns the loads that the configuration asks for.
-func (h *Holder) wants(snap *conf.Snapshot, view *fleet.View) []want {
-	var out []want
+// wantedLoads returns the loads that the configuration requires.
+func (h *Holder) wantedLoads(snap *conf.Snapshot, view *fleet.View) []wantedLoad {
+	var out []wantedLoad
 	for _, worker := range h.o.Workers.Workers(snap, view) {
 		t := snap.Target(worker)
 		st, ok := h.o.Workers.Worker(worker)
@@ -155,16 +161,17 @@
 		}
 		for _, name := range t.Deployments {
 			d := snap.Deployment(name)
-			if d != nil && !holds(st, d) {
-				out = append(out, want{worker, t, name, d})
+			if d != nil && !hasWeights(st, d) {
+				out = append(out, wantedLoad{worker, t, name, d})
 			}
 		}
 	}
 	return out
 }
 
-// holds reports whether a worker holds all that a deployment asks for.
-func holds(st home.WorkerStatus, d *conf.Deployment) bool {
+// hasWeights reports whether a worker holds all weights and adapters of a
+// deployment.
+func hasWeights(st home.WorkerStatus, d *conf.Deployment) bool {
 	salt := cache.Salt{Model: d.Model, WeightVersion: d.WeightVersion}
 	for _, a := range append([]string{""}, d.Adapters...) {
 		salt.Adapter = a
@@ -175,22 +182,22 @@
 	return true
 }
 
-// hold takes the lease if this daemon does not hold it.
-func (h *Holder) hold(ctx context.Context, view *fleet.View) bool {
+// ensureLease takes the lease unless this daemon holds it, and reports success.
+func (h *Holder) ensureLease(ctx context.Context, view *fleet.View) bool {
 	if h.lease.Held() {
 		return true
 	}
-	l, err := lease.Take(ctx, h.o.KV, KeyRoot+"cell/"+strconv.Itoa(view.Cell()), h.o.Name)
+	l, err := lease.Take(ctx, h.o.KV, KeyPrefix+"cell/"+strconv.Itoa(view.Cell()), h.o.Name)
 	if err != nil {
 		return false
 	}
-	h.lease, h.took = l, time.Now()
+	h.lease, h.takenAt = l, time.Now()
 	h.o.Log.Emit(event.LeaseTaken, event.Ref{}, fmt.Sprintf("%s, epoch %d", Duty(view.Cell()), l.Epoch()))
 	return true
 }
 
-func (h *Holder) slots(ctx context.Context) ([]slot, error) {
-	pairs, _, err := h.o.KV.Range(ctx, plat.Prefix(slotRoot))
+func (h *Holder) readSlots(ctx context.Context) ([]slot, error) {
+	pairs, _, err := h.o.KV.Range(ctx, plat.Prefix(slotPrefix))
 	if err != nil {
 		return nil, err
 	}
@@ -204,16 +211,16 @@
 	return out, nil
 }
 
-// release frees the slots of this cell whose load is done or no longer wanted,
-// and returns the rest.
-func (h *Holder) release(ctx context.Context, view *fleet.View, slots []slot, wants []want) []slot {
-	var rest []slot
+// releaseSlots frees the slots of this cell whose load is finished or no longer
+// wanted, and returns the remaining slots.
+func (h *Holder) releaseSlots(ctx context.Context, view *fleet.View, slots []slot, missing []wantedLoad) []slot {
+	var kept []slot
 	for _, s := range slots {
-		wanted := slices.ContainsFunc(wants, func(w want) bool { return w.worker == s.Worker && w.deployment == s.Deployment })
+		wanted := slices.ContainsFunc(missing, func(w wantedLoad) bool { return w.worker == s.Worker && w.deployment == s.Deployment })
 		st, known := h.o.Workers.Worker(s.Worker)
-		mine := view.CellOf(s.Worker) == view.Cell()
-		if !mine || wanted || (known && st.Loading) {
-			rest = append(rest, s)
+		local := view.CellOf(s.Worker) == view.Cell()
+		if !local || wanted || (known && st.Loading) {
+			kept = append(kept, s)
 			continue
 		}
 		txn := plat.Txn{
@@ -221,20 +228,21 @@
 			Deletes:  []string{s.key},
 		}
 		if !h.commit(ctx, txn) {
-			rest = append(rest, s)
+			kept = append(kept, s)
 			continue
 		}
-		delete(h.sent, s.Worker)
+		delete(h.lastSent, s.Worker)
 		h.o.Log.Emit(event.OrderDone, event.Ref{Target: s.Worker}, s.Deployment+" "+s.Version)
 	}
-	return rest
+	return kept
 }
 
-// give sends the order for one load, in a slot of its own.
-func (h *Holder) give(ctx context.Context, w want, slots []slot) []slot {
-	own := slices.IndexFunc(slots, func(s slot) bool { return s.Worker == w.worker })
-	if own >= 0 {
-		h.again(ctx, w, slots[own])
+// startLoad reserves a slot for a load and sends the order. If the worker has a
+// slot already, it may send the order again.
+func (h *Holder) startLoad(ctx context.Context, w wantedLoad, slots []slot) []slot {
+	i := slices.IndexFunc(slots, func(s slot) bool { return s.Worker == w.worker })
+	if i >= 0 {
+		h.resend(ctx, w, slots[i])
 		return slots
 	}
 	key := freeSlot(slots, w.spec.Loads())
@@ -247,7 +255,7 @@
 	if err != nil {
 		return slots
 	}
-	expires := time.Now().Add(orderLife)
+	expires := time.Now().Add(orderTTL)
 	txn := plat.Txn{
 		Compares: []plat.Compare{h.lease.Guard(), {Key: key}},
 		Puts:     []plat.Put{{Key: key, Value: raw}},
@@ -259,22 +267,22 @@
 	return append(slots, s)
 }
 
-// mayOrder reports whether a worker can be sent orders of this holder yet.
-func (h *Holder) mayOrder(w want) bool {
-	return w.target.ChecksFence || time.Since(h.took) > orderLife
+// mayOrder reports whether this holder may send orders to a worker yet.
+func (h *Holder) mayOrder(w wantedLoad) bool {
+	return w.target.ChecksFence || time.Since(h.takenAt) > orderTTL
 }
 
-// again sends an order once more where the worker does not show that it loads.
-func (h *Holder) again(ctx context.Context, w want, s slot) {
+// resend sends an order again if the worker does not report that it is loading.
+func (h *Holder) resend(ctx context.Context, w wantedLoad, s slot) {
 	st, known := h.o.Workers.Worker(w.worker)
-	if !known || st.Loading || time.Since(h.sent[w.worker]) < sendAgain || !h.mayOrder(w) {
+	if !known || st.Loading || time.Since(h.lastSent[w.worker]) < resendAfter || !h.mayOrder(w) {
 		return
 	}
 	raw, err := json.Marshal(slot{Worker: w.worker, Deployment: w.deployment, Version: w.spec.WeightVersion, Fence: h.lease.Fence()})
 	if err != nil {
 		return
 	}
-	expires := time.Now().Add(orderLife)
+	expires := time.Now().Add(orderTTL)
 	txn := plat.Txn{
 		Compares: []plat.Compare{h.lease.Guard(), {Key: s.key, ModRevision: s.revision}},
 		Puts:     []plat.Put{{Key: s.key, Value: raw}},
@@ -284,10 +292,10 @@
 	}
 }
 
-// freeSlot returns the key of a slot that no load uses.
-func freeSlot(slots []slot, loads int) string {
-	for i := range loads {
-		key := slotRoot + strconv.Itoa(i)
+// freeSlot returns the key of an unused slot, or "".
+func freeSlot(slots []slot, maxLoads int) string {
+	for i := range maxLoads {
+		key := slotPrefix + strconv.Itoa(i)
 		if !slices.ContainsFunc(slots, func(s slot) bool { return s.key == key }) {
 			return key
 		}
@@ -295,8 +303,8 @@
 	return ""
 }
 
-// commit carries out a guarded write. An unknown outcome counts as none: the
-// next look reads what came of it. A failed guard ends the lease.
+// commit executes a guarded write. An unknown outcome counts as a failure: the
+// next check reads the result. A failed guard ends the lease.
 func (h *Holder) commit(ctx context.Context, txn plat.Txn) bool {
 	out, err := h.o.KV.Commit(ctx, txn)
 	if err != nil {
@@ -309,9 +317,9 @@
 	return out.Succeeded
 }
 
-// send sends an order unless too much time has passed since it was committed.
-func (h *Holder) send(ctx context.Context, w want, expires time.Time) {
-	h.sent[w.worker] = time.Now()
+// send sends an order unless it has expired since its commit.
+func (h *Holder) send(ctx context.Context, w wantedLoad, expires time.Time) {
+	h.lastSent[w.worker] = time.Now()
 	ref := event.Ref{Target: w.worker}
 	if time.Now().After(expires) {
 		return
@@ -319,14 +327,14 @@
 	ctx, cancel := context.WithDeadline(ctx, expires)
 	defer cancel()
 	fence := h.lease.Fence()
-	how := "fence checked"
+	fencing := "fence checked"
 	if !w.target.ChecksFence {
-		how = "fence not checked, sent after former orders expired"
+		fencing = "fence not checked, sent after the former holder's orders expired"
 	}
 	err := target.NewEngine(w.target.URL, h.o.Client).Order(ctx, w.order(fence, expires))
 	if err != nil {
 		h.o.Log.Emit(event.OrderRejected, ref, err.Error())
 		return
 	}
-	h.o.Log.Emit(event.OrderSent, ref, fmt.Sprintf("%s %s, fence %d, %s", w.deployment, w.spec.WeightVersion, fence, how))
+	h.o.Log.Emit(event.OrderSent, ref, fmt.Sprintf("%s %s, fence %d, %s", w.deployment, w.spec.WeightVersion, fence, fencing))
 }
--- /dev/null
+++ b/core/order/update.go
@@ -0,0 +1,196 @@
+package order
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"embertally.dev/core/event"
+	"embertally.dev/core/roster"
+	"embertally.dev/core/wait"
+)
+
+// Times and limits of one weight update.
+const (
+	// announceLead is how long before the order the other daemons are notified
+	// of it, so that they send the worker no more requests: a heartbeat sent at
+	// once takes some 10 ms, and a lost packet is sent again within 40 ms.
+	announceLead = 80 * time.Millisecond
+	// orderTimeout bounds one order or state request; workers answer in
+	// milliseconds.
+	orderTimeout = 700 * time.Millisecond
+	// pollInterval spaces the state requests to a worker that is loading. Each
+	// costs as much as a health check.
+	pollInterval = 150 * time.Millisecond
+	// reorderAfter is how long an unanswered order may take to show in the
+	// worker's state before it is sent again.
+	reorderAfter = 900 * time.Millisecond
+	// updateTimeout bounds one weight update: the worker first finishes its
+	// requests, and a load takes about a second, longer while many load.
+	updateTimeout = 9 * time.Second
+	// initialMarkTime is how long a worker is marked as about to change its
+	// weights from the start of its update, and markTime from each state
+	// response on. Done removes the mark sooner; these times bound it if this
+	// daemon is lost.
+	initialMarkTime = updateTimeout / 3
+	markTime        = time.Second
+	// remoteMarkTime is how long other cells mark a worker as about to change
+	// its weights after a notification, and notifyInterval the pause until the
+	// next one: one message may be lost.
+	remoteMarkTime = 1500 * time.Millisecond
+	notifyInterval = 600 * time.Millisecond
+	// stateTries is how often the state is requested before the update fails.
+	stateTries = 3
+	// leadershipPoll and maxLeadershipPolls bound the wait for a renewal of the
+	// lease.
+	leadershipPoll     = 50 * time.Millisecond
+	maxLeadershipPolls = 12
+)
+
+// weightUpdate is the weight update of one worker.
+type weightUpdate struct {
+	updater *Swapper
+	target  *roster.Target
+	model   string
+	version int64
+	// ordered is when the order was last sent; zero before.
+	ordered time.Time
+	// notified is when the observer was last notified that the update is in
+	// progress.
+	notified time.Time
+	// state is the worker's last reported state.
+	state WorkerState
+}
+
+// run executes the update and records its result.
+func (u *weightUpdate) run(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, updateTimeout)
+	defer cancel()
+	s, id := u.updater, u.target.ID()
+	s.o.Roster.Order(id, time.Now().Add(initialMarkTime))
+	s.o.Changed()
+	u.notifyProgress()
+	err := u.execute(ctx)
+	s.o.Roster.Done(id)
+	defer s.o.Changed()
+	s.updatesMu.Lock()
+	defer s.updatesMu.Unlock()
+	delete(s.updates, id)
+	if err != nil {
+		s.retryAt[id] = time.Now().Add(retryPause)
+		s.o.Log.Emit(event.OrderRejected, event.Ref{Target: id}, fmt.Sprintf("%s version %d: %v", u.model, u.version, err))
+		return
+	}
+	delete(s.retryAt, id)
+	s.o.Roster.Learn(id, u.model, u.version)
+	if s.o.Audience != nil {
+		s.o.Audience.Ended(u.target, u.model, u.version)
+	}
+}
+
+// notifyProgress notifies the observer, every notifyInterval, that the update
+// is in progress.
+func (u *weightUpdate) notifyProgress() {
+	if u.updater.o.Audience == nil || time.Since(u.notified) < notifyInterval {
+		return
+	}
+	u.notified = time.Now()
+	u.updater.o.Audience.Began(u.target, u.model, remoteMarkTime)
+}
+
+// Reasons why an update failed.
+var (
+	errNoLeadership     = errors.New("the lease for sending orders was lost")
+	errTimeout          = errors.New("the worker did not finish in time")
+	errOtherIncarnation = errors.New("another incarnation of the worker answers")
+)
+
+// execute sends the order and waits until the worker holds the weights.
+func (u *weightUpdate) execute(ctx context.Context) error {
+	wait.For(ctx, announceLead)
+	if err := u.pollState(ctx); err != nil {
+		return err
+	}
+	for u.state.Weights[u.model] < u.version || u.state.Busy {
+		if ctx.Err() != nil {
+			return errTimeout
+		}
+		if u.orderDue() {
+			if err := u.sendOrder(ctx); err != nil {
+				return err
+			}
+		}
+		wait.For(ctx, pollInterval)
+		if err := u.pollState(ctx); err != nil && ctx.Err() == nil {
+			return err
+		}
+		u.updater.o.Roster.Order(u.target.ID(), time.Now().Add(markTime))
+		u.notifyProgress()
+	}
+	return nil
+}
+
+// orderDue reports whether the order is to be sent now.
+func (u *weightUpdate) orderDue() bool {
+	return !u.state.Busy && u.state.Weights[u.model] < u.version && time.Since(u.ordered) > reorderAfter
+}
+
+// pollState requests the worker's state. Answers may be lost.
+func (u *weightUpdate) pollState(ctx context.Context) error {
+	var err error
+	for range stateTries {
+		tryCtx, cancel := context.WithTimeout(ctx, orderTimeout)
+		var st WorkerState
+		st, err = u.updater.o.Commander.State(tryCtx, u.target.Entry().Address, u.target.ID())
+		cancel()
+		if err == nil && st.Run != "" && st.Run != u.target.ID() {
+			u.updater.o.Roster.Ended(u.target.ID())
+			return errOtherIncarnation
+		}
+		if err == nil {
+			u.state = st
+			return nil
+		}
+		wait.For(ctx, pollInterval)
+	}
+	return err
+}
+
+// sendOrder sends the order once.
+func (u *weightUpdate) sendOrder(ctx context.Context) error {
+	leadership := u.updater.leadership(u.target, u.updater.sharded(u.target.Entry().Service))
+	if leadership == nil {
+		return errNoLeadership
+	}
+	fence, allowed := leadership.Act()
+	for n := 0; !allowed && leadership.Held() && n < maxLeadershipPolls; n++ {
+		wait.For(ctx, leadershipPoll)
+		fence, allowed = leadership.Act()
+	}
+	if !allowed {
+		return errNoLeadership
+	}
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
+	u.ordered = time.Now()
+	id := u.target.ID()
+	v, err := u.updater.o.Commander.Order(ctx, u.target.Entry().Address, WeightOrder{
+		Target: id, Model: u.model, Version: u.version, Holder: u.updater.o.Name, Fence: fence, After: u.state.Orders,
+	})
+	text := fmt.Sprintf("%s version %d, fence %d, after order %d", u.model, u.version, fence, u.state.Orders)
+	if err != nil {
+		u.updater.o.Log.Emit(event.OrderSent, event.Ref{Target: id}, text+", no answer: "+err.Error())
+		return nil
+	}
+	u.updater.o.Log.Emit(event.OrderSent, event.Ref{Target: id}, text+": "+v.String())
+	switch v {
+	case Fenced:
+		leadership.Refused(fence)
+		return errNoLeadership
+	case Elsewhere, Refused:
+		return errors.Errorf("the worker answered: %s", v)
+	}
+	return nil
+}
--- /dev/null
+++ b/core/order/updater.go
@@ -0,0 +1,288 @@
+package order
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"embertally.dev/core/event"
+	"embertally.dev/core/fleet"
+	"embertally.dev/core/roster"
+	"embertally.dev/core/table"
+	"embertally.dev/core/wait"
+)
+
+// SwapOptions configure a Swapper.
+type SwapOptions struct {
+	Name string
+	// Rights are the leadership leases, one per partition of the workers; the hash of a worker's
+	// incarnation selects its partition. If the holder of one is lost, the other partitions continue.
+	Rights []Right
+	// Divided, if set, reports whether a service is sharded by cell: then each cell sends the
+	// orders to its own workers. Uses reports whether a worker belongs to this daemon's cell, and
+	// Cell returns the lease for the cell's workers, or nil.
+	Divided   func(service string) bool
+	Uses      func(name, domain string) bool
+	Cell      func() Right
+	Commander WorkerClient
+	Roster    *roster.Roster
+	// Table returns the applied configuration, or nil.
+	Table func() *table.Table
+	// Named returns the newest desired version of a model's weights.
+	Named func(model string) int64
+	// Changed is called when an update starts or ends, to notify other daemons at once. It must be
+	// set.
+	Changed func()
+	// Audience is notified of updates in addition, or nil.
+	Audience UpdateObserver
+	Log      *event.Log
+}
+
+// UpdateObserver is notified of weight updates on behalf of daemons that this one's heartbeats do
+// not reach.
+type UpdateObserver interface {
+	// Began reports that a worker is about to change its weights, and for how long that is assumed.
+	Began(t *roster.Target, model string, lasts time.Duration)
+	// Ended reports that a worker holds a version of the weights.
+	Ended(t *roster.Target, model string, version int64)
+}
+
+// Swapper brings the workers to the desired weights, a limited number at a time and idle ones
+// first, while this daemon holds a leadership lease. It keeps no state that a successor needs: the
+// workers report what they hold.
+type Swapper struct {
+	o SwapOptions
+
+	updatesMu sync.Mutex
+	updates   map[string]*weightUpdate // by target; guarded by updatesMu
+	// retryAt is when the update of a target may be tried again after a failure. Guarded by
+	// updatesMu.
+	retryAt map[string]time.Time
+	// lastExtra is when the last update beyond a partition's own quota started. Guarded by updatesMu.
+	lastExtra time.Time
+}
+
+// NewSwapper returns a Swapper.
+func NewSwapper(o SwapOptions) *Swapper {
+	return &Swapper{o: o, updates: map[string]*weightUpdate{}, retryAt: map[string]time.Time{}}
+}
+
+// Times and limits of starting updates.
+const (
+	// leaderInterval is the pause between checks. While the desired and loaded versions agree, a
+	// check makes no calls.
+	leaderInterval = 100 * time.Millisecond
+	// followerInterval is the same for a daemon that holds no lease: nearly all of a large fleet.
+	followerInterval = 500 * time.Millisecond
+	// retryPause is the pause after a failed update.
+	retryPause = time.Second
+	// updateDivisor and minUpdates set how many workers update at a time: the larger of minUpdates
+	// and a part of the workers. On the users' sites loads stay fast up to a fifth to a seventh of
+	// the workers loading, and a worker spends about as long on finishing its requests as on
+	// loading.
+	updateDivisor = 3
+	minUpdates    = 3
+	// extraInterval is the least time between updates beyond a partition's own quota, in which other
+	// daemons receive notice of the first.
+	extraInterval = 100 * time.Millisecond
+)
+
+// leadership returns the lease for orders to a worker, or nil if this daemon can't hold it. sharded
+// is that of the worker's service.
+func (s *Swapper) leadership(t *roster.Target, sharded bool) Right {
+	if !sharded {
+		return s.o.Rights[fleet.Key(t.ID())%uint64(len(s.o.Rights))]
+	}
+	if e := t.Entry(); !s.o.Uses(e.Name, e.Domain) {
+		return nil
+	}
+	return s.o.Cell()
+}
+
+// sharded reports whether a service is sharded by cell.
+func (s *Swapper) sharded(service string) bool { return s.o.Divided != nil && s.o.Divided(service) }
+
+// partitions returns how many leases the workers of a service that this daemon knows are spread over.
+func (s *Swapper) partitions(service string) int {
+	if s.sharded(service) {
+		return 1
+	}
+	return len(s.o.Rights)
+}
+
+// CellWanted reports whether a worker of this daemon's cell holds older weights than desired.
+func (s *Swapper) CellWanted() bool {
+	return s.anyOutdated(true, func(t *roster.Target) bool {
+		e := t.Entry()
+		return s.o.Uses(e.Name, e.Domain)
+	})
+}
+
+// Wanted reports whether a worker of a partition holds older weights than desired.
+func (s *Swapper) Wanted(partition int) bool {
+	return s.anyOutdated(false, func(t *roster.Target) bool { return s.leadership(t, false) == s.o.Rights[partition] })
+}
+
+// anyOutdated reports whether a selected worker holds older weights than desired. It considers
+// either the sharded services or the others.
+func (s *Swapper) anyOutdated(sharded bool, selected func(*roster.Target) bool) bool {
+	t := s.o.Table()
+	if t == nil {
+		return false
+	}
+	for _, svc := range t.Engines() {
+		if s.sharded(svc.Name) != sharded {
+			continue
+		}
+		for _, model := range svc.Engine.Models {
+			version := s.o.Named(model)
+			for _, w := range s.o.Roster.Of(svc.Name) {
+				if w.Entry().Weights[model] < version && selected(w) {
+					return true
+				}
+			}
+		}
+	}
+	return false
+}
+
+// Run sends orders until ctx ends.
+func (s *Swapper) Run(ctx context.Context) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	for wait.For(ctx, s.interval()) {
+		for _, u := range s.startable() {
+			wg.Go(func() { u.run(ctx) })
+		}
+	}
+}
+
+// interval returns the pause until the next check.
+func (s *Swapper) interval() time.Duration {
+	if s.isLeader() {
+		return leaderInterval
+	}
+	return followerInterval
+}
+
+// startable returns the updates to start now.
+func (s *Swapper) startable() []*weightUpdate {
+	t := s.o.Table()
+	if t == nil || !s.isLeader() {
+		return nil
+	}
+	s.updatesMu.Lock()
+	defer s.updatesMu.Unlock()
+	var out []*weightUpdate
+	for _, svc := range t.Engines() {
+		for _, model := range svc.Engine.Models {
+			out = append(out, s.startableOf(svc.Name, model)...)
+		}
+	}
+	return out
+}
+
+// isLeader reports whether this daemon holds any lease. All but a few of a fleet hold none.
+func (s *Swapper) isLeader() bool {
+	if slices.ContainsFunc(s.o.Rights, Right.Held) {
+		return true
+	}
+	if s.o.Cell == nil {
+		return false
+	}
+	cell := s.o.Cell()
+	return cell != nil && cell.Held()
+}
+
+// progress is the state of the updates of one model.
+type progress struct {
+	workers int
+	// outdated holds the workers whose update may start, by their lease.
+	outdated map[Right][]*roster.Target
+	// running counts this daemon's updates by lease, total those of all daemons.
+	running map[Right]int
+	total   int
+}
+
+// progress returns the state of the updates of a model to a version. It is called with updatesMu
+// held.
+func (s *Swapper) progress(service, model string, version int64, now time.Time) progress {
+	workers := s.o.Roster.Of(service)
+	pr := progress{outdated: map[Right][]*roster.Target{}, running: map[Right]int{}}
+	// Heartbeats carry the updates of other daemons.
+	ordered, sharded := s.o.Roster.Ordered(now), s.sharded(service)
+	for _, t := range workers {
+		leadership := s.leadership(t, sharded)
+		if leadership == nil {
+			continue
+		}
+		pr.workers++
+		switch {
+		case s.updates[t.ID()] != nil:
+			pr.running[leadership]++
+			pr.total++
+		case ordered[t.ID()]:
+			pr.total++
+		case t.Entry().Weights[model] < version && !s.shuttingDown(t) && now.After(s.retryAt[t.ID()]) && leadership.Held():
+			pr.outdated[leadership] = append(pr.outdated[leadership], t)
+		}
+	}
+	return pr
+}
+
+// shuttingDown reports whether a worker is shutting down: a load of weights would be lost with it.
+func (s *Swapper) shuttingDown(t *roster.Target) bool {
+	_, shuttingDown := s.o.Roster.Leaving(t)
+	return shuttingDown
+}
+
+// startableOf returns the updates of one model to start now. It is called with updatesMu held.
+func (s *Swapper) startableOf(service, model string) []*weightUpdate {
+	version := s.o.Named(model)
+	now := time.Now()
+	pr := s.progress(service, model, version, now)
+	var out []*weightUpdate
+	for leadership, list := range pr.outdated {
+		sortOutdated(list, model)
+		for _, t := range list {
+			if pr.running[leadership] >= ownQuota(pr.workers, s.partitions(service)) && !s.allowExtra(pr.total, pr.workers, now) {
+				break
+			}
+			pr.running[leadership]++
+			pr.total++
+			u := &weightUpdate{updater: s, target: t, model: model, version: version}
+			s.updates[t.ID()] = u
+			out = append(out, u)
+		}
+	}
+	return out
+}
+
+// sortOutdated sorts workers into the order of their updates. The oldest weights come first: soon
+// no new requests may start on them.
+func sortOutdated(list []*roster.Target, model string) {
+	slices.SortStableFunc(list, func(a, b *roster.Target) int {
+		return cmp.Or(cmp.Compare(a.Entry().Weights[model], b.Entry().Weights[model]), cmp.Compare(activeRequests(a), activeRequests(b)))
+	})
+}
+
+// ownQuota returns how many updates of a partition may run regardless of other partitions.
+func ownQuota(workers, partitions int) int { return max(1, workers/updateDivisor/partitions) }
+
+// allowExtra reports whether a partition may start one more update because other partitions have fewer
+// workers left. Heartbeats must carry the last one first.
+func (s *Swapper) allowExtra(total, workers int, now time.Time) bool {
+	if total >= max(minUpdates, workers/updateDivisor) || now.Sub(s.lastExtra) < extraInterval {
+		return false
+	}
+	s.lastExtra = now
+	return true
+}
+
+// activeRequests returns how many requests an update interrupts.
+func activeRequests(t *roster.Target) int {
+	l := t.Load()
+	return l.Held + l.Running
+}
