--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -1,9 +1,9 @@
-// Package canary owns roll-outs: operators ask that the requests of a service move to targets of
-// another version, which were started beside the old ones. It owns how many requests the new
-// version gets meanwhile, what is known of its answers against those of the old one at the same
-// time, and the decision to complete the roll-out or to take it back.
+// Package canary owns rollouts. Operators request that a service's requests move to targets of
+// another version, which run beside the old ones. The package owns how many requests the new
+// version receives meanwhile, the statistics of its answers and of the old version's at the same
+// time, and the decision to complete the rollout or roll it back.
 //
-// It must not know how targets are chosen, nor how the platform writes orders and states.
+// It must not know how targets are chosen, or how the platform encodes orders and states.
 package canary
 
 import (
@@ -13,33 +13,33 @@
 	"embertally.dev/core/plat"
 )
 
-// Order is what operators ask for a service.
+// Order is an operators' request for a service.
 type Order struct {
 	Service string
-	// Version is the one that requests are to move to.
+	// Version is the version that requests are to move to.
 	Version string
-	// Lasts is the time within which the roll-out is to be decided.
+	// Lasts is the time within which the rollout must be decided.
 	Lasts time.Duration
-	// Revision is that of the order in the platform's store; it names the order.
+	// Revision is the order's revision in the coordination store; it identifies the order.
 	Revision int64
 }
 
-// Phase is how far a roll-out is.
+// Phase is the phase of a rollout.
 type Phase string
 
 // Phases. Trying and Moving end in Completed or RolledBack.
 const (
 	// Trying: the new version gets a small share of the requests.
 	Trying Phase = "trying"
-	// Moving: it gets all new requests, and the old targets end what they have.
+	// Moving: it gets all new requests, and the old targets finish theirs.
 	Moving Phase = "moving"
 	// Completed: the old targets are stopped.
 	Completed Phase = "completed"
-	// RolledBack: the new version gets nothing.
+	// RolledBack: the new version gets no requests.
 	RolledBack Phase = "rolledBack"
 )
 
-// Over reports whether the roll-out is decided.
+// Over reports whether the rollout is decided.
 func (p Phase) Over() bool { return p == Completed || p == RolledBack }
 
 // rank orders the phases of one order.
@@ -53,51 +53,52 @@
 	return 0
 }
 
-// State is how far the roll-out of a service is, as the platform's store keeps it.
+// State is the state of a service's rollout, as kept in the coordination store.
 type State struct {
-	// Order is the revision of the order that it is about.
+	// Order is the revision of the order that the state belongs to.
 	Order   int64  `json:"order"`
 	Version string `json:"version"`
 	Phase   Phase  `json:"phase"`
-	// Blocked are versions that get nothing, whatever is asked for later: they were taken back, or
-	// their order was replaced before it was decided.
+	// Blocked lists versions that get no requests whatever is ordered later: they were rolled back,
+	// or their order was replaced before it was decided.
 	Blocked []string `json:"blocked,omitempty"`
-	// Begun is when the order was first seen, in Unix milliseconds. It serves daemons that start
-	// during the roll-out.
+	// Begun is when the order was first seen, in Unix milliseconds, for daemons that start during
+	// the rollout.
 	Begun int64 `json:"begun"`
-	// Why says what decided it.
+	// Why is the reason for the decision.
 	Why string `json:"why,omitempty"`
 }
 
-// about reports whether the state is that of an order. An order that a store which came back from an
-// older copy tells, or that is written there again, is the same one by another revision.
-func (st *State) about(o *Order) bool {
+// isFor reports whether the state belongs to an order. An order read from a store restored from an
+// older copy, or written there again, is the same one under another revision.
+func (st *State) isFor(o *Order) bool {
 	return st.Order == o.Revision || (st.Version == o.Version && plat.Era(st.Order) < plat.Era(o.Revision) && o.Revision != 0)
 }
 
-// older reports whether the state is from before another one.
-func (st *State) older(than *State) bool {
-	return st.Order < than.Order || (st.Order == than.Order && st.Phase.rank() < than.Phase.rank())
+// olderThan reports whether the state precedes another one.
+func (st *State) olderThan(other *State) bool {
+	return st.Order < other.Order || (st.Order == other.Order && st.Phase.rank() < other.Phase.rank())
 }
 
-// Side says which versions of a service a request may go to. The zero value allows all.
+// Side states which versions of a service a request may go to. The zero value allows all.
 type Side struct {
-	// Prefer is the version to use if one of its targets can be used; "" stands for none.
-	Prefer string
-	// Not are the versions that must not be used.
-	Not []string
-	// Trial is the version on trial where it is one of Not: it is used all the same where no target
-	// of another version is listed, as when operators ask for the version that all have.
-	Trial string
-	// Few is the part of the preferred version's targets that is used, so that each gets as many
-	// requests as if it had all of its share; 0 stands for all.
-	Few float64
+	// Prefer is the version to use if one of its targets is available; "" means none.
+	Prefer string `msgpack:"Prefer"`
+	// Not lists the versions that must not be used.
+	Not []string `msgpack:"Not"`
+	// Trial is the canary version if it is listed in Not. It is used all the same if no target of
+	// another version is listed, for example when operators order the version that all targets
+	// have.
+	Trial string `msgpack:"Trial"`
+	// Few is the share of the preferred version's targets to use, so that each of them gets as many
+	// requests as if the version had its full share; 0 means all.
+	Few float64 `msgpack:"Few"`
 }
 
-// Allows reports whether a request may go to a version at all.
+// Allows reports whether a request may go to a version.
 func (s *Side) Allows(version string) bool { return !slices.Contains(s.Not, version) }
 
-// Aside returns which versions a request may go to that failed at a version on trial.
+// Aside returns the versions allowed to a request that failed on the canary version.
 func (s Side) Aside() Side {
 	if s.Few == 0 {
 		return s
@@ -105,17 +106,17 @@
 	return Side{Not: append(slices.Clone(s.Not), s.Prefer)}
 }
 
-// Sum is what is known of the answers to one kind of request by one version.
+// Sum holds the statistics of one version's answers to one kind of request.
 type Sum struct {
-	// Answers is how many came, and Bad how many of these were failures of the target.
+	// Answers is the number of answers, and Bad how many of these were failures of the target.
 	Answers, Bad int
-	// Times is how many times to a first answer were observed, and Log and Square the sums of the
-	// logarithms of each over the expected time, and of their squares.
+	// Times is the number of observed times to the first answer. Log and Square are the sums of the
+	// logarithms of observed over expected time, and of their squares.
 	Times       int
 	Log, Square float64
 }
 
-// add adds what another daemon knows.
+// add adds another daemon's statistics.
 func (s *Sum) add(o Sum) {
 	s.Answers += o.Answers
 	s.Bad += o.Bad
@@ -124,16 +125,17 @@
 	s.Square += o.Square
 }
 
-// Pair is what is known of one kind of request by both versions.
+// Pair holds the statistics of both versions for one kind of request.
 type Pair struct{ New, Old Sum }
 
-// Report is what one daemon knows of the roll-out of a service.
+// Report holds one daemon's statistics of a service's rollout.
 type Report struct {
 	Service string
-	// Order is the revision of the order, and Phase the one that the daemon goes by.
+	// Order is the revision of the order, and Phase the phase applied by the daemon.
 	Order int64
 	Phase Phase
-	// OldRunning is how many requests the daemon has on their way to other versions.
-	OldRunning int
-	Routes     map[string]Pair
+	// RunningOnOld is the number of the daemon's requests in flight on other versions.
+	RunningOnOld int `msgpack:"OldRunning"`
+	// Routes holds the statistics by route.
+	Routes map[string]Pair
 }
--- a/core/canary/control.go
+++ b/core/canary/control.go
@@ -18,170 +18,173 @@
 
 const kindReport wire.Kind = "canary.report"
 
-// KeyStates is the prefix of the keys in which the platform's store keeps how far roll-outs are.
-const KeyStates = "embertally/rollout/"
+// StatePrefix is the prefix of the keys that hold the states of rollouts in the coordination store.
+const StatePrefix = "embertally/rollout/"
 
-// Right is the right to decide about roll-outs.
-type Right interface {
-	// Act reports whether this daemon may decide now.
-	Act() (fence uint64, may bool)
+// Leadership is the leadership lease for deciding about rollouts.
+type Leadership interface {
+	// Act returns the lease's fence, and whether this daemon may decide now.
+	Act() (fence uint64, allowed bool)
 	Held() bool
 }
 
-// Options of a controller.
+// Options configure a Controller.
 type Options struct {
 	Guard *Guard
 	Fleet *fleet.Fleet
-	// Run tells one run of this daemon from the next.
+	// Run identifies this incarnation of the daemon.
 	Run    string
-	Right  Right
+	Right  Leadership
 	Store  plat.Writer
 	Mirror *plat.Mirror
-	// Holder returns the daemon that holds the right, or "".
+	// Holder returns the name of the daemon that holds the lease, or "".
 	Holder func() string
-	// Status returns what the operators are to read of a roll-out.
+	// Status returns the rollout status to publish to operators.
 	Status func(service string, st State) plat.Put
 	Log    *event.Log
 }
 
-// Controller tells the daemon with the right to decide what this one knows, and decides where that
-// is this one. What a successor needs stands in the platform's store and in the other daemons'
-// next reports.
+// Controller reports this daemon's statistics to the daemon that holds the lease, and makes the
+// decisions if that is this one. A successor continues from the coordination store and the other
+// daemons' next reports.
 type Controller struct {
 	o Options
 
 	reportsMu sync.Mutex
-	// reports holds the last report of each run of a daemon, by service. Guarded by reportsMu.
-	reports map[string]map[string]received
+	// reports holds the last report of each incarnation of a daemon, by service. Guarded by
+	// reportsMu.
+	reports map[string]map[string]receivedReport
 }
 
-// received is a report and when it came.
-type received struct {
+// receivedReport is a report and the time it was received.
+type receivedReport struct {
 	report Report
 	at     clock.Time
 }
 
-// Times of roll-outs.
+// Times of rollouts.
 const (
-	// look is the pause between reports, and between decisions: a version that is found to be bad
-	// must get nothing a few seconds after its first answers.
-	look = 300 * time.Millisecond
-	// idleLook is the pause while there is no roll-out.
-	idleLook = time.Second
-	// reportLimit bounds the sending of a report, and writeLimit a write of the store.
-	reportLimit = 500 * time.Millisecond
-	writeLimit  = time.Second
-	// reportLife is how long a daemon counts as one that may have requests at old targets.
-	reportLife = 2 * time.Second
+	// reportInterval is the pause between reports, and between decisions: a bad version must get no
+	// more requests a few seconds after its first answers.
+	reportInterval = 300 * time.Millisecond
+	// idleInterval is the pause while there is no rollout.
+	idleInterval = time.Second
+	// reportTimeout bounds the sending of a report, and writeTimeout a write to the store.
+	reportTimeout = 500 * time.Millisecond
+	writeTimeout  = time.Second
+	// reportTTL is how long after its last report a daemon counts as possibly having requests on
+	// old targets.
+	reportTTL = 2 * time.Second
 )
 
-// NewController returns a controller. It must be called before the fleet runs.
+// NewController returns a Controller. It must be called before the fleet runs.
 func NewController(o Options) *Controller {
-	c := &Controller{o: o, reports: map[string]map[string]received{}}
-	o.Fleet.Mux().Register(kindReport, wire.Handle(c.hear))
+	c := &Controller{o: o, reports: map[string]map[string]receivedReport{}}
+	o.Fleet.Mux().Register(kindReport, wire.Handle(c.receive))
 	return c
 }
 
-// message is what a daemon tells the one that decides.
-type message struct {
+// reportMessage carries a daemon's reports to the holder of the lease.
+type reportMessage struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
-	_msgpack struct{} `msgpack:",as_array"`
-	Run      string
-	Reports  []Report
+	_msgpack    struct{} `msgpack:",as_array"`
+	Incarnation string
+	Reports     []Report
 }
 
 // Run reports and decides until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
-	for wait.For(ctx, c.pause()) {
+	for wait.For(ctx, c.interval()) {
 		c.step(ctx)
 	}
 }
 
-// pause returns how long the next look may wait.
-func (c *Controller) pause() time.Duration {
+// interval returns the pause until the next step.
+func (c *Controller) interval() time.Duration {
 	if c.o.Guard.Over() {
-		return idleLook
+		return idleInterval
 	}
-	return look
+	return reportInterval
 }
 
-// step reports, and decides where this daemon has the right to.
+// step reports, and decides if this daemon holds the lease.
 func (c *Controller) step(ctx context.Context) {
 	reports := c.o.Guard.Reports()
-	if len(reports) == 0 && len(c.o.Guard.lost()) == 0 {
+	if len(reports) == 0 && len(c.o.Guard.unstored()) == 0 {
 		return
 	}
 	self := c.o.Fleet.View().Self()
 	switch holder := c.o.Holder(); holder {
 	case "":
 	case self:
-		c.take(c.o.Run, reports)
+		c.storeReports(c.o.Run, reports)
 	default:
-		c.tell(ctx, holder, &message{Run: c.o.Run, Reports: reports})
+		c.sendReports(ctx, holder, &reportMessage{Incarnation: c.o.Run, Reports: reports})
 	}
 	if c.o.Right.Held() {
 		c.decide(ctx)
 	}
 }
 
-// tell sends what this daemon knows. What is lost is sent again with the next report.
-func (c *Controller) tell(ctx context.Context, holder string, m *message) {
-	ctx, cancel := context.WithTimeout(ctx, reportLimit)
+// sendReports sends this daemon's reports. The next report covers a lost one.
+func (c *Controller) sendReports(ctx context.Context, holder string, m *reportMessage) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if err := c.o.Fleet.Notify(ctx, holder, kindReport, m); err != nil {
-		c.o.Log.Emit(event.PeerNotTold, event.Ref{}, holder+" of a roll-out: "+err.Error())
+		c.o.Log.Emit(event.PeerNotTold, event.Ref{}, holder+": report on a rollout: "+err.Error())
 	}
 }
 
-// hear takes another daemon's reports.
-func (c *Controller) hear(_ context.Context, _ string, m *message) (struct{}, error) {
-	c.take(m.Run, m.Reports)
+// receive stores another daemon's reports.
+func (c *Controller) receive(_ context.Context, _ string, m *reportMessage) (struct{}, error) {
+	c.storeReports(m.Incarnation, m.Reports)
 	return struct{}{}, nil
 }
 
-// take keeps the reports of one run of a daemon.
-func (c *Controller) take(run string, reports []Report) {
+// storeReports stores the reports of one incarnation of a daemon.
+func (c *Controller) storeReports(incarnation string, reports []Report) {
 	c.reportsMu.Lock()
 	defer c.reportsMu.Unlock()
 	for _, r := range reports {
 		if c.reports[r.Service] == nil {
-			c.reports[r.Service] = map[string]received{}
+			c.reports[r.Service] = map[string]receivedReport{}
 		}
-		c.reports[r.Service][run] = received{r, clock.Now()}
+		c.reports[r.Service][incarnation] = receivedReport{r, clock.Now()}
 	}
 }
 
-// evidence returns what is known of an order, and whether old targets have ended their work.
+// evidence returns all daemons' statistics for an order, and whether the old targets have finished
+// their work.
 func (c *Controller) evidence(o *Order, phase Phase) (Evidence, bool) {
 	c.reportsMu.Lock()
 	defer c.reportsMu.Unlock()
 	e, idle := Evidence{}, true
-	for run, got := range c.reports[o.Service] {
-		if got.report.Order != o.Revision {
-			delete(c.reports[o.Service], run)
+	for incarnation, last := range c.reports[o.Service] {
+		if last.report.Order != o.Revision {
+			delete(c.reports[o.Service], incarnation)
 			continue
 		}
-		e.add(got.report.Routes)
-		if clock.Since(got.at) <= reportLife && (got.report.Phase != phase || got.report.OldRunning > 0) {
+		e.add(last.report.Routes)
+		if clock.Since(last.at) <= reportTTL && (last.report.Phase != phase || last.report.RunningOnOld > 0) {
 			idle = false
 		}
 	}
 	return e, idle
 }
 
-// decide takes the next step of each roll-out.
+// decide performs the next step of each rollout.
 func (c *Controller) decide(ctx context.Context) {
-	for _, r := range c.o.Guard.lost() {
-		c.write(ctx, &r.order, r.state)
+	for _, r := range c.o.Guard.unstored() {
+		c.writeState(ctx, &r.order, r.state)
 	}
-	for _, r := range c.o.Guard.open() {
-		if !r.state.about(&r.order) {
-			c.write(ctx, &r.order, begun(&r))
+	for _, r := range c.o.Guard.active() {
+		if !r.state.isFor(&r.order) {
+			c.writeState(ctx, &r.order, initialState(&r))
 			continue
 		}
 		evidence, idle := c.evidence(&r.order, r.state.Phase)
-		course := Course{Phase: r.state.Phase, Elapsed: r.elapsed(time.Now()), Lasts: r.order.Lasts, Evidence: evidence, Idle: idle}
-		next, why := course.Next()
+		rollout := Rollout{Phase: r.state.Phase, Elapsed: r.elapsed(time.Now()), Duration: r.order.Lasts, Evidence: evidence, OldIdle: idle}
+		next, why := rollout.Next()
 		if next == r.state.Phase {
 			continue
 		}
@@ -190,23 +193,23 @@
 		if next == RolledBack {
 			st.Blocked = append(slices.Clone(st.Blocked), st.Version)
 		}
-		c.write(ctx, &r.order, st)
+		c.writeState(ctx, &r.order, st)
 	}
 }
 
-// elapsed returns for how long the order has been there. A daemon that has started since goes by the
-// time of day that the first one wrote.
-func (r *open) elapsed(now time.Time) time.Duration {
-	written := now.Sub(time.UnixMilli(r.state.Begun))
-	if written > r.order.Lasts {
-		// A clock that jumped decides nothing.
-		written = 0
+// elapsed returns the time since the order. A daemon that started later uses the wall-clock time
+// that the first one stored.
+func (r *activeRollout) elapsed(now time.Time) time.Duration {
+	stored := now.Sub(time.UnixMilli(r.state.Begun))
+	if stored > r.order.Lasts {
+		// A clock that jumped must not decide.
+		stored = 0
 	}
-	return max(r.since, written)
+	return max(r.since, stored)
 }
 
-// begun returns the first state of an order.
-func begun(r *open) State {
+// initialState returns the first state of an order.
+func initialState(r *activeRollout) State {
 	st := State{Order: r.order.Revision, Version: r.order.Version, Phase: Trying, Begun: time.Now().Add(-r.since).UnixMilli()}
 	st.Blocked = slices.Clone(r.state.Blocked)
 	if r.state.Order != 0 && !r.state.Phase.Over() {
@@ -216,23 +219,23 @@
 	return st
 }
 
-// write makes a state known to all daemons and to the operators, if this daemon may still decide
-// and nobody else has.
-func (c *Controller) write(ctx context.Context, o *Order, st State) {
-	if _, may := c.o.Right.Act(); !may {
+// writeState writes a state for all daemons and operators, if this daemon may still decide and no
+// other has.
+func (c *Controller) writeState(ctx context.Context, o *Order, st State) {
+	if _, allowed := c.o.Right.Act(); !allowed {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	value, err := json.Marshal(st)
 	if err != nil {
 		// Strings and numbers can always be encoded.
 		return
 	}
-	key := KeyStates + o.Service
-	known, _ := c.o.Mirror.Pair(key)
+	key := StatePrefix + o.Service
+	current, _ := c.o.Mirror.Pair(key)
 	out, err := c.o.Store.Commit(ctx, plat.Txn{
-		Compares: []plat.Compare{{Key: key, ModRevision: known.ModRevision}},
+		Compares: []plat.Compare{{Key: key, ModRevision: current.ModRevision}},
 		Puts:     []plat.Put{{Key: key, Value: value}, c.o.Status(o.Service, st)},
 	})
 	text := string(st.Phase) + " to version " + st.Version
@@ -241,22 +244,23 @@
 	}
 	switch {
 	case err != nil:
-		// The mirror shows whether it took effect; the next look goes on from there.
-		text += "; not known to be written: " + err.Error()
+		// The watch cache shows whether it took effect; the next step continues from there.
+		text += "; outcome of the write unknown: " + err.Error()
 	case !out.Succeeded:
-		text += "; not written, another state is there"
+		text += "; not written, the stored state has changed"
 	}
 	c.o.Log.Emit(event.RolloutStep, event.Ref{Resource: o.Service}, text)
 }
 
-// Observe takes a change of the platform's store.
+// Observe processes a change of the coordination store; it ignores keys other than states of
+// rollouts.
 func (c *Controller) Observe(change plat.Change) {
-	service, is := strings.CutPrefix(change.Key, KeyStates)
-	if !is {
+	service, isState := strings.CutPrefix(change.Key, StatePrefix)
+	if !isState {
 		return
 	}
 	if change.Restored {
-		c.o.Guard.Lose(service)
+		c.o.Guard.MarkUnstored(service)
 		return
 	}
 	var st State
--- a/core/canary/control_test.go
+++ b/core/canary/control_test.go
@@ -21,20 +21,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Bounds of waits on a busy machine.
+// Bounds of waits, for a busy machine.
 const (
-	soon  = "30s"
-	pause = "10ms"
+	maxWait      = "30s"
+	pollInterval = "10ms"
 )
 
-// heldBy is a right that one daemon of a test holds at a time.
-type heldBy struct {
+// fakeLeadership is a lease that one daemon of a test holds at a time.
+type fakeLeadership struct {
 	holder *atomic.Pointer[string]
 	name   string
 }
 
-func (h heldBy) Held() bool          { return *h.holder.Load() == h.name }
-func (h heldBy) Act() (uint64, bool) { return 1, h.Held() }
+func (h fakeLeadership) Held() bool          { return *h.holder.Load() == h.name }
+func (h fakeLeadership) Act() (uint64, bool) { return 1, h.Held() }
 
 // daemon is one daemon of a test.
 type daemon struct {
@@ -43,8 +43,8 @@
 	stop   context.CancelFunc
 }
 
-// trial runs daemons that keep to a roll-out of a service.
-type trial struct {
+// testRollout runs daemons that carry out a rollout of a service.
+type testRollout struct {
 	g       *gomega.WithT
 	store   *memkv.KV
 	holder  atomic.Pointer[string]
@@ -53,8 +53,8 @@
 
 const orderKey = "op/rollout/s"
 
-func newTrial(t *testing.T, daemons int) *trial {
-	tr := &trial{g: gomega.NewWithT(t), store: &memkv.KV{}}
+func newTestRollout(t *testing.T, daemons int) *testRollout {
+	tr := &testRollout{g: gomega.NewWithT(t), store: &memkv.KV{}}
 	var seeds []fleet.Peer
 	var listeners []net.Listener
 	for i := range daemons {
@@ -72,7 +72,7 @@
 		guard := &Guard{Share: 0.1}
 		m := plat.NewMirror(tr.store, plat.Prefix(""), log)
 		c := NewController(Options{
-			Guard: guard, Fleet: f, Run: seed.Name + "/1", Right: heldBy{&tr.holder, seed.Name}, Store: tr.store, Mirror: m,
+			Guard: guard, Fleet: f, Run: seed.Name + "/1", Right: fakeLeadership{&tr.holder, seed.Name}, Store: tr.store, Mirror: m,
 			Holder: func() string { return *tr.holder.Load() },
 			Status: func(service string, st State) plat.Put {
 				return plat.Put{Key: "status/" + service, Value: []byte(string(st.Phase) + " " + st.Version)}
@@ -97,20 +97,20 @@
 	return tr
 }
 
-// hold gives a daemon the right to decide.
-func (tr *trial) hold(daemon int) {
+// hold gives the lease to a daemon.
+func (tr *testRollout) hold(daemon int) {
 	name := fmt.Sprintf("entry-%d", daemon)
 	tr.holder.Store(&name)
 }
 
-// ask asks for a version.
-func (tr *trial) ask(version string) {
+// order orders a version.
+func (tr *testRollout) order(version string) {
 	_, err := tr.store.Commit(context.Background(), plat.Txn{Puts: []plat.Put{{Key: orderKey, Value: []byte(version)}}})
 	tr.g.Expect(err).NotTo(gomega.HaveOccurred())
 }
 
-// status returns what operators read.
-func (tr *trial) status() string {
+// status returns the status published to operators.
+func (tr *testRollout) status() string {
 	p, err := tr.store.Read(context.Background(), "status/s")
 	if err != nil || p == nil {
 		return ""
@@ -118,8 +118,9 @@
 	return string(p.Value)
 }
 
-// serve sends requests through all daemons until ctx ends; bad answers come from the new version.
-func (tr *trial) serve(ctx context.Context, version string, bad bool) {
+// serve sends requests through all daemons until ctx ends; if bad is set, the answers of the new
+// version are failures.
+func (tr *testRollout) serve(ctx context.Context, version string, bad bool) {
 	for ctx.Err() == nil {
 		for _, d := range tr.daemons {
 			side := d.guard.Choose("s")
@@ -135,55 +136,56 @@
 	}
 }
 
-// A roll-out ends by what the version is worth, whoever decides, and is never taken up again.
+// A rollout is decided by the quality of the version's answers, whichever daemon decides, and is
+// never reopened.
 func TestARolloutIsDecidedByItsAnswers(t *testing.T) {
 	tests := []struct {
 		name string
 		bad  bool
-		// lost tells that the daemon that decides is lost after its first step.
+		// lost reports that the daemon that decides is lost after its first step.
 		lost bool
 		want string
 	}{
 		{"good", false, false, "completed v2"},
 		{"bad", true, false, "rolledBack v2"},
-		{"good, who decides is lost", false, true, "completed v2"},
-		{"bad, who decides is lost", true, true, "rolledBack v2"},
+		{"good, the deciding daemon is lost", false, true, "completed v2"},
+		{"bad, the deciding daemon is lost", true, true, "rolledBack v2"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			tr := newTrial(t, 3)
+			tr := newTestRollout(t, 3)
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
-			tr.ask("v2")
-			tr.g.Eventually(tr.status, soon, pause).Should(gomega.Equal("trying v2"))
+			tr.order("v2")
+			tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal("trying v2"))
 			if tc.lost {
 				tr.daemons[0].stop()
 				tr.hold(1)
 			}
 			go func() { defer close(done); tr.serve(ctx, "v2", tc.bad) }()
-			tr.g.Eventually(tr.status, soon, pause).Should(gomega.Equal(tc.want))
+			tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal(tc.want))
 			cancel()
 			<-done
 			for _, d := range tr.daemons[1:] {
-				tr.g.Eventually(d.guard.Over, soon, pause).Should(gomega.BeTrue())
+				tr.g.Eventually(d.guard.Over, maxWait, pollInterval).Should(gomega.BeTrue())
 				tr.g.Expect(d.guard.Choose("s").Prefer == "v2").To(gomega.Equal(!tc.bad))
 			}
 		})
 	}
 }
 
-// An order that replaces another one in its middle is decided by its own answers, and the version of
-// the former one gets nothing more.
+// An order that replaces an undecided one is decided by its own answers, and the former version
+// gets no more requests.
 func TestAnOrderReplacesAnother(t *testing.T) {
-	tr := newTrial(t, 2)
-	tr.ask("v2")
-	tr.g.Eventually(tr.status, soon, pause).Should(gomega.Equal("trying v2"))
-	tr.ask("v3")
-	tr.g.Eventually(tr.status, soon, pause).Should(gomega.Equal("trying v3"))
+	tr := newTestRollout(t, 2)
+	tr.order("v2")
+	tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal("trying v2"))
+	tr.order("v3")
+	tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal("trying v3"))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); tr.serve(ctx, "v3", false) }()
-	tr.g.Eventually(tr.status, soon, pause).Should(gomega.Equal("completed v3"))
+	tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal("completed v3"))
 	cancel()
 	<-done
 	for _, d := range tr.daemons {
@@ -192,38 +194,38 @@
 	}
 }
 
-// A store that comes back from before the decision brings no bad version back, at no daemon, and is told
-// the decision again. The order is the same one, told by another revision.
-func TestARolledBackVersionStaysBackAfterTheStoreWasRestored(t *testing.T) {
+// A store restored from before the decision reinstates a rolled-back version at no daemon, and the
+// decision is written to it again. The order is the same one under another revision.
+func TestARolledBackVersionStaysRolledBackAfterAStoreRestore(t *testing.T) {
 	tests := []struct {
 		name string
 		// copied is the status at which the copy is made, "" for before the first state.
 		copied string
 	}{
-		{"before it was begun", ""},
-		{"while it was tried", "trying v2"},
+		{"before the first state", ""},
+		{"while trying", "trying v2"},
 		{"after the decision", "rolledBack v2"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			tr := newTrial(t, 2)
-			tr.ask("v2")
+			tr := newTestRollout(t, 2)
+			tr.order("v2")
 			before := tr.store.Copy()
-			tr.g.Eventually(tr.status, soon, pause).Should(gomega.Equal("trying v2"))
+			tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal("trying v2"))
 			if tc.copied == "trying v2" {
 				before = tr.store.Copy()
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan struct{})
 			go func() { defer close(done); tr.serve(ctx, "v2", true) }()
-			tr.g.Eventually(tr.status, soon, pause).Should(gomega.Equal("rolledBack v2"))
+			tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal("rolledBack v2"))
 			cancel()
 			<-done
 			if tc.copied == "rolledBack v2" {
 				before = tr.store.Copy()
 			}
 			for _, d := range tr.daemons {
-				tr.g.Eventually(d.guard.Over, soon, pause).Should(gomega.BeTrue())
+				tr.g.Eventually(d.guard.Over, maxWait, pollInterval).Should(gomega.BeTrue())
 			}
 			tr.store.Restore(before)
 			preferred := 0
@@ -238,7 +240,7 @@
 					settled = settled && d.mirror.Era() == 1 && d.guard.Over()
 				}
 				return settled
-			}, soon, pause).Should(gomega.BeTrue())
+			}, maxWait, pollInterval).Should(gomega.BeTrue())
 			tr.g.Expect(preferred).To(gomega.BeZero(), "requests that were to go to the version")
 		})
 	}
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -10,95 +10,97 @@
 	"embertally.dev/core/plat"
 )
 
-// Guard keeps a daemon's requests to what roll-outs allow, and counts the answers. The zero value
-// knows no roll-out. Its methods may be called from several goroutines.
+// Guard restricts a daemon's requests to the versions that rollouts allow, and counts the answers.
+// The zero value has no rollouts. Its methods are safe for concurrent use.
 type Guard struct {
-	// Share is the part of the requests of a service that a version on trial may get of all
-	// daemons together. It is set before use.
+	// Share is the share of a service's requests that a canary version may get from all daemons
+	// together. It must be set before use.
 	Share float64
-	// Fresh, if set, reports whether this daemon knows what is asked for now. Without that nothing
-	// goes to a version on trial. It is set before use.
+	// Fresh, if set, reports whether this daemon's copy of the orders is current. Unless it is, no
+	// request goes to a canary version. It must be set before use.
 	Fresh func() bool
 
 	guardMu  sync.Mutex
 	services map[string]*service // guarded by guardMu
 }
 
-// service is a service that has or had a roll-out.
+// service is a service that has or had a rollout.
 type service struct {
 	order Order
-	// heard is when this daemon heard of the order.
-	heard clock.Time
-	state State
-	// lost tells that the store does not hold the state.
-	lost bool
-	// requests counts the service's requests since then, and tried those that were to go to the
-	// version on trial.
-	requests, tried int
-	oldRunning      int
-	routes          map[string]*Pair
+	// receivedAt is when this daemon received the order.
+	receivedAt clock.Time
+	state      State
+	// unstored reports that the store does not hold the state.
+	unstored bool
+	// requests counts the service's requests since then, and canaryRequests those that were to go
+	// to the canary version.
+	requests, canaryRequests int
+	// runningOnOld counts the requests in flight on versions other than the order's.
+	runningOnOld int
+	// routes holds the statistics of answers by route.
+	routes map[string]*Pair
 }
 
-// keptShare is the part of the allowed share that is used: requests that are counted here may end
-// before they are sent.
-const keptShare = 0.6
+// usedShare is the part of the allowed share that is used: requests counted here may end before
+// they are sent.
+const usedShare = 0.6
 
-// SetOrder takes what operators ask for; a zero Revision tells that the order was withdrawn.
+// SetOrder sets a service's order; a zero Revision means that the order was withdrawn.
 func (g *Guard) SetOrder(o Order) {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
-	s := g.of(o.Service)
+	s := g.ensure(o.Service)
 	if s.order.Revision == o.Revision {
 		return
 	}
 	if plat.Era(o.Revision) > plat.Era(s.order.Revision) && s.order.Revision != 0 && o.Version == s.order.Version && o.Lasts == s.order.Lasts {
-		// It is told anew by a store that came back from an older copy.
+		// The same order, read from a store restored from an older copy.
 		s.order.Revision = o.Revision
 		return
 	}
-	s.order, s.heard = o, clock.Now()
-	s.requests, s.tried, s.routes = 0, 0, map[string]*Pair{}
+	s.order, s.receivedAt = o, clock.Now()
+	s.requests, s.canaryRequests, s.routes = 0, 0, map[string]*Pair{}
 }
 
-// SetState takes how far the roll-out of a service is; the zero value tells that this was removed. A
-// state from before the known one, as a store tells that came back from an older copy, changes nothing
-// and is to be written again.
+// SetState sets the state of a service's rollout; the zero value means that it was removed. A state
+// older than the current one, as a store restored from an older copy holds it, changes nothing, and
+// the current state is written again.
 func (g *Guard) SetState(name string, st State) {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
-	s := g.of(name)
-	if st.Order != 0 && st.older(&s.state) {
-		s.lost = true
+	s := g.ensure(name)
+	if st.Order != 0 && st.olderThan(&s.state) {
+		s.unstored = true
 		return
 	}
-	s.state, s.lost = st, false
+	s.state, s.unstored = st, false
 }
 
-// Lose records that a store which came back from an older copy lacks the state of a service.
-func (g *Guard) Lose(name string) {
+// MarkUnstored records that a store restored from an older copy lacks a service's state.
+func (g *Guard) MarkUnstored(name string) {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
-	s := g.of(name)
-	s.lost = s.state.Order != 0
+	s := g.ensure(name)
+	s.unstored = s.state.Order != 0
 }
 
-// lost returns the states that the store lacks.
-func (g *Guard) lost() []open {
+// unstored returns the rollouts whose state the store lacks.
+func (g *Guard) unstored() []activeRollout {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
-	var out []open
+	var out []activeRollout
 	for name, s := range g.services {
-		if s.lost {
+		if s.unstored {
 			o := s.order
 			o.Service = name
-			out = append(out, open{o, s.state, clock.Since(s.heard)})
+			out = append(out, activeRollout{o, s.state, clock.Since(s.receivedAt)})
 		}
 	}
 	return out
 }
 
-// of is called with guardMu held.
-func (g *Guard) of(name string) *service {
+// ensure returns the entry of a service, creating it if needed. It is called with guardMu held.
+func (g *Guard) ensure(name string) *service {
 	if g.services == nil {
 		g.services = map[string]*service{}
 	}
@@ -110,28 +112,28 @@
 	return s
 }
 
-// phase returns how far the order is; one that nobody has begun is on trial.
+// phase returns the phase of the order; it is Trying until the first state is written.
 func (s *service) phase() Phase {
 	switch {
 	case s.order.Revision == 0:
 		return RolledBack
-	case !s.state.about(&s.order):
+	case !s.state.isFor(&s.order):
 		return Trying
 	}
 	return s.state.Phase
 }
 
-// blocked returns the versions that get nothing. The version of an order that was replaced or
-// withdrawn before it was decided is one of them.
+// blocked returns the versions that get no requests. They include the version of an order that was
+// replaced or withdrawn before it was decided.
 func (s *service) blocked() []string {
 	out := slices.Clone(s.state.Blocked)
-	if s.state.Order != 0 && !s.state.about(&s.order) && !s.state.Phase.Over() {
+	if s.state.Order != 0 && !s.state.isFor(&s.order) && !s.state.Phase.Over() {
 		out = append(out, s.state.Version)
 	}
 	return slices.DeleteFunc(out, func(v string) bool { return v == s.order.Version })
 }
 
-// Choose counts a request and returns which versions it may go to.
+// Choose counts a request and returns the versions it may go to.
 func (g *Guard) Choose(name string) Side {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
@@ -148,9 +150,9 @@
 	case Moving, Completed:
 		side.Prefer = s.order.Version
 	case Trying:
-		share := keptShare * g.Share
-		if float64(s.tried+1) <= share*float64(s.requests) && (g.Fresh == nil || g.Fresh()) {
-			s.tried++
+		share := usedShare * g.Share
+		if float64(s.canaryRequests+1) <= share*float64(s.requests) && (g.Fresh == nil || g.Fresh()) {
+			s.canaryRequests++
 			side.Prefer, side.Few = s.order.Version, share
 			return side
 		}
@@ -161,23 +163,23 @@
 	return side
 }
 
-// Begin counts a request that is sent to a version, and End that it has ended.
-func (g *Guard) Begin(name, version string) { g.running(name, version, 1) }
+// Begin counts a request that is sent to a version.
+func (g *Guard) Begin(name, version string) { g.addRunning(name, version, 1) }
 
-// End takes back what Begin counted.
-func (g *Guard) End(name, version string) { g.running(name, version, -1) }
+// End reverts what Begin counted.
+func (g *Guard) End(name, version string) { g.addRunning(name, version, -1) }
 
-// running counts requests at versions other than the new one. Those that were sent before the order
-// was heard end below zero and are not counted.
-func (g *Guard) running(name, version string, by int) {
+// addRunning changes the count of requests on versions other than the new one. Requests sent before
+// the order was received were not counted; the count stays at zero when they end.
+func (g *Guard) addRunning(name, version string, delta int) {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
 	if s := g.services[name]; s != nil && version != s.order.Version {
-		s.oldRunning = max(0, s.oldRunning+by)
+		s.runningOnOld = max(0, s.runningOnOld+delta)
 	}
 }
 
-// Answered counts an answer of a version, and whether it was good.
+// Answered counts a version's answer, and whether it was good.
 func (g *Guard) Answered(name, route, version string, good bool) {
 	g.observe(name, route, version, func(s *Sum) {
 		s.Answers++
@@ -187,7 +189,7 @@
 	})
 }
 
-// Timed counts the time to a first answer over that expected.
+// Timed records a time to the first answer, as its ratio to the expected time.
 func (g *Guard) Timed(name, route, version string, ratio float64) {
 	if !(ratio > 0) || math.IsInf(ratio, 0) {
 		return
@@ -200,7 +202,7 @@
 	})
 }
 
-// observe changes the sum of one version while its service has a roll-out that is not decided.
+// observe updates the statistics of a version while its service has an undecided rollout.
 func (g *Guard) observe(name, route, version string, f func(*Sum)) {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
@@ -220,7 +222,7 @@
 	}
 }
 
-// Reports returns what this daemon knows of the roll-outs that are not decided.
+// Reports returns this daemon's statistics of undecided rollouts.
 func (g *Guard) Reports() []Report {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
@@ -229,7 +231,7 @@
 		if s.phase().Over() {
 			continue
 		}
-		r := Report{Service: name, Order: s.order.Revision, Phase: s.phase(), OldRunning: s.oldRunning, Routes: map[string]Pair{}}
+		r := Report{Service: name, Order: s.order.Revision, Phase: s.phase(), RunningOnOld: s.runningOnOld, Routes: map[string]Pair{}}
 		for route, p := range s.routes {
 			r.Routes[route] = *p
 		}
@@ -238,28 +240,29 @@
 	return out
 }
 
-// open is a roll-out that is to be looked after.
-type open struct {
+// activeRollout is a rollout that is undecided or whose state is unstored.
+type activeRollout struct {
 	order Order
 	state State
+	// since is how long this daemon has had the order.
 	since time.Duration
 }
 
-// open returns the roll-outs that are not decided, and for how long they have been known here.
-func (g *Guard) open() []open {
+// active returns the undecided rollouts, and how long each has been known to this daemon.
+func (g *Guard) active() []activeRollout {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
-	var out []open
+	var out []activeRollout
 	for _, s := range g.services {
 		if !s.phase().Over() {
-			out = append(out, open{s.order, s.state, clock.Since(s.heard)})
+			out = append(out, activeRollout{s.order, s.state, clock.Since(s.receivedAt)})
 		}
 	}
 	return out
 }
 
-// Undecided returns how many roll-outs are not decided.
-func (g *Guard) Undecided() int { return len(g.open()) }
+// Undecided returns the number of undecided rollouts.
+func (g *Guard) Undecided() int { return len(g.active()) }
 
-// Over reports whether every roll-out is decided, and the store holds that.
-func (g *Guard) Over() bool { return g.Undecided() == 0 && len(g.lost()) == 0 }
+// Over reports whether every rollout is decided and the store holds the decisions.
+func (g *Guard) Over() bool { return g.Undecided() == 0 && len(g.unstored()) == 0 }
