--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -1,10 +1,9 @@
-// Package lease owns the right to act alone: a key in the key-value service
-// whose epoch rises with each holder.
+// Package lease owns leadership leases: keys in the coordination store whose epoch or fence rises
+// with each holder.
 //
-// Who should hold a lease is decided elsewhere, from who is alive. Whether an
-// act of a holder counts is decided here, by a compare in the same
-// transaction. No clock is involved: a holder that was paused and wakes fails
-// the compare.
+// It must not know which daemon should hold a lease; the callers decide that from their view of the
+// fleet's membership. Whether an action of a holder of a Lease takes effect depends on a compare in
+// the same transaction, not on a clock: a holder that was paused and resumes fails the compare.
 package lease
 
 import (
@@ -17,14 +16,13 @@
 	"embertally.dev/core/plat"
 )
 
-// KV is what a lease needs of the key-value service.
+// KV is the part of the coordination store that a Lease uses.
 type KV interface {
 	Read(ctx context.Context, key string) (*plat.Pair, error)
 	Commit(ctx context.Context, t plat.Txn) (plat.Outcome, error)
 }
 
-// Lease is the right to act as the holder of a key. The zero value is no
-// lease; its guard never holds.
+// Lease is a leadership lease on a key. The zero value is no lease; its guard never holds.
 type Lease struct {
 	key      string
 	epoch    uint64
@@ -35,28 +33,29 @@
 type record struct {
 	Holder string `json:"holder"`
 	Epoch  uint64 `json:"epoch"`
-	// Taking tells a holder whose write lost its answer that it took effect.
+	// Taking identifies one attempt to take the lease, so that a holder whose write got no answer
+	// can tell whether it took effect.
 	Taking string `json:"taking"`
 }
 
-// ErrTaken says that another holder took the lease at the same time.
+// ErrTaken means that another holder took the lease at the same time.
 var ErrTaken = errors.New("lease was taken by another")
 
 // Take makes holder the holder of key, whoever held it before.
 func Take(ctx context.Context, kv KV, key, holder string) (Lease, error) {
-	old, err := kv.Read(ctx, key)
+	current, err := kv.Read(ctx, key)
 	if err != nil {
 		return Lease{}, err
 	}
 	next := record{Holder: holder, Epoch: 1, Taking: uuid.NewString()}
 	compare := plat.Compare{Key: key}
-	if old != nil {
-		var was record
-		if err := json.Unmarshal(old.Value, &was); err != nil {
+	if current != nil {
+		var former record
+		if err := json.Unmarshal(current.Value, &former); err != nil {
 			return Lease{}, errors.Wrapf(err, "lease %s", key)
 		}
-		next.Epoch = was.Epoch + 1
-		compare.ModRevision = old.ModRevision
+		next.Epoch = former.Epoch + 1
+		compare.ModRevision = current.ModRevision
 	}
 	raw, err := json.Marshal(next)
 	if err != nil {
@@ -67,44 +66,44 @@
 	if err == nil && out.Succeeded {
 		return Lease{key: key, epoch: next.Epoch, revision: out.Revision}, nil
 	}
-	return settle(ctx, kv, key, next)
+	return confirmTake(ctx, kv, key, next)
 }
 
-// settle reads back whether a taking took effect.
-func settle(ctx context.Context, kv KV, key string, next record) (Lease, error) {
-	now, err := kv.Read(ctx, key)
+// confirmTake reads back whether an attempt to take the lease took effect.
+func confirmTake(ctx context.Context, kv KV, key string, next record) (Lease, error) {
+	current, err := kv.Read(ctx, key)
 	if err != nil {
 		return Lease{}, err
 	}
-	if now == nil {
+	if current == nil {
 		return Lease{}, errors.WithStack(ErrTaken)
 	}
-	var is record
-	if err := json.Unmarshal(now.Value, &is); err != nil || is.Taking != next.Taking {
+	var stored record
+	if err := json.Unmarshal(current.Value, &stored); err != nil || stored.Taking != next.Taking {
 		return Lease{}, errors.WithStack(ErrTaken)
 	}
-	return Lease{key: key, epoch: next.Epoch, revision: now.ModRevision}, nil
+	return Lease{key: key, epoch: next.Epoch, revision: current.ModRevision}, nil
 }
 
-// Held reports whether this is a lease at all.
+// Held reports whether the lease was taken. Whether it still applies is decided by the compare with
+// Guard.
 func (l Lease) Held() bool { return l.epoch > 0 }
 
-// Epoch returns the number of the holder among those of the key.
+// Epoch returns the number of this holder in the sequence of the key's holders.
 func (l Lease) Epoch() uint64 { return l.epoch }
 
-// Fence returns the number that fences the holder's orders. It rises with
-// every holder of every lease, so that a target which passes from one lease to
-// another sees it rise as well.
+// Fence returns the fencing number for the holder's orders. It rises with every holder of every
+// lease, so a target that passes from one lease to another sees it rise as well.
 func (l Lease) Fence() uint64 { return uint64(max(0, l.revision)) }
 
-// Guard returns the condition under which acts of this holder count.
+// Guard returns the condition under which the holder's writes take effect.
 func (l Lease) Guard() plat.Compare {
 	if !l.Held() {
-		// A key that exists never has this revision.
+		// No key ever has this revision.
 		return plat.Compare{Key: l.key, ModRevision: -1}
 	}
 	return plat.Compare{Key: l.key, ModRevision: l.revision}
 }
 
-// isOver reports whether the service says that a session has ended.
-func isOver(err error) bool { return errors.Is(err, plat.ErrSessionOver) }
+// isSessionOver reports whether the coordination store answered that a session has expired.
+func isSessionOver(err error) bool { return errors.Is(err, plat.ErrSessionOver) }
--- a/core/lease/presence.go
+++ b/core/lease/presence.go
@@ -9,8 +9,8 @@
 	"embertally.dev/core/wait"
 )
 
-// Presence keeps one key in the service for as long as this process lives, so
-// that others can find it. The key goes when the process is silent for Life.
+// Presence keeps a key in the coordination store while this process lives, so that others can find
+// it. The key expires after Life without a renewal.
 type Presence struct {
 	Key    string
 	Value  []byte
@@ -18,81 +18,81 @@
 	Store  plat.Store
 	Mirror *plat.Mirror
 	Log    *event.Log
-	// session is zero while none is open; only run uses it.
+	// session is zero while none is open; only Run uses it.
 	session plat.Session
-	// seen tells that the service was reached at the last try.
-	seen bool
+	// reachable reports that the store answered at the last attempt.
+	reachable bool
 }
 
 const (
-	// presenceShare is how many renewals fall into the key's life.
-	presenceShare = 4
-	// presenceRetry is the pause before the first try after one that failed. Each further
-	// one is twice as long, up to the pause between renewals: 295 daemons that tried every
-	// 0.4 s made most of 8,889 priced calls in an outage of eight seconds.
-	presenceRetry = 400 * time.Millisecond
+	// renewalsPerLife is how many renewals fall into the key's life.
+	renewalsPerLife = 4
+	// initialRetryPause is the pause after the first failed attempt. It doubles with each further
+	// failure, up to the pause between renewals: 295 daemons that retried every 0.4 s made most of
+	// 8,889 priced calls in an outage of eight seconds.
+	initialRetryPause = 400 * time.Millisecond
 )
 
 // Run keeps the key until ctx ends, and then removes it.
 func (p *Presence) Run(ctx context.Context) {
-	pause, retry := time.Duration(0), presenceRetry
+	pause, retry := time.Duration(0), initialRetryPause
 	for {
 		pause, retry = p.pauses(p.step(ctx), retry)
 		if !wait.For(ctx, pause) {
-			p.leave()
+			p.endSession()
 			return
 		}
 	}
 }
 
-// pauses returns the pause after a try that ended with err, and the retry after the next
-// one that fails.
+// pauses returns the pause after an attempt that returned err, and the retry pause after the next
+// failure.
 func (p *Presence) pauses(err error, retry time.Duration) (pause, next time.Duration) {
-	regular := p.Life / presenceShare
+	regular := p.Life / renewalsPerLife
 	switch {
 	case err == nil:
-		return regular, presenceRetry
-	case isOver(err):
-		// The service answers and the key has gone.
-		return presenceRetry, presenceRetry
+		return regular, initialRetryPause
+	case isSessionOver(err):
+		// The store is reachable and the key has expired.
+		return initialRetryPause, initialRetryPause
 	}
 	return min(retry, regular), min(2*retry, regular)
 }
 
-// step renews the session or writes the key; without an error the key is there.
+// step renews the session or writes the key. A nil error means that the key exists.
 func (p *Presence) step(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := p.renew(ctx)
 	if err == nil {
-		p.seen = true
+		p.reachable = true
 		return nil
 	}
-	if isOver(err) {
+	if isSessionOver(err) {
 		p.session = plat.Session{}
 	}
-	if p.seen {
+	if p.reachable {
 		p.Log.Emit(event.ServiceDown, event.Ref{Resource: p.Key}, err.Error())
 	}
-	p.seen = false
+	p.reachable = false
 	return err
 }
 
-// renew renews the session, and writes the key where it is not as it must be.
+// renew renews the session, and writes the key if it is missing or differs.
 func (p *Presence) renew(ctx context.Context) error {
 	if p.session != (plat.Session{}) {
 		if err := p.Store.Renew(ctx, p.session); err != nil {
 			return err
 		}
-		if pair, there := p.Mirror.Pair(p.Key); there && string(pair.Value) == string(p.Value) {
+		if pair, found := p.Mirror.Pair(p.Key); found && string(pair.Value) == string(p.Value) {
 			return nil
 		}
 	}
-	return p.write(ctx)
+	return p.writeKey(ctx)
 }
 
-// write makes the key, whatever a former run of this daemon left there.
-func (p *Presence) write(ctx context.Context) error {
+// writeKey writes the key, replacing what a former incarnation of this daemon left there.
+func (p *Presence) writeKey(ctx context.Context) error {
 	if p.session == (plat.Session{}) {
 		session, err := p.Store.Open(ctx, p.Life)
 		if err != nil {
@@ -104,13 +104,13 @@
 	return err
 }
 
-// leave ends the session, with which the key goes.
-func (p *Presence) leave() {
+// endSession ends the session, which removes the key.
+func (p *Presence) endSession() {
 	if p.session == (plat.Session{}) || p.session.Era != p.Mirror.Era() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	// Where this fails the key goes by itself a little later.
+	// If this fails, the key expires a little later.
 	_ = p.Store.End(ctx, p.session)
 }
--- a/core/lease/timed_test.go
+++ b/core/lease/timed_test.go
@@ -17,10 +17,10 @@
 	"embertally.dev/core/wait"
 )
 
-// apart is short, so that tests pass quickly; conditions are waited for.
+// apart is short, so that tests are fast; they wait for conditions rather than times.
 const apart = 400 * time.Millisecond
 
-// holder is one daemon that wants a lease.
+// holder is one daemon that competes for a lease.
 type holder struct {
 	lease  *Timed
 	mirror *plat.Mirror
@@ -32,7 +32,7 @@
 	return newHolderApart(t, kv, name, rank, apart)
 }
 
-// newHolderApart is newHolder with another least time between the acts of two holders.
+// newHolderApart is newHolder with another least time between the actions of two holders.
 func newHolderApart(t *testing.T, kv *memkv.KV, name string, rank int, apart time.Duration) *holder {
 	log := &event.Log{}
 	mirror := plat.NewMirror(kv, plat.Prefix(""), log)
@@ -62,7 +62,7 @@
 	g.Eventually(first.may, "10s", "5ms").Should(gomega.BeTrue())
 	second := newHolder(t, kv, "b", 1)
 	fence, _ := first.lease.Act()
-	// The holder falls silent and its session runs out.
+	// The holder stops renewing and its session expires.
 	first.stop()
 	g.Expect(second.may()).To(gomega.BeFalse())
 	kv.Expire()
@@ -83,7 +83,7 @@
 	g.Eventually(h.may, "10s", "5ms").Should(gomega.BeTrue())
 }
 
-func TestTakingWithALostAnswerIsFound(t *testing.T) {
+func TestTakeWithALostAnswerIsDetected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	var lost atomic.Bool
@@ -98,19 +98,19 @@
 	g.Expect(kv.Writes()).To(gomega.Equal(1))
 }
 
-func TestGivenBackOnlyAfterTheLastActIsLongAgo(t *testing.T) {
+func TestReleaseAfterARecentActLeavesTheKey(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	first := newHolder(t, kv, "a", 0)
 	g.Eventually(first.may, "10s", "5ms").Should(gomega.BeTrue())
-	// It has just acted: its key stays until the session runs out.
+	// It has just acted: its key remains until the session expires.
 	first.stop()
 	pair, err := kv.Read(context.Background(), "duty")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(pair).NotTo(gomega.BeNil())
 }
 
-func TestGivenBackAtOnceWithoutAnAct(t *testing.T) {
+func TestReleaseWithoutAnActRemovesTheKey(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	first := newHolder(t, kv, "a", 0)
@@ -137,7 +137,7 @@
 	g.Expect(next).To(gomega.BeNumerically(">", fence))
 }
 
-func TestPresenceIsThereWhileItLives(t *testing.T) {
+func TestPresenceKeepsItsKeyWhileRunning(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	log := &event.Log{}
@@ -147,40 +147,40 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { mirror.Run(ctx) })
 	wg.Go(func() { p.Run(ctx) })
-	there := func() bool {
+	exists := func() bool {
 		pair, _ := kv.Read(context.Background(), "box")
 		return pair != nil
 	}
-	g.Eventually(there, "10s", "5ms").Should(gomega.BeTrue())
+	g.Eventually(exists, "10s", "5ms").Should(gomega.BeTrue())
 	kv.Expire()
-	g.Eventually(there, "10s", "5ms").Should(gomega.BeTrue())
+	g.Eventually(exists, "10s", "5ms").Should(gomega.BeTrue())
 	cancel()
 	wg.Wait()
-	g.Expect(there()).To(gomega.BeFalse())
+	g.Expect(exists()).To(gomega.BeFalse())
 }
 
-// In an outage of eight seconds a daemon makes five tries, not twenty, and a key that has
-// gone meanwhile is written again at once.
-func TestPresenceTriesSeldomWhileTheServiceIsSilent(t *testing.T) {
+// In an outage of eight seconds a daemon makes five attempts, not twenty, and a key that has
+// expired meanwhile is written again soon.
+func TestPresenceBacksOffWhileTheStoreIsUnreachable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := &Presence{Life: 12 * time.Second}
-	silent := errors.New("no answer")
-	tries, retry := 0, presenceRetry
-	for lasted := time.Duration(0); lasted < 8*time.Second; tries++ {
+	errUnreachable := errors.New("no answer")
+	attempts, retry := 0, initialRetryPause
+	for elapsed := time.Duration(0); elapsed < 8*time.Second; attempts++ {
 		var pause time.Duration
-		pause, retry = p.pauses(silent, retry)
-		lasted += pause
+		pause, retry = p.pauses(errUnreachable, retry)
+		elapsed += pause
 	}
-	g.Expect(tries).To(gomega.Equal(5))
+	g.Expect(attempts).To(gomega.Equal(5))
 	pause, retry := p.pauses(plat.ErrSessionOver, retry)
-	g.Expect([]time.Duration{pause, retry}).To(gomega.Equal([]time.Duration{presenceRetry, presenceRetry}))
+	g.Expect([]time.Duration{pause, retry}).To(gomega.Equal([]time.Duration{initialRetryPause, initialRetryPause}))
 	pause, retry = p.pauses(nil, 3*time.Second)
-	g.Expect([]time.Duration{pause, retry}).To(gomega.Equal([]time.Duration{3 * time.Second, presenceRetry}))
+	g.Expect([]time.Duration{pause, retry}).To(gomega.Equal([]time.Duration{3 * time.Second, initialRetryPause}))
 }
 
-// A machine is suspended, and its steady clock stands still: the renewal seems young. Who
-// takes the lease meanwhile may have acted.
-func TestAHolderThatWasSuspendedDoesNotAct(t *testing.T) {
+// During a system suspend the monotonic clock stands still, so the last renewal seems recent.
+// Another daemon may have taken the lease meanwhile and acted.
+func TestAHolderDoesNotActAfterASystemSuspend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	h := newHolder(t, kv, "a", 0)
@@ -192,11 +192,11 @@
 	g.Eventually(h.may, "10s", "5ms").Should(gomega.BeTrue())
 }
 
-// A daemon that does not ask the service itself takes a lease by what its peers tell it.
-func TestADaemonThatPeersTellTakesALease(t *testing.T) {
+// A daemon that does not query the store itself takes a lease by its peers' information.
+func TestADaemonTakesALeaseByPeerInformation(t *testing.T) {
 	tests := []struct {
 		name string
-		// age is how old what peers told is.
+		// age is the age of the peers' information.
 		age  time.Duration
 		want bool
 	}{
@@ -227,21 +227,21 @@
 	}
 }
 
-// keepAnswering makes watches of a service answer all the time, as those of a real one do.
+// keepAnswering makes the store's watches answer continuously, as those of a real store do.
 func keepAnswering(t *testing.T, kv *memkv.KV) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		wait.Every(ctx, 100*time.Millisecond, func() {
-			// It never fails: the service has no faults here.
+			// It never fails: the store has no faults here.
 			_, _ = kv.Commit(ctx, plat.Txn{Puts: []plat.Put{{Key: "tick"}}})
 		})
 	})
 	t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// A restored service may lack the key of a holder that has acted a moment ago.
-func TestTheNextHolderWaitsAfterTheServiceLostTheKey(t *testing.T) {
+// A restored store may lack the key of a holder that acted a moment ago.
+func TestTheNextHolderWaitsAfterTheStoreLostTheKey(t *testing.T) {
 	const apart = 3 * time.Second
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
@@ -252,13 +252,13 @@
 	g.Eventually(first.may, "20s", "1ms").Should(gomega.BeTrue())
 	fence, _ := first.lease.Act()
 	second := newHolderApart(t, kv, "b", 0, apart)
-	g.Eventually(func() bool { _, there := second.mirror.Pair("duty"); return there }, "20s", "1ms").Should(gomega.BeTrue())
+	g.Eventually(func() bool { _, exists := second.mirror.Pair("duty"); return exists }, "20s", "1ms").Should(gomega.BeTrue())
 	var last clock.Time
 	g.Eventually(func() bool { last = clock.Now(); return first.may() }, "20s", "1ms").Should(gomega.BeTrue())
 	kv.Restore(before)
 	first.stop()
 	g.Eventually(second.may, "30s", "1ms").Should(gomega.BeTrue())
-	g.Expect(clock.Since(last)).To(gomega.BeNumerically(">=", apart), "between the acts of two holders")
+	g.Expect(clock.Since(last)).To(gomega.BeNumerically(">=", apart), "between the actions of two holders")
 	next, _ := second.lease.Act()
 	g.Expect(next).To(gomega.BeNumerically(">", fence), "a target has seen the former fence")
 	g.Expect(first.may()).To(gomega.BeFalse())
