--- a/core/lease/timed.go
+++ b/core/lease/timed.go
@@ -218,7 +218,7 @@
 	t.fence = uint64(revision)
 	delay := t.o.Apart/actDivisor + transitMargin
 	t.actsFrom = clock.Now().Add(delay)
-	t.o.Log.Emit(event.LeaseTaken, event.Ref{Resource: t.o.Key}, "may act in "+delay.String())
+	t.o.Log.Emit(event.LeaseTaken, event.Ref{Resource: t.o.Key}, "may act "+delay.String()+" from now")
 }
 
 // take opens a session and writes the key under it, unless the key exists.
