--- a/core/order/updater.go
+++ b/core/order/updater.go
@@ -104,7 +104,8 @@
 // sharded reports whether a service is sharded by cell.
 func (s *Swapper) sharded(service string) bool { return s.o.Divided != nil && s.o.Divided(service) }
 
-// partitions returns how many leases the workers of a service that this daemon knows are spread over.
+// partitions returns the number of leases that the workers of a service, as this daemon knows them,
+// are spread over.
 func (s *Swapper) partitions(service string) int {
 	if s.sharded(service) {
 		return 1
@@ -271,8 +272,8 @@
 // ownQuota returns how many updates of a partition may run regardless of other partitions.
 func ownQuota(workers, partitions int) int { return max(1, workers/updateDivisor/partitions) }
 
-// allowExtra reports whether a partition may start one more update because other partitions have fewer
-// workers left. Heartbeats must carry the last one first.
+// allowExtra reports whether a partition may start one more update because other partitions have
+// fewer workers left. Heartbeats must carry the last one first.
 func (s *Swapper) allowExtra(total, workers int, now time.Time) bool {
 	if total >= max(minUpdates, workers/updateDivisor) || now.Sub(s.lastExtra) < extraInterval {
 		return false
--- a/core/poison/attempts_test.go
+++ b/core/poison/attempts_test.go
@@ -17,7 +17,7 @@
 		{"once, just before", []string{"a"}, false},
 		{"twice", []string{"a", "a"}, false},
 		{"three times", []string{"a", "a", "a"}, true},
-		{"three times, the last at another run", []string{"a", "a", "b"}, true},
+		{"three times, the last at another incarnation", []string{"a", "a", "b"}, true},
 		{"three times in turn", []string{"a", "b", "a"}, false},
 	}
 	for _, tc := range tests {
--- a/core/poison/blocks_test.go
+++ b/core/poison/blocks_test.go
@@ -117,8 +117,8 @@
 		k.countCrash(digestOf(fmt.Sprint(i)), "org", "inc-1", fullWeight)
 	}
 	g.Expect(k.size()).To(gomega.Equal(maxSuspects))
-	_, block := k.countCrash(f, "org", "inc-3", fullWeight)
-	g.Expect(block).To(gomega.BeTrue())
+	_, mustBlock := k.countCrash(f, "org", "inc-3", fullWeight)
+	g.Expect(mustBlock).To(gomega.BeTrue())
 }
 
 // A crash counts for an hour.
@@ -129,7 +129,7 @@
 	k.countCrash(f, "org", "inc-1", fullWeight)
 	k.countCrash(f, "org", "inc-2", fullWeight)
 	clock.Suspend(crashWindow + time.Second)
-	crashes, block := k.countCrash(f, "org", "inc-3", fullWeight)
+	crashes, mustBlock := k.countCrash(f, "org", "inc-3", fullWeight)
 	g.Expect(crashes).To(gomega.Equal(1))
-	g.Expect(block).To(gomega.BeFalse())
+	g.Expect(mustBlock).To(gomega.BeFalse())
 }
--- a/core/poison/guard_test.go
+++ b/core/poison/guard_test.go
@@ -96,8 +96,8 @@
 }
 
 // crash makes an incarnation crash under a request at one daemon.
-func (r *testFleet) crash(at int, f Fingerprint, incarnation string) {
-	r.daemons[at%len(r.daemons)].guard.Lost(f, "org", incarnation, "10.0.0.1:1")
+func (r *testFleet) crash(daemon int, f Fingerprint, incarnation string) {
+	r.daemons[daemon%len(r.daemons)].guard.Lost(f, "org", incarnation, "10.0.0.1:1")
 }
 
 // blockedDaemons returns a function that counts the daemons that block a request.
@@ -324,10 +324,10 @@
 func TestNilGuardBlocksNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var none *Guard
-	none.Lost(digestOf("a"), "org", "run", "10.0.0.1:1")
-	none.Good(digestOf("a"), "org", "run")
-	none.Refused("run", syscall.ECONNREFUSED)
-	none.Ended("run")
+	none.Lost(digestOf("a"), "org", "inc", "10.0.0.1:1")
+	none.Good(digestOf("a"), "org", "inc")
+	none.Refused("inc", syscall.ECONNREFUSED)
+	none.Ended("inc")
 	_, blocked := none.Blocked(digestOf("a"))
 	g.Expect(blocked).To(gomega.BeFalse())
 	g.Expect(none.Ends(digestOf("a"))).To(gomega.BeZero())
@@ -338,21 +338,21 @@
 func TestSimultaneousCrashesCountHalf(t *testing.T) {
 	r := newTestFleet(t, 2)
 	f := digestOf("long")
-	wave := func(i int) {
+	crashTwo := func(i int) {
 		r.crash(0, f, fmt.Sprintf("inc-%d", i))
 		r.crash(0, digestOf(fmt.Sprint("harmless", i)), fmt.Sprintf("other-%d", i))
 		r.waitForCrashes(f, i+1)
 		clock.Suspend(simultaneousWindow)
 	}
 	for i := range 3 {
-		wave(i)
+		crashTwo(i)
 	}
 	// It may be blocked for a moment, until the other crashes show.
 	r.g.Eventually(func() int { return r.daemons[0].guard.tracker.weightOf(f) }, maxWait, "5ms").Should(gomega.Equal(3 * halfWeight))
 	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.BeZero())
 	r.g.Consistently(r.blockedDaemons(f), 5*heartbeat, "5ms").Should(gomega.BeZero())
 	for i := 3; i < 6; i++ {
-		wave(i)
+		crashTwo(i)
 	}
 	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(2))
 	r.daemons[1].guard.Good(f, "org", "well")
@@ -364,19 +364,19 @@
 func TestAnIncarnationThatRespondsAgainHasNotCrashed(t *testing.T) {
 	r := newTestFleet(t, 1)
 	g := r.daemons[0].guard
-	r.crash(0, digestOf("a"), "run")
+	r.crash(0, digestOf("a"), "inc")
 	r.waitForCrashes(digestOf("a"), 1)
-	g.Answers("run")
+	g.Answers("inc")
 	r.alive.Store(true)
-	r.crash(0, digestOf("b"), "run")
+	r.crash(0, digestOf("b"), "inc")
 	r.g.Consistently(g.Suspects, 3*redialPause, "10ms").Should(gomega.Equal(1))
 }
 
 // weightOf returns the weight of the crashes under a request.
-func (k *crashTracker) weightOf(f Fingerprint) int {
-	k.trackerMu.Lock()
-	defer k.trackerMu.Unlock()
-	if s := k.suspects[f]; s != nil {
+func (t *crashTracker) weightOf(f Fingerprint) int {
+	t.trackerMu.Lock()
+	defer t.trackerMu.Unlock()
+	if s := t.suspects[f]; s != nil {
 		return s.weight()
 	}
 	return 0
--- a/core/poison/report.go
+++ b/core/poison/report.go
@@ -147,8 +147,8 @@
 	if r.Alone {
 		weight = fullWeight
 	}
-	crashes, block := g.tracker.countCrash(r.Request, r.Organisation, r.Incarnation, weight)
-	if block || g.blocks.previousBlocks(r.Request) > 0 {
+	crashes, mustBlock := g.tracker.countCrash(r.Request, r.Organisation, r.Incarnation, weight)
+	if mustBlock || g.blocks.previousBlocks(r.Request) > 0 {
 		b := g.blocks.add(r.Request, r.Organisation, "crashed under it: "+g.tracker.names(r.Request)+"; last reported by "+from)
 		g.sendToCells(b)
 	}
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -80,15 +80,15 @@
 // countCrash records one daemon's report that an incarnation crashed under a request. It returns
 // the number of crashes, and whether the request is to be blocked. An incarnation counts once,
 // whichever daemons report it.
-func (k *crashTracker) countCrash(f Fingerprint, organisation, incarnation string, weight int) (crashes int, block bool) {
-	k.trackerMu.Lock()
-	defer k.trackerMu.Unlock()
+func (t *crashTracker) countCrash(f Fingerprint, organisation, incarnation string, weight int) (crashes int, mustBlock bool) {
+	t.trackerMu.Lock()
+	defer t.trackerMu.Unlock()
 	now := clock.Now()
-	s := k.suspects[f]
+	s := t.suspects[f]
 	if s == nil {
-		k.evictOne()
+		t.evictOne()
 		s = &suspect{crashes: map[string]countedCrash{}}
-		k.suspects[f] = s
+		t.suspects[f] = s
 	}
 	for name, c := range s.crashes {
 		if now.Sub(c.at) > crashWindow {
@@ -96,62 +96,62 @@
 		}
 	}
 	if s.add(incarnation, weight, now) && len(s.crashes) == maxCrashes-1 {
-		k.log.Emit(event.RequestSuspected, event.Ref{Organisation: organisation}, "asks "+f.String()+"; crashed under it: "+s.names())
+		t.log.Emit(event.RequestSuspected, event.Ref{Organisation: organisation}, "asks "+f.String()+"; crashed under it: "+s.names())
 	}
 	return len(s.crashes), s.weight() >= blockWeight
 }
 
 // halveCrash makes a crash that coincided with others count half, and reports whether the request
 // thereby falls below the weight for a block.
-func (k *crashTracker) halveCrash(f Fingerprint, incarnation string) bool {
-	k.trackerMu.Lock()
-	defer k.trackerMu.Unlock()
-	s := k.suspects[f]
+func (t *crashTracker) halveCrash(f Fingerprint, incarnation string) bool {
+	t.trackerMu.Lock()
+	defer t.trackerMu.Unlock()
+	s := t.suspects[f]
 	if s == nil {
 		return false
 	}
-	block := s.weight() >= blockWeight
+	mustBlock := s.weight() >= blockWeight
 	s.add(incarnation, halfWeight, clock.Now())
-	return block && s.weight() < blockWeight
+	return mustBlock && s.weight() < blockWeight
 }
 
 // forget removes the crashes attributed to a request.
-func (k *crashTracker) forget(f Fingerprint) {
-	k.trackerMu.Lock()
-	defer k.trackerMu.Unlock()
-	delete(k.suspects, f)
+func (t *crashTracker) forget(f Fingerprint) {
+	t.trackerMu.Lock()
+	defer t.trackerMu.Unlock()
+	delete(t.suspects, f)
 }
 
 // names returns the incarnations that crashed under a request, for the log.
-func (k *crashTracker) names(f Fingerprint) string {
-	k.trackerMu.Lock()
-	defer k.trackerMu.Unlock()
-	if s := k.suspects[f]; s != nil {
+func (t *crashTracker) names(f Fingerprint) string {
+	t.trackerMu.Lock()
+	defer t.trackerMu.Unlock()
+	if s := t.suspects[f]; s != nil {
 		return s.names()
 	}
 	return ""
 }
 
 // size returns the number of suspected requests.
-func (k *crashTracker) size() int {
-	k.trackerMu.Lock()
-	defer k.trackerMu.Unlock()
-	return len(k.suspects)
+func (t *crashTracker) size() int {
+	t.trackerMu.Lock()
+	defer t.trackerMu.Unlock()
+	return len(t.suspects)
 }
 
 // evictOne evicts one suspect if there are too many. It is called with trackerMu held.
-func (k *crashTracker) evictOne() {
-	if len(k.suspects) < maxSuspects {
+func (t *crashTracker) evictOne() {
+	if len(t.suspects) < maxSuspects {
 		return
 	}
 	var digest Fingerprint
 	var found *suspect
-	for f, s := range k.suspects {
+	for f, s := range t.suspects {
 		if found == nil || len(s.crashes) < len(found.crashes) || (len(s.crashes) == len(found.crashes) && s.lastCrash.Before(found.lastCrash)) {
 			digest, found = f, s
 		}
 	}
-	delete(k.suspects, digest)
+	delete(t.suspects, digest)
 }
 
 // names returns the number and names of the incarnations that crashed.
