--- /dev/null
+++ b/core/poison/operators.go
@@ -0,0 +1,42 @@
+package poison
+
+import "time"
+
+// BlockedRequest is a blocked request as shown to operators.
+type BlockedRequest struct {
+	Asks         string    `json:"asks"`
+	Organisation string    `json:"organisation"`
+	Until        time.Time `json:"until"`
+	Times        int       `json:"times"`
+}
+
+// List returns the blocked requests, ordered by digest.
+func (g *Guard) List() []BlockedRequest {
+	out := []BlockedRequest{}
+	for _, b := range g.blocks.list() {
+		if !b.Released && b.Remaining > 0 {
+			out = append(out, BlockedRequest{b.Request.String(), b.Organisation, time.Now().Add(b.Remaining).UTC(), b.Times})
+		}
+	}
+	return out
+}
+
+// Release revokes a block in all daemons, and reports whether there was one.
+func (g *Guard) Release(f Fingerprint, why string) bool {
+	g.tracker.forget(f)
+	return g.release(f, why)
+}
+
+// Blocks returns the number of blocked requests.
+func (g *Guard) Blocks() int { return g.blocks.count() }
+
+// Suspects returns the number of requests that this daemon counts crashes for.
+func (g *Guard) Suspects() int { return g.tracker.size() }
+
+// EndedRuns returns the number of incarnations of targets that crashed under requests of this
+// daemon.
+func (g *Guard) EndedRuns() int64 {
+	g.countsMu.Lock()
+	defer g.countsMu.Unlock()
+	return g.crashCount
+}
