--- /dev/null
+++ b/emberd/internal/host/applied.go
@@ -0,0 +1,209 @@
+package host
+
+import (
+	"context"
+	"strings"
+	"sync"
+	"time"
+
+	"embertally.dev/core/cache"
+	"embertally.dev/core/canary"
+	"embertally.dev/core/event"
+	"embertally.dev/core/plat"
+	"embertally.dev/core/table"
+	"embertally.dev/core/wait"
+	"embertally.dev/platform"
+)
+
+// firstTable holds the first configuration of a store that may have been restored from an older copy.
+// It is applied once peers have been queried for a newer one.
+type firstTable struct {
+	mu      sync.Mutex
+	pending *table.Table // the configuration until then, else nil; guarded by mu
+}
+
+const (
+	// peersPollInterval is the interval at which awaitPeers looks for peers, and peersTimeout bounds its
+	// wait for the fleet to read the box list.
+	peersPollInterval = 50 * time.Millisecond
+	peersTimeout      = 500 * time.Millisecond
+	// pullRetryDelay is the pause before peers are queried again when none has answered.
+	pullRetryDelay = time.Second
+)
+
+// watchStoreIncarnations queries peers when the first copy of each store incarnation has been read, until
+// ctx is cancelled.
+func (h *Host) watchStoreIncarnations(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-h.incarnationCheck:
+		}
+		if h.watchCache.Era() == 0 {
+			continue
+		}
+		for end := time.Now().Add(restoredGrace); !h.pullApplied(ctx) && time.Now().Before(end); {
+			if !wait.For(ctx, pullRetryDelay) {
+				return
+			}
+		}
+	}
+}
+
+// wakeIncarnationWatch makes watchStoreIncarnations query the peers. It is called when the store may be in
+// another incarnation.
+func (h *Host) wakeIncarnationWatch() {
+	select {
+	case h.incarnationCheck <- struct{}{}:
+	default:
+		// A wake-up is already pending.
+	}
+}
+
+// pullApplied queries peers for values that are newer than the store's, and applies the first
+// configuration if it is still pending. It returns false if there are peers and none has answered.
+func (h *Host) pullApplied(ctx context.Context) bool {
+	done := !h.awaitPeers(ctx) || h.applied.Pull(ctx, h.takePeerValue) > 0
+	h.firstTable.mu.Lock()
+	h.applied.MarkReady()
+	pending := h.firstTable.pending
+	h.firstTable.pending = nil
+	h.firstTable.mu.Unlock()
+	if pending != nil {
+		h.applyTable(pending)
+	}
+	return done
+}
+
+// awaitPeers waits until the fleet has peers, and reports whether there are any.
+func (h *Host) awaitPeers(ctx context.Context) bool {
+	for end := time.Now().Add(peersTimeout); ; {
+		if len(h.fleet.View().Peers()) > 0 {
+			return true
+		}
+		if h.isOnlyBox() || !time.Now().Before(end) || !wait.For(ctx, peersPollInterval) {
+			return false
+		}
+	}
+}
+
+// isOnlyBox reports whether the store lists no other box.
+func (h *Host) isOnlyBox() bool {
+	for _, p := range h.watchCache.Under(keyBoxes) {
+		if strings.TrimPrefix(p.Key, keyBoxes) != h.settings.Name {
+			return false
+		}
+	}
+	return true
+}
+
+// takePeerValue applies a value of a peer that is newer than the store's or that the store lacks.
+func (h *Host) takePeerValue(p plat.Pair) {
+	recoverPanic(p.Key, func() { h.applyPeerValue(p) })
+}
+
+// applyPeerValue is takePeerValue without the recovery from panics.
+func (h *Host) applyPeerValue(p plat.Pair) {
+	update, err := h.decoder.Read(plat.Change{Pair: p})
+	if err != nil {
+		h.log.Emit(event.ConfUnderived, event.Ref{Resource: p.Key}, err.Error())
+		return
+	}
+	switch {
+	case update.Evacuation != nil:
+		h.roster.Evacuate(update.Evacuation.Domain, true, time.Now())
+		h.endEvacuationLater(update.Evacuation.Domain, p.Key)
+	case update.Rollout != nil:
+		h.applyRollout(p, update.Rollout)
+	default:
+		h.applyVersioned(p, update)
+	}
+	if update.Table != nil {
+		h.applyTable(update.Table)
+	}
+}
+
+// applyVersioned records a configuration that is being applied, and applies desired weights. The versions
+// of both only rise.
+func (h *Host) applyVersioned(p plat.Pair, update platform.News) {
+	switch {
+	case update.Table != nil:
+		h.applied.Set(p, update.Table.Version())
+	case update.Named != nil:
+		h.applied.Set(p, update.Named.Version)
+		h.desired.set(update.Named.Model, update.Named.Version)
+		h.log.Emit(event.ConfApplied, event.Ref{Resource: p.Key}, "desired weights: version "+itoa(update.Named.Version))
+	}
+}
+
+// applyRollout applies operators' rollout of a version; the order's revision is 0 if they withdrew it.
+func (h *Host) applyRollout(p plat.Pair, o *canary.Order) {
+	if o.Revision == 0 {
+		h.applied.Remove(p.Key)
+	} else {
+		h.applied.Set(p, 0)
+	}
+	h.canary.SetOrder(*o)
+	h.log.Emit(event.ConfApplied, event.Ref{Resource: p.Key}, "rollout of version "+o.Version+", duration "+o.Lasts.String())
+}
+
+// applyEvacuation starts or ends the evacuation of a failure domain.
+func (h *Host) applyEvacuation(p plat.Pair, e *platform.Evacuation) {
+	if e.On {
+		h.applied.Set(p, 0)
+	} else {
+		h.applied.Remove(p.Key)
+	}
+	h.roster.Evacuate(e.Domain, e.On, time.Now())
+}
+
+// restoredGrace is how long an evacuation that is missing from a restored store stays applied, since
+// operators write again what the store has lost. It also bounds the retries to query peers.
+const restoredGrace = 10 * time.Second
+
+// endEvacuationLater ends an evacuation that is missing from a restored store after restoredGrace, unless
+// it has been written again.
+func (h *Host) endEvacuationLater(domain, key string) {
+	time.AfterFunc(restoredGrace, func() {
+		if _, present := h.watchCache.Pair(key); !present {
+			h.applied.Remove(key)
+			h.roster.Evacuate(domain, false, time.Now())
+		}
+	})
+}
+
+// applyFromStore applies a configuration of the store. If the store may have been restored from a copy, the
+// first one stays pending until peers have been queried.
+func (h *Host) applyFromStore(t *table.Table) {
+	h.firstTable.mu.Lock()
+	defers := !h.applied.Ready() && h.watchCache.Era() > 0
+	if defers {
+		h.firstTable.pending = t
+	}
+	h.firstTable.mu.Unlock()
+	if !defers {
+		h.applyTable(t)
+	}
+}
+
+// applyTable applies a configuration, unless a newer one is already applied.
+func (h *Host) applyTable(t *table.Table) {
+	h.applyMu.Lock()
+	defer h.applyMu.Unlock()
+	if old := h.relay.Table(); old != nil && old.Version() > t.Version() {
+		h.log.Emit(event.ConfRejected, event.Ref{}, "version "+itoa(t.Version())+" is older than the applied "+itoa(old.Version()))
+		return
+	}
+	h.relay.SetTable(t)
+	h.log.Emit(event.ConfApplied, event.Ref{}, "version "+itoa(t.Version()))
+	tokenBytes := 0
+	for _, svc := range t.Engines() {
+		tokenBytes = max(tokenBytes, svc.Engine.TokenBytes)
+	}
+	var stores []cache.StoreInfo
+	for _, s := range t.Stores() {
+		stores = append(stores, storeInfo(s, tokenBytes))
+	}
+	h.storeIndexes.Set(h.workCtx, stores)
+}
--- /dev/null
+++ b/emberd/internal/host/applied_test.go
@@ -0,0 +1,86 @@
+package host
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/onsi/gomega"
+
+	"embertally.dev/core/clock"
+	"embertally.dev/core/plat"
+)
+
+// configPair returns a configuration as operators write it to the store.
+func configPair(version string, revision int64) plat.Pair {
+	return plat.Pair{Key: "op/config", ModRevision: revision, Value: []byte(`{"Version":` + version + `,"Services":[{"Name":"app","MaxConns":9}],` +
+		`"Limits":{"MaxBodyBytes":9,"IdleTimeoutMs":9},"Tenants":[{"Name":"org","ApiKeys":["k"],"Priority":1}]}`)}
+}
+
+// takeFullCopy gives the daemon's watch cache a full copy of the store.
+func takeFullCopy(h *Host, revision int64, pairs ...plat.Pair) {
+	var changes []plat.Change
+	for _, p := range pairs {
+		changes = append(changes, plat.Change{Pair: p})
+	}
+	h.watchCache.TakeAll(changes, revision, "", "", clock.Now())
+}
+
+// A store that reports no incarnation is never restored from a copy, so peers need not be queried.
+func TestFirstConfigIsAppliedAtOnceIfTheStoreReportsNoIncarnation(t *testing.T) {
+	g, h := newHost(t)
+	takeFullCopy(h, 1, configPair("3", 1))
+	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(3)))
+}
+
+// A restored store may hold an older configuration than one that peers have applied.
+func TestFirstConfigOfAStoreWithIncarnationsWaitsForThePeers(t *testing.T) {
+	g, h := newHost(t)
+	takeFullCopy(h, plat.Revision(1, 1), configPair("3", plat.Revision(1, 1)))
+	g.Expect(h.relay.Table()).To(gomega.BeNil())
+	g.Expect(h.notReadyReason()).NotTo(gomega.BeEmpty())
+	// A peer's newer configuration is applied at once, and stays applied.
+	h.takePeerValue(configPair("5", 0))
+	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(5)))
+	h.pullApplied(context.Background())
+	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(5)))
+	// Later configurations of the store are applied at once.
+	h.watchCache.Take([]plat.Change{{Pair: configPair("6", plat.Revision(1, 2))}}, plat.Revision(1, 2), clock.Now())
+	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(6)))
+}
+
+func TestFirstConfigIsAppliedIfThereAreNoPeers(t *testing.T) {
+	g, h := newHost(t)
+	takeFullCopy(h, plat.Revision(1, 1), configPair("3", plat.Revision(1, 1)))
+	g.Expect(h.pullApplied(context.Background())).To(gomega.BeTrue())
+	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(3)))
+}
+
+func TestOperatorsRequestsAreAppliedFromAPeer(t *testing.T) {
+	g, h := newHost(t)
+	h.takePeerValue(plat.Pair{Key: "op/rollout/app", Value: []byte(`{"Service":"app","TargetVersion":"v2","DurationS":20}`), ModRevision: 7})
+	g.Expect(h.canary.Undecided()).To(gomega.Equal(1))
+	h.takePeerValue(plat.Pair{Key: "op/evacuate/z1"})
+	_, evacuated := h.roster.Evacuated("z1", time.Now())
+	g.Expect(evacuated).To(gomega.BeTrue())
+	h.takePeerValue(plat.Pair{Key: "op/version/m", Value: []byte(`{"Model":"m","Version":4}`)})
+	g.Expect(h.desired.version("m")).To(gomega.Equal(int64(4)))
+}
+
+func TestInvalidValuesFromAPeerAreIgnored(t *testing.T) {
+	g, h := newHost(t)
+	takeFullCopy(h, 1, configPair("3", 1))
+	for _, p := range []plat.Pair{
+		{Key: "op/config", Value: []byte("{")},
+		{Key: "op/config", Value: []byte(`{"Version":9,"Routes":7}`)},
+		{Key: "op/rollout/app", Value: []byte("x")},
+		{Key: "op/version/m", Value: []byte("[]")},
+		{Key: "servers/i-1", Value: []byte("{}")},
+		{Key: "other"},
+	} {
+		h.takePeerValue(p)
+	}
+	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(3)))
+	g.Expect(h.canary.Undecided()).To(gomega.BeZero())
+	g.Expect(h.desired.version("m")).To(gomega.BeZero())
+}
--- /dev/null
+++ b/emberd/internal/host/assignments.go
@@ -0,0 +1,86 @@
+package host
+
+import (
+	"encoding/json"
+	"strings"
+	"time"
+
+	"embertally.dev/core/cache"
+	"embertally.dev/core/canary"
+	"embertally.dev/core/fleet"
+	"embertally.dev/core/lease"
+	"embertally.dev/core/order"
+	"embertally.dev/core/plat"
+	"embertally.dev/platform"
+)
+
+// buildAssignments creates the work that only some daemons do at a time, with the leases for it, and the
+// key by which other daemons find this one.
+func (h *Host) buildAssignments(incarnation string, engines *platform.Engines) {
+	var leaderships []order.Right
+	for partition := range updatePartitions {
+		t := h.newLeadership(partition, incarnation)
+		h.leaderships = append(h.leaderships, t)
+		leaderships = append(leaderships, t)
+	}
+	h.cellLeadership = &cellLeadership{host: h, owner: h.settings.Name + ownerSeparator + incarnation}
+	h.weightUpdater = order.NewSwapper(order.SwapOptions{
+		Divided: h.watchCacheSync.Sharded, Uses: h.watchCacheSync.InOwnCell, Cell: h.cellLeadership.Current,
+		Name: h.settings.Name, Rights: leaderships, Commander: engines, Roster: h.roster,
+		Table: h.relay.Table, Named: h.desired.version, Changed: h.fleet.Kick, Audience: h.updateNotifier, Log: h.log,
+	})
+	h.sweeper = cache.NewSweeper(cache.SweepOptions{
+		Stores: h.storeIndexes, Log: h.log, Superseded: h.desired.supersededSince,
+		Rank: h.storeIndexSync.AssignmentRank,
+	})
+	h.presence = h.newPresence()
+	h.buildRollouts(incarnation)
+}
+
+// buildRollouts creates the rollout controller and its lease.
+func (h *Host) buildRollouts(incarnation string) {
+	owner := h.settings.Name + ownerSeparator + incarnation
+	leadership := lease.NewTimed(lease.TimedOptions{
+		Key: keyRollouts, Owner: owner, Apart: h.settings.Bounds.OrderGap, Store: h.store, Mirror: h.watchCache, Log: h.log,
+		Rank:   func() int { return h.assignmentRank(keyRollouts) },
+		Urgent: func() bool { return !h.canary.Over() },
+		Idle:   func() bool { return h.ineligible() || h.canary.Over() },
+	})
+	h.leaderships = append(h.leaderships, leadership)
+	h.rollouts = canary.NewController(canary.Options{
+		Guard: &h.canary, Fleet: h.fleet, Run: owner, Right: leadership, Store: h.store, Mirror: h.watchCache,
+		Holder: h.rolloutHolder, Status: platform.RolloutSays, Log: h.log,
+	})
+}
+
+// rolloutHolder returns the name of the daemon that decides rollouts, or "".
+func (h *Host) rolloutHolder() string {
+	pair, _ := h.watchCache.Pair(keyRollouts)
+	name, _, _ := strings.Cut(string(pair.Value), ownerSeparator)
+	return name
+}
+
+// newPresence returns the leased key by which other daemons find this one.
+func (h *Host) newPresence() *lease.Presence {
+	// The value has the form of an entry of the box list.
+	value, err := json.Marshal(plat.Box{
+		Name: h.settings.Name, Role: plat.RoleEntry, Address: h.settings.Peers, Domain: h.settings.Domain, State: plat.BoxLive,
+	})
+	if err != nil {
+		// A struct of strings can always be encoded.
+		panic(err)
+	}
+	return &lease.Presence{
+		Key: keyBoxes + h.settings.Name, Value: value, Life: boxTTL, Store: h.store, Mirror: h.watchCache, Log: h.log,
+	}
+}
+
+// boxTTL is how long a daemon that no longer renews its key stays in the box list. Heartbeats
+// detect its loss earlier; one renewal costs a tenth of a platform call.
+const boxTTL = 12 * time.Second
+
+// assignmentRank returns this daemon's rank, from 0, for an assignment that only daemons which watch the
+// coordination store themselves can hold.
+func (h *Host) assignmentRank(assignment string) int {
+	return fleet.Place(fleet.Key(assignment), h.watchCacheSync.WatchingDaemons(), h.settings.Name)
+}
--- /dev/null
+++ b/emberd/internal/host/box_list_test.go
@@ -0,0 +1,94 @@
+package host
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/onsi/gomega"
+
+	"embertally.dev/core/clock"
+	"embertally.dev/core/event"
+	"embertally.dev/core/memkv"
+	"embertally.dev/core/plat"
+)
+
+// boxListRig is a box list with a watch cache that follows a store in memory.
+type boxListRig struct {
+	g          *gomega.WithT
+	store      *memkv.KV
+	watchCache *plat.Mirror
+	boxes      *boxList
+}
+
+func newBoxListRig(t *testing.T) *boxListRig {
+	r := &boxListRig{g: gomega.NewWithT(t), store: &memkv.KV{}}
+	r.watchCache = plat.NewMirror(r.store, plat.Prefix(""), &event.Log{})
+	r.boxes = &boxList{watchCache: r.watchCache}
+	ctx, cancel := context.WithCancel(context.Background())
+	var wg sync.WaitGroup
+	wg.Go(func() { r.watchCache.Run(ctx) })
+	t.Cleanup(func() { cancel(); wg.Wait() })
+	return r
+}
+
+// write puts a box's key into the store.
+func (r *boxListRig) write(name string) {
+	raw, err := json.Marshal(plat.Box{Name: name})
+	r.g.Expect(err).NotTo(gomega.HaveOccurred())
+	_, err = r.store.Commit(context.Background(), plat.Txn{Puts: []plat.Put{{Key: keyBoxes + name, Value: raw}}})
+	r.g.Expect(err).NotTo(gomega.HaveOccurred())
+}
+
+// remove deletes a box's key from the store.
+func (r *boxListRig) remove(name string) {
+	_, err := r.store.Commit(context.Background(), plat.Txn{Deletes: []string{keyBoxes + name}})
+	r.g.Expect(err).NotTo(gomega.HaveOccurred())
+}
+
+// awaitSync waits until the watch cache equals the store.
+func (r *boxListRig) awaitSync() {
+	r.g.Eventually(func() bool {
+		return r.watchCache.Revision() != 0 && len(r.watchCache.Under("")) == len(r.store.Under("")) && plat.Era(r.watchCache.Revision()) == r.store.Era()
+	}, "30s", "1ms").Should(gomega.BeTrue())
+}
+
+// names reads the list and returns the names in it, or nil if it has not changed.
+func (r *boxListRig) names() []string {
+	list, _, err := r.boxes.Read(context.Background())
+	r.g.Expect(err).NotTo(gomega.HaveOccurred())
+	var out []string
+	for _, b := range list {
+		out = append(out, b.Name)
+	}
+	return out
+}
+
+// A store restored from an older copy lacks the keys of later boxes. If they left the list at once, daemons
+// would lose their peers until all had written their keys again.
+func TestBoxesMissingFromARestoredStoreStayForAGracePeriod(t *testing.T) {
+	r := newBoxListRig(t)
+	r.write("a")
+	before := r.store.Copy()
+	r.write("b")
+	r.write("c")
+	r.awaitSync()
+	r.g.Expect(r.names()).To(gomega.ConsistOf("a", "b", "c"))
+	r.store.Restore(before)
+	r.write("b")
+	r.awaitSync()
+	r.g.Expect(r.names()).To(gomega.ConsistOf("a", "b", "c"))
+	r.remove("b")
+	r.awaitSync()
+	r.g.Expect(r.names()).To(gomega.ConsistOf("a", "b", "c"), "a box that is removed after it was written again stays like the missing ones")
+	clock.Suspend(boxGrace + time.Second)
+	r.g.Expect(r.names()).To(gomega.ConsistOf("a"))
+	r.g.Expect(r.names()).To(gomega.BeEmpty(), "nothing has changed")
+	r.write("d")
+	r.awaitSync()
+	r.remove("a")
+	r.awaitSync()
+	r.g.Expect(r.names()).To(gomega.ConsistOf("d"))
+}
--- /dev/null
+++ b/emberd/internal/host/changes.go
@@ -0,0 +1,132 @@
+package host
+
+import (
+	"embertally.dev/core/bugs"
+	"embertally.dev/core/cache"
+	"embertally.dev/core/clock"
+	"embertally.dev/core/event"
+	"embertally.dev/core/plat"
+	"embertally.dev/core/spread"
+	"embertally.dev/core/table"
+)
+
+// applyChanges applies changes of the coordination store, in order. Of several configurations only the
+// last one is applied.
+func (h *Host) applyChanges(changes []plat.Change) {
+	var newest *table.Table
+	for _, c := range changes {
+		recoverPanic(c.Key, func() {
+			if t := h.applyChange(c); t != nil {
+				newest = t
+			}
+		})
+	}
+	if newest != nil {
+		recoverPanic("the configuration", func() { h.applyFromStore(newest) })
+	}
+}
+
+// recoverPanic runs f, which applies a value from the store or from a peer, and reports a panic as a bug
+// instead of crashing: all daemons read the same values, and would crash at each start. source names the
+// value in the report.
+func recoverPanic(source string, f func()) {
+	defer func() {
+		if reason := recover(); reason != nil {
+			bugs.Report("panic while applying %s from the store or a peer: %v", source, reason)
+		}
+	}()
+	f()
+}
+
+// applyChange applies one change, except for a configuration, which it returns.
+func (h *Host) applyChange(c plat.Change) *table.Table {
+	h.poison.Observe(c)
+	h.rollouts.Observe(c)
+	update, err := h.decoder.Read(c)
+	h.logUnreadable(c.Key, err)
+	switch {
+	case update.Unusable != "":
+		h.removeUnusable(update.Unusable)
+	case err != nil:
+	case update.Target != nil:
+		if former := h.roster.Put(*update.Target); former != nil {
+			h.pool.CloseIdle(former.Entry().Address)
+		}
+	case update.Gone != "" && c.Dropped:
+		h.roster.MakeExternal(update.Gone)
+	case update.Gone != "" && c.Restored:
+		h.roster.RecordMissing(update.Gone)
+	case update.Gone != "":
+		h.removeTarget(update.Gone)
+	case update.Evacuation != nil && c.Restored:
+		h.endEvacuationLater(update.Evacuation.Domain, c.Key)
+	case update.Evacuation != nil:
+		h.applyEvacuation(c.Pair, update.Evacuation)
+	case update.Rollout != nil && c.Restored:
+		// The restored store lost the rollout: operators did not withdraw it, and write it again.
+	case update.Rollout != nil:
+		h.applyRollout(c.Pair, update.Rollout)
+	default:
+		h.applyVersioned(c.Pair, update)
+	}
+	return update.Table
+}
+
+// parseEntry returns the target's entry in a pair of the store; false if the pair holds none.
+func (h *Host) parseEntry(p plat.Pair) (spread.Entry, bool) {
+	e, ok := h.decoder.Entry(p)
+	if !ok {
+		return spread.Entry{}, false
+	}
+	return spread.Entry{Name: e.Name, Service: e.Service, Domain: e.Domain}, true
+}
+
+// logUnreadable logs why a key's value cannot be parsed, and not again until it could be parsed, because
+// targets write their entries with each heartbeat. Only applyChange calls it.
+func (h *Host) logUnreadable(key string, err error) {
+	if err == nil {
+		delete(h.unreadable, key)
+		return
+	}
+	if h.unreadable == nil {
+		h.unreadable = map[string]bool{}
+	}
+	if !h.unreadable[key] {
+		h.unreadable[key] = true
+		h.log.Emit(event.ConfUnderived, event.Ref{Resource: key}, err.Error())
+	}
+}
+
+// removeUnusable removes a target whose entry is no longer usable, and closes its idle connections.
+func (h *Host) removeUnusable(name string) {
+	t := h.roster.ByName(name)
+	h.roster.RemoveUnusable(name)
+	if t != nil {
+		h.pool.CloseIdle(t.Entry().Address)
+	}
+}
+
+// removeTarget removes a target, and closes its idle connections if the roster no longer has it.
+func (h *Host) removeTarget(name string) {
+	t := h.roster.ByName(name)
+	h.roster.Remove(name, clock.Now())
+	if t != nil && h.roster.ByName(name) == nil {
+		h.pool.CloseIdle(t.Entry().Address)
+	}
+}
+
+// incarnationRemoved is called when an incarnation of a target has been removed. Unless it was shutting
+// down, it counts as crashed.
+func (h *Host) incarnationRemoved(incarnation string, shuttingDown bool) {
+	if !shuttingDown {
+		h.poison.Ended(incarnation)
+	}
+}
+
+// storeInfo describes a KV-cache store to the cache package. tokenBytes is the size of one cached token.
+func storeInfo(s *table.Store, tokenBytes int) cache.StoreInfo {
+	return cache.StoreInfo{
+		Address: s.Address, Domain: s.Domain, Room: s.Tokens, First: s.First,
+		TokenTime: table.LinkTime(tokenBytes, s.LinkBits), Watchers: s.Watchers,
+	}
+}
--- a/emberd/internal/host/fleet_bench_test.go
+++ b/emberd/internal/host/fleet_bench_test.go
@@ -22,28 +22,28 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// fleetHost returns a daemon of a fleet in one process.
+// fleetHost returns daemon number n of a fleet that runs in one process, each on a loopback address of its own.
 func fleetHost(b *testing.B, n int, store string) *Host {
 	ip := fmt.Sprintf("127.8.%d.%d", n/200, 1+n%200)
-	set := Defaults()
-	set.Name, set.Domain = fmt.Sprintf("box-%03d", n), fmt.Sprintf("z%d", n%4)
-	set.Callers, set.Readiness, set.Peers, set.Metrics = ip+":7001", ip+":7002", ip+":7003", ip+":7004"
-	set.Store, set.MemoryMB, set.LogLevel = store, 128, "error"
-	if faults := set.check(); len(faults) > 0 {
+	settings := Defaults()
+	settings.Name, settings.Domain = fmt.Sprintf("box-%03d", n), fmt.Sprintf("z%d", n%4)
+	settings.Callers, settings.Readiness, settings.Peers, settings.Metrics = ip+":7001", ip+":7002", ip+":7003", ip+":7004"
+	settings.Store, settings.MemoryMB, settings.LogLevel = store, 128, "error"
+	if faults := settings.check(); len(faults) > 0 {
 		b.Fatal(faults)
 	}
-	h := New(set)
+	h := New(settings)
 	h.spool.Close()
 	h.spool = event.NewSpool(io.Discard)
 	return h
 }
 
-// targetsEach is how many targets are listed for each daemon.
-const targetsEach = 10
+// targetsPerDaemon is the number of targets in the store for each daemon.
+const targetsPerDaemon = 10
 
-// BenchmarkFleet measures the processor time of one daemon of a fleet in one process,
-// before a store that lists ten targets for each: in a start of all until all know each
-// other, and at rest. Run it with -benchtime 1x, and -cpuprofile for what it goes to.
+// BenchmarkFleet measures the processor time per daemon of a fleet that runs in one process with
+// a store that lists ten targets per daemon: from the start of all daemons until each has found
+// the others, and without load. Run it with -benchtime 1x, and with -cpuprofile for a profile.
 func BenchmarkFleet(b *testing.B) {
 	for _, daemons := range []int{8, 80, 300} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
@@ -55,16 +55,18 @@
 }
 
 const (
-	restMeasured = 10 * time.Second
-	// startMost bounds the processor time of a start of all.
-	startMost = 100 * time.Second
+	// idleTime is how long the fleet is measured without load.
+	idleTime = 10 * time.Second
+	// startMax bounds the processor time of the start of all daemons.
+	startMax = 100 * time.Second
 )
 
+// measureFleet starts a fleet and reports its processor time and its calls to the store.
 func measureFleet(b *testing.B, daemons int) {
 	store := stand.NewStore()
 	defer store.Close()
-	for i := range daemons * targetsEach {
-		// Nothing listens there: no request is sent.
+	for i := range daemons * targetsPerDaemon {
+		// Nothing listens at the address, since no request is sent.
 		store.Put(fmt.Sprintf("servers/i-%04d", i), map[string]any{
 			"Service": "llm", "Address": "127.9.0.1:9", "Zone": "z0", "Slots": 8, "State": "ready", "ColdLeftMs": 0, "CallSeq": 0,
 			"Models": []map[string]any{{"Name": stand.Model, "Version": 1}},
@@ -75,7 +77,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	began := processorTime(b)
+	start := processorTime(b)
 	var hosts []*Host
 	for i := range daemons {
 		h := fleetHost(b, i, store.Address())
@@ -87,18 +89,18 @@
 		})
 	}
 	for _, h := range hosts {
-		for len(h.fleet.View().Peers()) < daemons-1 || h.notReady() != "" {
-			if processorTime(b)-began > startMost {
-				b.Fatalf("%s knows %d peers, not ready: %q", h.set.Name, len(h.fleet.View().Peers()), h.notReady())
+		for len(h.fleet.View().Peers()) < daemons-1 || h.notReadyReason() != "" {
+			if processorTime(b)-start > startMax {
+				b.Fatalf("%s has found %d peers; not ready: %q", h.settings.Name, len(h.fleet.View().Peers()), h.notReadyReason())
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	started := processorTime(b)
-	time.Sleep(restMeasured)
-	rested := processorTime(b)
-	each := float64(daemons) * float64(time.Millisecond)
-	b.ReportMetric(float64(started-began)/each, "ms-start/daemon")
-	b.ReportMetric(float64(rested-started)/each/restMeasured.Seconds(), "ms-rest/daemon/s")
+	ready := processorTime(b)
+	time.Sleep(idleTime)
+	end := processorTime(b)
+	perDaemon := float64(daemons) * float64(time.Millisecond)
+	b.ReportMetric(float64(ready-start)/perDaemon, "ms-start/daemon")
+	b.ReportMetric(float64(end-ready)/perDaemon/idleTime.Seconds(), "ms-rest/daemon/s")
 	b.ReportMetric(float64(store.Calls())/float64(daemons), "calls/daemon")
 }
--- a/emberd/internal/host/host.go
+++ b/emberd/internal/host/host.go
@@ -1,9 +1,9 @@
-// Package host owns the life of an emberd that serves on a platform which keeps
-// the configuration and the list of targets in its store: the settings, the
-// putting together of the slices, readiness, and the planned stop.
+// Package host owns the life cycle of an emberd on a platform that keeps the
+// configuration and the list of targets in its coordination store: settings,
+// construction and wiring of the core packages, readiness, and graceful shutdown.
 //
-// It must not decide anything that a slice decides, and it must not know how
-// the platform names things (see package platform).
+// It must not make decisions that belong to a core package, and it must not know the
+// platform's key names and encodings, which package platform owns.
 package host
 
 import (
@@ -36,183 +36,193 @@
 	"embertally.dev/platform"
 )
 
-// Keys of the system in the platform's store.
+// Keys that emberd owns in the coordination store; those that end in "/" are prefixes.
 const (
+	// keyBoxes is followed by the name of a daemon's box.
 	keyBoxes = "embertally/boxes/"
-	keySwap  = "embertally/duty/weights/"
+	// keyWeightUpdates is followed by the number of a partition of the workers. Its value names the
+	// daemon that sends weight updates to them.
+	keyWeightUpdates = "embertally/duty/weights/"
+	// keyCells is followed by the label of a cell. Its value names the daemon that sends weight updates
+	// to the cell's workers.
 	keyCells = "embertally/duty/cells/"
-	// keyRollouts is held by the daemon that decides about roll-outs.
+	// keyRollouts names the daemon that decides rollouts.
 	keyRollouts = "embertally/duty/rollouts"
 )
 
 // Host is one running daemon.
 type Host struct {
-	set   Settings
-	log   *event.Log
-	spool *event.Spool
-	stats *relay.Stats
+	settings Settings
+	log      *event.Log
+	spool    *event.Spool
+	stats    *relay.Stats
 
-	store     *platform.Store
-	decoder   platform.Decoder
-	mirror    *plat.Mirror
-	mirrors   *spread.WatchCacheSync
-	fleet     *fleet.Fleet
-	roster    *roster.Roster
-	shelves   *spread.StoreIndexes
-	kept      *cache.StoreIndexes
-	where     cache.WorkerCaches
-	links     learn.Links
-	retention learn.Retention
-	times     *learn.Times
-	targets   learn.Targets
-	pool      *target.Pool
-	relay     *relay.Relay
-	homes     *relay.ContextOwners
-	poison    *poison.Guard
-	canary    canary.Guard
-	rollouts  *canary.Controller
-	rights    []*lease.Timed
-	cellRight *cellRight
-	swapper   *order.Swapper
-	swaps     *spread.WeightUpdateNotifier
-	sweeper   *cache.Sweeper
-	presence  *lease.Presence
-	named     named
-	inForce   *spread.AppliedValues
-	first     firstTable
-	// entered receives when the store may be in another era.
-	entered chan struct{}
-	daemons daemons
+	store *platform.Store
+	// decoder parses the values of the coordination store.
+	decoder          platform.Decoder
+	watchCache       *plat.Mirror
+	watchCacheSync   *spread.WatchCacheSync
+	fleet            *fleet.Fleet
+	roster           *roster.Roster
+	storeIndexSync   *spread.StoreIndexes
+	storeIndexes     *cache.StoreIndexes
+	workerCaches     cache.WorkerCaches
+	links            learn.Links
+	retention        learn.Retention
+	firstAnswerTimes *learn.Times
+	targetStats      learn.Targets
+	pool             *target.Pool
+	relay            *relay.Relay
+	contextOwners    *relay.ContextOwners
+	poison           *poison.Guard
+	canary           canary.Guard
+	rollouts         *canary.Controller
+	leaderships      []*lease.Timed
+	cellLeadership   *cellLeadership
+	weightUpdater    *order.Swapper
+	updateNotifier   *spread.WeightUpdateNotifier
+	sweeper          *cache.Sweeper
+	presence         *lease.Presence
+	desired          desiredWeights
+	applied          *spread.AppliedValues
+	firstTable       firstTable
+	// incarnationCheck receives when the store may be in another incarnation; its capacity is 1.
+	incarnationCheck chan struct{}
+	daemonCounter    daemonCounter
 
-	putMu sync.Mutex // held while a configuration is put in force
+	applyMu sync.Mutex // serialises applyTable
 
-	// unread holds the keys that could not be read; only the observer uses it.
-	unread map[string]bool
-	// began is when the process started.
-	began    time.Time
+	// unreadable holds the keys whose values cannot be parsed. Only logUnreadable uses it.
+	unreadable map[string]bool
+	// started is when the process started.
+	started time.Time
+	// draining is set when the shutdown begins.
 	draining atomic.Bool
-	// work ends when the process is about to.
-	work context.Context
+	// workCtx is cancelled at the end of the shutdown, after drain.
+	workCtx context.Context
 }
 
-// New puts a daemon together.
-func New(set Settings) *Host {
-	h := &Host{set: set, began: time.Now(), stats: relay.NewStats(), times: learn.NewTimes(), spool: event.NewSpool(os.Stdout)}
-	h.log = event.NewLog(set.Name, h.spool, event.FormatJSON, event.Level(set.LogLevel))
-	h.log.SetPace(&event.Pace{PerSecond: set.LogRate})
+// New wires a daemon together; Run starts it.
+func New(settings Settings) *Host {
+	h := &Host{settings: settings, started: time.Now(), stats: relay.NewStats(), firstAnswerTimes: learn.NewTimes(), spool: event.NewSpool(os.Stdout)}
+	h.log = event.NewLog(settings.Name, h.spool, event.FormatJSON, event.Level(settings.LogLevel))
+	h.log.SetPace(&event.Pace{PerSecond: settings.LogRate})
 	bugs.Handle(func(text string, stack []byte) {
 		h.log.Emit(event.InvariantBroken, event.Ref{}, text+"\n"+string(stack))
 	})
 	incarnation := uuid.NewString()
-	h.store = platform.NewStore("http://"+set.Store, newClient())
-	h.mirror = plat.NewMirror(h.store, plat.Prefix(""), h.log)
-	h.mirror.Observe(h.observe)
-	h.entered = make(chan struct{}, 1)
-	h.mirror.Entered = h.noteEra
-	h.roster = roster.New(h.log, h.mirror.Regained)
+	h.store = platform.NewStore("http://"+settings.Store, newClient())
+	h.watchCache = plat.NewMirror(h.store, plat.Prefix(""), h.log)
+	h.watchCache.Observe(h.applyChanges)
+	h.incarnationCheck = make(chan struct{}, 1)
+	h.watchCache.Entered = h.wakeIncarnationWatch
+	h.roster = roster.New(h.log, h.watchCache.Regained)
 	h.fleet = fleet.New(fleet.Options{
-		Name: set.Name, Incarnation: incarnation, Address: set.Peers, Domain: set.Domain,
-		Heartbeat: set.Tuning.Heartbeat, Suspect: set.Tuning.Suspect,
-		BoxPause: boxPause, Boxes: &boxes{mirror: h.mirror}, Log: h.log,
+		Name: settings.Name, Incarnation: incarnation, Address: settings.Peers, Domain: settings.Domain,
+		Heartbeat: settings.Tuning.Heartbeat, Suspect: settings.Tuning.Suspect,
+		BoxPause: boxPollInterval, Boxes: &boxList{watchCache: h.watchCache}, Log: h.log,
 	})
 	h.fleet.Attach("roster", roster.HeartbeatPart{Roster: h.roster})
-	h.mirrors = spread.NewWatchCacheSync(h.mirror, h.fleet, h.log)
-	h.inForce = spread.NewAppliedValues(h.mirrors)
-	h.inForce.ShuttingDown = h.roster.RecentShutdowns
-	h.inForce.OnShuttingDown = func(run string) { h.roster.RecordShutdown(run, roster.ByPeer) }
-	h.mirror.Outline, h.mirrors.EntryParser = keyBoxes, h.entryOf
-	h.store.Hold = h.mirrors.WatchWait
-	h.where.Capacity = h.memory
-	h.fleet.Attach("where", &h.where)
+	h.watchCacheSync = spread.NewWatchCacheSync(h.watchCache, h.fleet, h.log)
+	h.applied = spread.NewAppliedValues(h.watchCacheSync)
+	h.applied.ShuttingDown = h.roster.RecentShutdowns
+	h.applied.OnShuttingDown = func(targetIncarnation string) { h.roster.RecordShutdown(targetIncarnation, roster.ByPeer) }
+	h.watchCache.Outline, h.watchCacheSync.EntryParser = keyBoxes, h.parseEntry
+	h.store.Hold = h.watchCacheSync.WatchWait
+	h.workerCaches.Capacity = h.workerCapacity
+	h.fleet.Attach("where", &h.workerCaches)
 	h.fleet.Attach("links", &h.links)
-	h.fleet.Attach("targets", &h.targets)
+	h.fleet.Attach("targets", &h.targetStats)
 	h.fleet.Attach("retention", &h.retention)
 	engines := platform.NewEngines(newClient())
-	engines.Leaves = func(run string) { h.roster.RecordShutdown(run, roster.ByAnswer) }
-	h.shelves = spread.NewStoreIndexes(engines, h.fleet)
-	h.kept = cache.NewStoreIndexes(h.shelves, h.log)
-	h.shelves.Serve(h.kept)
+	engines.Leaves = func(targetIncarnation string) { h.roster.RecordShutdown(targetIncarnation, roster.ByAnswer) }
+	h.storeIndexSync = spread.NewStoreIndexes(engines, h.fleet)
+	h.storeIndexes = cache.NewStoreIndexes(h.storeIndexSync, h.log)
+	h.storeIndexSync.Serve(h.storeIndexes)
 	h.pool = &target.Pool{Opened: h.stats.Opened}
-	h.daemons.view = h.fleet.View
-	h.poison = poison.New(poison.Options{Fleet: h.fleet, Try: h.pool.Connect, Log: h.log, Store: h.store, Mirror: h.mirror})
-	h.roster.Removed = h.removed
-	h.roster.Rank = h.place
-	h.canary.Share = set.Bounds.ExposeShare
-	h.canary.Fresh = func() bool { return h.age() < rolloutFresh }
+	h.daemonCounter.view = h.fleet.View
+	h.poison = poison.New(poison.Options{Fleet: h.fleet, Try: h.pool.Connect, Log: h.log, Store: h.store, Mirror: h.watchCache})
+	h.roster.Removed = h.incarnationRemoved
+	h.roster.Rank = h.targetRank
+	h.canary.Share = settings.Bounds.CanaryShare
+	h.canary.Fresh = func() bool { return h.viewAge() < rolloutMaxViewAge }
 	h.buildRelay()
-	h.homes = relay.NewContextOwners(h.relay, h.fleet)
-	h.swaps = spread.NewWeightUpdateNotifier(h.fleet, h.roster)
-	h.swaps.Sharded = h.mirrors.Sharded
-	h.buildDuties(incarnation, engines)
-	h.gauges()
+	h.contextOwners = relay.NewContextOwners(h.relay, h.fleet)
+	h.updateNotifier = spread.NewWeightUpdateNotifier(h.fleet, h.roster)
+	h.updateNotifier.Sharded = h.watchCacheSync.Sharded
+	h.buildAssignments(incarnation, engines)
+	h.registerGauges()
 	return h
 }
 
-// place returns how many daemons come before this one for a target, of how many that may choose it.
-func (h *Host) place(t *roster.Target) (place, of int) {
-	return h.fleet.View().Place(fleet.Key(t.ID()), h.cellChooses(t))
+// targetRank returns this daemon's rank, from 0, among the daemons that may choose a target, and their
+// number.
+func (h *Host) targetRank(t *roster.Target) (rank, count int) {
+	return h.fleet.View().Place(fleet.Key(t.ID()), h.chosenWithinCell(t))
 }
 
-// cellChooses reports whether only the daemons of one cell choose a target, since the cells share
-// the targets of its service out.
-func (h *Host) cellChooses(t *roster.Target) bool {
+// chosenWithinCell reports whether only the daemons of one cell choose a target, because the targets of
+// its service are divided among the cells.
+func (h *Host) chosenWithinCell(t *roster.Target) bool {
 	service, table := t.Entry().Service, h.relay.Table()
-	if table == nil || h.mirrors.Sharded(service) {
+	if table == nil || h.watchCacheSync.Sharded(service) {
 		return true
 	}
 	svc := table.Service(service)
 	return svc != nil && svc.Engine != nil
 }
 
-// rolloutFresh is how old what is known of the store may be where requests go to a version on trial:
-// it may have been taken back since.
-const rolloutFresh = 2 * time.Second
+// rolloutMaxViewAge is the maximum age of the watch cache at which requests are sent to a canary
+// version: operators may have withdrawn the rollout since.
+const rolloutMaxViewAge = 2 * time.Second
 
-// boxPause is the pause between looks at the mirror's copy of the list.
-const boxPause = 200 * time.Millisecond
+// boxPollInterval is the interval at which the fleet reads the box list from the watch cache.
+const boxPollInterval = 200 * time.Millisecond
 
-// clientIdle is how long the connections of control calls are kept.
-const clientIdle = 10 * time.Second
+// clientIdleTimeout is how long an idle connection for control calls stays open.
+const clientIdleTimeout = 10 * time.Second
 
-// newClient returns a client for control calls.
+// newClient returns an HTTP client for control calls to the store or to workers.
 func newClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
-		MaxIdleConnsPerHost: 4, IdleConnTimeout: clientIdle, DisableCompression: true,
+		MaxIdleConnsPerHost: 4, IdleConnTimeout: clientIdleTimeout, DisableCompression: true,
 	}}
 }
 
-// age returns how old the knowledge of the platform's store is.
-func (h *Host) age() time.Duration { return clock.Since(h.mirror.Fresh()) }
+// viewAge returns how old the watch cache of the coordination store is.
+func (h *Host) viewAge() time.Duration { return clock.Since(h.watchCache.Fresh()) }
 
-// current reports whether the configuration in force is known to be the newest.
-func (h *Host) current() bool { return h.age() < h.set.Bounds.Contact && !h.mirror.Behind() }
+// configCurrent reports whether the applied configuration is known to be the newest.
+func (h *Host) configCurrent() bool {
+	return h.viewAge() < h.settings.Bounds.StoreSilence && !h.watchCache.Behind()
+}
 
-// lackShare is the part of the bound on a configuration for which a daemon goes on
-// without a newer one that it knows to be there. The rest may have passed before it
-// heard of it: a daemon that tells others reads 1 MB over 10 Mbit/s in 1.1 s.
-const lackShare = 0.5
+// overdueShare is the share of Bounds.OldConfiguration for which a daemon keeps using the
+// applied configuration after it learned that a newer one exists. The rest may have passed
+// before it learned that: a watch relay reads 1 MB over 10 Mbit/s in 1.1 s.
+const overdueShare = 0.5
 
-// lacks returns for how long a newer configuration has been known to be there, if that
-// is too long to handle anything by the former one; else 0.
-func (h *Host) lacks(now clock.Time) time.Duration {
-	since := h.mirror.LateSince()
+// configOverdue returns how long a newer configuration has been known but not received, if that
+// is too long to handle requests by the applied one; else 0.
+func (h *Host) configOverdue(now clock.Time) time.Duration {
+	since := h.watchCache.LateSince()
 	if since.IsZero() {
 		return 0
 	}
-	lasts := now.Sub(since)
-	if lasts < time.Duration(lackShare*float64(h.set.Bounds.Configuration)) {
+	overdue := now.Sub(since)
+	if overdue < time.Duration(overdueShare*float64(h.settings.Bounds.OldConfiguration)) {
 		return 0
 	}
-	return lasts
+	return overdue
 }
 
-// beginMargin is left of the time in which a request may begin on older weights
-// for its wait at the worker.
-const beginMargin = 4 * time.Second
+// oldWeightsMargin is the part of Bounds.OldWeights that is reserved for a request's wait at the worker:
+// during it no request is sent to a worker with replaced weights.
+const oldWeightsMargin = 4 * time.Second
 
-// memory returns how many tokens of context a worker holds, or 0.
-func (h *Host) memory(worker string) int {
+// workerCapacity returns how many tokens a worker's cache holds; 0 if that is not known.
+func (h *Host) workerCapacity(worker string) int {
 	target, t := h.roster.Target(worker), h.relay.Table()
 	if target == nil || t == nil {
 		return 0
@@ -224,57 +234,57 @@
 	return svc.Engine.MemoryTokens
 }
 
-// buildRelay makes the relay that answers callers.
+// buildRelay creates the relay that serves callers' requests.
 func (h *Host) buildRelay() {
 	h.relay = relay.New(relay.Options{
-		Dialect: platform.Dialect{}, Roster: h.roster, Pool: h.pool, StoreIndex: h.kept, WorkerCaches: &h.where, Links: &h.links, Retention: &h.retention, FirstAnswerTimes: h.times, TargetStats: &h.targets,
-		EnginePrior: h.set.Expect.Engines.prior(), CallPrior: h.set.Expect.Calls.prior(), Costs: h.set.Prices.prices(), Disabled: h.set.Without,
+		Dialect: platform.Dialect{}, Roster: h.roster, Pool: h.pool, StoreIndex: h.storeIndexes, WorkerCaches: &h.workerCaches, Links: &h.links, Retention: &h.retention, FirstAnswerTimes: h.firstAnswerTimes, TargetStats: &h.targetStats,
+		EnginePrior: h.settings.Expected.Engines.prior(), CallPrior: h.settings.Expected.Calls.prior(), Costs: h.settings.Costs.model(), Disabled: h.settings.Disabled,
 		Log: h.log, Stats: h.stats, Poison: h.poison, Canary: &h.canary,
-		Placement: route.Placement(h.set.Placement), PublishState: h.fleet.Kick,
-		Domain: h.set.Domain, Regions: h.set.Regions, DesiredWeights: h.named.version, DaemonCount: h.daemons.count,
+		Placement: route.Placement(h.settings.Placement), PublishState: h.fleet.Kick,
+		Domain: h.settings.Domain, Regions: h.settings.Regions, DesiredWeights: h.desired.version, DaemonCount: h.daemonCounter.count,
 		OwnTargets:   func(names []string) []string { return h.fleet.View().Share(names) },
-		ShardVersion: h.mirrors.ShardVersion,
-		Sharded:      h.mirrors.Sharded, InOwnCell: h.mirrors.InOwnCell, CellDaemonCount: func() int { return h.fleet.View().CellSize() },
+		ShardVersion: h.watchCacheSync.ShardVersion,
+		Sharded:      h.watchCacheSync.Sharded, InOwnCell: h.watchCacheSync.InOwnCell, CellDaemonCount: func() int { return h.fleet.View().CellSize() },
 		Rank: func(target string, cell bool) (int, int) { return h.fleet.View().Place(fleet.Key(target), cell) },
 		RankedDaemons: func(t *roster.Target, n int) []string {
-			return h.fleet.View().Ranked(fleet.Key(t.ID()), h.cellChooses(t), n)
+			return h.fleet.View().Ranked(fleet.Key(t.ID()), h.chosenWithinCell(t), n)
 		},
-		WarmUpFactor: h.set.Bounds.ColdOver, WarmUpExtra: h.set.Bounds.ColdExtra,
+		WarmUpFactor: h.settings.Bounds.WarmUpFactor, WarmUpExtra: h.settings.Bounds.WarmUpExtra,
 		WeightsOutdated: func(model string, version int64) bool {
-			return h.named.age(model, version) > h.set.Bounds.Weights-beginMargin
+			return h.desired.replacedFor(model, version) > h.settings.Bounds.OldWeights-oldWeightsMargin
 		},
-		ViewAge:       h.age,
-		StoreDown:     h.mirror.Down,
-		ConfigCurrent: h.current,
-		ConfigOverdue: func() time.Duration { return h.lacks(clock.Now()) },
-		MayCopy:       func() bool { return h.age() < cache.MaxDesiredAge },
-		RetryShare:    h.set.Retries.Share, RetryExtra: h.set.Retries.Extra, RetryWindow: h.set.Retries.Window,
+		ViewAge:       h.viewAge,
+		StoreDown:     h.watchCache.Down,
+		ConfigCurrent: h.configCurrent,
+		ConfigOverdue: func() time.Duration { return h.configOverdue(clock.Now()) },
+		MayCopy:       func() bool { return h.viewAge() < cache.MaxDesiredAge },
+		RetryShare:    h.settings.Retries.PerRequest, RetryExtra: h.settings.Retries.Extra, RetryWindow: h.settings.Retries.Window,
 	})
 }
 
-// Run serves until ctx ends, then stops as planned.
+// Run serves until ctx is cancelled, then shuts down gracefully.
 func (h *Host) Run(ctx context.Context) error {
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	h.work = work
+	h.workCtx = workCtx
 	ls, err := h.listen()
 	if err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { h.fleet.Run(work, ls.peers) })
-	duties, endDuties := context.WithCancel(work)
-	defer endDuties()
-	h.start(work, duties, &wg)
+	wg.Go(func() { h.fleet.Run(workCtx, ls.peers) })
+	assignmentCtx, endAssignments := context.WithCancel(workCtx)
+	defer endAssignments()
+	h.start(workCtx, assignmentCtx, &wg)
 	callers := h.serve(&wg, ls.callers, h.relay)
-	side := []*http.Server{h.serve(&wg, ls.readiness, h.readiness()), h.serve(&wg, ls.metrics, h.metrics())}
-	h.log.Emit(event.DaemonStarted, event.Ref{}, "callers "+h.set.Callers+", domain "+h.set.Domain)
+	auxiliary := []*http.Server{h.serve(&wg, ls.readiness, h.readiness()), h.serve(&wg, ls.metrics, h.metrics())}
+	h.log.Emit(event.DaemonStarted, event.Ref{}, "callers "+h.settings.Callers+", domain "+h.settings.Domain)
 	<-ctx.Done()
-	endDuties()
+	endAssignments()
 	h.drain(callers)
 	h.log.Emit(event.DaemonStopped, event.Ref{}, "")
-	for _, srv := range append(side, callers) {
-		// The process ends; what closing a listener reports changes nothing.
+	for _, srv := range append(auxiliary, callers) {
+		// The process is about to exit, so an error from closing is of no use.
 		_ = srv.Close()
 	}
 	stop()
@@ -283,17 +293,17 @@
 	return nil
 }
 
-// start runs the slices: those that only some daemons do end with duties, at
-// the beginning of a planned stop, the others with work.
-func (h *Host) start(work, duties context.Context, wg *sync.WaitGroup) {
-	for _, run := range []func(context.Context){h.mirror.Run, h.mirrors.Run, h.homes.Run, h.presence.Run, h.poison.Run, h.rollouts.Run, h.watchEras, h.loop} {
-		wg.Go(func() { run(work) })
+// start runs the background loops. Those that need an assignment stop with assignmentCtx, at the
+// start of the shutdown; the others stop with workCtx.
+func (h *Host) start(workCtx, assignmentCtx context.Context, wg *sync.WaitGroup) {
+	for _, run := range []func(context.Context){h.watchCache.Run, h.watchCacheSync.Run, h.contextOwners.Run, h.presence.Run, h.poison.Run, h.rollouts.Run, h.watchStoreIncarnations, h.watchReadiness} {
+		wg.Go(func() { run(workCtx) })
 	}
-	for _, run := range []func(context.Context){h.swapper.Run, h.sweeper.Run} {
-		wg.Go(func() { run(duties) })
+	for _, run := range []func(context.Context){h.weightUpdater.Run, h.sweeper.Run} {
+		wg.Go(func() { run(assignmentCtx) })
 	}
-	wg.Go(func() { h.cellRight.run(duties) })
-	for _, t := range h.rights {
-		wg.Go(func() { t.Run(duties) })
+	wg.Go(func() { h.cellLeadership.run(assignmentCtx) })
+	for _, t := range h.leaderships {
+		wg.Go(func() { t.Run(assignmentCtx) })
 	}
 }
--- a/emberd/internal/host/host_test.go
+++ b/emberd/internal/host/host_test.go
@@ -12,7 +12,8 @@
 	"embertally.dev/core/clock"
 )
 
-const good = `
+// validSettings sets all required keys.
+const validSettings = `
 name: box-1
 domain: z
 callers: 10.0.0.1:1
@@ -28,14 +29,14 @@
 		name, text string
 		faults     []string
 	}{
-		{"good", good, nil},
+		{"good", validSettings, nil},
 		{"empty", "", []string{"settings"}},
-		{"unknown key", good + "colour: red\n", []string{"field colour not found"}},
-		{"several", strings.NewReplacer("name: box-1\n", "", "10.0.0.2:5", "nowhere", "112", "2").Replace(good), []string{"name: is required", "store: must be", "memoryMB: must be"}},
-		{"times", good + "bounds: {stop: 0s, weights: -1s}\ntuning: {heartbeat: 1s, suspect: 2s}\n", []string{"bounds.stop", "bounds.weights", "tuning.suspect"}},
-		{"log", good + "logLevel: loud\n", []string{"logLevel: must be"}},
-		{"cold targets", good + "bounds: {coldOver: -1}\n", []string{"coldOver"}},
-		{"retries", good + "retries: {share: -1}\nlogRate: 0\n", []string{"retries", "logRate"}},
+		{"unknown key", validSettings + "colour: red\n", []string{"field colour not found"}},
+		{"several", strings.NewReplacer("name: box-1\n", "", "10.0.0.2:5", "nowhere", "112", "2").Replace(validSettings), []string{"name: is required", "store: must be", "memoryMB: must be"}},
+		{"times", validSettings + "bounds: {stop: 0s, weights: -1s}\ntuning: {heartbeat: 1s, suspect: 2s}\n", []string{"bounds.stop", "bounds.weights", "tuning.suspect"}},
+		{"log", validSettings + "logLevel: loud\n", []string{"logLevel: must be"}},
+		{"targets that are warming up", validSettings + "bounds: {coldOver: -1}\n", []string{"coldOver"}},
+		{"retries", validSettings + "retries: {share: -1}\nlogRate: 0\n", []string{"retries", "logRate"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -53,72 +54,72 @@
 }
 
 func FuzzParseSettings(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("name: [")
 	f.Add("bounds: 7")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := ParseSettings([]byte(text))
 		if err == nil && len(s.check()) > 0 {
-			t.Fatalf("settings with faults were taken: %q", text)
+			t.Fatalf("settings with faults were accepted: %q", text)
 		}
 	})
 }
 
-func TestTheTemplateGivesGoodSettings(t *testing.T) {
+func TestTheDeploymentTemplateGivesValidSettings(t *testing.T) {
 	tests := []struct {
-		name, over, extra, share string
-		want                     Bounds
+		name, warmUpFactor, warmUpExtra, canaryShare string
+		want                                         Bounds
 	}{
-		{"with cold targets", "1.5", "5", "", Bounds{ColdOver: 1.5, ColdExtra: 5, ExposeShare: 0.1}},
-		{"with roll-outs", "", "", "0.05", Bounds{ColdOver: 1, ExposeShare: 0.05}},
-		{"without", "", "", "", Bounds{ColdOver: 1, ExposeShare: 0.1}},
+		{"with warm-up limits", "1.5", "5", "", Bounds{WarmUpFactor: 1.5, WarmUpExtra: 5, CanaryShare: 0.1}},
+		{"with rollouts", "", "", "0.05", Bounds{WarmUpFactor: 1, CanaryShare: 0.05}},
+		{"defaults", "", "", "", Bounds{WarmUpFactor: 1, CanaryShare: 0.1}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			want := tc.want
-			want.Stop, want.OrderApart, want.Weights, want.Contact, want.Configuration = 8*time.Second, 3*time.Second, 12*time.Second, 3*time.Second, 2*time.Second
-			checkTemplate(gomega.NewWithT(t), tc.over, tc.extra, tc.share, want)
+			want.Stop, want.OrderGap, want.OldWeights, want.StoreSilence, want.OldConfiguration = 8*time.Second, 3*time.Second, 12*time.Second, 3*time.Second, 2*time.Second
+			checkTemplate(gomega.NewWithT(t), tc.warmUpFactor, tc.warmUpExtra, tc.canaryShare, want)
 		})
 	}
 }
 
-// checkTemplate fills the template with figures for cold targets and roll-outs, or nothing, and
-// checks the settings.
-func checkTemplate(g *gomega.WithT, coldOver, coldExtra, exposeShare string, want Bounds) {
+// checkTemplate fills in deploy/settings.yaml with bounds for warm-up and rollouts, or empty texts for the
+// defaults, and checks the settings that result.
+func checkTemplate(g *gomega.WithT, warmUpFactor, warmUpExtra, canaryShare string, want Bounds) {
 	raw, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "settings.yaml"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	// As the platform fills it.
+	// The platform replaces these placeholders at deployment.
 	filled := strings.NewReplacer(
 		"{{NodeName}}", "edge-1", "{{Zone}}", "z", "{{Zones|json}}", `{"z":"r"}`, "{{Listen.Front}}", "10.0.0.1:1", "{{Listen.Readiness}}", "10.0.0.1:2",
 		"{{Ip}}", "10.0.0.1", "{{EphemeralPorts.0}}", "7740", "{{Platform.Address}}", "10.0.0.9:1", "{{Limits.MemoryMb}}", "134",
 		"{{Bounds.GraceS}}", "8", "{{Bounds.LeaseMs}}", "3000", "{{Bounds.ContactMs}}", "3000", "{{Bounds.ConfigMs}}", "2000", "{{Bounds.VersionMs}}", "12000",
 		"{{Bounds.RetryBudgetRatio}}", "0.2", "{{Bounds.BudgetSlack}}", "56", "{{Bounds.BudgetWindowS}}", "10",
-		"{{Bounds.ColdOver}}", coldOver, "{{Bounds.ColdSlack}}", coldExtra, "{{Bounds.ExposeShare}}", exposeShare,
+		"{{Bounds.ColdOver}}", warmUpFactor, "{{Bounds.ColdSlack}}", warmUpExtra, "{{Bounds.ExposeShare}}", canaryShare,
 	).Replace(string(raw))
 	g.Expect(filled).NotTo(gomega.ContainSubstring("{{"))
 	s, err := ParseSettings([]byte(filled))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.Bounds).To(gomega.Equal(want))
-	g.Expect(s.Retries).To(gomega.Equal(Retries{Share: 0.2, Extra: 56, Window: 10 * time.Second}))
+	g.Expect(s.Retries).To(gomega.Equal(Retries{PerRequest: 0.2, Extra: 56, Window: 10 * time.Second}))
 	g.Expect(s.Regions).To(gomega.Equal(map[string]string{"z": "r"}))
 	g.Expect(s.Peers).To(gomega.Equal("10.0.0.1:7740"))
 }
 
-func TestNamedWeights(t *testing.T) {
+func TestDesiredWeights(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var n named
-	g.Expect(n.version("m")).To(gomega.BeZero())
-	n.set("m", 1)
-	n.set("m", 3)
-	n.set("m", 2) // told late
-	g.Expect(n.version("m")).To(gomega.Equal(int64(3)))
-	_, replaced := n.superseded("v3/m/")
+	var d desiredWeights
+	g.Expect(d.version("m")).To(gomega.BeZero())
+	d.set("m", 1)
+	d.set("m", 3)
+	d.set("m", 2) // arrives out of order
+	g.Expect(d.version("m")).To(gomega.Equal(int64(3)))
+	_, replaced := d.supersededSince("v3/m/")
 	g.Expect(replaced).To(gomega.BeFalse())
-	since, replaced := n.superseded("v1/m/org")
+	since, replaced := d.supersededSince("v1/m/org")
 	g.Expect(replaced).To(gomega.BeTrue())
 	g.Expect(clock.Since(since)).To(gomega.BeNumerically("<", time.Minute))
-	g.Expect(n.age("m", 3)).To(gomega.BeZero())
-	g.Expect(n.age("m", 1)).To(gomega.BeNumerically(">", 0))
-	_, replaced = n.superseded("no salt")
+	g.Expect(d.replacedFor("m", 3)).To(gomega.BeZero())
+	g.Expect(d.replacedFor("m", 1)).To(gomega.BeNumerically(">", 0))
+	_, replaced = d.supersededSince("no salt")
 	g.Expect(replaced).To(gomega.BeFalse())
 }
--- /dev/null
+++ b/emberd/internal/host/leaderships.go
@@ -0,0 +1,111 @@
+package host
+
+import (
+	"context"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"embertally.dev/core/fleet"
+	"embertally.dev/core/lease"
+	"embertally.dev/core/order"
+	"embertally.dev/core/wait"
+)
+
+// updatePartitions is the number of partitions of the workers for weight updates. The loss of a
+// daemon delays the workers of its partitions by about four seconds. With more partitions than
+// workers may load at a time (2 to 12 on the users' sites), too many would load.
+const updatePartitions = 4
+
+// ownerSeparator separates the name and the incarnation of the daemon that holds a lease.
+const ownerSeparator = "/"
+
+// newLeadership returns the lease to send weight updates to one partition of the workers. A
+// daemon ranks later for each other such lease it holds, so that they spread over the daemons.
+func (h *Host) newLeadership(partition int, incarnation string) *lease.Timed {
+	key := keyWeightUpdates + strconv.Itoa(partition)
+	return lease.NewTimed(lease.TimedOptions{
+		Key: key, Owner: h.settings.Name + ownerSeparator + incarnation, Apart: h.settings.Bounds.OrderGap,
+		Store: h.store, Mirror: h.watchCache, Log: h.log,
+		Rank:   func() int { return h.assignmentRank(key) + ranksPerLeadership*h.heldLeaderships() },
+		Urgent: func() bool { return h.weightUpdater.Wanted(partition) },
+		Idle:   h.ineligible,
+	})
+}
+
+// cellLeadership holds the lease to send weight updates to the workers of this daemon's cell, for services
+// whose workers are divided among the cells. The cell may change.
+type cellLeadership struct {
+	host  *Host
+	owner string // name and incarnation of this daemon
+	lease atomic.Pointer[lease.Timed]
+}
+
+// cellPollInterval is the interval at which run checks which cell this daemon is in.
+const cellPollInterval = 500 * time.Millisecond
+
+// Current returns the lease for the workers of the current cell, or nil.
+func (c *cellLeadership) Current() order.Right {
+	t := c.lease.Load()
+	if t == nil {
+		// A nil *lease.Timed in the interface would not equal nil.
+		return nil
+	}
+	return t
+}
+
+// run keeps the lease that of the cell this daemon is in, until ctx is cancelled.
+func (c *cellLeadership) run(ctx context.Context) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	label, stop := "", context.CancelFunc(func() {})
+	defer func() { stop() }()
+	for wait.For(ctx, cellPollInterval) {
+		if now := c.host.fleet.View().Label(); now != label {
+			stop()
+			label = now
+			t := c.newLease(label)
+			leaseCtx, cancel := context.WithCancel(ctx)
+			stop = cancel
+			c.lease.Store(t)
+			wg.Go(func() { t.Run(leaseCtx) })
+		}
+	}
+}
+
+// newLease returns the lease for the workers of a cell. It is held only while some of them have
+// outdated weights.
+func (c *cellLeadership) newLease(label string) *lease.Timed {
+	h, key := c.host, keyCells+label
+	return lease.NewTimed(lease.TimedOptions{
+		Key: key, Owner: c.owner, Apart: h.settings.Bounds.OrderGap, Store: h.store, Mirror: h.watchCache, Log: h.log, Known: h.watchCache.Fresh,
+		Rank:   func() int { return fleet.Place(fleet.Key(key), h.fleet.View().Expected(), h.settings.Name) },
+		Urgent: h.weightUpdater.CellWanted,
+		Idle:   func() bool { return h.ineligible() || !h.weightUpdater.CellWanted() },
+	})
+}
+
+// ineligible reports whether this daemon must not take a lease.
+func (h *Host) ineligible() bool { return h.draining.Load() || time.Since(h.started) < startupDelay }
+
+// startupDelay is how long after its start a daemon takes no lease. Until daemons
+// that start together have found each other, each ranks first for all leases and
+// tries to take them, which costs about fifteen billed calls a daemon. The users'
+// boxes start within 0.3 s; a daemon is found once its key has been written and read.
+const startupDelay = 1500 * time.Millisecond
+
+// ranksPerLeadership is by how many ranks a daemon comes later for each lease it holds.
+const ranksPerLeadership = 3
+
+// heldLeaderships counts the partition leases that this daemon holds according to the watch cache.
+func (h *Host) heldLeaderships() int {
+	n := 0
+	for _, p := range h.watchCache.Under(keyWeightUpdates) {
+		if strings.HasPrefix(string(p.Value), h.settings.Name+ownerSeparator) {
+			n++
+		}
+	}
+	return n
+}
--- a/emberd/internal/host/main.go
+++ b/emberd/internal/host/main.go
@@ -12,35 +12,36 @@
 	"embertally.dev/core/event"
 )
 
-// Exit codes, as those of the other commands.
+// Exit codes; the other commands use the same ones.
 const (
 	exitOK       = 0
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// Bounds of memory.
+// Parameters of the garbage collector.
 const (
-	// collectAt is how much the heap grows before it is collected, in percent:
-	// memory at its peak is priced, and a daemon's heap is small.
-	collectAt = 60
-	// heapShare is the part of the process's memory from which the collector
-	// works harder; stacks of threads, libraries and sockets need the rest.
+	// gcPercent is the heap growth that starts a collection, as GOGC. It is below Go's
+	// default of 100 because peak memory is billed and a daemon's heap is small.
+	gcPercent = 60
+	// heapShare is the share of Settings.MemoryMB that becomes the soft memory limit of the Go
+	// runtime. Thread stacks, libraries and sockets need the rest.
 	heapShare = 0.6
 )
 
-// Main runs a hosted daemon until SIGTERM and returns the exit code.
+// Main runs a hosted daemon with the settings file at path until SIGTERM or an interrupt, and returns the
+// exit code.
 func Main(path string) int {
-	set, err := ReadSettings(path)
+	settings, err := ReadSettings(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "emberd:", err)
 		return exitSettings
 	}
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(heapShare * float64(set.MemoryMB<<20)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(heapShare * float64(settings.MemoryMB<<20)))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	h := New(set)
+	h := New(settings)
 	bugs.Handle(func(text string, stack []byte) {
 		h.log.Emit(event.InvariantBroken, event.Ref{}, text+"\n"+string(stack))
 	})
@@ -54,14 +55,14 @@
 	return exitOK
 }
 
-// reloader reads the settings again on a signal.
+// reloader reloads the settings file on SIGHUP.
 type reloader struct {
-	h    *Host
+	host *Host
 	path string
 	hup  <-chan os.Signal
 }
 
-// run reads the settings at each signal until ctx ends.
+// run reloads the settings at each signal until ctx is cancelled. Only logLevel and logRate take effect.
 func (r reloader) run(ctx context.Context) {
 	for {
 		select {
@@ -69,13 +70,13 @@
 			return
 		case <-r.hup:
 		}
-		set, err := ReadSettings(r.path)
+		settings, err := ReadSettings(r.path)
 		if err != nil {
-			r.h.log.Emit(event.SettingsRejected, event.Ref{}, err.Error())
+			r.host.log.Emit(event.SettingsRejected, event.Ref{}, err.Error())
 			continue
 		}
-		r.h.log.Emit(event.SettingsReloaded, event.Ref{}, "in force: logLevel, logRate; everything else from the next start")
-		r.h.log.SetLevel(event.Level(set.LogLevel))
-		r.h.log.SetRate(set.LogRate)
+		r.host.log.Emit(event.SettingsReloaded, event.Ref{}, "applied: logLevel, logRate; other changes need a restart")
+		r.host.log.SetLevel(event.Level(settings.LogLevel))
+		r.host.log.SetRate(settings.LogRate)
 	}
 }
--- a/emberd/internal/host/ready.go
+++ b/emberd/internal/host/ready.go
@@ -10,68 +10,69 @@
 	"embertally.dev/core/wait"
 )
 
-// notReady says why the daemon takes no requests, or "".
-func (h *Host) notReady() string {
+// notReadyReason returns why the daemon accepts no requests, or "" if it is ready.
+func (h *Host) notReadyReason() string {
 	switch {
 	case h.draining.Load():
 		return "the daemon is stopping"
 	case h.relay.Table() == nil:
 		return "no configuration is known"
-	case h.lacks(clock.Now()) > 0:
+	case h.configOverdue(clock.Now()) > 0:
 		return "a newer configuration has not arrived"
 	}
 	return ""
 }
 
-// readyLook is the pause between looks at readiness.
-const readyLook = 100 * time.Millisecond
+// readyPollInterval is the interval at which readiness is checked.
+const readyPollInterval = 100 * time.Millisecond
 
-// loop records when readiness changes.
-func (h *Host) loop(ctx context.Context) {
+// watchReadiness logs changes of readiness until ctx is cancelled.
+func (h *Host) watchReadiness(ctx context.Context) {
 	ready := false
-	wait.Every(ctx, readyLook, func() {
-		why := h.notReady()
-		if ready == (why == "") {
+	wait.Every(ctx, readyPollInterval, func() {
+		reason := h.notReadyReason()
+		if ready == (reason == "") {
 			return
 		}
-		if ready = why == ""; ready {
+		if ready = reason == ""; ready {
 			h.log.Emit(event.DaemonReady, event.Ref{}, "configuration "+itoa(h.relay.Table().Version()))
 		} else {
-			h.log.Emit(event.DaemonNotReady, event.Ref{}, why)
+			h.log.Emit(event.DaemonNotReady, event.Ref{}, reason)
 		}
 	})
 }
 
-// Times of a planned stop.
+// Times of a graceful shutdown.
 const (
-	// noticeTime is how long the platform may take to send no more new
-	// connections: two questions for readiness, a second apart.
+	// noticeTime is how long the platform may take to stop sending new
+	// connections: two readiness probes, a second apart.
 	noticeTime = 2600 * time.Millisecond
-	// stopMargin is left of the stop's time for the end of the process.
+	// stopMargin is the part of Bounds.Stop that is reserved for the exit of the process.
 	stopMargin = 700 * time.Millisecond
-	drainLook  = 50 * time.Millisecond
+	// drainPollInterval is the interval at which drain checks for running requests.
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// drain answers what comes until callers have gone elsewhere; then it refuses
-// what still comes on kept connections, since a long answer might not end in
+// drain serves new requests until the platform has stopped sending connections. Then it refuses
+// requests on connections that stayed open, since a long answer might not finish in
 // time, and waits for running requests.
 func (h *Host) drain(callers *http.Server) {
-	began := time.Now()
+	started := time.Now()
 	h.draining.Store(true)
 	h.relay.CloseConnections()
 	h.fleet.Drain()
 	h.log.Emit(event.DaemonDraining, event.Ref{}, "")
-	end := began.Add(h.set.Bounds.Stop - stopMargin)
-	for time.Now().Before(end) {
-		if time.Since(began) > noticeTime {
+	deadline := started.Add(h.settings.Bounds.Stop - stopMargin)
+	for time.Now().Before(deadline) {
+		if time.Since(started) > noticeTime {
 			h.relay.RefuseRequests()
 			if h.relay.Running() == 0 {
 				break
 			}
 		}
-		time.Sleep(drainLook)
+		time.Sleep(drainPollInterval)
 	}
-	// Only idle connections are left, and requests that outlast the stop.
+	// What is left are idle connections, and requests that run longer than the shutdown may take.
 	callers.SetKeepAlivesEnabled(false)
-	time.Sleep(drainLook)
+	time.Sleep(drainPollInterval)
 }
--- a/emberd/internal/host/state.go
+++ b/emberd/internal/host/state.go
@@ -15,59 +15,59 @@
 	"embertally.dev/core/plat"
 )
 
-// itoa writes a number as it stands in log lines.
+// itoa formats a number in decimal.
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-// named knows which versions of each model's weights were named.
-type named struct {
-	namedMu sync.Mutex
-	// versions holds what was named of each model, in rising order. Guarded by
-	// namedMu.
-	versions map[string][]namedVersion
+// desiredWeights records which versions of each model's weights operators have asked for. The zero value is
+// ready for use.
+type desiredWeights struct {
+	mu sync.Mutex
+	// versions holds the latest maxVersionsPerModel versions of each model, in rising order. Guarded by mu.
+	versions map[string][]desiredVersion
 }
 
-// namedMost bounds the versions kept of one model.
-const namedMost = 32
+// maxVersionsPerModel bounds the recorded versions of one model.
+const maxVersionsPerModel = 32
 
-// namedVersion is one version that was named.
-type namedVersion struct {
+// desiredVersion is one version that operators have asked for.
+type desiredVersion struct {
 	version int64
-	// since is when this daemon learned of it.
+	// since is when this daemon received it.
 	since clock.Time
 }
 
-// set records that a version of a model was named; an older one changes nothing.
-func (n *named) set(model string, version int64) {
-	n.namedMu.Lock()
-	defer n.namedMu.Unlock()
-	if n.versions == nil {
-		n.versions = map[string][]namedVersion{}
+// set records the desired version of a model, unless a newer one is recorded.
+func (d *desiredWeights) set(model string, version int64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.versions == nil {
+		d.versions = map[string][]desiredVersion{}
 	}
-	list := n.versions[model]
+	list := d.versions[model]
 	if len(list) > 0 && list[len(list)-1].version >= version {
 		return
 	}
-	list = append(list, namedVersion{version, clock.Now()})
-	n.versions[model] = list[max(0, len(list)-namedMost):]
+	list = append(list, desiredVersion{version, clock.Now()})
+	d.versions[model] = list[max(0, len(list)-maxVersionsPerModel):]
 }
 
-// version returns the newest version of a model; 0 where none is named.
-func (n *named) version(model string) int64 {
-	n.namedMu.Lock()
-	defer n.namedMu.Unlock()
-	list := n.versions[model]
+// version returns the newest desired version of a model, or 0 if there is none.
+func (d *desiredWeights) version(model string) int64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list := d.versions[model]
 	if len(list) == 0 {
 		return 0
 	}
 	return list[len(list)-1].version
 }
 
-// replaced returns since when this daemon knows of newer weights than a
-// version; false where there are none.
-func (n *named) replaced(model string, version int64) (clock.Time, bool) {
-	n.namedMu.Lock()
-	defer n.namedMu.Unlock()
-	for _, v := range n.versions[model] {
+// replacedSince returns when this daemon received the first version that is newer than the given
+// one; false if there is none.
+func (d *desiredWeights) replacedSince(model string, version int64) (clock.Time, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, v := range d.versions[model] {
 		if v.version > version {
 			return v.since, true
 		}
@@ -75,113 +75,113 @@
 	return clock.Time{}, false
 }
 
-// age returns how long a version has been replaced; 0 where it is the newest.
-func (n *named) age(model string, version int64) time.Duration {
-	since, replaced := n.replaced(model, version)
+// replacedFor returns how long a version has been replaced by a newer one, or 0 if there is none.
+func (d *desiredWeights) replacedFor(model string, version int64) time.Duration {
+	since, replaced := d.replacedSince(model, version)
 	if !replaced {
 		return 0
 	}
 	return clock.Since(since)
 }
 
-// superseded returns since when newer weights than those of a salt are named.
-func (n *named) superseded(salt string) (clock.Time, bool) {
+// supersededSince returns when this daemon received the first version that is newer than the one in a
+// cache salt; false if there is none or the salt names no version.
+func (d *desiredWeights) supersededSince(salt string) (clock.Time, bool) {
 	model, version, ok := cache.SaltVersion(salt)
 	if !ok {
 		return clock.Time{}, false
 	}
-	return n.replaced(model, version)
+	return d.replacedSince(model, version)
 }
 
-// boxes reads the list of daemons from the mirror of the platform's store.
-type boxes struct {
-	mirror *plat.Mirror
-	// edits of the mirror at the last reading, and state of the boxes' keys then; only the
-	// reader uses them.
+// boxList reads the list of daemons' boxes from the watch cache of the coordination store. It is not safe
+// for concurrent use.
+type boxList struct {
+	watchCache *plat.Mirror
+	// edits is the watch cache's edit count at the last read, and state that of the boxes' keys.
 	edits int64
-	state boxesState
-	// last holds the boxes of the last reading by key, and era is that of the mirror then. Only the
-	// reader uses them.
-	last map[string]plat.Box
-	era  int64
-	// missing holds, until held, the boxes that the mirror lacked when its era rose. Only the reader
-	// uses them.
-	missing map[string]plat.Box
-	held    clock.Time
+	state boxKeysState
+	// last holds the boxes of the last read by key, and incarnation is the store incarnation then.
+	last        map[string]plat.Box
+	incarnation int64
+	// missing holds the boxes of the last read before the store incarnation rose. They stay in the list
+	// until missingUntil.
+	missing      map[string]plat.Box
+	missingUntil clock.Time
 }
 
-// boxHold is how long a box that a restored store lacks stays in the list: each daemon writes its key
-// again within a quarter of boxLife.
-const boxHold = boxLife / 2
+// boxGrace is how long a box that is missing from a restored store stays in the list: each daemon writes
+// its key again within a quarter of boxTTL.
+const boxGrace = boxTTL / 2
 
-// boxesState tells whether the boxes' keys are as they were: a new or changed one raises
-// the latest revision, and one that goes changes the count.
-type boxesState struct {
-	read   bool
+// boxKeysState shows whether the boxes' keys have changed: a new or changed one raises the latest
+// revision, and a removed one changes the count.
+type boxKeysState struct {
+	read   bool // false before the first read
 	latest int64
 	count  int
 }
 
-// Read returns the list. Most changes of the mirror are of targets, at which the boxes are not read
-// anew.
-func (b *boxes) Read(context.Context) ([]plat.Box, bool, error) {
-	over := b.missing != nil && !clock.Now().Before(b.held)
-	if over {
+// Read returns the list, and false if it has not changed since the last read. Most changes of the watch
+// cache are of targets; they don't make it parse the boxes again.
+func (b *boxList) Read(context.Context) ([]plat.Box, bool, error) {
+	expired := b.missing != nil && !clock.Now().Before(b.missingUntil)
+	if expired {
 		b.missing = nil
 	}
-	edits, era := b.mirror.Edits(), b.mirror.Era()
-	if edits == b.edits && !over {
+	edits, incarnation := b.watchCache.Edits(), b.watchCache.Era()
+	if edits == b.edits && !expired {
 		return nil, false, nil
 	}
 	b.edits = edits
-	pairs := b.mirror.Under(keyBoxes)
-	state := boxesState{read: true, count: len(pairs)}
+	pairs := b.watchCache.Under(keyBoxes)
+	state := boxKeysState{read: true, count: len(pairs)}
 	for _, p := range pairs {
 		state.latest = max(state.latest, p.ModRevision)
 	}
-	if state == b.state && !over {
+	if state == b.state && !expired {
 		return nil, false, nil
 	}
 	b.state = state
-	if b.last != nil && era > b.era {
-		b.missing, b.held = b.last, clock.Now().Add(boxHold)
+	if b.last != nil && incarnation > b.incarnation {
+		b.missing, b.missingUntil = b.last, clock.Now().Add(boxGrace)
 	}
-	b.last, b.era = map[string]plat.Box{}, era
+	b.last, b.incarnation = map[string]plat.Box{}, incarnation
 	for _, p := range pairs {
 		var box plat.Box
 		if err := json.Unmarshal(p.Value, &box); err == nil {
 			b.last[p.Key] = box
 		}
-		// A key that no daemon wrote so names none; the others still count.
+		// A value that cannot be parsed was not written by a daemon, and is ignored.
 	}
 	for key, box := range b.missing {
-		if _, there := b.last[key]; !there {
+		if _, listed := b.last[key]; !listed {
 			b.last[key] = box
 		}
 	}
 	return slices.Collect(maps.Values(b.last)), true, nil
 }
 
-// daemons counts the daemons that share the connections to targets.
-type daemons struct {
+// daemonCounter counts the daemons that share the connections to targets.
+type daemonCounter struct {
 	view func() *fleet.View
 
-	countMu sync.Mutex
-	most    int        // guarded by countMu
-	at      clock.Time // when most was counted; guarded by countMu
+	mu        sync.Mutex
+	highest   int        // guarded by mu
+	countedAt clock.Time // when highest was counted; guarded by mu
 }
 
-// countLife is how long the highest count holds: a daemon that is not heard
+// countMaxAge is how long the highest count is used: a daemon that sends no heartbeats
 // may still use its connections.
-const countLife = 15 * time.Second
+const countMaxAge = 15 * time.Second
 
-// count returns the highest count of daemons lately, this one included.
-func (d *daemons) count() int {
+// count returns the highest recent count of daemons, this one included.
+func (d *daemonCounter) count() int {
 	now := len(d.view().Peers()) + 1
-	d.countMu.Lock()
-	defer d.countMu.Unlock()
-	if now >= d.most || clock.Since(d.at) > countLife {
-		d.most, d.at = now, clock.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if now >= d.highest || clock.Since(d.countedAt) > countMaxAge {
+		d.highest, d.countedAt = now, clock.Now()
 	}
-	return d.most
+	return d.highest
 }
