--- a/emberd/internal/daemon/daemon.go
+++ b/emberd/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon owns the life of one emberd process: its settings, its keys,
-// the putting together of the slices, readiness, and the planned stop.
+// Package daemon owns the life cycle of one emberd process: settings, TLS keys, construction
+// and wiring of the core packages, readiness, and graceful shutdown.
 //
-// It must not decide anything that a slice decides.
+// It must not make decisions that belong to a core package.
 package daemon
 
 import (
@@ -40,38 +40,40 @@
 
 // Daemon is one running emberd.
 type Daemon struct {
-	set    Settings
-	log    *event.Log
-	kv     *plat.KV
-	store  *conf.Store
-	fleet  *fleet.Fleet
-	spread *spread.ConfigReplicator
-	home   *home.Owner
-	once   *once.Once
-	entry  *entry.Server
-	poison *poison.Guard
-	admin  *admin.Server
-	sync   *conf.Syncer
-	orders *order.Holder
+	settings     Settings
+	log          *event.Log
+	kv           *plat.KV // client of the key-value service
+	config       *conf.Store
+	fleet        *fleet.Fleet
+	replicator   *spread.ConfigReplicator
+	contextOwner *home.Owner
+	once         *once.Once
+	entry        *entry.Server
+	poison       *poison.Guard
+	admin        *admin.Server
+	syncer       *conf.Syncer
+	orders       *order.Holder
 
-	callerKeys, operatorKeys, peerKeys *keys
+	// The TLS keys of the listeners; nil for a listener without TLS.
+	callerKeys, operatorKeys, peerKeys *tlsKeys
 
-	// platformMeter and targetMeter count control bytes: to the platform's
-	// services, and to targets beside callers' requests.
+	// platformMeter counts the bytes to and from the platform's services, and targetMeter
+	// those to and from targets that don't belong to callers' requests.
 	platformMeter, targetMeter plat.Meter
 
+	// draining is set when the shutdown begins.
 	draining atomic.Bool
-	// ready tells that the daemon was ready at the last look.
+	// ready is the readiness at the last check of watchReadiness.
 	ready atomic.Bool
-	// wokeAt is when the process found that it had been stopped; nil once it knows
-	// again that it is current.
-	wokeAt atomic.Pointer[clock.Time]
+	// resumedAt is when the process noticed that it had been suspended; nil once the
+	// configuration has been confirmed since.
+	resumedAt atomic.Pointer[clock.Time]
 }
 
-// New puts a daemon together.
-func New(set Settings) (*Daemon, error) {
-	d := &Daemon{set: set}
-	d.log = event.NewLog(set.Name, os.Stderr, event.Format(set.Log.Format), event.Level(set.Log.Level))
+// New wires a daemon together; Run starts it.
+func New(settings Settings) (*Daemon, error) {
+	d := &Daemon{settings: settings}
+	d.log = event.NewLog(settings.Name, os.Stderr, event.Format(settings.Log.Format), event.Level(settings.Log.Level))
 	bugs.Handle(func(text string, stack []byte) {
 		d.log.Emit(event.InvariantBroken, event.Ref{}, text+"\n"+string(stack))
 	})
@@ -80,38 +82,39 @@
 	}
 	incarnation := newIncarnation()
 	platform := plat.NewClient(&d.platformMeter)
-	d.kv = plat.NewKV(set.Platform.KeyValue, platform)
-	d.store = conf.NewStore(d.log)
+	d.kv = plat.NewKV(settings.Platform.KeyValue, platform)
+	d.config = conf.NewStore(d.log)
 	d.fleet = fleet.New(d.fleetOptions(incarnation, platform))
 	d.fleet.Mux().Refused = func(address string, err error) {
 		d.log.Emit(event.PeerRefused, event.Ref{}, address+": "+err.Error())
 	}
 	d.fleet.OnWake(func(time.Duration) {
 		now := clock.Now()
-		d.wokeAt.Store(&now)
+		d.resumedAt.Store(&now)
 	})
-	d.spread = spread.New(d.store, d.fleet, d.kv)
-	d.sync = conf.NewSyncer(d.store, d.kv, d.spread, d.log)
+	d.replicator = spread.New(d.config, d.fleet, d.kv)
+	d.syncer = conf.NewSyncer(d.config, d.kv, d.replicator, d.log)
 	d.build(incarnation)
 	return d, nil
 }
 
-// newIncarnation names this run of the daemon.
+// newIncarnation returns a random name for this incarnation of the daemon.
 func newIncarnation() string {
 	const digits = 12
 	return strings.ReplaceAll(uuid.NewString(), "-", "")[:digits]
 }
 
+// readKeys loads the TLS keys of all listeners.
 func (d *Daemon) readKeys() error {
 	for _, k := range []struct {
-		into  **keys
+		into  **tlsKeys
 		files TLS
 	}{
-		{&d.callerKeys, d.set.Callers.TLS},
-		{&d.operatorKeys, d.set.Operators.TLS},
-		{&d.peerKeys, d.set.Peers.TLS},
+		{&d.callerKeys, d.settings.Callers.TLS},
+		{&d.operatorKeys, d.settings.Operators.TLS},
+		{&d.peerKeys, d.settings.Peers.TLS},
 	} {
-		got, err := newKeys(k.files, d.log)
+		got, err := newTLSKeys(k.files, d.log)
 		if err != nil {
 			return err
 		}
@@ -120,16 +123,17 @@
 	return nil
 }
 
+// fleetOptions returns the options of the fleet. platform is the client for the box list.
 func (d *Daemon) fleetOptions(incarnation string, platform *http.Client) fleet.Options {
 	o := fleet.Options{
-		Name: d.set.Name, Incarnation: incarnation, Heartbeat: d.set.Peers.Heartbeat,
-		Suspect: d.set.Peers.Suspect, BoxPause: d.set.Platform.BoxPause, Log: d.log,
+		Name: d.settings.Name, Incarnation: incarnation, Heartbeat: d.settings.Peers.Heartbeat,
+		Suspect: d.settings.Peers.Suspect, BoxPause: d.settings.Platform.BoxListInterval, Log: d.log,
 	}
-	for _, s := range d.set.Peers.Seeds {
+	for _, s := range d.settings.Peers.Seeds {
 		o.Seeds = append(o.Seeds, fleet.Peer{Name: s.Name, Address: s.Address, Domain: s.Domain})
 	}
-	if d.set.Platform.BoxList != "" {
-		o.Boxes = plat.NewBoxList(d.set.Platform.BoxList, platform)
+	if d.settings.Platform.BoxList != "" {
+		o.Boxes = plat.NewBoxList(d.settings.Platform.BoxList, platform)
 	}
 	if d.peerKeys != nil {
 		o.TLS = d.peerKeys.client
@@ -137,118 +141,119 @@
 	return o
 }
 
+// build creates the components in the order of their dependencies.
 func (d *Daemon) build(incarnation string) {
 	engines := &http.Client{Transport: target.NewTransport()}
-	following := target.NewTransport()
-	d.targetMeter.Measure(following)
-	control := &http.Client{Transport: following}
+	controlTransport := target.NewTransport()
+	d.targetMeter.Measure(controlTransport)
+	control := &http.Client{Transport: controlTransport}
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	d.poison = poison.New(poison.Options{Fleet: d.fleet, Try: canDial, Log: d.log})
-	d.home = home.New(home.Options{
+	d.poison = poison.New(poison.Options{Fleet: d.fleet, Try: tryDial, Log: d.log})
+	d.contextOwner = home.New(home.Options{
 		IncarnationReplaced: d.poison.Ended,
-		Domain:              d.set.Domain,
-		Placement:           route.Placement(d.set.Placement), Conf: d.store, Fleet: d.fleet, Log: d.log,
-		Client: control, LoadInterval: d.set.Limits.LoadPause,
+		Domain:              d.settings.Domain,
+		Placement:           route.Placement(d.settings.Placement), Conf: d.config, Fleet: d.fleet, Log: d.log,
+		Client: control, LoadInterval: d.settings.Limits.LoadInterval,
 	})
 	d.once = once.New(once.Options{
-		Name: d.set.Name, Incarnation: incarnation, Window: d.set.Limits.ClaimWindow,
+		Name: d.settings.Name, Incarnation: incarnation, Window: d.settings.Limits.ClaimWindow,
 		Fleet: d.fleet, KV: d.kv, Log: d.log,
 	})
 	d.orders = order.New(order.Options{
-		Name: d.set.Name, Conf: d.store, Fleet: d.fleet, Workers: d.home, KV: d.kv, Log: d.log, Client: control,
+		Name: d.settings.Name, Conf: d.config, Fleet: d.fleet, Workers: d.contextOwner, KV: d.kv, Log: d.log, Client: control,
 	})
 	d.entry = entry.New(entry.Options{
-		Conf: d.store, Fleet: d.fleet, Home: d.home, Once: d.once, Poison: d.poison, Log: d.log,
+		Conf: d.config, Fleet: d.fleet, Home: d.contextOwner, Once: d.once, Poison: d.poison, Log: d.log,
 		Engines: engines,
 		Calls:   &http.Client{Transport: target.NewTransport(), CheckRedirect: noRedirect},
 		Single:  &http.Client{Transport: target.NewTransportWithoutReuse(), CheckRedirect: noRedirect},
-		MaxBody: d.set.Limits.MaxBodyBytes, MaxRunning: d.set.Limits.MaxRunning, Ready: d.NotReady,
+		MaxBody: d.settings.Limits.MaxBodyBytes, MaxRunning: d.settings.Limits.MaxRunning, Ready: d.NotReadyReason,
 	})
 	d.admin = admin.New(admin.Options{
-		Conf: d.store, Writer: conf.NewWriter(d.store, d.kv, d.log), Spread: d.spread, Fleet: d.fleet, Home: d.home, Poison: d.poison, Log: d.log,
+		Conf: d.config, Writer: conf.NewWriter(d.config, d.kv, d.log), Spread: d.replicator, Fleet: d.fleet, Home: d.contextOwner, Poison: d.poison, Log: d.log,
 		Duties:    append([]string{spread.WatchAssignment, order.Duty(0)}, once.Duties()...),
-		KeyHashes: d.set.OperatorKeyHashes, Ready: d.NotReady, Running: d.entry.Running,
+		KeyHashes: d.settings.OperatorKeyHashes, Ready: d.NotReadyReason, Running: d.entry.Running,
 	})
 }
 
-// dialLimit bounds the opening of a connection to an engine whose last one ended.
-const dialLimit = time.Second
+// dialTimeout bounds the opening of a connection to a target whose last connection broke.
+const dialTimeout = time.Second
 
-// canDial opens a connection to an address and closes it.
-func canDial(ctx context.Context, address string) error {
-	conn, err := (&net.Dialer{Timeout: dialLimit}).DialContext(ctx, "tcp", address)
+// tryDial opens a connection to an address and closes it.
+func tryDial(ctx context.Context, address string) error {
+	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	return errors.WithStack(conn.Close())
 }
 
-// NotReady says why the daemon takes no requests, or "".
-func (d *Daemon) NotReady() string {
+// NotReadyReason returns why the daemon accepts no requests, or "" if it is ready.
+func (d *Daemon) NotReadyReason() string {
 	switch {
 	case d.draining.Load():
 		return "the daemon is stopping"
-	case !d.spread.Current():
+	case !d.replicator.Current():
 		return "the daemon does not have the latest configuration that it knows of"
-	case !d.home.WarmedUp():
+	case !d.contextOwner.WarmedUp():
 		return "the daemon has not heard of all workers yet"
 	case d.isolated():
 		return "the daemon hears nothing of peers, box list and key-value service"
-	case !d.knowsAfterWake():
+	case !d.confirmedSinceResume():
 		return "the daemon was stopped for a while and does not know yet whether its configuration is current"
 	}
 	return ""
 }
 
-// isolated reports whether nothing outside was heard for too long.
+// isolated reports whether peers, box list and key-value service have been silent for Limits.IsolationTimeout.
 func (d *Daemon) isolated() bool {
 	last := d.fleet.Contact()
-	if at := d.store.Confirmed(); at.After(last) {
+	if at := d.config.Confirmed(); at.After(last) {
 		last = at
 	}
-	return !last.IsZero() && clock.Since(last) > d.set.Limits.IsolatedStop
+	return !last.IsZero() && clock.Since(last) > d.settings.Limits.IsolationTimeout
 }
 
-// knowsAfterWake reports whether the configuration was confirmed since the
-// process found that it had been stopped. Where the service is down, hearing
-// peers for as long as they may be silent is enough: none was ahead.
-func (d *Daemon) knowsAfterWake() bool {
-	at := d.wokeAt.Load()
+// confirmedSinceResume reports whether the configuration has been confirmed since the
+// process noticed that it had been suspended. If the key-value service is down, it is
+// enough to receive from peers for Peers.Suspect: then none has a newer configuration.
+func (d *Daemon) confirmedSinceResume() bool {
+	at := d.resumedAt.Load()
 	if at == nil {
 		return true
 	}
-	if d.store.Confirmed().After(*at) || (d.spread.AnyPeerLoaded() && clock.Since(*at) > d.set.Peers.Suspect) {
-		d.wokeAt.CompareAndSwap(at, nil)
+	if d.config.Confirmed().After(*at) || (d.replicator.AnyPeerLoaded() && clock.Since(*at) > d.settings.Peers.Suspect) {
+		d.resumedAt.CompareAndSwap(at, nil)
 		return true
 	}
 	return false
 }
 
-// Run runs the daemon until ctx ends, then stops as planned: no new requests,
-// and the running ones go on until they end or the drain limit passes.
+// Run runs the daemon until ctx is cancelled, then shuts down gracefully: it accepts no new
+// requests, and waits for the running ones for at most Limits.DrainTimeout.
 func (d *Daemon) Run(ctx context.Context) error {
 	ls, err := d.listen()
 	if err != nil {
 		return err
 	}
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var wg sync.WaitGroup
-	wg.Go(func() { d.fleet.Run(work, ls.peers) })
-	for _, run := range []func(context.Context){d.sync.Run, d.spread.Run, d.home.Run, d.once.Run, d.orders.Run, d.loop} {
-		wg.Go(func() { run(work) })
+	wg.Go(func() { d.fleet.Run(workCtx, ls.peers) })
+	for _, run := range []func(context.Context){d.syncer.Run, d.replicator.Run, d.contextOwner.Run, d.once.Run, d.orders.Run, d.watchReadiness} {
+		wg.Go(func() { run(workCtx) })
 	}
-	for _, k := range []*keys{d.callerKeys, d.operatorKeys, d.peerKeys} {
+	for _, k := range []*tlsKeys{d.callerKeys, d.operatorKeys, d.peerKeys} {
 		if k != nil {
-			wg.Go(func() { k.run(work) })
+			wg.Go(func() { k.run(workCtx) })
 		}
 	}
 	callers := d.serve(&wg, ls.callers, d.callerRoutes())
 	operators := d.serve(&wg, ls.operators, d.operatorRoutes())
 	d.log.Emit(event.DaemonStarted, event.Ref{}, "callers "+ls.callers.Addr().String()+", operators "+ls.operators.Addr().String())
 	<-ctx.Done()
-	// Connections end with their next answer, so that none is cut idle while
-	// a caller sends on it.
+	// Each connection is closed after its next response. A connection closed while it is
+	// idle could break a request that a caller has just sent.
 	callers.SetKeepAlivesEnabled(false)
 	d.drain()
 	d.closeServer(callers)
@@ -259,18 +264,20 @@
 	return nil
 }
 
+// listeners holds the daemon's listening sockets.
 type listeners struct{ callers, operators, peers net.Listener }
 
+// listen opens all listeners. The error names the address that cannot be opened.
 func (d *Daemon) listen() (listeners, error) {
 	var ls listeners
 	for _, l := range []struct {
 		into    *net.Listener
 		address string
-		keys    *keys
+		keys    *tlsKeys
 	}{
-		{&ls.callers, d.set.Callers.Address, d.callerKeys},
-		{&ls.operators, d.set.Operators.Address, d.operatorKeys},
-		{&ls.peers, d.set.Peers.Address, d.peerKeys},
+		{&ls.callers, d.settings.Callers.Address, d.callerKeys},
+		{&ls.operators, d.settings.Operators.Address, d.operatorKeys},
+		{&ls.peers, d.settings.Peers.Address, d.peerKeys},
 	} {
 		got, err := net.Listen("tcp", l.address)
 		if err != nil {
@@ -284,95 +291,100 @@
 	return ls, nil
 }
 
-// Bounds of HTTP connections.
+// Bounds of the HTTP servers' connections.
 const (
-	headerLimit = 10 * time.Second
-	idleLimit   = 2 * time.Minute
-	maxHeader   = 64 << 10
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
+// serve starts a server on a listener. It runs until it is closed.
 func (d *Daemon) serve(wg *sync.WaitGroup, l net.Listener, h http.Handler) *http.Server {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit, MaxHeaderBytes: maxHeader}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	wg.Go(func() {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			bugs.Report("listener %v ended: %v", l.Addr(), err)
+			bugs.Report("listener %v failed: %v", l.Addr(), err)
 		}
 	})
 	return srv
 }
 
+// callerRoutes returns the handler of the callers' listener.
 func (d *Daemon) callerRoutes() http.Handler {
 	e := echo.New()
 	d.entry.Register(e)
-	d.health(e)
+	d.registerHealth(e)
 	return e
 }
 
+// operatorRoutes returns the handler of the operators' listener.
 func (d *Daemon) operatorRoutes() http.Handler {
 	e := echo.New()
 	d.admin.Register(e)
-	d.health(e)
+	d.registerHealth(e)
 	e.GET("/debug/vars", echo.WrapHandler(expvar.Handler()))
 	return e
 }
 
-// health tells the balancer and operators apart what is alive and what is
-// ready.
-func (d *Daemon) health(e *echo.Echo) {
+// registerHealth registers the liveness and readiness probes for the load balancer and for
+// operators.
+func (d *Daemon) registerHealth(e *echo.Echo) {
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "alive\n") })
 	e.GET("/readyz", func(c echo.Context) error {
-		if why := d.NotReady(); why != "" {
-			return c.String(http.StatusServiceUnavailable, why+"\n")
+		if reason := d.NotReadyReason(); reason != "" {
+			return c.String(http.StatusServiceUnavailable, reason+"\n")
 		}
 		return c.String(http.StatusOK, "ready\n")
 	})
 }
 
-// readyPause is the time between looks at readiness.
-const readyPause = 250 * time.Millisecond
+// readyPollInterval is the interval at which readiness is checked.
+const readyPollInterval = 250 * time.Millisecond
 
-// loop records when readiness changes.
-func (d *Daemon) loop(ctx context.Context) {
-	wait.Every(ctx, readyPause, func() {
-		why := d.NotReady()
-		if d.ready.Swap(why == "") == (why == "") {
+// watchReadiness logs changes of readiness until ctx is cancelled.
+func (d *Daemon) watchReadiness(ctx context.Context) {
+	wait.Every(ctx, readyPollInterval, func() {
+		reason := d.NotReadyReason()
+		if d.ready.Swap(reason == "") == (reason == "") {
 			return
 		}
-		if why == "" {
+		if reason == "" {
 			d.log.Emit(event.DaemonReady, event.Ref{}, "")
 		} else {
-			d.log.Emit(event.DaemonNotReady, event.Ref{}, why)
+			d.log.Emit(event.DaemonNotReady, event.Ref{}, reason)
 		}
 	})
 }
 
-// Pauses of a planned stop.
+// Times of a graceful shutdown.
 const (
-	// leaveTime is how long the daemon still answers new connections, with a
-	// refusal that says not run, so that the balancer can notice.
-	leaveTime = time.Second
-	drainLook = 50 * time.Millisecond
+	// noticeTime is how long the daemon still accepts new connections, so that the load balancer can
+	// notice the shutdown. Requests are refused as not executed.
+	noticeTime = time.Second
+	// drainPollInterval is the interval at which drain checks for running requests.
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// drain waits until the running requests have ended.
+// drain waits until the running requests have ended, at most for Limits.DrainTimeout.
 func (d *Daemon) drain() {
 	d.draining.Store(true)
 	d.fleet.Drain()
 	d.log.Emit(event.DaemonDraining, event.Ref{}, "")
-	began := time.Now()
-	for time.Since(began) < d.set.Limits.DrainLimit {
-		if d.entry.Running() == 0 && time.Since(began) > leaveTime {
+	started := time.Now()
+	for time.Since(started) < d.settings.Limits.DrainTimeout {
+		if d.entry.Running() == 0 && time.Since(started) > noticeTime {
 			return
 		}
-		time.Sleep(drainLook)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// closeLimit bounds the closing of a listener with its connections.
-const closeLimit = 5 * time.Second
+// closeTimeout bounds the graceful shutdown of an HTTP server.
+const closeTimeout = 5 * time.Second
 
+// closeServer shuts a server down, and closes connections that are still open after closeTimeout.
 func (d *Daemon) closeServer(srv *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), closeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if srv.Shutdown(ctx) != nil {
 		srv.Close()
--- a/emberd/internal/daemon/daemon_test.go
+++ b/emberd/internal/daemon/daemon_test.go
@@ -15,7 +15,8 @@
 	"embertally.dev/core/event"
 )
 
-const good = `
+// validSettings sets all required keys.
+const validSettings = `
 name: entry-01
 domain: domain-1
 callers: {address: "127.0.0.1:7001", tls: {insecure: true}}
@@ -29,20 +30,20 @@
 		name, text string
 		faults     []string
 	}{
-		{"good", good, nil},
+		{"good", validSettings, nil},
 		{"empty", "", []string{"settings"}},
 		{"no YAML", "name: [", []string{"settings"}},
-		{"unknown key", good + "colour: red\n", []string{"field colour not found"}},
-		{"wrong type", strings.Replace(good, `"127.0.0.1:7001"`, "[7]", 1), []string{"cannot unmarshal"}},
+		{"unknown key", validSettings + "colour: red\n", []string{"field colour not found"}},
+		{"wrong type", strings.Replace(validSettings, `"127.0.0.1:7001"`, "[7]", 1), []string{"cannot unmarshal"}},
 		{
 			"several", strings.NewReplacer("name: entry-01\n", "", "127.0.0.1:7002", "localhost:7002",
-				`["http://127.0.0.1:2379"]`, "[]").Replace(good) + "placement: best\nlog: {level: loud}\n",
+				`["http://127.0.0.1:2379"]`, "[]").Replace(validSettings) + "placement: best\nlog: {level: loud}\n",
 			[]string{"name: is required", "operators.address: must be an IP", "platform.keyValue: needs", "placement: is not known", "log.level: must be"},
 		},
-		{"no keys", strings.Replace(good, "{insecure: true}", "{}", 1), []string{"callers.tls: needs cert and key"}},
-		{"peers without an authority", strings.Replace(good, `7003", tls: {insecure: true}`, `7003", tls: {cert: a, key: b}`, 1), []string{"peers.tls.ca: is required"}},
-		{"suspicion too quick", good + "limits: {drainLimit: 0s}\n", []string{"limits.drainLimit: must be more than 0"}},
-		{"key in place of its sum", good + "operatorKeyHashes: [secret]\n", []string{"operatorKeyHashes[0]"}},
+		{"no keys", strings.Replace(validSettings, "{insecure: true}", "{}", 1), []string{"callers.tls: needs cert and key"}},
+		{"peers without a CA", strings.Replace(validSettings, `7003", tls: {insecure: true}`, `7003", tls: {cert: a, key: b}`, 1), []string{"peers.tls.ca: is required"}},
+		{"time of zero", validSettings + "limits: {drainLimit: 0s}\n", []string{"limits.drainLimit: must be more than 0"}},
+		{"key instead of its hash", validSettings + "operatorKeyHashes: [secret]\n", []string{"operatorKeyHashes[0]"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -60,18 +61,18 @@
 }
 
 func FuzzParseSettings(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("{}")
 	f.Add("name: &a [*a]")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := ParseSettings([]byte(text))
 		if err == nil && len(s.check()) > 0 {
-			t.Fatalf("settings with faults were taken: %q", text)
+			t.Fatalf("settings with faults were accepted: %q", text)
 		}
 	})
 }
 
-// page returns a page of the docs folder.
+// page returns the content of a page in the docs folder.
 func page(t *testing.T, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", name))
@@ -81,14 +82,15 @@
 	return string(raw)
 }
 
-func TestPagesAreTrue(t *testing.T) {
+// The generated pages must be regenerated when settings, events or metrics change.
+func TestGeneratedPagesAreUpToDate(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(page(t, "SETTINGS.md")).To(gomega.Equal(Reference()), "write it anew with: emberd reference")
-	g.Expect(page(t, "EVENTS.md")).To(gomega.Equal(EventPage()), "write it anew with: emberd events")
-	g.Expect(page(t, "OPERATIONS.md")).To(gomega.ContainSubstring(VariablePage()), "write the list anew with: emberd metrics")
+	g.Expect(page(t, "SETTINGS.md")).To(gomega.Equal(Reference()), "regenerate it with: emberd reference")
+	g.Expect(page(t, "EVENTS.md")).To(gomega.Equal(EventPage()), "regenerate it with: emberd events")
+	g.Expect(page(t, "OPERATIONS.md")).To(gomega.ContainSubstring(VariablePage()), "regenerate the table with: emberd metrics")
 }
 
-func TestKeysAreReadAgainAndBadOnesRefused(t *testing.T) {
+func TestTLSKeysAreReloadedAndInvalidOnesRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
 	ca, err := certs.NewAuthority(dir)
@@ -96,7 +98,7 @@
 	cert, key, err := ca.Issue("entry-01", net.ParseIP("127.0.0.1"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	log := &event.Log{}
-	k, err := newKeys(TLS{Cert: cert, Key: key, CA: ca.CAFile()}, log)
+	k, err := newTLSKeys(TLS{Cert: cert, Key: key, CA: ca.CAFile()}, log)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -110,12 +112,13 @@
 	old := serial()
 	g.Expect(os.WriteFile(cert, []byte("not a certificate"), 0o600)).To(gomega.Succeed())
 	g.Eventually(func() bool { return emitted(log, event.KeysRejected) }, "60s", "50ms").Should(gomega.BeTrue())
-	g.Expect(serial()).To(gomega.Equal(old), "the former keys stay in use")
+	g.Expect(serial()).To(gomega.Equal(old), "the keys loaded before stay in use")
 	_, _, err = ca.Issue("entry-01", net.ParseIP("127.0.0.1"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Eventually(serial, "60s", "50ms").ShouldNot(gomega.Equal(old))
 }
 
+// emitted reports whether an event has been logged.
 func emitted(log *event.Log, code event.Code) bool {
 	for _, ev := range log.Since(0, 1000) {
 		if ev.Code == code {
@@ -125,12 +128,12 @@
 	return false
 }
 
-// A peer is refused unless its certificate is signed by the authority.
-func TestPeersMustProveWhoTheyAre(t *testing.T) {
+// A peer is rejected unless its certificate is signed by the CA, both as a server and as a client.
+func TestPeersNeedACertificateSignedByTheCA(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ours, theirs := t.TempDir(), t.TempDir()
-	k := issued(t, ours, "entry-01")
-	stranger := issued(t, theirs, "entry-01")
+	ownDir, otherDir := t.TempDir(), t.TempDir()
+	k := issuedKeys(t, ownDir, "entry-01")
+	otherKeys := issuedKeys(t, otherDir, "entry-01")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer l.Close()
@@ -152,13 +155,14 @@
 		_, err = c.Read(make([]byte, 1))
 		return err
 	}
-	g.Expect(dial(stranger.client())).To(gomega.MatchError(gomega.ContainSubstring("certificate")), "their server is not trusted by ours")
-	conf := stranger.client()
+	g.Expect(dial(otherKeys.client())).To(gomega.MatchError(gomega.ContainSubstring("certificate")), "a client rejects a server of another CA")
+	conf := otherKeys.client()
 	conf.VerifyConnection = nil
-	g.Expect(dial(conf)).To(gomega.MatchError(gomega.ContainSubstring("certificate")), "our server does not trust them")
+	g.Expect(dial(conf)).To(gomega.MatchError(gomega.ContainSubstring("certificate")), "a server rejects a client of another CA")
 }
 
-func issued(t *testing.T, dir, name string) *keys {
+// issuedKeys returns keys for a box, signed by a new CA in dir.
+func issuedKeys(t *testing.T, dir, name string) *tlsKeys {
 	t.Helper()
 	ca, err := certs.NewAuthority(dir)
 	if err != nil {
@@ -168,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := newKeys(TLS{Cert: cert, Key: key, CA: ca.CAFile()}, &event.Log{})
+	k, err := newTLSKeys(TLS{Cert: cert, Key: key, CA: ca.CAFile()}, &event.Log{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/emberd/internal/daemon/keys.go
+++ b/emberd/internal/daemon/keys.go
@@ -14,40 +14,42 @@
 	"embertally.dev/core/event"
 )
 
-// keys are the TLS files of one listener, read again when they change.
-type keys struct {
-	files TLS
-	log   *event.Log
-	now   atomic.Pointer[loadedKeys]
+// tlsKeys holds the TLS keys of one listener, which are loaded again when their files change.
+type tlsKeys struct {
+	files   TLS
+	log     *event.Log
+	current atomic.Pointer[loadedKeys]
 }
 
+// loadedKeys is the content of the files at one time.
 type loadedKeys struct {
 	cert tls.Certificate
-	pool *x509.CertPool
-	// changed is the latest change of any of the files.
-	changed time.Time
+	pool *x509.CertPool // certificates that peers must be signed by; nil without a CA file
+	// modTime is the latest modification time of the files.
+	modTime time.Time
 }
 
-// newKeys reads the files; it returns nil where the listener has no TLS.
-func newKeys(files TLS, log *event.Log) (*keys, error) {
+// newTLSKeys loads the files; it returns nil for a listener without TLS.
+func newTLSKeys(files TLS, log *event.Log) (*tlsKeys, error) {
 	if files.Cert == "" {
 		return nil, nil
 	}
-	k := &keys{files: files, log: log}
+	k := &tlsKeys{files: files, log: log}
 	got, err := k.load()
 	if err != nil {
 		return nil, err
 	}
-	k.now.Store(got)
+	k.current.Store(got)
 	return k, nil
 }
 
-func (k *keys) load() (*loadedKeys, error) {
+// load reads the files.
+func (k *tlsKeys) load() (*loadedKeys, error) {
 	cert, err := tls.LoadX509KeyPair(k.files.Cert, k.files.Key)
 	if err != nil {
 		return nil, errors.Wrap(err, "TLS files")
 	}
-	out := &loadedKeys{cert: cert, changed: k.changed()}
+	out := &loadedKeys{cert: cert, modTime: k.modTime()}
 	if k.files.CA == "" {
 		return out, nil
 	}
@@ -55,7 +57,8 @@
 	return out, err
 }
 
-func (k *keys) changed() time.Time {
+// modTime returns the latest modification time of the files.
+func (k *tlsKeys) modTime() time.Time {
 	var last time.Time
 	for _, f := range []string{k.files.Cert, k.files.Key, k.files.CA} {
 		if info, err := os.Stat(f); err == nil && info.ModTime().After(last) {
@@ -65,45 +68,46 @@
 	return last
 }
 
-// reloadPause is the time between looks at the files.
-const reloadPause = 2 * time.Second
+// reloadInterval is the interval at which the files are checked for changes.
+const reloadInterval = 2 * time.Second
 
-// run reads the files again when they change, until ctx ends.
-func (k *keys) run(ctx context.Context) {
-	t := time.NewTicker(reloadPause)
+// run loads the files again when they change, until ctx is cancelled. Files that cannot be loaded are
+// logged, and the keys loaded before stay in use.
+func (k *tlsKeys) run(ctx context.Context) {
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
-	seen := k.now.Load().changed
+	seen := k.current.Load().modTime
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		at := k.changed()
-		if !at.After(seen) {
+		modTime := k.modTime()
+		if !modTime.After(seen) {
 			continue
 		}
-		seen = at
+		seen = modTime
 		got, err := k.load()
 		if err != nil {
 			k.log.Emit(event.KeysRejected, event.Ref{}, err.Error())
 			continue
 		}
-		k.now.Store(got)
+		k.current.Store(got)
 		k.log.Emit(event.KeysReloaded, event.Ref{}, k.files.Cert)
 	}
 }
 
-// server returns the configuration of a listener. With a CA, clients must
-// prove who they are.
-func (k *keys) server() *tls.Config {
+// server returns the TLS configuration of a listener. With a CA file, clients must present a
+// certificate that is signed by it.
+func (k *tlsKeys) server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			now := k.now.Load()
-			c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{now.cert}, NextProtos: []string{"http/1.1"}}
-			if now.pool != nil {
-				c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, now.pool
+			current := k.current.Load()
+			c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{current.cert}, NextProtos: []string{"http/1.1"}}
+			if current.pool != nil {
+				c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, current.pool
 				c.NextProtos = nil
 			}
 			return c, nil
@@ -111,21 +115,21 @@
 	}
 }
 
-// client returns the configuration towards peers: the peer must be signed by
-// the CA. Its name is checked by the caller, since peers are reached by IP.
-func (k *keys) client() *tls.Config {
-	now := k.now.Load()
+// client returns the TLS configuration for connections to peers. The peer's certificate must be
+// signed by the CA. Package wire checks its name, since peers are dialled by IP address.
+func (k *tlsKeys) client() *tls.Config {
+	current := k.current.Load()
 	return &tls.Config{
-		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{now.cert},
-		// The standard check wants the dialled name; the one below checks the
-		// chain, and the link checks the name of the box.
+		MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{current.cert},
+		// The default verification requires the dialled name in the certificate. VerifyConnection
+		// checks the chain instead, and package wire the name of the box.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			pool := x509.NewCertPool()
 			for _, c := range s.PeerCertificates[1:] {
 				pool.AddCert(c)
 			}
-			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: now.pool, Intermediates: pool})
+			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: current.pool, Intermediates: pool})
 			return errors.WithStack(err)
 		},
 	}
--- a/emberd/internal/daemon/main.go
+++ b/emberd/internal/daemon/main.go
@@ -23,7 +23,7 @@
 	exitFailed   = 1
 )
 
-// Main runs the command line and returns the exit code.
+// Main parses and runs the command line, and returns the exit code.
 func Main(args []string) int {
 	app := kingpin.New("emberd", "The daemon that runs on every entry box.\n\nExamples:\n  emberd check /etc/emberd.yaml\n  emberd run /etc/emberd.yaml\n\nExit codes: 0 stopped as planned, 1 failed, 2 faults in the settings or the command line.")
 	app.Terminate(nil)
@@ -57,6 +57,7 @@
 	return exitOK
 }
 
+// checkSettings reports the faults of a settings file, and returns the exit code.
 func checkSettings(path string) int {
 	if _, err := ReadSettings(path); err != nil {
 		fmt.Fprintln(os.Stderr, "emberd:", err)
@@ -66,19 +67,20 @@
 	return exitOK
 }
 
-// collectAt is how much the heap grows before it is collected, in percent. A
-// daemon holds little and may use 32 MB (users' letter 1), so memory counts
-// more than the time of collecting.
-const collectAt = 50
+// gcPercent is the heap growth that starts a collection, as GOGC. It is below Go's
+// default of 100 because a daemon may use 32 MB and its heap is small: memory
+// matters more than the time for collections.
+const gcPercent = 50
 
+// runDaemon runs a daemon until SIGTERM or an interrupt, and returns the exit code.
 func runDaemon(path string) int {
-	debug.SetGCPercent(collectAt)
-	set, err := ReadSettings(path)
+	debug.SetGCPercent(gcPercent)
+	settings, err := ReadSettings(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "emberd:", err)
 		return exitSettings
 	}
-	d, err := New(set)
+	d, err := New(settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "emberd:", err)
 		return exitSettings
@@ -104,7 +106,7 @@
 	return b.String()
 }
 
-// VariablePage returns the table of figures in docs/OPERATIONS.md.
+// VariablePage returns the table of metrics in docs/OPERATIONS.md.
 func VariablePage() string {
 	var b strings.Builder
 	b.WriteString("| figure | meaning |\n| --- | --- |\n")
--- a/emberd/internal/daemon/vars.go
+++ b/emberd/internal/daemon/vars.go
@@ -10,17 +10,19 @@
 	"embertally.dev/core/conf"
 )
 
-// variable is one published figure. docs/OPERATIONS.md lists them.
+// variable is one metric published by expvar. docs/OPERATIONS.md lists all of them.
 type variable struct {
 	name    string
-	meaning string
+	meaning string // its description in docs/OPERATIONS.md
 	value   func(d *Daemon) any
 }
 
+// counter returns a value function that loads a counter.
 func counter(f func(d *Daemon) *atomic.Int64) func(*Daemon) any {
 	return func(d *Daemon) any { return f(d).Load() }
 }
 
+// variables holds all published metrics, in the order of docs/OPERATIONS.md.
 var variables = []variable{
 	{"requests", "Callers' requests received.", counter(func(d *Daemon) *atomic.Int64 { return &d.entry.Stats().Requests })},
 	{"requestsDone", "Requests answered whole.", counter(func(d *Daemon) *atomic.Int64 { return &d.entry.Stats().Done })},
@@ -36,20 +38,20 @@
 	{"cachedTokens", "Prompt tokens that workers did not compute.", counter(func(d *Daemon) *atomic.Int64 { return &d.entry.Stats().CachedTokens })},
 	{"answerTokens", "Tokens given to callers.", counter(func(d *Daemon) *atomic.Int64 { return &d.entry.Stats().Tokens })},
 	{"relayedBytes", "Bytes of answers relayed. They are not control.", counter(func(d *Daemon) *atomic.Int64 { return &d.entry.Stats().RelayedBytes })},
-	{"placed", "Decisions made here as the home of a context.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().Placed })},
-	{"imports", "Contexts read from stores.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().Imports })},
-	{"importedBlocks", "Blocks read from stores and committed.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().ImportedBlocks })},
-	{"importsRejected", "Imports with blocks that failed their checks, or that failed whole.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().ImportsRejected })},
-	{"exports", "Contexts written to stores.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().Exports })},
-	{"exportedBlocks", "Blocks written to stores.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().ExportedBlocks })},
-	{"exportsFailed", "Exports that did not finish.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().ExportsFailed })},
-	{"linkBytes", "Bytes moved over the links to stores for this daemon.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().LinkBytes })},
-	{"cacheLosses", "Contexts whose home is here of which a worker lost blocks.", counter(func(d *Daemon) *atomic.Int64 { return &d.home.Stats().CacheLosses })},
-	{"contexts", "Contexts whose home is here.", func(d *Daemon) any { return d.home.Contexts() }},
+	{"placed", "Decisions made here as the home of a context.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().Placed })},
+	{"imports", "Contexts read from stores.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().Imports })},
+	{"importedBlocks", "Blocks read from stores and committed.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().ImportedBlocks })},
+	{"importsRejected", "Imports with blocks that failed their checks, or that failed whole.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().ImportsRejected })},
+	{"exports", "Contexts written to stores.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().Exports })},
+	{"exportedBlocks", "Blocks written to stores.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().ExportedBlocks })},
+	{"exportsFailed", "Exports that did not finish.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().ExportsFailed })},
+	{"linkBytes", "Bytes moved over the links to stores for this daemon.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().LinkBytes })},
+	{"cacheLosses", "Contexts whose home is here of which a worker lost blocks.", counter(func(d *Daemon) *atomic.Int64 { return &d.contextOwner.Stats().CacheLosses })},
+	{"contexts", "Contexts whose home is here.", func(d *Daemon) any { return d.contextOwner.Contexts() }},
 	{"claimWrites", "Batches of claims committed.", func(d *Daemon) any { return d.once.Writes() }},
 	{"claimShards", "Shards of claims owned here.", func(d *Daemon) any { return d.once.Owned() }},
-	{"configurationSequence", "Sequence of the configuration in force.", func(d *Daemon) any { return d.store.Snapshot().Seq() }},
-	{"organisations", "Organisations in the configuration.", func(d *Daemon) any { return d.store.Snapshot().Count(conf.KindOrganisation) }},
+	{"configurationSequence", "Sequence of the configuration in force.", func(d *Daemon) any { return d.config.Snapshot().Seq() }},
+	{"organisations", "Organisations in the configuration.", func(d *Daemon) any { return d.config.Snapshot().Count(conf.KindOrganisation) }},
 	{"keyValueCalls", "Calls of the key-value service, a watch counting as one.", func(d *Daemon) any { return d.kv.Calls() }},
 	{"keyValueBytes", "Bytes to and from the key-value service.", func(d *Daemon) any { return d.kv.Bytes() }},
 	{"peerBytes", "Bytes to and from other daemons.", func(d *Daemon) any { return d.fleet.Bytes() }},
@@ -60,13 +62,14 @@
 	{"goroutines", "Goroutines of the process.", func(*Daemon) any { return runtime.NumGoroutine() }},
 }
 
-// publish makes the figures readable at /debug/vars.
+// publish registers the metrics with expvar, which serves them at /debug/vars.
 func publish(d *Daemon) {
 	for _, v := range variables {
 		expvar.Publish(v.name, expvar.Func(func() any { return v.value(d) }))
 	}
 }
 
+// processorTime returns the user and system CPU time of the process, or 0 if it cannot be read.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/emberd/internal/host/applied.go
+++ b/emberd/internal/host/applied.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// wakeIncarnationWatch makes watchStoreIncarnations query the peers. It is called when the store may be in
-// another incarnation.
+// wakeIncarnationWatch makes watchStoreIncarnations query the peers. It never blocks, since the watch cache
+// calls it with its lock held.
 func (h *Host) wakeIncarnationWatch() {
 	select {
 	case h.incarnationCheck <- struct{}{}:
--- a/emberd/internal/host/host.go
+++ b/emberd/internal/host/host.go
@@ -86,7 +86,7 @@
 	desired          desiredWeights
 	applied          *spread.AppliedValues
 	firstTable       firstTable
-	// incarnationCheck receives when the store may be in another incarnation; its capacity is 1.
+	// incarnationCheck receives when the first copy of a store incarnation has been read; its capacity is 1.
 	incarnationCheck chan struct{}
 	daemonCounter    daemonCounter
 
@@ -157,7 +157,7 @@
 
 // targetRank returns this daemon's rank, from 0, among the daemons that may choose a target, and their
 // number.
-func (h *Host) targetRank(t *roster.Target) (rank, count int) {
+func (h *Host) targetRank(t *roster.Target) (rank, daemons int) {
 	return h.fleet.View().Place(fleet.Key(t.ID()), h.chosenWithinCell(t))
 }
 
--- a/emberd/internal/settings/settings.go
+++ b/emberd/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the settings files of both kinds of daemon and
+// Package settings parses the settings files of both kinds of daemon and
 // collects their faults, so that all are reported at once.
 //
-// It must not know which settings there are.
+// It must not know individual settings.
 package settings
 
 import (
@@ -15,8 +15,8 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Read reads and checks a file. What it does not set stays as in defaults. The
-// error names all faults at once.
+// Read reads and checks a settings file. Keys that are missing in it keep their value in
+// defaults. The error lists all faults.
 func Read[T any](path string, defaults T, check func(*T) []string) (T, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -26,19 +26,19 @@
 	return Parse(raw, defaults, check)
 }
 
-// Parse reads and checks settings. What they do not set stays as in defaults.
-// The error names all faults at once.
+// Parse parses and checks settings in YAML. Missing keys keep their value in defaults, and
+// unknown keys are faults. check returns further faults. The error lists all faults.
 func Parse[T any](raw []byte, defaults T, check func(*T) []string) (T, error) {
 	s := defaults
 	dec := yaml.NewDecoder(bytes.NewReader(raw))
 	dec.KnownFields(true)
 	var faults []string
 	if err := dec.Decode(&s); err != nil {
-		var typ *yaml.TypeError
-		if !errors.As(err, &typ) {
+		var typeErr *yaml.TypeError
+		if !errors.As(err, &typeErr) {
 			return s, errors.Wrap(err, "settings")
 		}
-		faults = append(faults, typ.Errors...)
+		faults = append(faults, typeErr.Errors...)
 	}
 	faults = append(faults, check(&s)...)
 	if len(faults) > 0 {
@@ -47,16 +47,16 @@
 	return s, nil
 }
 
-// Checker collects faults. The zero value has none.
+// Checker collects faults. The zero value is ready for use.
 type Checker struct{ faults []string }
 
-// Faults returns what was found, in the order of the checks.
+// Faults returns the faults, in the order of the checks.
 func (c *Checker) Faults() []string { return c.faults }
 
 // Need records a fault of a field unless ok.
-func (c *Checker) Need(ok bool, field, text string) {
+func (c *Checker) Need(ok bool, field, fault string) {
 	if !ok {
-		c.faults = append(c.faults, field+": "+text)
+		c.faults = append(c.faults, field+": "+fault)
 	}
 }
 
@@ -66,7 +66,7 @@
 	c.Need(err == nil && net.ParseIP(host) != nil, field, "must be an IP address and a port")
 }
 
-// Positive checks that a time is more than 0.
+// Positive checks that a duration is more than 0.
 func (c *Checker) Positive(field string, d time.Duration) {
 	c.Need(d > 0, field, "must be more than 0, with a unit such as 500ms")
 }
--- a/emberd/internal/settings/settings_test.go
+++ b/emberd/internal/settings/settings_test.go
@@ -8,15 +8,16 @@
 	"github.com/onsi/gomega"
 )
 
-type file struct {
-	Address string        `yaml:"address"`
-	Pause   time.Duration `yaml:"pause"`
+// fileSettings stands for the settings of a daemon.
+type fileSettings struct {
+	Address  string        `yaml:"address"`
+	Interval time.Duration `yaml:"pause"`
 }
 
-func (f *file) check() []string {
+func (f *fileSettings) check() []string {
 	var c Checker
 	c.Address("address", f.Address)
-	c.Positive("pause", f.Pause)
+	c.Positive("pause", f.Interval)
 	return c.Faults()
 }
 
@@ -25,16 +26,16 @@
 		name, text string
 		faults     []string
 	}{
-		{"defaults hold where nothing is said", "address: 10.0.0.1:1\n", nil},
+		{"missing keys keep their defaults", "address: 10.0.0.1:1\n", nil},
 		{"all faults at once", "address: nowhere\npause: 0s\ncolour: red\n", []string{"3 faults", "field colour not found", "address: must be", "pause: must be"}},
 		{"not YAML", "address: [", []string{"settings: "}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			got, err := Parse([]byte(tc.text), file{Pause: time.Second}, (*file).check)
+			got, err := Parse([]byte(tc.text), fileSettings{Interval: time.Second}, (*fileSettings).check)
 			if tc.faults == nil {
 				g.Expect(err).NotTo(gomega.HaveOccurred())
-				g.Expect(got).To(gomega.Equal(file{Address: "10.0.0.1:1", Pause: time.Second}))
+				g.Expect(got).To(gomega.Equal(fileSettings{Address: "10.0.0.1:1", Interval: time.Second}))
 				return
 			}
 			for _, f := range tc.faults {
@@ -44,8 +45,8 @@
 	}
 }
 
-func TestReadSaysThatThereIsNoFile(t *testing.T) {
+func TestReadReportsAMissingFile(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, err := Read(filepath.Join(t.TempDir(), "none.yaml"), file{}, (*file).check)
+	_, err := Read(filepath.Join(t.TempDir(), "none.yaml"), fileSettings{}, (*fileSettings).check)
 	g.Expect(err).To(gomega.MatchError(gomega.ContainSubstring("none.yaml")))
 }
