--- a/emberd/internal/daemon/daemon.go
+++ b/emberd/internal/daemon/daemon.go
@@ -65,8 +65,8 @@
 	draining atomic.Bool
 	// ready is the readiness at the last check of watchReadiness.
 	ready atomic.Bool
-	// resumedAt is when the process noticed that it had been suspended; nil once the
-	// configuration has been confirmed since.
+	// resumedAt is when the process noticed that it had been suspended; nil once
+	// confirmedSinceResume has returned true.
 	resumedAt atomic.Pointer[clock.Time]
 }
 
@@ -216,7 +216,8 @@
 
 // confirmedSinceResume reports whether the configuration has been confirmed since the
 // process noticed that it had been suspended. If the key-value service is down, it is
-// enough to receive from peers for Peers.Suspect: then none has a newer configuration.
+// enough to have received from peers for as long as one may be silent (Peers.Suspect):
+// none of them had a newer configuration.
 func (d *Daemon) confirmedSinceResume() bool {
 	at := d.resumedAt.Load()
 	if at == nil {
--- a/emberd/internal/host/applied_test.go
+++ b/emberd/internal/host/applied_test.go
@@ -26,7 +26,7 @@
 	h.watchCache.TakeAll(changes, revision, "", "", clock.Now())
 }
 
-// A store that reports no incarnation is never restored from a copy, so peers need not be queried.
+// Only a store that reports its incarnation may have been restored from a copy.
 func TestFirstConfigIsAppliedAtOnceIfTheStoreReportsNoIncarnation(t *testing.T) {
 	g, h := newHost(t)
 	takeFullCopy(h, 1, configPair("3", 1))
