--- a/core/fleet/beat.go
+++ b/core/fleet/beat.go
@@ -11,13 +11,13 @@
 	"embertally.dev/core/wire"
 )
 
-// Part is what a slice attaches to heartbeats. A part with a method Told hears
-// when a round of heartbeats was sent.
+// Part supplies one component's share of the heartbeats. If it has a method Told, that is called
+// after each round of heartbeats.
 type Part interface {
-	// Collect returns the part of one heartbeat, or nil for none. full asks
-	// for everything, not only for what changed.
+	// Collect returns the body for one heartbeat, or nil for none. With full it covers the whole
+	// state, otherwise only what changed.
 	Collect(full bool) any
-	// Receive takes the part of a peer's heartbeat.
+	// Receive handles the body from a peer's heartbeat.
 	Receive(peer string, body []byte)
 }
 
@@ -26,153 +26,157 @@
 	part Part
 }
 
-const kindBeat wire.Kind = "fleet.beat"
+const kindHeartbeat wire.Kind = "fleet.beat"
 
-// beat is a heartbeat.
-type beat struct {
+// heartbeat is the message that daemons of a cell send each other at intervals.
+type heartbeat struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack    struct{} `msgpack:",as_array"`
 	Incarnation string
 	Draining    bool
-	// Full tells that the parts say everything, not only what changed.
+	// Full means that the parts carry the whole state, not only what changed.
 	Full bool
-	// Taken is the receiver's incarnation of which the sender has taken a full
-	// heartbeat; without it the receiver goes on sending full ones.
+	// Taken acknowledges a full heartbeat: the incarnation of the receiver that the sender last
+	// received one from. Until the receiver sees its own incarnation here, it keeps sending full
+	// ones.
 	Taken string
-	Parts []beatPart
-	// Address and Domain are the sender's; only full heartbeats carry them.
+	Parts []heartbeatPart
+	// Address and Domain are the sender's peer address and failure domain; set in full
+	// heartbeats only.
 	Address string
 	Domain  string
 }
 
-type beatPart struct {
+type heartbeatPart struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	Body     msgpack.RawMessage
 }
 
-// heard is what is known of a peer from its heartbeats.
-type heard struct {
-	at          clock.Time
-	incarnation string
-	draining    bool
-	alive       bool
-	// address and domain are the peer's, from its last full heartbeat; empty if
-	// that carried none.
+// peerState is what a peer's heartbeats reported.
+type peerState struct {
+	lastHeartbeat clock.Time
+	incarnation   string
+	draining      bool
+	alive         bool
+	// address and domain are the peer's, from its last full heartbeat; empty if that carried
+	// none.
 	address string
 	domain  string
-	// full is the incarnation of the peer that a full heartbeat was taken from.
-	full string
-	// acknowledged is this daemon's incarnation of which the peer says that it
-	// has taken a full heartbeat.
-	acknowledged string
-	// beats counts the heartbeats sent since the last full one.
-	beats int
+	// fullIncarnation is the incarnation of the peer that sent its last full heartbeat.
+	fullIncarnation string
+	// ackedIncarnation is the incarnation of this daemon that the peer acknowledges a full
+	// heartbeat from.
+	ackedIncarnation string
+	// sinceFull counts the heartbeats sent to the peer since the last full one.
+	sinceFull int
 }
 
-// kickPause is how long a heartbeat that Kick asks for waits, so that changes made
-// together go out in one. It is short since daemons that choose on loads of 75 ms
-// ago, the mean age with regular heartbeats alone, all take the same worker.
-const kickPause = 5 * time.Millisecond
+// batchDelay is how long Kick waits, so that changes made together go out in one heartbeat. It
+// is short because with regular heartbeats alone load reports are 75 ms old on average, and
+// daemons that choose on loads of that age all pick the same worker.
+const batchDelay = 5 * time.Millisecond
 
-// loop sends heartbeats and notices lost peers.
+// loop sends heartbeats and detects lost peers until ctx ends.
 func (f *Fleet) loop(ctx context.Context) {
 	last := clock.Now()
-	t := time.NewTimer(f.o.Heartbeat)
+	t := time.NewTimer(f.opts.Heartbeat)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-f.kick:
-			time.Sleep(kickPause)
+		case <-f.trigger:
+			time.Sleep(batchDelay)
 		}
-		t.Reset(f.pause())
-		if gap := clock.Since(last); gap > f.o.Suspect {
-			f.wake(gap)
+		t.Reset(f.interval())
+		if gap := clock.Since(last); gap > f.opts.Suspect {
+			f.resumed(gap)
 		}
 		last = clock.Now()
-		f.notice(last)
-		f.send(ctx)
+		f.detectLost(last)
+		f.sendHeartbeats(ctx)
 	}
 }
 
-// Heartbeats of a large fleet.
+// Heartbeat rates of large fleets.
 const (
-	// calmCells is the number of cells from which on heartbeats that tell nothing new come
-	// calmShare times as seldom. What is new is told at once.
-	calmCells = 3
-	calmShare = 2
-	// leastBeats is how many heartbeats fall into the silence after which a peer counts as
-	// lost, and farBeats the same where cells lie within domains: there they are what most
-	// of a daemon's wakes are for.
-	leastBeats = 4
-	farBeats   = 3
+	// From largeFleetCells cells on, heartbeats without changes are sent largeFleetFactor times
+	// less often. Changes are sent at once.
+	largeFleetCells  = 3
+	largeFleetFactor = 2
+	// minHeartbeats is how many heartbeats are sent at least within Options.Suspect, and
+	// minHeartbeatsDomains the same where cells lie within failure domains: in fleets of that
+	// size, most of a daemon's wakeups are due to heartbeats.
+	minHeartbeats        = 4
+	minHeartbeatsDomains = 3
 )
 
-// pause returns how long after one heartbeat the next comes at the latest.
-func (f *Fleet) pause() time.Duration {
+// interval returns the longest time between two heartbeats.
+func (f *Fleet) interval() time.Duration {
 	view := f.View()
 	switch {
-	case view.cells < calmCells:
-		return f.o.Heartbeat
+	case view.cells < largeFleetCells:
+		return f.opts.Heartbeat
 	case view.plan != nil && len(view.plan.domains) > 0:
-		return max(f.o.Heartbeat, f.o.Suspect/farBeats)
+		return max(f.opts.Heartbeat, f.opts.Suspect/minHeartbeatsDomains)
 	}
-	return max(f.o.Heartbeat, min(calmShare*f.o.Heartbeat, f.o.Suspect/leastBeats))
+	return max(f.opts.Heartbeat, min(largeFleetFactor*f.opts.Heartbeat, f.opts.Suspect/minHeartbeats))
 }
 
-// wake gives the peers time to be heard again after this process was stopped.
-func (f *Fleet) wake(gap time.Duration) {
+// resumed restarts the silence of all live peers, since their heartbeats could not arrive while
+// this process was stopped, and calls the OnWake functions.
+func (f *Fleet) resumed(gap time.Duration) {
 	f.fleetMu.Lock()
 	now := clock.Now()
-	for _, h := range f.heard {
+	for _, h := range f.peerStates {
 		if h.alive {
-			h.at = now
+			h.lastHeartbeat = now
 		}
 	}
 	f.fleetMu.Unlock()
-	for _, g := range f.woke {
+	for _, g := range f.onResume {
 		g(gap)
 	}
 }
 
-// forgetAfter is how long a lost peer is remembered.
+// forgetAfter is how long the state of a silent peer is kept.
 const forgetAfter = 10 * time.Minute
 
-// notice marks peers that were silent for too long.
-func (f *Fleet) notice(now clock.Time) {
+// detectLost marks peers as lost that were silent for longer than Options.Suspect.
+func (f *Fleet) detectLost(now clock.Time) {
 	f.fleetMu.Lock()
 	var lost []string
-	for name, h := range f.heard {
-		if h.alive && now.Sub(h.at) > f.o.Suspect {
+	for name, h := range f.peerStates {
+		if h.alive && now.Sub(h.lastHeartbeat) > f.opts.Suspect {
 			h.alive = false
 			lost = append(lost, name)
 		}
-		if !h.alive && now.Sub(h.at) > forgetAfter {
-			delete(f.heard, name)
+		if !h.alive && now.Sub(h.lastHeartbeat) > forgetAfter {
+			delete(f.peerStates, name)
 		}
 	}
 	f.fleetMu.Unlock()
 	for _, name := range lost {
-		f.o.Log.Emit(event.PeerDown, event.Ref{}, name)
+		f.opts.Log.Emit(event.PeerDown, event.Ref{}, name)
 	}
 	if len(lost) > 0 {
 		f.rebuild()
 	}
 }
 
-// fullEvery is how many heartbeats lie between full ones.
+// fullEvery is the number of heartbeats to a peer from one full one to the next.
 const fullEvery = 20
 
-// sendLimit bounds the sending of one heartbeat.
-const sendLimit = 500 * time.Millisecond
+// sendTimeout bounds the sending of one heartbeat.
+const sendTimeout = 500 * time.Millisecond
 
-// send sends each peer of this daemon's cell a heartbeat, full or with changes only.
-func (f *Fleet) send(ctx context.Context) {
-	var part, full *beat
+// sendHeartbeats sends a heartbeat to each peer of this daemon's cell, full or with changes
+// only.
+func (f *Fleet) sendHeartbeats(ctx context.Context) {
+	var part, full *heartbeat
 	view := f.View()
 	for _, p := range view.peers {
 		if p.Cell != view.cell || p.Address == "" {
@@ -197,29 +201,29 @@
 	}
 }
 
-// wantsFull reports whether the peer's next heartbeat is a full one, and which
-// incarnation of the peer a full one was taken from.
+// wantsFull reports whether the peer's next heartbeat is a full one, and which incarnation of
+// the peer sent the last full one received.
 func (f *Fleet) wantsFull(p Peer) (full bool, taken string) {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
-	h := f.heard[p.Name]
+	h := f.peerStates[p.Name]
 	if h == nil {
 		return true, ""
 	}
-	h.beats++
-	if h.acknowledged == f.o.Incarnation && h.beats < fullEvery {
-		return false, h.full
+	h.sinceFull++
+	if h.ackedIncarnation == f.opts.Incarnation && h.sinceFull < fullEvery {
+		return false, h.fullIncarnation
 	}
-	h.beats = 0
-	return true, h.full
+	h.sinceFull = 0
+	return true, h.fullIncarnation
 }
 
-// collect makes a heartbeat with the parts of all slices.
-func (f *Fleet) collect(full bool) *beat {
+// collect assembles a heartbeat from all parts. A part that cannot be encoded is left out.
+func (f *Fleet) collect(full bool) *heartbeat {
 	f.fleetMu.Lock()
-	b := &beat{Incarnation: f.o.Incarnation, Draining: f.draining, Full: full}
+	b := &heartbeat{Incarnation: f.opts.Incarnation, Draining: f.draining, Full: full}
 	if full {
-		b.Address, b.Domain = f.o.Address, f.o.Domain
+		b.Address, b.Domain = f.opts.Address, f.opts.Domain
 	}
 	f.fleetMu.Unlock()
 	for _, p := range f.parts {
@@ -229,7 +233,7 @@
 		}
 		raw, err := msgpack.Marshal(v)
 		if err == nil {
-			b.Parts = append(b.Parts, beatPart{Name: p.name, Body: raw})
+			b.Parts = append(b.Parts, heartbeatPart{Name: p.name, Body: raw})
 		}
 	}
 	return b
@@ -239,20 +243,20 @@
 type sender struct {
 	f    *Fleet
 	peer Peer
-	msg  *beat
+	msg  *heartbeat
 }
 
 func (s sender) run(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, sendLimit)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	// A heartbeat that is lost is made up for by the next.
-	_ = s.f.link(s.peer).Notify(ctx, kindBeat, s.msg)
+	// The next heartbeat makes up for one that is lost.
+	_ = s.f.link(s.peer).Notify(ctx, kindHeartbeat, s.msg)
 }
 
-// receive takes a heartbeat.
-func (f *Fleet) receive(_ context.Context, from string, b *beat) (struct{}, error) {
-	if f.hear(from, b) {
-		f.o.Log.Emit(event.PeerUp, event.Ref{}, from)
+// receive handles a peer's heartbeat.
+func (f *Fleet) receive(_ context.Context, from string, b *heartbeat) (struct{}, error) {
+	if f.record(from, b) {
+		f.opts.Log.Emit(event.PeerUp, event.Ref{}, from)
 		f.rebuild()
 	}
 	for _, bp := range b.Parts {
@@ -265,22 +269,22 @@
 	return struct{}{}, nil
 }
 
-// hear records a heartbeat and reports whether the view changes by it.
-func (f *Fleet) hear(from string, b *beat) bool {
+// record stores a heartbeat's content and reports whether the view changes by it.
+func (f *Fleet) record(from string, b *heartbeat) bool {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
 	now := clock.Now()
-	f.contact = now
-	h := f.heard[from]
+	f.lastContact = now
+	h := f.peerStates[from]
 	if h == nil {
-		h = &heard{}
-		f.heard[from] = h
+		h = &peerState{}
+		f.peerStates[from] = h
 	}
 	changed := !h.alive || h.incarnation != b.Incarnation || h.draining != b.Draining
-	h.at, h.alive = now, true
-	h.incarnation, h.draining, h.acknowledged = b.Incarnation, b.Draining, b.Taken
+	h.lastHeartbeat, h.alive = now, true
+	h.incarnation, h.draining, h.ackedIncarnation = b.Incarnation, b.Draining, b.Taken
 	if b.Full {
-		h.full = b.Incarnation
+		h.fullIncarnation = b.Incarnation
 		changed = changed || h.address != b.Address
 		h.address, h.domain = b.Address, b.Domain
 	}
--- a/core/fleet/boxes.go
+++ b/core/fleet/boxes.go
@@ -9,11 +9,11 @@
 	"embertally.dev/core/plat"
 )
 
-// boxReader reads the platform's box list.
+// boxReader polls the platform's box list.
 type boxReader struct{ *Fleet }
 
-// boxLimit bounds one reading of the box list.
-const boxLimit = 2 * time.Second
+// boxReadTimeout bounds one read of the box list.
+const boxReadTimeout = 2 * time.Second
 
 func (r boxReader) run(ctx context.Context) {
 	failing := false
@@ -23,10 +23,10 @@
 			return
 		}
 		if err != nil && !failing {
-			r.o.Log.Emit(event.BoxListFailed, event.Ref{}, err.Error())
+			r.opts.Log.Emit(event.BoxListFailed, event.Ref{}, err.Error())
 		}
 		failing = err != nil
-		t := time.NewTimer(r.o.BoxPause)
+		t := time.NewTimer(r.opts.BoxPause)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -37,50 +37,50 @@
 }
 
 func (r boxReader) read(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, boxLimit)
+	ctx, cancel := context.WithTimeout(ctx, boxReadTimeout)
 	defer cancel()
-	list, changed, err := r.o.Boxes.Read(ctx)
+	list, changed, err := r.opts.Boxes.Read(ctx)
 	if err != nil {
 		return err
 	}
 	r.fleetMu.Lock()
-	r.contact = clock.Now()
+	r.lastContact = clock.Now()
 	r.fleetMu.Unlock()
 	if changed {
-		r.set(list)
+		r.apply(list)
 	}
 	return nil
 }
 
-func (r boxReader) set(list []plat.Box) {
+func (r boxReader) apply(list []plat.Box) {
 	next := make(map[string]plat.Box, len(list))
 	for _, b := range list {
 		next[b.Name] = b
 	}
 	r.fleetMu.Lock()
 	old := r.boxes
-	r.boxes, r.boxesKnown = next, true
+	r.boxes, r.boxesLoaded = next, true
 	r.fleetMu.Unlock()
 	r.rebuild()
-	r.tell(old, next)
-	if next[r.o.Name].State == plat.BoxLeaving {
+	r.logChanges(old, next)
+	if next[r.opts.Name].State == plat.BoxLeaving {
 		r.Drain()
 	}
 }
 
-func (r boxReader) tell(old, next map[string]plat.Box) {
+func (r boxReader) logChanges(old, next map[string]plat.Box) {
 	for name, b := range next {
 		was, known := old[name]
 		switch {
 		case !known:
-			r.o.Log.Emit(event.BoxAppeared, event.Ref{Target: name}, string(b.State))
+			r.opts.Log.Emit(event.BoxAppeared, event.Ref{Target: name}, string(b.State))
 		case b.State == plat.BoxLeaving && was.State != plat.BoxLeaving:
-			r.o.Log.Emit(event.BoxLeaving, event.Ref{Target: name}, "")
+			r.opts.Log.Emit(event.BoxLeaving, event.Ref{Target: name}, "")
 		}
 	}
 	for name := range old {
 		if _, known := next[name]; !known {
-			r.o.Log.Emit(event.BoxGone, event.Ref{Target: name}, "")
+			r.opts.Log.Emit(event.BoxGone, event.Ref{Target: name}, "")
 		}
 	}
 }
--- a/core/fleet/call.go
+++ b/core/fleet/call.go
@@ -10,7 +10,7 @@
 	"embertally.dev/core/wire"
 )
 
-// link returns the link to a peer, a new one where its address has changed.
+// link returns the link to a peer, and replaces it if the peer's address has changed.
 func (f *Fleet) link(p Peer) *wire.Link {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
@@ -19,20 +19,19 @@
 		if l != nil {
 			l.Close()
 		}
-		l = wire.NewLink(f.o.Name, p.Name, p.Address, f.o.TLS)
+		l = wire.NewLink(f.opts.Name, p.Name, p.Address, f.opts.TLS)
 		f.links[p.Name] = l
 	}
 	return l
 }
 
-// ErrNoPeer says that a daemon is not known.
-var ErrNoPeer = errors.New("no such daemon is known")
+// ErrNoPeer means that the view does not contain the daemon, or has no address for it.
+var ErrNoPeer = errors.New("unknown daemon")
 
-// failPause is how long a peer of another cell counts as lost after a failed
-// call.
-const failPause = 2 * time.Second
+// holdDown is how long a peer of another cell counts as lost after a failed call.
+const holdDown = 2 * time.Second
 
-// Call sends a message to a peer and waits for its answer.
+// Call sends a request to a peer and waits for its response.
 func (f *Fleet) Call(ctx context.Context, peer string, kind wire.Kind, req, resp any) error {
 	p, ok := f.View().peer(peer)
 	if !ok || p.Address == "" {
@@ -41,13 +40,13 @@
 	err := f.link(p).Call(ctx, kind, req, resp)
 	if err != nil && !errors.Is(err, wire.ErrRemote) {
 		f.fleetMu.Lock()
-		f.failed[peer] = clock.Now().Add(failPause)
+		f.lostUntil[peer] = clock.Now().Add(holdDown)
 		f.fleetMu.Unlock()
 	}
 	return err
 }
 
-// Notify sends a message that gets no answer.
+// Notify sends a message that gets no response.
 func (f *Fleet) Notify(ctx context.Context, peer string, kind wire.Kind, msg any) error {
 	p, ok := f.View().peer(peer)
 	if !ok || p.Address == "" {
@@ -56,7 +55,7 @@
 	return f.link(p).Notify(ctx, kind, msg)
 }
 
-// Bytes returns how many bytes went between this daemon and its peers.
+// Bytes returns the number of bytes exchanged with peers.
 func (f *Fleet) Bytes() int64 {
 	n := f.mux.Bytes()
 	f.fleetMu.Lock()
--- a/core/fleet/cells.go
+++ b/core/fleet/cells.go
@@ -8,26 +8,28 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// domainCells is the mean number of cells of a failure domain from which on cells lie within
-// domains. A domain that is lost takes its cells with it; of fewer cells the others would have to
-// take a large part each, and a domain with few targets would have few in each cell.
+// domainCells is the mean number of cells per failure domain from which on each cell lies within
+// one domain. Cells are lost together with their domain; with fewer of them the other cells
+// would each have to take over a large part of its work, and in a domain with few targets each
+// cell would have few.
 const domainCells = 8
 
-// cellPlan says how a fleet falls into cells. It never changes.
+// cellPlan assigns daemons, targets and keys to the cells of a fleet. It is immutable.
 type cellPlan struct {
-	// domains are the failure domains with cells of their own, in order; none where daemons of
-	// all domains share cells.
+	// domains are the failure domains with cells of their own, sorted; none where daemons of all
+	// domains share cells.
 	domains []string
-	// first holds the number of each domain's first cell, in the order of domains, and last the
-	// number of all cells.
-	first []int
-	// labels name the cells; keys are ranked by them.
+	// firstCell holds the number of each domain's first cell, in the order of domains, followed
+	// by the number of all cells.
+	firstCell []int
+	// labels are the names of the cells, by cell number; keys are ranked by them.
 	labels []string
-	// byLabel holds the number of each cell.
+	// byLabel holds the number of each cell by its label.
 	byLabel map[string]int
 }
 
-// planCells returns the cells of a fleet with some daemons in each failure domain.
+// planCells returns the cells of a fleet with the given number of daemons in each failure
+// domain.
 func planCells(sizes map[string]int) *cellPlan {
 	daemons := 0
 	for _, n := range sizes {
@@ -37,43 +39,44 @@
 	if len(sizes) < 2 || count < domainCells*len(sizes) {
 		return sharedCells(count)
 	}
-	p := &cellPlan{domains: slices.Sorted(maps.Keys(sizes)), first: []int{0}, byLabel: map[string]int{}}
+	p := &cellPlan{domains: slices.Sorted(maps.Keys(sizes)), firstCell: []int{0}, byLabel: map[string]int{}}
 	for _, domain := range p.domains {
-		for i := range cellsOf(sizes[domain]) {
+		for i := range cellsFor(sizes[domain]) {
 			p.add(domain + "/" + strconv.Itoa(i))
 		}
-		p.first = append(p.first, len(p.labels))
+		p.firstCell = append(p.firstCell, len(p.labels))
 	}
 	return p
 }
 
-// sharedCells returns cells that daemons of all domains share.
+// sharedCells returns count cells that daemons of all domains share.
 func sharedCells(count int) *cellPlan {
-	p := &cellPlan{first: []int{0, count}, byLabel: map[string]int{}}
+	p := &cellPlan{firstCell: []int{0, count}, byLabel: map[string]int{}}
 	for c := range count {
 		p.add(strconv.Itoa(c))
 	}
 	return p
 }
 
-// add adds a cell.
+// add appends a cell.
 func (p *cellPlan) add(label string) {
 	p.byLabel[label] = len(p.labels)
 	p.labels = append(p.labels, label)
 }
 
-// count returns how many cells there are.
+// count returns the number of cells.
 func (p *cellPlan) count() int { return len(p.labels) }
 
-// same reports whether two plans put each daemon into the same cell.
+// same reports whether two plans assign each daemon to the same cell.
 func (p *cellPlan) same(q *cellPlan) bool {
-	return slices.Equal(p.domains, q.domains) && slices.Equal(p.first, q.first)
+	return slices.Equal(p.domains, q.domains) && slices.Equal(p.firstCell, q.firstCell)
 }
 
-// rangeOf returns the first cell and the number of cells that a name in a domain may fall into.
+// rangeOf returns the first cell and the number of the cells that a name in a domain may fall
+// into.
 func (p *cellPlan) rangeOf(domain string) (first, count int) {
 	if i, found := slices.BinarySearch(p.domains, domain); found {
-		return p.first[i], p.first[i+1] - p.first[i]
+		return p.firstCell[i], p.firstCell[i+1] - p.firstCell[i]
 	}
 	return 0, p.count()
 }
@@ -93,21 +96,21 @@
 	return out
 }
 
-// cellCache remembers the cells of daemons under one plan: the view is made anew with each
-// heartbeat of a daemon that was not heard before. The zero value remembers none.
+// cellCache caches the cells of daemons under one plan: the view is rebuilt with each first
+// heartbeat of a daemon. The zero value is empty; set must be called before of.
 type cellCache struct {
 	plan   *cellPlan
 	byName map[string]int
 }
 
-// set makes the cache answer by a plan.
+// set makes the cache use plan p, and clears it if p differs from the former one.
 func (c *cellCache) set(p *cellPlan) {
 	if c.plan == nil || !c.plan.same(p) {
 		c.plan, c.byName = p, map[string]int{}
 	}
 }
 
-// of returns the cell of a daemon.
+// of returns the cell of a daemon, which must be in the same domain at each call.
 func (c *cellCache) of(name, domain string) int {
 	cell, known := c.byName[name]
 	if !known {
@@ -117,19 +120,20 @@
 	return cell
 }
 
-// Shard says which targets fall to one cell where the cells divide a service's targets between
-// them. Whoever gets it can tell so without knowing the same fleet.
+// Shard describes which targets fall to one cell where the cells divide a service's targets
+// among them. A receiver can evaluate it without having the same view of the fleet.
 type Shard struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// Domain is the failure domain that the cell lies in; "" where cells are shared by all.
+	// Domain is the failure domain that the cell lies in; "" where daemons of all domains share
+	// cells.
 	Domain string
-	// Cell is the number of the cell among the Cells of its domain.
+	// Cell is the number of the cell among the Cells of its domain, from 0.
 	Cell, Cells int
-	// FleetCell is its number among all FleetCells.
+	// FleetCell is its number among all FleetCells cells of the fleet.
 	FleetCell, FleetCells int
-	// Domains are all domains with cells of their own, in order. Targets elsewhere fall to any
-	// cell.
+	// Domains are the domains with cells of their own, sorted. A target of another domain may
+	// fall to any cell.
 	Domains []string
 }
 
@@ -144,17 +148,17 @@
 	return cellOf(Key(name), p.FleetCells) == p.FleetCell
 }
 
-// ID names the shard: shards with one ID hold the same targets.
+// ID returns an identifier of the shard: shards with the same ID have the same targets.
 func (p *Shard) ID() string {
 	// Strings and numbers can always be encoded.
 	raw, _ := msgpack.Marshal(p)
 	return string(raw)
 }
 
-// Shard returns the shard of this daemon's cell. It must not be changed.
+// Shard returns the shard of this daemon's cell. The result must not be changed.
 func (v *View) Shard() *Shard { return v.shard }
 
-// newShard works it out.
+// newShard computes the shard of this daemon's cell.
 func (v *View) newShard() *Shard {
 	p := &Shard{Cell: v.cell, Cells: v.cells, FleetCell: v.cell, FleetCells: v.cells}
 	if len(v.plan.domains) == 0 {
@@ -169,7 +173,7 @@
 }
 
 // TargetCell returns the cell that a target falls to where the cells divide its service's
-// targets between them.
+// targets among them.
 func (v *View) TargetCell(name, domain string) int {
 	if v.plan == nil {
 		return cellOf(Key(name), v.cells)
@@ -177,35 +181,36 @@
 	return v.plan.of(name, domain)
 }
 
-// Label names this daemon's cell; it stays the same while other cells come and go.
+// Label returns the name of this daemon's cell; it stays the same when other cells are added or
+// removed.
 func (v *View) Label() string { return v.label(v.cell) }
 
-// nextKey ranks the other cells for a cell that has nothing to use.
-const nextKey = "next/"
+// nextKeyPrefix, followed by a cell's label, is the key that ranks the cells to try after it.
+const nextKeyPrefix = "next/"
 
-// NextCells returns the cells to ask where this one has no target to use: one of its own failure
-// domain, if there is one, and one elsewhere.
+// NextCells returns the cells to request a placement from where this one has no usable target:
+// one of its own failure domain, if there is one, and one elsewhere.
 func (v *View) NextCells() []int {
 	first, count := 0, v.cells
 	if v.plan != nil {
 		first, count = v.plan.rangeOf(v.domain)
 	}
 	var out []int
-	near, far := false, false
-	for _, cell := range v.rank(Key(nextKey+v.label(v.cell)), v.cells) {
+	sameDomain, otherDomain := false, false
+	for _, cell := range v.rank(Key(nextKeyPrefix+v.label(v.cell)), v.cells) {
 		within := cell >= first && cell < first+count
 		switch {
-		case cell == v.cell, within && near, !within && far:
+		case cell == v.cell, within && sameDomain, !within && otherDomain:
 			continue
 		case within:
-			near = true
+			sameDomain = true
 		default:
-			far = true
+			otherDomain = true
 		}
 		out = append(out, cell)
 	}
 	return out
 }
 
-// CellSize returns how many daemons this one's cell has.
+// CellSize returns the number of daemons in this daemon's cell.
 func (v *View) CellSize() int { return v.sizes()[v.cell] }
--- a/core/fleet/cells_test.go
+++ b/core/fleet/cells_test.go
@@ -10,7 +10,7 @@
 	"embertally.dev/core/plat"
 )
 
-// boxesIn returns a list of boxes that are spread evenly over some domains.
+// boxesIn returns live entry boxes, as many as each in each domain.
 func boxesIn(domains, each int) []plat.Box {
 	var out []plat.Box
 	for d := range domains {
@@ -24,10 +24,10 @@
 	return out
 }
 
-// viewOf returns the view of one box of a list.
+// viewOf returns the view of the daemon on box at of a list.
 func viewOf(list []plat.Box, at int) *View {
 	f := New(Options{Name: list[at].Name, Domain: list[at].Domain, Log: &event.Log{}})
-	boxReader{f}.set(list)
+	boxReader{f}.apply(list)
 	return f.View()
 }
 
@@ -69,18 +69,18 @@
 			if !tc.within {
 				g.Expect(view.Cells()).To(gomega.Equal(cellCount(tc.domains * tc.each)))
 			}
-			other := viewOf(list, len(list)/2)
+			remote := viewOf(list, len(list)/2)
 			for _, p := range view.Peers() {
-				if p.Name == other.Self() {
-					g.Expect(other.Cell()).To(gomega.Equal(p.Cell), "daemons agree on cells")
+				if p.Name == remote.Self() {
+					g.Expect(remote.Cell()).To(gomega.Equal(p.Cell), "daemons agree on cells")
 				}
 			}
 		})
 	}
 }
 
-// Each target falls to one cell, and each daemon of that cell agrees.
-func TestShardsHoldEachTargetOnce(t *testing.T) {
+// Each target falls to exactly one cell, and all daemons of a cell have the same shard.
+func TestEachTargetFallsToOneShard(t *testing.T) {
 	tests := []struct {
 		name          string
 		domains, each int
@@ -114,8 +114,8 @@
 	}
 }
 
-// A box more or less moves few contexts and targets to other cells.
-func TestAChangeOfTheFleetMovesLittle(t *testing.T) {
+// Adding a box moves few contexts and targets to other cells.
+func TestAddedBoxMovesFewKeys(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := boxesIn(6, 156)
 	before, after := viewOf(list, 0), viewOf(append(list, boxesIn(6, 157)[156]), 0)
@@ -132,12 +132,13 @@
 		}
 	}
 	g.Expect(moved).To(gomega.BeNumerically("<=", 2000/6/13*2))
-	// The cells of the domain give the new one its daemons, and contexts in that proportion.
+	// The other cells of the domain give the new cell its daemons, and contexts in that
+	// proportion.
 	_, cells := after.plan.rangeOf("domain-0")
 	g.Expect(contexts).To(gomega.BeNumerically("<=", 2000/6/cells*4))
 }
 
-func TestTheFirstOfARank(t *testing.T) {
+func TestRankFirstMatchesRank(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := names(100)
 	for key := range uint64(20) {
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -1,9 +1,8 @@
-// Package fleet owns who is there: the other daemons and their heartbeats, the
-// platform's box list, the drain orders for targets, the cells, and the links
-// to peers.
+// Package fleet owns the membership of the fleet: the other daemons and their heartbeats, the
+// platform's box list, the drain orders for targets, the cells, and the links to peers.
 //
-// It must not know what duties daemons have. Other slices attach parts to the
-// heartbeats and register the messages that they answer.
+// It must not know what daemons are assigned to do. Other packages add parts to the heartbeats
+// and register handlers for their messages.
 package fleet
 
 import (
@@ -22,98 +21,100 @@
 
 // BoxLister reads the platform's list of boxes.
 type BoxLister interface {
-	// Read returns the list, or changed false if it is the same as last time.
+	// Read returns the list. changed is false if the list is the same as last time.
 	Read(ctx context.Context) (boxes []plat.Box, changed bool, err error)
 }
 
-// Options of a fleet.
+// Options configures a Fleet.
 type Options struct {
+	// Name is the name of this daemon's box, and Incarnation identifies this run of its process.
 	Name        string
 	Incarnation string
-	// Address and Domain go out in full heartbeats, so that a peer that cannot read
-	// the box list finds this daemon; without an address it is not found so.
+	// Address is this daemon's peer address and Domain its failure domain. Full heartbeats carry
+	// them, so that a peer that cannot read the box list finds this daemon; with an empty
+	// address such a peer does not find it.
 	Address string
 	Domain  string
-	// Seeds are peers known from the settings, for when the box list cannot be
-	// read.
+	// Seeds are the peers named in the settings. They are used until the box list has been read,
+	// and afterwards where the list names them or their heartbeats arrive.
 	Seeds []Peer
-	// Heartbeat is the time between heartbeats.
+	// Heartbeat is the interval between heartbeats.
 	Heartbeat time.Duration
-	// Suspect is the silence after which a peer counts as lost.
+	// Suspect is how long a peer may be silent before it counts as lost.
 	Suspect time.Duration
-	// BoxPause is the time between readings of the box list.
+	// BoxPause is the interval between reads of the box list.
 	BoxPause time.Duration
 	Boxes    BoxLister
-	// TLS returns the client side's configuration; nil for plain links.
+	// TLS returns the client-side configuration; nil for connections without TLS.
 	TLS func() *tls.Config
 	Log *event.Log
 }
 
-// Fleet keeps the view current.
+// Fleet tracks the daemons of the fleet and maintains the current View.
 //
-// Lock order: fleetMu is taken alone.
+// Lock order: fleetMu is not held while parts, callbacks or the log are called; the locks of
+// links are taken under it.
 type Fleet struct {
-	o    Options
-	mux  wire.Mux
-	view atomic.Pointer[View]
-	kick chan struct{}
-	// parts is filled before Run.
+	opts    Options
+	mux     wire.Mux
+	view    atomic.Pointer[View]
+	trigger chan struct{}
+	// parts supply the parts of heartbeats; filled before Run.
 	parts []namedPart
-	// woke are called when this process was stopped; filled before Run.
-	woke []func(gap time.Duration)
+	// onResume are called after this process was stopped or suspended; filled before Run.
+	onResume []func(gap time.Duration)
 
 	fleetMu sync.Mutex
-	// heard is what the last heartbeat of each peer said. Guarded by fleetMu.
-	heard map[string]*heard
-	// links to peers by name. Guarded by fleetMu.
-	links      map[string]*wire.Link
-	boxes      map[string]plat.Box // guarded by fleetMu
-	boxesKnown bool                // guarded by fleetMu
-	cells      cellCache           // guarded by fleetMu
-	marks      map[string]Mark     // guarded by fleetMu
-	draining   bool                // guarded by fleetMu
-	// failed is until when a peer of another cell counts as lost. Guarded by
+	// peerStates holds what the heartbeats of each peer reported, by name. Guarded by fleetMu.
+	peerStates map[string]*peerState
+	// links holds the links to peers by name. Guarded by fleetMu.
+	links       map[string]*wire.Link
+	boxes       map[string]plat.Box   // guarded by fleetMu
+	boxesLoaded bool                  // true once the box list was read; guarded by fleetMu
+	cells       cellCache             // guarded by fleetMu
+	drainOrders map[string]DrainOrder // by target; guarded by fleetMu
+	draining    bool                  // guarded by fleetMu
+	// lostUntil is until when a peer of another cell counts as lost, by name. Guarded by
 	// fleetMu.
-	failed map[string]clock.Time
-	// contact is when anything of the fleet or platform was last heard.
-	// Guarded by fleetMu.
-	contact clock.Time
+	lostUntil map[string]clock.Time
+	// lastContact is when a peer or the box list was last heard from. Guarded by fleetMu.
+	lastContact clock.Time
 }
 
-// New returns a fleet that knows only this daemon.
-func New(o Options) *Fleet {
+// New returns a fleet whose view contains this daemon only.
+func New(opts Options) *Fleet {
 	f := &Fleet{
-		o: o, kick: make(chan struct{}, 1), heard: map[string]*heard{}, links: map[string]*wire.Link{},
-		marks: map[string]Mark{}, failed: map[string]clock.Time{},
+		opts: opts, trigger: make(chan struct{}, 1), peerStates: map[string]*peerState{}, links: map[string]*wire.Link{},
+		drainOrders: map[string]DrainOrder{}, lostUntil: map[string]clock.Time{},
 	}
-	f.mux.Register(kindBeat, wire.Handle(f.receive))
-	f.Attach("marks", (*markPart)(f))
+	f.mux.Register(kindHeartbeat, wire.Handle(f.receive))
+	f.Attach("marks", (*drainOrderPart)(f))
 	f.rebuild()
 	return f
 }
 
-// Mux returns where other slices register the messages that they answer.
+// Mux returns the mux on which other packages register their message handlers.
 func (f *Fleet) Mux() *wire.Mux { return &f.mux }
 
-// Attach adds a part to the heartbeats. It must be called before Run.
+// Attach adds a part, identified by name, to the heartbeats. It must be called before Run.
 func (f *Fleet) Attach(name string, p Part) { f.parts = append(f.parts, namedPart{name, p}) }
 
-// OnWake makes g hear when this process was stopped for longer than a peer
-// may be silent. It must be called before Run.
-func (f *Fleet) OnWake(g func(gap time.Duration)) { f.woke = append(f.woke, g) }
+// OnWake registers g to be called after this process was stopped or suspended for longer than
+// Options.Suspect. It must be called before Run.
+func (f *Fleet) OnWake(g func(gap time.Duration)) { f.onResume = append(f.onResume, g) }
 
-// View returns the fleet as it is now.
+// View returns the current view of the fleet.
 func (f *Fleet) View() *View { return f.view.Load() }
 
-// Kick sends heartbeats soon, as when something in them has changed.
+// Kick triggers heartbeats ahead of schedule, when their content has changed.
 func (f *Fleet) Kick() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// Drain makes this daemon take no new duties.
+// Drain makes this daemon take no new assignments.
 func (f *Fleet) Drain() {
 	f.fleetMu.Lock()
 	f.draining = true
@@ -122,18 +123,18 @@
 	f.Kick()
 }
 
-// Contact returns when anything of the fleet or the platform was last heard.
+// Contact returns when a heartbeat of a peer or the box list was last received.
 func (f *Fleet) Contact() clock.Time {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
-	return f.contact
+	return f.lastContact
 }
 
-// Run answers peers on l and keeps the view current until ctx ends.
+// Run serves peers on l and keeps the view current until ctx ends.
 func (f *Fleet) Run(ctx context.Context, l net.Listener) {
 	var wg sync.WaitGroup
 	wg.Go(func() { f.mux.Serve(ctx, l) })
-	if f.o.Boxes != nil {
+	if f.opts.Boxes != nil {
 		wg.Go(func() { boxReader{f}.run(ctx) })
 	}
 	f.loop(ctx)
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -25,16 +25,16 @@
 	return out
 }
 
-// When a name goes, only what it came first for moves.
-func TestFirstMovesLittle(t *testing.T) {
+// When a name is removed, only the keys that it ranked first for move.
+func TestFirstMovesOnlyKeysOfRemovedName(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(rapid.IntRange(2, 20).Draw(t, "names"))
-		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
-		rest := append(append([]string{}, all[:gone]...), all[gone+1:]...)
+		removed := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
+		others := append(append([]string{}, all[:removed]...), all[removed+1:]...)
 		key := rapid.Uint64().Draw(t, "key")
-		before, after := First(key, all), First(key, rest)
-		if before != all[gone] && after != before {
-			t.Fatalf("moved from %s to %s though %s went", before, after, all[gone])
+		before, after := First(key, all), First(key, others)
+		if before != all[removed] && after != before {
+			t.Fatalf("moved from %s to %s though %s was removed", before, after, all[removed])
 		}
 		if r := Rank(key, all); r[0] != before {
 			t.Fatalf("Rank begins with %s, First is %s", r[0], before)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestCellsHoldAtMostTwenty(t *testing.T) {
+func TestCellSizesAreBounded(t *testing.T) {
 	tests := []struct{ daemons, cells int }{{1, 1}, {8, 1}, {16, 1}, {17, 2}, {330, 28}}
 	for _, tc := range tests {
 		g := gomega.NewWithT(t)
@@ -76,14 +76,14 @@
 		target *conf.Target
 		want   bool
 	}{
-		{"listed live", View{boxes: known, boxesKnown: true}, &conf.Target{Box: "live"}, true},
-		{"listed leaving", View{boxes: known, boxesKnown: true}, &conf.Target{Box: "leaving"}, false},
-		{"not listed", View{boxes: known, boxesKnown: true}, &conf.Target{Box: "gone"}, false},
+		{"listed live", View{boxes: known, boxesLoaded: true}, &conf.Target{Box: "live"}, true},
+		{"listed leaving", View{boxes: known, boxesLoaded: true}, &conf.Target{Box: "leaving"}, false},
+		{"not listed", View{boxes: known, boxesLoaded: true}, &conf.Target{Box: "gone"}, false},
 		{"list not read yet", View{}, &conf.Target{Box: "live"}, true},
-		{"no box", View{boxesKnown: true}, &conf.Target{}, true},
+		{"no box", View{boxesLoaded: true}, &conf.Target{}, true},
 		{"drained by configuration", View{}, &conf.Target{Drain: true}, false},
-		{"drained by order", View{marks: map[string]Mark{"t": {Leaving: true}}}, &conf.Target{}, false},
-		{"order taken back", View{marks: map[string]Mark{"t": {Leaving: false}}}, &conf.Target{}, true},
+		{"drained by order", View{drainOrders: map[string]DrainOrder{"t": {Leaving: true}}}, &conf.Target{}, false},
+		{"drain order cancelled", View{drainOrders: map[string]DrainOrder{"t": {Leaving: false}}}, &conf.Target{}, true},
 		{"not configured", View{}, nil, false},
 	}
 	for _, tc := range tests {
@@ -93,32 +93,32 @@
 	}
 }
 
-// The newest drain order holds in the end, in whatever order they arrive.
-func TestMarksEndWithTheNewest(t *testing.T) {
+// The newest drain order for a target applies, in whatever order they arrive.
+func TestNewestDrainOrderApplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New(Options{Name: "me", Log: &event.Log{}})
 		stamps := rapid.SliceOfNDistinct(rapid.Int64Range(1, 1000), 1, 10, rapid.ID).Draw(t, "stamps")
-		var newest Mark
+		var newest DrainOrder
 		for _, s := range stamps {
-			m := Mark{Leaving: s%2 == 0, Stamp: s}
+			m := DrainOrder{Leaving: s%2 == 0, Stamp: s}
 			if s > newest.Stamp {
 				newest = m
 			}
-			f.merge(map[string]Mark{"t": m})
+			f.merge(map[string]DrainOrder{"t": m})
 		}
-		if got := f.View().Marks()["t"]; got != newest {
-			t.Fatalf("ended with %+v, newest is %+v", got, newest)
+		if got := f.View().DrainOrders()["t"]; got != newest {
+			t.Fatalf("applied %+v, newest is %+v", got, newest)
 		}
 	})
 }
 
-// member is one running fleet of a test.
+// member is a running Fleet of a test.
 type member struct {
 	*Fleet
 	stop func()
 }
 
-// start runs n fleets that know each other from their settings.
+// start runs n Fleets that have each other as seeds.
 func start(t *testing.T, n int) []member {
 	t.Helper()
 	var seeds []Peer
@@ -147,7 +147,7 @@
 	return out
 }
 
-func TestFleetFindsLosesAndDrainsMembers(t *testing.T) {
+func TestFleetFindsLosesAndDrainsDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ms := start(t, 4)
 	duty := func(i int) func() []string { return func() []string { return ms[i].View().OnDuty() } }
@@ -178,12 +178,12 @@
 	}
 }
 
-// Every key has its cells in one order, whose first is its cell.
-func TestHomeCellsBeginWithTheCellOfTheKey(t *testing.T) {
+// Each key has distinct cells in a fixed order, of which the first is the cell it falls into.
+func TestRankedCellsBeginWithTheCellOfTheKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key, count := rapid.Uint64().Draw(t, "key"), rapid.IntRange(1, 30).Draw(t, "cells")
-		got := sharedCells(count).rank(key, cellsTried)
-		if len(got) != min(count, cellsTried) || got[0] != cellOf(key, count) {
+		got := sharedCells(count).rank(key, cellsPerContext)
+		if len(got) != min(count, cellsPerContext) || got[0] != cellOf(key, count) {
 			t.Fatalf("cells %v of %d, first is %d", got, count, cellOf(key, count))
 		}
 		seen := map[int]bool{}
@@ -196,8 +196,9 @@
 	})
 }
 
-// A daemon whose machine was suspended hears that it was away, as one that was stopped does.
-func TestADaemonThatWasSuspendedWakes(t *testing.T) {
+// A system suspend must reach the OnWake functions, like a stop of the process: Go's timers and
+// monotonic clock do not advance meanwhile.
+func TestSuspendCallsOnWake(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := New(Options{Name: "a", Incarnation: "a-1", Heartbeat: 10 * time.Millisecond, Suspect: 10 * time.Second, Log: &event.Log{}})
 	woke := make(chan time.Duration, 1)
@@ -212,7 +213,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Run(ctx, l)
-	// The first suspensions may come before its loop runs.
+	// Suspends are repeated, since the first may come before Run has started its loop.
 	g.Eventually(func() time.Duration {
 		clock.Suspend(time.Minute)
 		select {
--- a/core/fleet/marks.go
+++ b/core/fleet/marks.go
@@ -9,32 +9,34 @@
 	"embertally.dev/core/event"
 )
 
-// maxMarks bounds the drain orders that are kept.
-const maxMarks = 4096
+// maxDrainOrders bounds the drain orders that are stored. Orders for further targets are
+// ignored.
+const maxDrainOrders = 4096
 
-// SetMark puts an operator's drain order in force here and spreads it.
+// SetMark applies an operator's drain order to a target and sends it to peers. leaving is false
+// to cancel the drain.
 func (f *Fleet) SetMark(target string, leaving bool) {
-	m := Mark{Leaving: leaving, Stamp: time.Now().UnixNano()}
+	m := DrainOrder{Leaving: leaving, Stamp: time.Now().UnixNano()}
 	f.fleetMu.Lock()
-	if old := f.marks[target]; m.Stamp <= old.Stamp {
+	if old := f.drainOrders[target]; m.Stamp <= old.Stamp {
 		m.Stamp = old.Stamp + 1
 	}
 	f.fleetMu.Unlock()
-	f.merge(map[string]Mark{target: m})
+	f.merge(map[string]DrainOrder{target: m})
 	f.Kick()
 }
 
-// merge takes marks that are newer than those known and reports whether there
-// were any.
-func (f *Fleet) merge(marks map[string]Mark) bool {
+// merge stores the orders that are newer than the recorded ones and reports whether there were
+// any.
+func (f *Fleet) merge(drainOrders map[string]DrainOrder) bool {
 	f.fleetMu.Lock()
 	var taken []string
-	for target, m := range marks {
-		old, known := f.marks[target]
-		if m.Stamp <= old.Stamp || (!known && len(f.marks) >= maxMarks) {
+	for target, m := range drainOrders {
+		old, known := f.drainOrders[target]
+		if m.Stamp <= old.Stamp || (!known && len(f.drainOrders) >= maxDrainOrders) {
 			continue
 		}
-		f.marks[target] = m
+		f.drainOrders[target] = m
 		taken = append(taken, target)
 	}
 	f.fleetMu.Unlock()
@@ -44,36 +46,36 @@
 	f.rebuild()
 	for _, target := range taken {
 		code := event.TargetReturning
-		if marks[target].Leaving {
+		if drainOrders[target].Leaving {
 			code = event.TargetLeaving
 		}
-		f.o.Log.Emit(code, event.Ref{Target: target}, "")
+		f.opts.Log.Emit(code, event.Ref{Target: target}, "")
 	}
 	return true
 }
 
-// markPart spreads the drain orders in every heartbeat: there are few.
-type markPart Fleet
+// drainOrderPart puts all drain orders into every heartbeat: there are few.
+type drainOrderPart Fleet
 
 // Collect returns the drain orders.
-func (p *markPart) Collect(bool) any {
+func (p *drainOrderPart) Collect(bool) any {
 	f := (*Fleet)(p)
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
-	if len(f.marks) == 0 {
+	if len(f.drainOrders) == 0 {
 		return nil
 	}
-	return maps.Clone(f.marks)
+	return maps.Clone(f.drainOrders)
 }
 
-// Receive takes a peer's drain orders and passes new ones on.
-func (p *markPart) Receive(_ string, body []byte) {
-	var marks map[string]Mark
-	if msgpack.Unmarshal(body, &marks) != nil {
+// Receive merges a peer's drain orders and forwards new ones to other peers.
+func (p *drainOrderPart) Receive(_ string, body []byte) {
+	var drainOrders map[string]DrainOrder
+	if msgpack.Unmarshal(body, &drainOrders) != nil {
 		return
 	}
 	f := (*Fleet)(p)
-	if f.merge(marks) {
+	if f.merge(drainOrders) {
 		f.Kick()
 	}
 }
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -10,49 +10,49 @@
 	"embertally.dev/core/plat"
 )
 
-// rebuild makes the view anew from what is known.
+// rebuild replaces the view by one of the current state.
 func (f *Fleet) rebuild() {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
 	v := &View{
-		self: f.o.Name, boxes: f.boxes, boxesKnown: f.boxesKnown, marks: maps.Clone(f.marks),
-		domain: f.o.Domain, draining: f.draining, at: clock.Now(),
+		self: f.opts.Name, boxes: f.boxes, boxesLoaded: f.boxesLoaded, drainOrders: maps.Clone(f.drainOrders),
+		domain: f.opts.Domain, draining: f.draining, builtAt: clock.Now(),
 	}
-	known := f.knownPeers()
-	f.cells.set(planCells(f.domainSizes(known)))
+	peers := f.collectPeers()
+	f.cells.set(planCells(f.domainSizes(peers)))
 	v.plan = f.cells.plan
 	v.cells = v.plan.count()
-	v.cell = f.cells.of(f.o.Name, f.o.Domain)
+	v.cell = f.cells.of(f.opts.Name, f.opts.Domain)
 	v.shard = v.newShard()
-	for _, p := range known {
+	for _, p := range peers {
 		f.fill(&p, v)
 		v.peers = append(v.peers, p)
 		if p.Draining || p.Cell != v.cell {
 			continue
 		}
 		if p.Alive {
-			v.duty = append(v.duty, p.Name)
+			v.eligible = append(v.eligible, p.Name)
 		}
 		if p.Alive || p.Incarnation == "" {
 			v.expected = append(v.expected, p.Name)
 		}
 	}
 	if !f.draining {
-		v.duty = append(v.duty, f.o.Name)
-		v.expected = append(v.expected, f.o.Name)
+		v.eligible = append(v.eligible, f.opts.Name)
+		v.expected = append(v.expected, f.opts.Name)
 	}
 	v.listed = sync.OnceValue(v.allListed)
-	v.domains = sync.OnceValue(func() map[string][]string { return v.byDomain(f.o.Domain) })
-	sort.Strings(v.duty)
+	v.domains = sync.OnceValue(func() map[string][]string { return v.byDomain(f.opts.Domain) })
+	sort.Strings(v.eligible)
 	sort.Strings(v.expected)
 	f.view.Store(v)
 	f.closeLinks(v)
 }
 
-// domainSizes returns how many daemons each failure domain has, this one included.
-func (f *Fleet) domainSizes(known []Peer) map[string]int {
-	sizes := map[string]int{f.o.Domain: 1}
-	for _, p := range known {
+// domainSizes returns the number of daemons in each failure domain, this one included.
+func (f *Fleet) domainSizes(peers []Peer) map[string]int {
+	sizes := map[string]int{f.opts.Domain: 1}
+	for _, p := range peers {
 		sizes[p.Domain]++
 	}
 	return sizes
@@ -62,22 +62,22 @@
 // with fleetMu held.
 func (f *Fleet) closeLinks(v *View) {
 	for name, l := range f.links {
-		if _, known := v.peer(name); !known {
+		if _, ok := v.peer(name); !ok {
 			l.Close()
 			delete(f.links, name)
 		}
 	}
 }
 
-// fill completes a peer from its heartbeats and the box list. It is called with
-// fleetMu held.
+// fill completes a peer's entry from its heartbeats and the box list. It is called with fleetMu
+// held.
 func (f *Fleet) fill(p *Peer, v *View) {
 	p.Cell = f.cells.of(p.Name, p.Domain)
-	if h := f.heard[p.Name]; h != nil {
+	if h := f.peerStates[p.Name]; h != nil {
 		p.Alive, p.Incarnation, p.Draining = h.alive, h.incarnation, h.draining
 	}
 	if p.Cell != v.cell {
-		p.Alive = v.at.After(f.failed[p.Name])
+		p.Alive = v.builtAt.After(f.lostUntil[p.Name])
 	}
 	box := f.boxes[p.Name]
 	p.Listed = box.State == plat.BoxLive
@@ -86,15 +86,15 @@
 	}
 }
 
-// knownPeers joins the box list with the settings; the list counts where both
-// name a peer. Without a list, peers whose heartbeats carried an address count as
-// well. It is called with fleetMu held.
-func (f *Fleet) knownPeers() []Peer {
+// collectPeers merges the box list and the seeds, ordered by name; where both name a peer, the
+// box list takes precedence. Until the box list was read, live peers whose heartbeats carried an
+// address are included too. It is called with fleetMu held.
+func (f *Fleet) collectPeers() []Peer {
 	byName := map[string]Peer{}
-	for _, s := range f.o.Seeds {
+	for _, s := range f.opts.Seeds {
 		_, listed := f.boxes[s.Name]
-		heard := f.heard[s.Name]
-		if !f.boxesKnown || listed || (heard != nil && heard.alive) {
+		state := f.peerStates[s.Name]
+		if !f.boxesLoaded || listed || (state != nil && state.alive) {
 			byName[s.Name] = s
 		}
 	}
@@ -103,20 +103,20 @@
 			byName[b.Name] = Peer{Name: b.Name, Address: b.Address, Domain: b.Domain}
 		}
 	}
-	if !f.boxesKnown {
-		f.addHeard(byName)
+	if !f.boxesLoaded {
+		f.addFromHeartbeats(byName)
 	}
-	delete(byName, f.o.Name)
+	delete(byName, f.opts.Name)
 	out := slices.Collect(maps.Values(byName))
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
-// addHeard adds the live peers whose heartbeats carried an address. It is called
-// with fleetMu held.
-func (f *Fleet) addHeard(byName map[string]Peer) {
-	for name, h := range f.heard {
-		if _, known := byName[name]; !known && h.alive && h.address != "" {
+// addFromHeartbeats adds the live peers whose heartbeats carried an address. It is called with
+// fleetMu held.
+func (f *Fleet) addFromHeartbeats(byName map[string]Peer) {
+	for name, h := range f.peerStates {
+		if _, ok := byName[name]; !ok && h.alive && h.address != "" {
 			byName[name] = Peer{Name: name, Address: h.address, Domain: h.domain}
 		}
 	}
--- a/core/fleet/place_test.go
+++ b/core/fleet/place_test.go
@@ -6,11 +6,11 @@
 	"github.com/onsi/gomega"
 )
 
-func TestPlacesForATarget(t *testing.T) {
+func TestPlaceRanksDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	names := []string{"a", "b", "c", "d", "e"}
-	view := func(self string, known bool) *View {
-		v := &View{self: self, boxesKnown: known, cells: 2}
+	view := func(self string, boxesLoaded bool) *View {
+		v := &View{self: self, boxesLoaded: boxesLoaded, cells: 2}
 		for i, n := range names {
 			if n == self {
 				v.cell = i % 2
@@ -24,20 +24,20 @@
 	fleetPlaces, cellPlaces := map[int]bool{}, map[int]map[int]bool{0: {}, 1: {}}
 	for i, n := range names {
 		place, of := view(n, true).Place(key, false)
-		g.Expect(of).To(gomega.Equal(5), "peers that were never heard count")
+		g.Expect(of).To(gomega.Equal(5), "peers without a heartbeat count")
 		fleetPlaces[place] = true
 		place, of = view(n, true).Place(key, true)
 		g.Expect(of).To(gomega.Equal(3 - i%2))
 		cellPlaces[i%2][place] = true
 		place, of = view(n, false).Place(key, false)
-		g.Expect([]int{place, of}).To(gomega.Equal([]int{0, 0}), "the list is not known yet")
+		g.Expect([]int{place, of}).To(gomega.Equal([]int{0, 0}), "the box list was not read yet")
 	}
 	g.Expect(fleetPlaces).To(gomega.HaveLen(5), "all agree on the order")
 	g.Expect(cellPlaces[0]).To(gomega.HaveLen(3))
 	g.Expect(cellPlaces[1]).To(gomega.HaveLen(2))
 }
 
-func TestCellsAreRememberedForOnePlan(t *testing.T) {
+func TestCellCacheFollowsThePlan(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var c cellCache
 	for _, count := range []int{1, 5, 25, 5} {
--- a/core/fleet/rank.go
+++ b/core/fleet/rank.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders names for key by rendezvous hashing: when a name goes, only the
-// keys that it came first for get another first name.
+// Rank orders names for key by rendezvous hashing: when a name is removed, only the keys that it
+// ranked first for get another first name.
 func Rank(key uint64, names []string) []string {
 	type scored struct {
 		name  string
@@ -37,7 +37,7 @@
 	return out
 }
 
-// RankFirst returns the first n names of Rank.
+// RankFirst returns the first n names of Rank, without sorting the others.
 func RankFirst(key uint64, names []string, n int) []string {
 	type scored struct {
 		name  string
@@ -61,8 +61,8 @@
 	return out
 }
 
-// Place returns how many of names come before one for key, or all where it is not among
-// them.
+// Place returns the index of name in Rank's order of names for key, or len(names) if it is not
+// among them.
 func Place(key uint64, names []string, name string) int {
 	ranked := Rank(key, names)
 	if at := slices.Index(ranked, name); at >= 0 {
@@ -74,17 +74,17 @@
 // First returns the first name of Rank, or "" if there are no names.
 func First(key uint64, names []string) string {
 	var best string
-	var high uint64
+	var highest uint64
 	for _, n := range names {
 		s := score(key, n)
-		if best == "" || s > high || (s == high && n < best) {
-			best, high = n, s
+		if best == "" || s > highest || (s == highest && n < best) {
+			best, highest = n, s
 		}
 	}
 	return best
 }
 
-// Key returns the key of a name for Rank and First.
+// Key hashes a name to a key for Rank and First.
 func Key(name string) uint64 { return xxhash.Sum64String(name) }
 
 func score(key uint64, name string) uint64 {
@@ -98,26 +98,26 @@
 // daemons unevenly; this mean keeps nearly all cells under 20.
 const cellSize = 12
 
-// oneCell is the largest fleet that is kept as one cell.
-const oneCell = 16
+// maxSingleCell is the largest number of daemons that form a single cell.
+const maxSingleCell = 16
 
-// cellCount returns how many cells a fleet of n daemons has.
+// cellCount returns the number of cells for a fleet of n daemons.
 func cellCount(n int) int {
-	if n <= oneCell {
+	if n <= maxSingleCell {
 		return 1
 	}
-	return cellsOf(n)
+	return cellsFor(n)
 }
 
-// cellsOf returns how many cells of cellSize some daemons make.
-func cellsOf(n int) int { return (n + cellSize - 1) / cellSize }
+// cellsFor returns the number of cells that n daemons form at a mean size of cellSize.
+func cellsFor(n int) int { return (n + cellSize - 1) / cellSize }
 
-// cellOf returns the cell of a name or key among count cells.
+// cellOf returns which of count cells a key falls into, by rendezvous hashing.
 func cellOf(key uint64, count int) int {
-	best, high := 0, uint64(0)
+	best, highest := 0, uint64(0)
 	for c := range count {
-		if s := score(key, strconv.Itoa(c)); c == 0 || s > high {
-			best, high = c, s
+		if s := score(key, strconv.Itoa(c)); c == 0 || s > highest {
+			best, highest = c, s
 		}
 	}
 	return best
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -10,78 +10,78 @@
 	"embertally.dev/core/plat"
 )
 
-// Peer is one daemon as another sees it.
+// Peer is another daemon as this one sees it.
 type Peer struct {
 	Name    string
 	Address string
 	Domain  string
-	// Cell is the cell of the daemon.
+	// Cell is the number of the daemon's cell.
 	Cell int
-	// Incarnation tells one run of the daemon from the next; empty while it
-	// has not been heard.
+	// Incarnation identifies one run of the daemon's process; empty until its first heartbeat.
 	Incarnation string
-	// Alive tells that its heartbeats arrive.
+	// Alive means that its heartbeats arrive or, for a peer of another cell, that no call to it
+	// has failed recently.
 	Alive bool
-	// Draining tells that it takes no new duties.
+	// Draining means that it takes no new assignments.
 	Draining bool
-	// Listed tells that the box list names it as live.
+	// Listed means that the box list has it in state live.
 	Listed bool
 }
 
-// View is the fleet at one moment. It never changes; a request uses one view
-// from start to end.
+// View is an immutable snapshot of the fleet. A request uses one view from start to end.
 type View struct {
 	self string
 	// peers are the other daemons, ordered by name.
 	peers []Peer
-	// boxes are the boxes of the platform's list by name.
+	// boxes is the platform's box list, by name.
 	boxes map[string]plat.Box
-	// boxesKnown tells that the list was read at least once.
-	boxesKnown bool
-	marks      map[string]Mark
+	// boxesLoaded is true once the list was read.
+	boxesLoaded bool
+	drainOrders map[string]DrainOrder
 	// domain is the failure domain of this daemon.
 	domain string
-	// cells is how many cells the fleet has, and plan how it falls into them.
+	// cells is the number of cells of the fleet, and plan maps names and keys to them. plan is
+	// nil in tests only, for cells that are shared by all domains.
 	cells int
 	plan  *cellPlan
-	// shard is that of this daemon's cell.
+	// shard is the shard of this daemon's cell.
 	shard *Shard
-	// cell is the cell of this daemon.
+	// cell is the number of this daemon's cell.
 	cell int
-	// duty are the daemons of this cell that take duties, this one included
-	// unless it drains, ordered by name.
-	duty []string
-	// domains holds the daemons that Listed returns by failure domain; worked out when it
-	// is first asked for.
+	// eligible are the daemons of this cell that take assignments, ordered by name: the live
+	// ones that do not drain, and this one unless it drains.
+	eligible []string
+	// domains returns the daemons that Listed returns by failure domain; computed at the first
+	// call.
 	domains func() map[string][]string
-	// listed are the daemons that Listed returns; worked out when it is first asked for.
+	// listed returns the daemons that Listed returns; computed at the first call.
 	listed func() []string
-	// expected are those on duty and those listed that were not heard yet, ordered by
-	// name.
+	// expected are the eligible daemons and those of this cell that do not drain and have not
+	// sent a heartbeat yet, ordered by name.
 	expected []string
 	draining bool
-	at       clock.Time
+	builtAt  clock.Time
 }
 
 // Self returns this daemon's name.
 func (v *View) Self() string { return v.self }
 
-// Peers returns the other daemons, ordered by name. It must not be changed.
+// Peers returns the other daemons, ordered by name. The result must not be changed.
 func (v *View) Peers() []Peer { return v.peers }
 
-// Cells returns how many cells the fleet has.
+// Cells returns the number of cells of the fleet.
 func (v *View) Cells() int { return v.cells }
 
-// Cell returns the cell of this daemon.
+// Cell returns the number of this daemon's cell.
 func (v *View) Cell() int { return v.cell }
 
 // Domain returns the failure domain of this daemon.
 func (v *View) Domain() string { return v.domain }
 
-// CellOf returns the cell that a key or the name of a target falls into, whatever its domain.
+// CellOf returns the cell that a name falls into, whatever its domain.
 func (v *View) CellOf(name string) int { return v.KeyCell(Key(name)) }
 
-// KeyCell returns the cell of a key, where each cell gets as many keys as the others.
+// KeyCell returns the cell that a key falls into. Each cell gets about the same number of keys.
 func (v *View) KeyCell(key uint64) int { return v.rank(key, 1)[0] }
 
 // rank returns the first n cells for a key, best first.
@@ -92,22 +92,22 @@
 	return v.plan.rank(key, n)
 }
 
-// Draining reports whether this daemon takes no new duties.
+// Draining reports whether this daemon takes no new assignments.
 func (v *View) Draining() bool { return v.draining }
 
-// Duty returns who of this cell has the duty that key names.
-func (v *View) Duty(key uint64) string { return First(key, v.duty) }
+// Duty returns the daemon of this cell that holds the assignment named by key.
+func (v *View) Duty(key uint64) string { return First(key, v.eligible) }
 
-// DutyOf returns who of the whole fleet has the duty that key names, as far as
-// this daemon knows.
+// DutyOf returns the daemon of the whole fleet that holds the assignment named by key, according
+// to this view.
 func (v *View) DutyOf(key uint64) string {
-	return First(key, v.cellDuty(v.KeyCell(key)))
+	return First(key, v.cellEligible(v.KeyCell(key)))
 }
 
-// cellDuty returns the daemons of a cell that take duties.
-func (v *View) cellDuty(cell int) []string {
+// cellEligible returns the daemons of a cell that take assignments.
+func (v *View) cellEligible(cell int) []string {
 	if cell == v.Cell() {
-		return v.duty
+		return v.eligible
 	}
 	var names []string
 	for _, p := range v.peers {
@@ -118,21 +118,21 @@
 	return names
 }
 
-// OnDuty returns the daemons of this cell that take duties.
-func (v *View) OnDuty() []string { return v.duty }
+// OnDuty returns the daemons of this cell that take assignments. The result must not be changed.
+func (v *View) OnDuty() []string { return v.eligible }
 
-// Expected returns the daemons of this cell that take duties or are about to: those that
-// are listed and have not been heard since this daemon started count as well, so that
-// daemons which start together agree before they hear each other.
+// Expected returns the daemons of this cell that take assignments or are about to: those that
+// have not sent a heartbeat since this daemon started are included, so that daemons that start
+// together agree before their first heartbeats. The result must not be changed.
 func (v *View) Expected() []string { return v.expected }
 
-// Listed returns the daemons of the whole fleet that do not drain as far as this one
-// knows, this one included, ordered by name but for itself. Others agree on it as far as
-// they know the same list of boxes; whether a daemon of another cell lives is not known. It must
+// Listed returns the daemons of the whole fleet that are not known to drain, ordered by name,
+// with this one at the end if it does not drain. Daemons agree on it as far as they have the
+// same box list; whether a daemon of another cell is alive is not considered. The result must
 // not be changed.
 func (v *View) Listed() []string { return v.listed() }
 
-// allListed works them out.
+// allListed computes the result of Listed.
 func (v *View) allListed() []string {
 	names := make([]string, 0, len(v.peers)+1)
 	for _, p := range v.peers {
@@ -147,13 +147,13 @@
 }
 
 // Living returns the daemons of the whole fleet that do not drain and are not known to be lost,
-// this one included. Those of this cell that have not been heard since this daemon started
-// count: daemons that start together agree on it before they hear each other.
+// this one included. Those of this cell that have not sent a heartbeat since this daemon started
+// are included, so that daemons that start together agree before their first heartbeats.
 func (v *View) Living() []string {
 	names := make([]string, 0, len(v.peers)+1)
 	for _, p := range v.peers {
-		unheard := p.Cell == v.cell && p.Incarnation == ""
-		if (p.Alive || unheard) && !p.Draining {
+		noHeartbeat := p.Cell == v.cell && p.Incarnation == ""
+		if (p.Alive || noHeartbeat) && !p.Draining {
 			names = append(names, p.Name)
 		}
 	}
@@ -163,12 +163,12 @@
 	return names
 }
 
-// Place returns how many of the daemons of this cell, or of the whole fleet, come before
-// this one for key, and how many daemons these are. All that are known count, heard or
-// not: who is cut off must not take itself for the first. Until the list of boxes is known
-// there are none.
+// Place returns this daemon's rank for key, from 0, among the daemons of its cell or of the
+// whole fleet, and the number of these daemons. Peers that have not sent a heartbeat are
+// included, so that a daemon that is cut off does not consider itself the first. Until the box
+// list was read, both results are 0.
 func (v *View) Place(key uint64, cell bool) (place, of int) {
-	if !v.boxesKnown {
+	if !v.boxesLoaded {
 		return 0, 0
 	}
 	own := score(key, v.self)
@@ -185,7 +185,7 @@
 	return place, of
 }
 
-// Ranked returns the first n of the daemons among which Place counts, without this one.
+// Ranked returns the first n of the daemons that Place ranks, without this one.
 func (v *View) Ranked(key uint64, cell bool, n int) []string {
 	var names []string
 	for _, p := range v.peers {
@@ -196,11 +196,11 @@
 	return RankFirst(key, names, n)
 }
 
-// Domains returns the daemons that Listed returns by failure domain. It must not be
+// Domains returns the daemons that Listed returns by failure domain. The result must not be
 // changed.
 func (v *View) Domains() map[string][]string { return v.domains() }
 
-// byDomain works them out.
+// byDomain computes the result of Domains. own is this daemon's domain.
 func (v *View) byDomain(own string) map[string][]string {
 	out := map[string][]string{}
 	for _, p := range v.peers {
@@ -214,28 +214,28 @@
 	return out
 }
 
-// cellsTried is how many cells are tried for one context.
-const cellsTried = 3
+// cellsPerContext is how many cells are tried for one context.
+const cellsPerContext = 3
 
-// HomeCells returns the cells where a context may be at home, best first. The
-// second counts where the first has no worker for the request.
-func (v *View) HomeCells(root uint64) []int { return v.rank(root, cellsTried) }
+// HomeCells returns the cells whose daemons may own the context with prefix hash root, best
+// first. A later cell is used where those before it have no worker for the request.
+func (v *View) HomeCells(root uint64) []int { return v.rank(root, cellsPerContext) }
 
-// WeighedCell returns the cell of a key, where a cell gets as many keys as it has daemons:
-// by a weighted draw, so that a cell that grows or shrinks takes or gives up only what it
-// must.
+// WeighedCell returns the cell that a key falls into by weighted rendezvous hashing, so that the
+// keys of a cell are in proportion to its daemons. When a cell grows or shrinks, only the keys
+// that must move do.
 func (v *View) WeighedCell(key uint64) int {
-	best, most := 0, math.Inf(-1)
+	best, highest := 0, math.Inf(-1)
 	for c, size := range v.sizes() {
-		draw := (float64(score(key, v.label(c))>>drawShift) + 1) / (drawSteps + 1)
-		if weighed := -float64(size) / math.Log(draw); weighed > most {
-			best, most = c, weighed
+		uniform := (float64(score(key, v.label(c))>>drawShift) + 1) / (drawSteps + 1)
+		if weighted := -float64(size) / math.Log(uniform); weighted > highest {
+			best, highest = c, weighted
 		}
 	}
 	return best
 }
 
-// label names a cell.
+// label returns the name of a cell, which its keys are ranked by.
 func (v *View) label(cell int) string {
 	if v.plan == nil {
 		return strconv.Itoa(cell)
@@ -243,13 +243,14 @@
 	return v.plan.labels[cell]
 }
 
-// Draws have as many bits as a float64 holds.
+// The upper 52 bits of a hash are mapped to a number above 0 and below 1; with 52 bits each
+// result is exact in a float64.
 const (
 	drawShift = 12
 	drawSteps = 1 << 52
 )
 
-// sizes returns how many daemons each cell has.
+// sizes returns the number of daemons of each cell.
 func (v *View) sizes() []int {
 	sizes := make([]int, v.cells)
 	sizes[v.cell]++
@@ -259,10 +260,11 @@
 	return sizes
 }
 
-// Homes returns the daemons of a cell to ask about a context, best first, at
-// most n. This daemon is the last one for its own cell.
+// Homes returns the daemons of a cell to request a placement from for the context with prefix
+// hash root, best first, at most n. For its own cell this daemon is added at the end if it is
+// not among them.
 func (v *View) Homes(cell int, root uint64, n int) []string {
-	ranked := Rank(root, v.cellDuty(cell))
+	ranked := Rank(root, v.cellEligible(cell))
 	if len(ranked) > n {
 		ranked = ranked[:n]
 	}
@@ -272,53 +274,53 @@
 	return ranked
 }
 
-// Home returns the daemon of this cell that a context is at home at.
+// Home returns the daemon of this cell that owns the context with prefix hash root.
 func (v *View) Home(root uint64) string { return v.Homes(v.Cell(), root, 1)[0] }
 
-// Usable reports whether a target may get new work, by configuration, drain
-// orders and the box list.
+// Usable reports whether a target may get new requests, by its configuration, the drain orders
+// and the box list.
 func (v *View) Usable(name string, t *conf.Target) bool {
-	if t == nil || t.Drain || v.marks[name].Leaving {
+	if t == nil || t.Drain || v.drainOrders[name].Leaving {
 		return false
 	}
-	if t.Box == "" || !v.boxesKnown {
+	if t.Box == "" || !v.boxesLoaded {
 		return true
 	}
 	box, listed := v.boxes[t.Box]
 	return listed && box.State == plat.BoxLive
 }
 
-// Share returns the names that the daemons of this cell use where all daemons
-// share them out by cell, in proportion to the daemons of each cell. Daemons
-// with the same view agree on it. With one cell it returns all.
+// Share returns the part of names that this daemon's cell uses where the cells divide them in
+// proportion to their daemons. Daemons with the same view agree on it. With one cell, or fewer
+// names than cells, it returns all names.
 func (v *View) Share(names []string) []string {
 	if v.cells <= 1 || len(names) < v.cells {
 		return names
 	}
-	from, to := v.shareOf(v.cell, len(names))
+	from, to := v.shareRange(v.cell, len(names))
 	return Rank(shareKey, names)[from:to]
 }
 
-// SharedBy returns the cell whose daemons use a name where Share shares names out.
+// SharedBy returns the cell that uses name where Share divides names.
 func (v *View) SharedBy(names []string, name string) int {
 	if v.cells <= 1 || len(names) < v.cells {
 		return v.cell
 	}
 	at := Place(shareKey, names, name)
 	for c := range v.cells {
-		if from, to := v.shareOf(c, len(names)); from <= at && at < to {
+		if from, to := v.shareRange(c, len(names)); from <= at && at < to {
 			return c
 		}
 	}
 	return v.cell
 }
 
-// shareKey ranks names that cells share out.
+// shareKey is the key by which Share ranks names.
 var shareKey = Key("share")
 
-// shareOf returns which of some ranked names a cell uses: as large a part of them as it has
-// of the daemons.
-func (v *View) shareOf(cell, names int) (from, to int) {
+// shareRange returns which of a number of ranked names a cell uses, as a half-open range of
+// indices in proportion to its daemons.
+func (v *View) shareRange(cell, names int) (from, to int) {
 	sizes := v.sizes()
 	before, total := 0, len(v.peers)+1
 	for _, n := range sizes[:cell] {
@@ -327,22 +329,22 @@
 	return before * names / total, (before + sizes[cell]) * names / total
 }
 
-// Boxes returns the boxes of the platform's list by name. It must not be
-// changed.
+// Boxes returns the platform's box list, by name. The result must not be changed.
 func (v *View) Boxes() map[string]plat.Box { return v.boxes }
 
-// Marks returns the drain orders by target. It must not be changed.
-func (v *View) Marks() map[string]Mark { return v.marks }
+// DrainOrders returns the drain orders by target. The result must not be changed.
+func (v *View) DrainOrders() map[string]DrainOrder { return v.drainOrders }
 
-// Mark is an operator's order that a target gets no new work, or gets it
-// again. It spreads between daemons without the key-value service.
-type Mark struct {
+// DrainOrder is an operator's order that a target gets no new requests, or gets them again.
+// Daemons pass it on in heartbeats, without the coordination store.
+type DrainOrder struct {
+	// Leaving is true to drain the target, false to cancel the drain.
 	Leaving bool `msgpack:"l" json:"leaving"`
-	// Stamp orders the marks of a target; the highest counts.
+	// Stamp orders the orders for one target, in ns since the Unix epoch; the highest applies.
 	Stamp int64 `msgpack:"s" json:"stamp"`
 }
 
-// peer returns a daemon by name.
+// peer returns a peer by name.
 func (v *View) peer(name string) (Peer, bool) {
 	i, ok := slices.BinarySearchFunc(v.peers, name, func(p Peer, n string) int {
 		if p.Name < n {
