--- a/core/plat/boxes.go
+++ b/core/plat/boxes.go
@@ -9,16 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// BoxState is what the box list says of a box.
+// BoxState is the state of a box in the box list.
 type BoxState string
 
-// The states of boxes. A box that is gone is not listed.
+// The states of boxes. A box that was removed is not in the list.
 const (
 	BoxLive    BoxState = "live"
 	BoxLeaving BoxState = "leaving"
 )
 
-// Role is what a box is for.
+// Role is the purpose of a box: whether it runs a daemon or targets.
 type Role string
 
 // The roles of boxes.
@@ -31,18 +31,18 @@
 type Box struct {
 	Name string `json:"name"`
 	Role Role   `json:"role"`
-	// Address is the peer address of an entry box, as IP and port.
+	// Address is where the daemon of an entry box listens for peers, as IP and port.
 	Address string `json:"address,omitempty"`
 	// Domain is the failure domain.
 	Domain string   `json:"domain"`
 	State  BoxState `json:"state"`
 }
 
-// BoxList reads the platform's list of live and leaving boxes.
+// BoxList reads the platform's list of boxes, live and leaving.
 type BoxList struct {
 	url    string
 	client *http.Client
-	// tag is the version of the last list read; only the reader uses it.
+	// tag is the ETag of the last list read.
 	tag string
 }
 
@@ -51,7 +51,7 @@
 	return &BoxList{url: url, client: client}
 }
 
-// Read returns the list, or changed false if it is the same as last time.
+// Read returns the list. changed is false if the list is the same as last time.
 func (b *BoxList) Read(ctx context.Context) (boxes []Box, changed bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, b.url, nil)
 	if err != nil {
@@ -69,7 +69,7 @@
 		return nil, false, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, false, errors.Errorf("box list answered %s", resp.Status)
+		return nil, false, errors.Errorf("box list: status %s", resp.Status)
 	}
 	var body struct {
 		Boxes []Box `json:"boxes"`
--- a/core/plat/contact.go
+++ b/core/plat/contact.go
@@ -7,87 +7,89 @@
 	"embertally.dev/core/event"
 )
 
-// hearVia records when the service had answered a peer.
-func (m *Mirror) hearVia(heard clock.Time) {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	if heard.After(m.via) {
-		m.via = heard
-		m.wake()
+// recordPeerContact records when the store last answered a peer.
+func (m *Mirror) recordPeerContact(at clock.Time) {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	if at.After(m.peerContact) {
+		m.peerContact = at
+		m.wakeWaiters()
 	}
 }
 
-// Fresh returns when the service last answered this daemon, or a peer whose
-// state this daemon has taken.
+// Fresh returns when the store last answered this daemon or a peer that this daemon has applied
+// the state of.
 func (m *Mirror) Fresh() clock.Time {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	if m.via.After(m.contact) {
-		return m.via
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	if m.peerContact.After(m.lastContact) {
+		return m.peerContact
 	}
-	return m.contact
+	return m.lastContact
 }
 
-// heard records an answer of the service.
-func (m *Mirror) heard() {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+// recordContact records a response of the store.
+func (m *Mirror) recordContact() {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	now := clock.Now()
-	if gap := now.Sub(m.contact); !m.contact.IsZero() && (gap > downAfter || m.down) {
-		m.regained, m.silence = now, gap
+	if gap := now.Sub(m.lastContact); !m.lastContact.IsZero() && (gap > outageAfter || m.down) {
+		m.outageEnd, m.outageLength = now, gap
 		m.log.Emit(event.ServiceUp, event.Ref{}, "silent for "+gap.Round(time.Millisecond).String())
 	}
 	m.down = false
-	m.contact = now
-	m.wake()
+	m.lastContact = now
+	m.wakeWaiters()
 }
 
-// lost records that the service broke off.
-func (m *Mirror) lost(err error) {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	if m.down || clock.Since(m.contact) < downAfter {
+// recordFailure records that a read or watch failed, which counts as an outage once the store
+// has been silent for outageAfter.
+func (m *Mirror) recordFailure(err error) {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	if m.down || clock.Since(m.lastContact) < outageAfter {
 		return
 	}
 	m.down = true
-	text := "nothing was heard"
+	text := "no response"
 	if err != nil {
 		text = err.Error()
 	}
 	m.log.Emit(event.ServiceDown, event.Ref{}, text)
 }
 
-// told reports whether peers tell what the service says.
-func (m *Mirror) told() bool {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return clock.Since(m.via) < toldFresh
+// peersReport reports whether peers currently pass on what they receive from the store.
+func (m *Mirror) peersReport() bool {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return clock.Since(m.peerContact) < peerReportMaxAge
 }
 
-// since returns how long the service has been silent.
-func (m *Mirror) since() time.Duration {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return clock.Since(m.contact)
+// silentFor returns how long the store has been silent.
+func (m *Mirror) silentFor() time.Duration {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return clock.Since(m.lastContact)
 }
 
-// Down reports whether the service was found not to answer.
+// Down reports whether the store is in an outage, as seen by this daemon.
 func (m *Mirror) Down() bool {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	return m.down
 }
 
-// Contact returns when the service last answered; zero before the first time.
+// Contact returns when the store last answered this daemon; zero before the first response, and
+// while this daemon takes changes from peers.
 func (m *Mirror) Contact() clock.Time {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return m.contact
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return m.lastContact
 }
 
 // Regained returns when the last outage ended, and how long it was.
 func (m *Mirror) Regained() (clock.Time, time.Duration) {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return m.regained, m.silence
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return m.outageEnd, m.outageLength
 }
--- a/core/plat/count.go
+++ b/core/plat/count.go
@@ -10,13 +10,13 @@
 	"github.com/pkg/errors"
 )
 
-// Meter counts the bytes on the connections of a client.
+// Meter counts the bytes on the connections of an HTTP client.
 type Meter struct{ bytes atomic.Int64 }
 
-// Bytes returns how many bytes were read and written.
+// Bytes returns the number of bytes read and written.
 func (m *Meter) Bytes() int64 { return m.bytes.Load() }
 
-// Measure makes the connections of t count their bytes.
+// Measure makes m count the bytes on the connections that t opens from now on.
 func (m *Meter) Measure(t *http.Transport) {
 	dial := t.DialContext
 	if dial == nil {
@@ -36,24 +36,24 @@
 	meter *Meter
 }
 
-// Read counts what is read.
+// Read reads from the connection and counts the bytes.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what is written.
+// Write writes to the connection and counts the bytes.
 func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.meter.bytes.Add(int64(n))
 	return n, err
 }
 
-// platformIdle is how long an idle connection to the platform is kept.
+// platformIdle is how long an idle connection to the platform stays open.
 const platformIdle = 30 * time.Second
 
-// NewClient returns a client for the platform's services whose bytes m counts.
+// NewClient returns an HTTP client for the platform's services whose bytes m counts.
 func NewClient(m *Meter) *http.Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: platformIdle, DisableCompression: true}
 	m.Measure(t)
--- a/core/plat/era.go
+++ b/core/plat/era.go
@@ -7,28 +7,31 @@
 	"embertally.dev/core/event"
 )
 
-// enter notes the era of a whole copy. It is called with mirrorMu held.
-func (m *Mirror) enter(revision int64) {
+// noteIncarnation records that a snapshot of a store incarnation is about to be applied, and
+// reports a new incarnation. It is called with cacheMu held.
+func (m *Mirror) noteIncarnation(revision int64) {
 	if m.revision > 0 && Era(revision) == Era(m.revision) {
 		return
 	}
-	m.eraSince = clock.Now()
+	m.incarnationSince = clock.Now()
 	if m.Entered != nil {
 		m.Entered()
 	}
 	if m.revision > 0 {
-		text := "era " + strconv.FormatInt(Era(revision), 10) + ", revision " + strconv.FormatInt(Number(revision), 10) +
-			"; known was " + strconv.FormatInt(Number(m.revision), 10) + " of era " + strconv.FormatInt(Era(m.revision), 10)
+		text := "store incarnation " + strconv.FormatInt(Era(revision), 10) + ", revision " + strconv.FormatInt(Number(revision), 10) +
+			"; cached was " + strconv.FormatInt(Number(m.revision), 10) + " of store incarnation " + strconv.FormatInt(Era(m.revision), 10)
 		m.log.Emit(event.ServiceRestored, event.Ref{}, text)
 	}
 }
 
-// Era returns the era of the copy; 0 where the service has none, or before the first copy.
+// Era returns the store incarnation that the cache is of; 0 where the store has none, or before
+// the first snapshot.
 func (m *Mirror) Era() int64 { return Era(m.Revision()) }
 
-// EraSince returns when the first copy of the present era was taken; zero before the first copy.
+// EraSince returns when the first snapshot of the current store incarnation was applied; zero
+// before the first snapshot.
 func (m *Mirror) EraSince() clock.Time {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return m.eraSince
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return m.incarnationSince
 }
--- a/core/plat/forms.go
+++ b/core/plat/forms.go
@@ -7,41 +7,43 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSessionOver says that a session has ended and its keys are gone.
-var ErrSessionOver = errors.New("the session is over")
+// ErrSessionOver means that a session has ended and its keys were deleted.
+var ErrSessionOver = errors.New("session has ended")
 
-// Reader reads keys of the key-value service and waits for their changes.
-// There are two forms of it: KV, and the one of the users' platform.
+// Reader reads keys of the coordination store and watches them for changes. It is implemented by
+// KV, for etcd's JSON gateway, and by the client of the users' platform.
 type Reader interface {
-	// Range reads the keys of a span, and the revision that a watch may start
-	// after without missing a change.
+	// Range returns the keys of a span, and a revision such that a watch from the next one
+	// misses no change.
 	Range(ctx context.Context, span Span) ([]Pair, int64, error)
-	// Watch calls f with the changes from the given revision on until ctx
-	// ends, f fails or the service breaks off. A call of f without changes
-	// reports that there were none up to its revision. It fails with ErrCompacted where the service
-	// does not have that revision, or is in a later era.
+	// Watch calls f with the changes from the given revision on until ctx ends, f fails or the
+	// connection to the store breaks. A call of f without changes reports that there were none
+	// up to its revision. Watch fails with ErrCompacted if the store no longer has that revision
+	// or is in a later store incarnation.
 	Watch(ctx context.Context, span Span, from int64, f func(changes []Change, revision int64) error) error
 }
 
 // Writer commits transactions.
 type Writer interface {
-	// Commit carries out t. An error that is ErrUnknown means that t may have
-	// taken effect, or may still do so while its compares hold.
+	// Commit executes t. An error that is ErrUnknown means that t may have taken effect, or may
+	// still do so while its compares hold.
 	Commit(ctx context.Context, t Txn) (Outcome, error)
 }
 
-// Sessions are leases of the service: keys written under a session end with it
-// unless it is renewed in time.
+// Sessions manages the store's sessions, which are leases: keys written under a session are
+// deleted with it unless it is renewed in time.
 type Sessions interface {
-	// Open begins a session that lives for ttl after each renewal.
+	// Open starts a session that lasts for ttl after each renewal.
 	Open(ctx context.Context, ttl time.Duration) (Session, error)
-	// Renew fails with ErrSessionOver where the session has ended, or the service is in a later era.
+	// Renew extends a session. It fails with ErrSessionOver if the session has ended or the
+	// store is in a later store incarnation.
 	Renew(ctx context.Context, session Session) error
-	// End ends a session with its keys. The service must be in the session's era.
+	// End ends a session and deletes its keys. The store must be in the session's store
+	// incarnation.
 	End(ctx context.Context, session Session) error
 }
 
-// Store is all that the system needs of a key-value service with sessions.
+// Store is the complete interface that the system needs of a coordination store.
 type Store interface {
 	Reader
 	Writer
--- a/core/plat/kv.go
+++ b/core/plat/kv.go
@@ -1,8 +1,8 @@
-// Package plat owns the clients of the platform's services: the key-value
-// service and the box list.
+// Package plat owns the clients of the platform's services, the coordination store (a key-value
+// service, here "the store") and the box list, and a watch cache of the store.
 //
-// It must not know what is kept in the service or why. It never repeats a
-// write whose outcome is unknown; its callers settle that by reading back.
+// It must not know what is kept in the store or why. It never repeats a write whose outcome is
+// unknown; its callers settle that by reading back.
 package plat
 
 import (
@@ -21,11 +21,11 @@
 	"embertally.dev/core/wait"
 )
 
-// ErrUnknown says that a write was sent and its outcome is not known.
-var ErrUnknown = errors.New("outcome of the write is unknown")
+// ErrUnknown means that a write was sent and its outcome is unknown.
+var ErrUnknown = errors.New("outcome of write is unknown")
 
-// ErrCompacted says that a watch asked for revisions that the service has
-// given up; the caller must read the whole state anew.
+// ErrCompacted means that a watch requested revisions whose history the store has discarded; the
+// caller must read all keys again.
 var ErrCompacted = errors.New("revision was compacted")
 
 // Pair is one key with its value.
@@ -39,8 +39,8 @@
 // Compare is a condition on one key of a transaction.
 type Compare struct {
 	Key string
-	// ModRevision is the expected revision of the last write to Key; zero
-	// means that Key must not exist.
+	// ModRevision is the expected revision of the last write to Key; zero requires that Key does
+	// not exist.
 	ModRevision int64
 }
 
@@ -48,17 +48,18 @@
 type Put struct {
 	Key   string
 	Value []byte
-	// Session ends the key with a session of the service; the zero value keeps it.
+	// Session, if not zero, makes the store delete the key when that session ends.
 	Session Session
 }
 
-// Txn writes Puts and removes Deletes if all Compares hold.
+// Txn is a transaction that writes Puts and removes Deletes and DeleteRange if all Compares
+// hold.
 type Txn struct {
 	Compares []Compare
 	Puts     []Put
 	// Deletes are single keys.
 	Deletes []string
-	// DeleteRange removes a range of keys, when set.
+	// DeleteRange, if set, is a range of keys to remove.
 	DeleteRange *Span
 }
 
@@ -79,11 +80,11 @@
 	return "\x00"
 }
 
-// Outcome is the result of a transaction that was carried out.
+// Outcome is the result of a transaction that was executed.
 type Outcome struct {
-	// Succeeded tells whether the compares held and the writes took effect.
+	// Succeeded is true if the compares held and the writes took effect.
 	Succeeded bool
-	// Revision is the service's revision after the transaction.
+	// Revision is the store's revision after the transaction.
 	Revision int64
 }
 
@@ -91,36 +92,36 @@
 type Change struct {
 	Pair
 	Deleted bool
-	// Dropped tells of a deleted key that it may still be there: the copy does not hold it any
-	// more.
+	// Dropped is set on a deletion where the key only left the cache, as its shard changed; it
+	// may still exist in the store.
 	Dropped bool
-	// Late tells that the value is not here: it is so large that it goes by itself.
+	// Late means that the value is missing since it is large; it is fetched separately.
 	Late bool
-	// Restored tells of a deleted key that it was found missing when the service had come back from an
-	// older copy: its writer may be about to write it again.
+	// Restored is set on a deletion where the key was found missing after the store came back
+	// from an older copy; its writer may be about to write it again.
 	Restored bool
 }
 
-// KV is a client of the key-value service, which speaks etcd's published v3
-// JSON gateway. Its methods may be called from several goroutines.
+// KV is a client of a coordination store that speaks etcd's published v3 JSON gateway. It is
+// safe for concurrent use.
 type KV struct {
 	urls   []string
 	client *http.Client
 	calls  atomic.Int64
 	bytes  atomic.Int64
-	// at is the index of the URL in use; a failed call moves it on.
-	at atomic.Int64
+	// urlIndex, modulo the number of URLs, selects the URL in use; a failed call advances it.
+	urlIndex atomic.Int64
 }
 
-// NewKV returns a client that uses the given base URLs in turn.
+// NewKV returns a client that uses one of the given base URLs, and the next one after a failure.
 func NewKV(urls []string, client *http.Client) *KV {
 	return &KV{urls: urls, client: client}
 }
 
-// Calls returns how many calls were made, a watch counting as one.
+// Calls returns the number of calls made. A watch counts as one.
 func (k *KV) Calls() int64 { return k.calls.Load() }
 
-// Bytes returns how many body bytes were sent and received.
+// Bytes returns the number of body bytes sent and received.
 func (k *KV) Bytes() int64 { return k.bytes.Load() }
 
 type wireCompare struct {
@@ -155,7 +156,7 @@
 	ModRevision int64  `json:"mod_revision,string"`
 }
 
-// Range reads the keys of span, ordered by key, and the revision read at.
+// Range returns the keys of span, ordered by key, and the revision they were read at.
 func (k *KV) Range(ctx context.Context, span Span) ([]Pair, int64, error) {
 	var reply struct {
 		Header wireHeader `json:"header"`
@@ -181,8 +182,8 @@
 	return &pairs[0], nil
 }
 
-// Commit carries out t. An error that is ErrUnknown means that t may have
-// taken effect; every other error means that it did not.
+// Commit executes t. An error that is ErrUnknown means that t may have taken effect; any other
+// error means that it did not.
 func (k *KV) Commit(ctx context.Context, t Txn) (Outcome, error) {
 	var body struct {
 		Compare []wireCompare `json:"compare"`
@@ -213,7 +214,7 @@
 	return Outcome{Succeeded: reply.Succeeded, Revision: reply.Header.Revision}, nil
 }
 
-// maxReply bounds the body of one reply of the service.
+// maxReply bounds the body of one response, in bytes.
 const maxReply = 64 << 20
 
 func (k *KV) call(ctx context.Context, path string, body, reply any) error {
@@ -221,24 +222,24 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	ctx, patience := wait.Patiently(ctx, CallTimeout, CallTimeout)
-	defer patience.Stop()
+	ctx, idle := wait.Patiently(ctx, CallTimeout, CallTimeout)
+	defer idle.Stop()
 	resp, err := k.post(ctx, path, raw)
 	if err != nil {
-		return patience.Reason(err)
+		return idle.Reason(err)
 	}
 	defer resp.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(patience.Reader(resp.Body), maxReply))
+	got, err := io.ReadAll(io.LimitReader(idle.Reader(resp.Body), maxReply))
 	k.bytes.Add(int64(len(got)))
 	if err != nil {
-		return patience.Reason(errors.WithStack(err))
+		return idle.Reason(errors.WithStack(err))
 	}
-	return errors.Wrap(json.Unmarshal(got, reply), "reply of the key-value service")
+	return errors.Wrap(json.Unmarshal(got, reply), "decode response of coordination store")
 }
 
 func (k *KV) post(ctx context.Context, path string, raw []byte) (*http.Response, error) {
-	at := k.at.Load()
-	url := k.urls[int(at)%len(k.urls)] + path
+	index := k.urlIndex.Load()
+	url := k.urls[int(index)%len(k.urls)] + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(raw))
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -249,18 +250,18 @@
 	resp, err := k.client.Do(req)
 	if err == nil && resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		err = errors.Errorf("key-value service answered %s", resp.Status)
+		err = errors.Errorf("coordination store: status %s", resp.Status)
 	}
 	if err != nil {
-		k.at.CompareAndSwap(at, at+1)
+		k.urlIndex.CompareAndSwap(index, index+1)
 		return nil, errors.WithStack(err)
 	}
 	return resp, nil
 }
 
-// Watch calls f with the changes of each revision of span from the given
-// revision on, until ctx ends, f fails or the stream breaks. A message without
-// changes reports progress up to its revision.
+// Watch calls f with the changes of each revision of span from the given revision on, until ctx
+// ends, f fails or the stream breaks. A call without changes reports progress up to its
+// revision.
 func (k *KV) Watch(ctx context.Context, span Span, from int64, f func(changes []Change, revision int64) error) error {
 	type create struct {
 		wireSpan
@@ -312,7 +313,7 @@
 		return errors.WithStack(ErrCompacted)
 	}
 	if msg.Result.Canceled {
-		return errors.New("watch was cancelled by the service")
+		return errors.New("watch was cancelled by the store")
 	}
 	changes := make([]Change, 0, len(msg.Result.Events))
 	for _, e := range msg.Result.Events {
@@ -324,6 +325,6 @@
 	return f(changes, msg.Result.Header.Revision)
 }
 
-// CallTimeout bounds one small call of the key-value service, which answers in
-// milliseconds when it is well, and the silence within the answer of a large one.
+// CallTimeout bounds one small call of the store, which normally answers within milliseconds,
+// and the silence within the response to a large one.
 const CallTimeout = 2 * time.Second
--- a/core/plat/kv_test.go
+++ b/core/plat/kv_test.go
@@ -15,18 +15,19 @@
 	"embertally.dev/core/wait"
 )
 
-// A large answer may take longer than a small call as long as something comes of it.
-func TestAnAnswerIsGivenUpForItsSilenceOnly(t *testing.T) {
+// A response may take longer than CallTimeout in total, as long as the store is never silent for
+// that long.
+func TestCallFailsOnSilenceOnly(t *testing.T) {
 	const reply = `{"header":{"revision":"7"},"kvs":[{"key":"YQ==","value":"eA==","mod_revision":"3"}]}`
 	tests := []struct {
 		name string
-		// pieces is how many of the pieces of the answer come.
-		pieces int
-		err    error
+		// bytes is how many bytes of the response are sent.
+		bytes int
+		err   error
 	}{
-		{"it comes slowly", len(reply), nil},
-		{"it breaks off", len(reply) / 2, wait.ErrSilent},
-		{"it never begins", 0, wait.ErrSilent},
+		{"slow", len(reply), nil},
+		{"stalls midway", len(reply) / 2, wait.ErrSilent},
+		{"never begins", 0, wait.ErrSilent},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -35,10 +36,10 @@
 			pause := plat.CallTimeout * 5 / 4 / time.Duration(len(reply))
 			done := make(chan struct{})
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				for _, piece := range strings.Split(reply, "")[:tc.pieces] {
+				for _, char := range strings.Split(reply, "")[:tc.bytes] {
 					wait.For(r.Context(), pause)
-					// A caller that has gone needs no answer.
-					_, _ = w.Write([]byte(piece))
+					// An error means that the caller has disconnected, and is ignored.
+					_, _ = w.Write([]byte(char))
 					w.(http.Flusher).Flush()
 				}
 				if tc.err != nil {
--- a/core/plat/late.go
+++ b/core/plat/late.go
@@ -6,63 +6,62 @@
 	"embertally.dev/core/clock"
 )
 
-// largeValue is the size from which a value goes to peers by itself. What is smaller
-// must never wait behind one that is larger: on a link of 10 Mbit/s, the slowest of
-// the users' boxes, this size takes 26 ms and the largest that the users' store holds
-// 840 ms, and a daemon tells up to 19 others. Entries of targets have some 200
-// bytes, configurations 5 KB to 1 MB, most of them less than this.
+// largeValue is the size in bytes from which a value is sent to peers separately, so that
+// smaller values never wait behind larger ones. On a link of 10 Mbit/s, the slowest of the
+// users' boxes, a value of this size takes 26 ms and the largest that the users' store allows
+// 840 ms, and a daemon sends to up to 19 others. Entries of targets have some 200 bytes,
+// configurations 5 KB to 1 MB, most of them less than largeValue.
 const largeValue = 32 << 10
 
-// Large reports whether a value goes to peers by itself.
+// Large reports whether a value is sent to peers separately.
 func Large(value []byte) bool { return len(value) >= largeValue }
 
-// lateValue is a value that has not arrived.
-type lateValue struct {
-	// revision is the least that it must have.
+// unfetchedValue describes a value that is known to exist and was not received yet.
+type unfetchedValue struct {
+	// revision is the lowest mod revision that the value must have.
 	revision int64
-	// since is when it was first known that what is here is replaced.
+	// since is when the cached value was first found to be outdated.
 	since clock.Time
 }
 
-// slim returns the change without its value where that is large.
-func (c Change) slim() Change {
+// withoutLarge returns the change with its value removed and marked as late if it is large.
+func (c Change) withoutLarge() Change {
 	if !Large(c.Value) {
 		return c
 	}
 	return Change{Pair: Pair{Key: c.Key, ModRevision: c.ModRevision}, Late: true}
 }
 
-// await records that a value has not arrived. It is called with mirrorMu held.
-func (m *Mirror) await(key string, revision int64) {
-	v, late := m.late[key]
-	if !late {
+// markUnfetched records that a value was not received yet. It is called with cacheMu held.
+func (m *Mirror) markUnfetched(key string, revision int64) {
+	v, waiting := m.unfetched[key]
+	if !waiting {
 		v.since = clock.Now()
 	}
 	v.revision = revision
-	m.late[key] = v
+	m.unfetched[key] = v
 }
 
-// Arrive takes a value that was late. It changes nothing where a newer one is known,
-// or the key is gone.
+// Arrive applies a value that was fetched separately. It does nothing if the value is older than
+// required or the key no longer waits for one.
 func (m *Mirror) Arrive(p Pair) {
-	m.tellMu.Lock()
-	defer m.tellMu.Unlock()
-	m.mirrorMu.Lock()
-	wanted, late := m.late[p.Key]
-	if !late || p.ModRevision < wanted.revision {
-		m.mirrorMu.Unlock()
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
+	m.cacheMu.Lock()
+	wanted, waiting := m.unfetched[p.Key]
+	if !waiting || p.ModRevision < wanted.revision {
+		m.cacheMu.Unlock()
 		return
 	}
-	delete(m.late, p.Key)
+	delete(m.unfetched, p.Key)
 	m.pairs[p.Key] = p
-	m.mirrorMu.Unlock()
-	m.tell([]Change{{Pair: p}})
+	m.cacheMu.Unlock()
+	m.notify([]Change{{Pair: p}})
 }
 
-// Fetch asks the service itself for the value of one key. It returns false where the
-// service has none.
+// Fetch reads one key from the store. It returns false if the key does not exist.
 func (m *Mirror) Fetch(ctx context.Context, key string) (Pair, bool, error) {
-	pairs, _, err := m.from.Range(ctx, Prefix(key))
+	pairs, _, err := m.reader.Range(ctx, Prefix(key))
 	if err != nil {
 		return Pair{}, false, err
 	}
@@ -74,31 +73,31 @@
 	return Pair{}, false, nil
 }
 
-// Behind reports whether a value is known to be there that has not arrived.
+// Behind reports whether a value is missing that is known to exist.
 func (m *Mirror) Behind() bool {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return len(m.late) > 0
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return len(m.unfetched) > 0
 }
 
-// Late returns the keys whose values have not arrived, without the values and with
-// the revisions that they have at least.
+// Late returns the keys whose values were not received yet, without values; each revision is the
+// lowest that the value must have.
 func (m *Mirror) Late() []Pair {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	var out []Pair
-	for key, v := range m.late {
+	for key, v := range m.unfetched {
 		out = append(out, Pair{Key: key, ModRevision: v.revision})
 	}
 	return out
 }
 
-// LateSince returns since when a value has been lacking; zero where none is.
+// LateSince returns since when a value has been missing; zero where none is.
 func (m *Mirror) LateSince() clock.Time {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	var first clock.Time
-	for _, v := range m.late {
+	for _, v := range m.unfetched {
 		if first.IsZero() || v.since.Before(first) {
 			first = v.since
 		}
--- a/core/plat/mirror.go
+++ b/core/plat/mirror.go
@@ -17,161 +17,163 @@
 	"embertally.dev/core/wait"
 )
 
-// Mirror keeps a copy of some keys of the key-value service current, with one
-// watch. The zero value is not usable; see NewMirror.
+// Mirror is a watch cache: it keeps a local copy of a span of the store's keys current, with one
+// watch of the store or with changes from peers. Use NewMirror.
 //
-// Lock order: tellMu before mirrorMu and before what observers take.
+// Lock order: notifyMu before cacheMu and before the locks that observers take.
 type Mirror struct {
-	from Reader
-	span Span
-	log  *event.Log
-	// observers are filled before Run.
+	reader Reader
+	span   Span
+	log    *event.Log
+	// observers are called with all changes; filled before Run.
 	observers []func([]Change)
-	// Follows, if set, reports whether this daemon asks the service itself; the
-	// others take the changes from peers. It is set before Run.
+	// Follows, if set, reports whether this daemon reads and watches the store itself; the
+	// others take changes from peers. It is set before Run.
 	Follows func() bool
-	// Reserve, if set, reports whether it asks only since others seem silent. It is set
-	// before Run.
+	// Reserve, if set, reports whether this daemon reads the store only because the daemons that
+	// should do so seem silent. It is set before Run.
 	Reserve func() bool
-	// Gather, if set, is how long changes that follow each other are gathered.
-	// It is set before Run.
+	// Gather, if set, returns how long to wait for further changes after one, so that a response
+	// carries several. It is set before Run.
 	Gather func() time.Duration
-	// Outline, if set, is the prefix of the keys that are read first where all do not fit one
-	// page: Follows may go by them. It is set before Run.
+	// Outline, if set, is the prefix of the keys that are read first where not all keys fit one
+	// page, since Follows may depend on them. It is set before Run.
 	Outline string
-	// Entered, if set, hears of the first copy of each era. It is called with mirrorMu held and
-	// must not wait. It is set before Run.
+	// Entered, if set, is called at the first snapshot of each store incarnation, with cacheMu
+	// held; it must not block. It is set before Run.
 	Entered func()
 
-	// tellMu keeps the observers' calls apart: the service and a peer may tell
-	// of changes at the same time.
-	tellMu sync.Mutex
-
-	mirrorMu sync.Mutex
-	pairs    map[string]Pair // guarded by mirrorMu
-	// late holds the values that are known to be there and have not arrived; pairs
-	// holds what the keys were before. Guarded by mirrorMu.
-	late map[string]lateValue
-	// edits counts the changes of pairs. Guarded by mirrorMu.
-	edits int64
-	// shard names what the copy holds of the keys; "" stands for all. Guarded by mirrorMu.
+	// notifyMu serialises changes of the cache and the calls of observers: the store and a peer
+	// may report changes at the same time.
+	notifyMu sync.Mutex
+
+	cacheMu sync.Mutex
+	pairs   map[string]Pair // by key; guarded by cacheMu
+	// unfetched holds the keys whose values are known to exist and were not received yet; pairs
+	// holds their former values. Guarded by cacheMu.
+	unfetched map[string]unfetchedValue
+	// editCount counts the changes of pairs. Guarded by cacheMu.
+	editCount int64
+	// shard is the ID of the shard that the cache contains; "" means all keys. Guarded by
+	// cacheMu.
 	shard string
-	// current tells that a watch may go on from revision: this daemon has read all keys, holds
-	// them, and the service has not given up their history. Guarded by mirrorMu.
-	current bool
-	// revision is the highest that was seen; 0 before the first copy. Guarded
-	// by mirrorMu.
+	// watchable means that a watch can continue from revision: this daemon has read all keys,
+	// has them cached, and the store has not discarded their history. Guarded by cacheMu.
+	watchable bool
+	// revision is the highest revision seen; 0 before the first snapshot. Guarded by cacheMu.
 	revision int64
-	// eraSince is when the first copy of the era was taken. Guarded by mirrorMu.
-	eraSince clock.Time
-	// contact is when the service last answered. Guarded by mirrorMu.
-	contact clock.Time
-	// regained is when the service answered again after a silence. Guarded by
-	// mirrorMu.
-	regained clock.Time
-	// silence is how long that silence was. Guarded by mirrorMu.
-	silence time.Duration
-	down    bool // guarded by mirrorMu
-	// via is when the service had answered a peer that told of it. Guarded by
-	// mirrorMu.
-	via clock.Time
-	// history holds the latest changes, in order, for peers that the service
-	// does not answer. Guarded by mirrorMu.
+	// incarnationSince is when the first snapshot of the current store incarnation was applied.
+	// Guarded by cacheMu.
+	incarnationSince clock.Time
+	// lastContact is when the store last answered this daemon. Guarded by cacheMu.
+	lastContact clock.Time
+	// outageEnd is when the store answered again after an outage. Guarded by cacheMu.
+	outageEnd clock.Time
+	// outageLength is how long that outage was. Guarded by cacheMu.
+	outageLength time.Duration
+	down         bool // true during an outage; guarded by cacheMu
+	// peerContact is when the store last answered a peer, as reported by peers. Guarded by
+	// cacheMu.
+	peerContact clock.Time
+	// history holds the latest changes, in order, for peers that the store does not answer.
+	// Guarded by cacheMu.
 	history []Change
-	// base is the revision after which history is whole. Guarded by mirrorMu.
-	base int64
-	// news is closed and replaced when the copy changes or is found to be fresher.
-	// Guarded by mirrorMu.
-	news chan struct{}
+	// historyStart is the revision after which history is complete. Guarded by cacheMu.
+	historyStart int64
+	// changed is closed and replaced when the cache or its freshness changes. Guarded by
+	// cacheMu.
+	changed chan struct{}
 }
 
-// historyLeast is how many changes are kept for peers at least. Where there are more keys as many
-// changes are kept: all of them may be written anew in one go.
-const historyLeast = 1024
+// minHistory is the minimum number of changes kept for peers. With more keys than that, as many
+// changes as keys are kept, since all keys may be rewritten at once.
+const minHistory = 1024
 
-// NewMirror returns a mirror of the keys in span.
-func NewMirror(from Reader, span Span, log *event.Log) *Mirror {
-	return &Mirror{from: from, span: span, log: log, pairs: map[string]Pair{}, late: map[string]lateValue{}, news: make(chan struct{})}
+// NewMirror returns a watch cache of the keys in span.
+func NewMirror(reader Reader, span Span, log *event.Log) *Mirror {
+	return &Mirror{reader: reader, span: span, log: log, pairs: map[string]Pair{}, unfetched: map[string]unfetchedValue{}, changed: make(chan struct{})}
 }
 
-// News returns a channel that is closed when the copy changes or is found to be fresher.
+// News returns a channel that is closed when the cache or its freshness changes.
 func (m *Mirror) News() <-chan struct{} {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return m.news
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return m.changed
 }
 
-// wake ends the waits for news. It is called with mirrorMu held.
-func (m *Mirror) wake() {
-	close(m.news)
-	m.news = make(chan struct{})
+// wakeWaiters closes the channel that News returned. It is called with cacheMu held.
+func (m *Mirror) wakeWaiters() {
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-// Observe makes f hear of all changes, one call at a time. It must be called
+// Observe registers f to be called with all changes, one call at a time. It must be called
 // before Run.
 func (m *Mirror) Observe(f func([]Change)) { m.observers = append(m.observers, f) }
 
-// Pauses of a mirror.
+// Intervals and timeouts of a Mirror.
 const (
-	// retryPause and retryMost space the tries while the service does not
-	// answer. The platform prices each call, also refused ones, and a daemon
-	// must follow again well within the 3 s that the users' rules give it.
-	retryPause = 150 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
-	// toldPause spaces the tries while peers tell what the service says: refused
-	// calls are priced too.
-	toldPause = 1200 * time.Millisecond
-	// reservePause spaces the tries of a daemon that asks since others seem silent.
+	// retryPause and maxRetryPause are the shortest and longest pause between attempts while the
+	// store does not answer. The platform charges for each call, rejected ones included, and a
+	// daemon must be current again well within the 3 s that the users' rules allow.
+	retryPause    = 150 * time.Millisecond
+	maxRetryPause = 500 * time.Millisecond
+	// relayedRetryPause is the pause while peers pass on what the store reports: rejected calls
+	// are charged too.
+	relayedRetryPause = 1200 * time.Millisecond
+	// reservePause is the pause of a daemon that reads the store only because others seem
+	// silent.
 	reservePause = 2 * time.Second
-	// toldFresh is the age up to which peers count as telling.
-	toldFresh = 2 * time.Second
-	// restPause spaces the looks of a daemon that takes changes from peers.
-	restPause = 200 * time.Millisecond
-	// downAfter is the silence that counts as an outage: watches answer at
-	// least every two seconds.
-	downAfter = 2500 * time.Millisecond
+	// peerReportMaxAge is the age up to which a peer's contact with the store counts as current.
+	peerReportMaxAge = 2 * time.Second
+	// followerPause is how often a daemon that takes changes from peers checks whether it must
+	// read the store itself.
+	followerPause = 200 * time.Millisecond
+	// outageAfter is the silence that counts as an outage: a watch gets a response at least
+	// every two seconds.
+	outageAfter = 2500 * time.Millisecond
 )
 
-// Run keeps the copy current until ctx ends.
+// Run keeps the cache current until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
 	pause := retryPause
 	for ctx.Err() == nil {
 		if m.Follows != nil && !m.Follows() {
-			m.rest()
-			wait.For(ctx, restPause)
+			m.clearContact()
+			wait.For(ctx, followerPause)
 			continue
 		}
-		err := m.follow(ctx)
+		err := m.readAndWatch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errRests) {
+		if errors.Is(err, errFollowsPeers) {
 			continue
 		}
-		if m.since() < retryPause {
+		if m.silentFor() < retryPause {
 			pause = retryPause
 		}
-		m.lost(err)
+		m.recordFailure(err)
 		switch {
-		case m.told():
-			pause = toldPause
+		case m.peersReport():
+			pause = relayedRetryPause
 		case m.Reserve != nil && m.Reserve():
 			pause = reservePause
 		}
 		wait.For(ctx, pause/2+rand.N(pause/2))
-		pause = min(2*pause, retryMost)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-// rest forgets when the service last answered this daemon, so that its silence meanwhile
-// is not taken for an outage. What is known stays as old as it is.
-func (m *Mirror) rest() {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	if m.contact.After(m.via) {
-		m.via = m.contact
+// clearContact clears the time of the last contact: this daemon takes changes from peers now, so
+// that the store's silence towards it is no outage. Fresh is not affected.
+func (m *Mirror) clearContact() {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	if m.lastContact.After(m.peerContact) {
+		m.peerContact = m.lastContact
 	}
-	m.contact, m.down = clock.Time{}, false
+	m.lastContact, m.down = clock.Time{}, false
 }
 
 func (m *Mirror) gather() time.Duration {
@@ -181,80 +183,80 @@
 	return m.Gather()
 }
 
-// errRests ends the watch of a daemon that takes changes from peers now.
-var errRests = errors.New("peers follow the service")
+// errFollowsPeers ends the watch of a daemon that takes changes from peers from now on.
+var errFollowsPeers = errors.New("changes are taken from peers")
 
-// follow copies everything where needed, then watches.
-func (m *Mirror) follow(ctx context.Context) error {
-	if !m.isCurrent() {
-		if err := m.copy(ctx); err != nil {
+// readAndWatch reads all keys where needed, then watches them.
+func (m *Mirror) readAndWatch(ctx context.Context) error {
+	if !m.isWatchable() {
+		if err := m.readAll(ctx); err != nil {
 			return err
 		}
-		// Others may be known now that watch.
-		if wait.For(ctx, m.gather()); m.rests() {
-			return errors.WithStack(errRests)
+		// By now the view of the fleet may contain other daemons that watch the store.
+		if wait.For(ctx, m.gather()); m.followsPeers() {
+			return errors.WithStack(errFollowsPeers)
 		}
 	}
-	err := m.from.Watch(ctx, m.span, m.Revision()+1, func(changes []Change, revision int64) error {
-		m.heard()
+	err := m.reader.Watch(ctx, m.span, m.Revision()+1, func(changes []Change, revision int64) error {
+		m.recordContact()
 		m.apply(changes, revision)
 		if len(changes) > 0 {
-			// Changes come in series; each answer is a priced call.
+			// Changes often come in series, and the platform charges for each response.
 			wait.For(ctx, m.gather())
 		}
-		if m.rests() {
-			return errors.WithStack(errRests)
+		if m.followsPeers() {
+			return errors.WithStack(errFollowsPeers)
 		}
 		return nil
 	})
 	if errors.Is(err, ErrCompacted) {
-		m.mirrorMu.Lock()
-		m.current = false
-		m.mirrorMu.Unlock()
-		m.log.Emit(event.ConfResynced, event.Ref{}, "the service has given up the history; everything is read anew")
+		m.cacheMu.Lock()
+		m.watchable = false
+		m.cacheMu.Unlock()
+		m.log.Emit(event.ConfResynced, event.Ref{}, "the store has compacted the history; reading all keys again")
 	}
 	return err
 }
 
-// rests reports whether this daemon takes changes from peers now.
-func (m *Mirror) rests() bool { return m.Follows != nil && !m.Follows() }
+// followsPeers reports whether this daemon takes changes from peers at present.
+func (m *Mirror) followsPeers() bool { return m.Follows != nil && !m.Follows() }
 
-// isCurrent reports whether a watch may go on from the revision of the copy.
-func (m *Mirror) isCurrent() bool {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return m.current
+// isWatchable reports whether a watch can continue from the cache's revision.
+func (m *Mirror) isWatchable() bool {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return m.watchable
 }
 
-// copy reads everything and tells the observers what differs. It ends early where the outline
-// shows that this daemon takes changes from peers.
-func (m *Mirror) copy(ctx context.Context) error {
-	if done, err := m.sketch(ctx); done || err != nil {
+// readAll reads all keys and notifies the observers of the differences. It ends early if the
+// outline shows that this daemon takes changes from peers.
+func (m *Mirror) readAll(ctx context.Context) error {
+	if done, err := m.readFirst(ctx); done || err != nil {
 		return err
 	}
-	pairs, revision, err := m.from.Range(ctx, m.span)
+	pairs, revision, err := m.reader.Range(ctx, m.span)
 	if err != nil {
 		return err
 	}
-	m.read(pairs, revision)
+	m.applyRead(pairs, revision)
 	return nil
 }
 
-// read takes a whole copy of what the service says.
-func (m *Mirror) read(pairs []Pair, revision int64) {
+// applyRead applies a snapshot that was read from the store.
+func (m *Mirror) applyRead(pairs []Pair, revision int64) {
 	if Era(revision) >= m.Era() {
-		// Observers ask for how long the service was silent.
-		m.heard()
+		// Must precede the notification: observers look up how long the store was silent.
+		m.recordContact()
 	}
-	if !m.reset(changesOf(pairs), revision, "") {
+	if !m.replace(changesOf(pairs), revision, "") {
 		return
 	}
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	m.current = m.shard == ""
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	m.watchable = m.shard == ""
 }
 
-// changesOf returns a whole copy as the changes that lead to it.
+// changesOf converts the pairs of a snapshot to changes.
 func changesOf(pairs []Pair) []Change {
 	out := make([]Change, len(pairs))
 	for i, p := range pairs {
@@ -263,102 +265,101 @@
 	return out
 }
 
-// reset takes a whole copy of a shard, unless a newer state of the same one is known. It reports
-// whether the copy is of the era of this one or a later one.
-func (m *Mirror) reset(all []Change, revision int64, shard string) bool {
-	m.tellMu.Lock()
-	defer m.tellMu.Unlock()
-	return m.resetNow(all, revision, shard)
+// replace applies a snapshot of a shard, unless a newer state of the same shard is cached. It
+// reports whether the snapshot is of the cache's store incarnation or a later one.
+func (m *Mirror) replace(all []Change, revision int64, shard string) bool {
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
+	return m.replaceLocked(all, revision, shard)
 }
 
-// resetNow is reset with tellMu held. It reports whether the copy is of the era of this one or a
-// later one.
-func (m *Mirror) resetNow(all []Change, revision int64, shard string) bool {
-	m.mirrorMu.Lock()
-	moved := shard != m.shard
-	if Era(revision) < Era(m.revision) || (revision < m.revision && !moved) {
-		known := m.revision
-		m.mirrorMu.Unlock()
-		m.log.Emit(event.ConfDropped, event.Ref{}, "revision "+strconv.FormatInt(revision, 10)+", known up to "+strconv.FormatInt(known, 10))
-		return Era(revision) == Era(known)
-	}
-	changes := m.differences(all, revision, moved)
-	m.enter(revision)
-	m.put(changes)
-	m.shard, m.current = shard, m.current && shard == ""
-	m.revision, m.base, m.history = revision, revision, nil
-	m.wake()
-	m.mirrorMu.Unlock()
-	m.tell(changes)
+// replaceLocked is replace with notifyMu held.
+func (m *Mirror) replaceLocked(all []Change, revision int64, shard string) bool {
+	m.cacheMu.Lock()
+	otherShard := shard != m.shard
+	if Era(revision) < Era(m.revision) || (revision < m.revision && !otherShard) {
+		cached := m.revision
+		m.cacheMu.Unlock()
+		m.log.Emit(event.ConfDropped, event.Ref{}, "revision "+strconv.FormatInt(revision, 10)+", cached up to "+strconv.FormatInt(cached, 10))
+		return Era(revision) == Era(cached)
+	}
+	changes := m.differences(all, revision, otherShard)
+	m.noteIncarnation(revision)
+	m.update(changes)
+	m.shard, m.watchable = shard, m.watchable && shard == ""
+	m.revision, m.historyStart, m.history = revision, revision, nil
+	m.wakeWaiters()
+	m.cacheMu.Unlock()
+	m.notify(changes)
 	return true
 }
 
-// differences returns how a whole copy differs from this one. Where it is one of another shard,
-// what it lacks may still be there. It is called with mirrorMu held.
-func (m *Mirror) differences(all []Change, revision int64, moved bool) []Change {
-	gone := map[string]bool{}
+// differences returns the changes from the cache to a snapshot. If the snapshot is of another
+// shard, keys that it lacks may still exist in the store. It is called with cacheMu held.
+func (m *Mirror) differences(all []Change, revision int64, otherShard bool) []Change {
+	missing := map[string]bool{}
 	for key, p := range m.pairs {
-		// One that arrived late may be newer than the copy.
-		gone[key] = p.ModRevision <= revision
+		// A value that was fetched separately may be newer than the snapshot.
+		missing[key] = p.ModRevision <= revision
 	}
-	for key := range m.late {
-		gone[key] = true
+	for key := range m.unfetched {
+		missing[key] = true
 	}
 	restored := m.revision > 0 && Era(revision) > Era(m.revision)
 	var changes []Change
 	for _, c := range all {
-		gone[c.Key] = false
+		missing[c.Key] = false
 		if c.ModRevision > m.pairs[c.Key].ModRevision {
 			changes = append(changes, c)
 		}
 	}
-	for key, is := range gone {
-		if !is {
+	for key, absent := range missing {
+		if !absent {
 			continue
 		}
-		changes = append(changes, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, Dropped: moved, Restored: restored && !moved})
+		changes = append(changes, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, Dropped: otherShard, Restored: restored && !otherShard})
 	}
 	return changes
 }
 
-// apply takes the changes after a revision that is known up to another one.
-// Changes that are known already are left out: the service and peers may both
-// tell of them. It reports whether they are of the era of this copy.
+// apply applies changes that lead to a revision. Changes already cached are skipped, since both
+// the store and peers may report them. It reports whether the changes are of the cache's store
+// incarnation.
 func (m *Mirror) apply(changes []Change, revision int64) bool {
-	m.tellMu.Lock()
-	defer m.tellMu.Unlock()
-	m.mirrorMu.Lock()
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
+	m.cacheMu.Lock()
 	if Era(revision) != Era(m.revision) && m.revision > 0 {
-		// What another era lacks is told by a whole copy only.
-		m.mirrorMu.Unlock()
+		// Only a snapshot shows which keys are missing in another store incarnation.
+		m.cacheMu.Unlock()
 		return false
 	}
-	var news []Change
+	var newer []Change
 	for _, c := range changes {
 		if c.ModRevision > m.revision && c.ModRevision > m.pairs[c.Key].ModRevision {
-			news = append(news, c)
+			newer = append(newer, c)
 		}
 	}
-	m.put(news)
-	m.remember(news)
+	m.update(newer)
+	m.appendHistory(newer)
 	if revision > m.revision {
 		m.revision = revision
-		m.wake()
+		m.wakeWaiters()
 	}
-	m.mirrorMu.Unlock()
-	m.tell(news)
+	m.cacheMu.Unlock()
+	m.notify(newer)
 	return true
 }
 
-// put is called with mirrorMu held.
-func (m *Mirror) put(changes []Change) {
-	m.edits += int64(len(changes))
+// update writes changes to the cache. It is called with cacheMu held.
+func (m *Mirror) update(changes []Change) {
+	m.editCount += int64(len(changes))
 	for _, c := range changes {
 		if c.Late {
-			m.await(c.Key, c.ModRevision)
+			m.markUnfetched(c.Key, c.ModRevision)
 			continue
 		}
-		delete(m.late, c.Key)
+		delete(m.unfetched, c.Key)
 		if c.Deleted {
 			delete(m.pairs, c.Key)
 		} else {
@@ -367,55 +368,56 @@
 	}
 }
 
-// remember is called with mirrorMu held. It keeps large values out: peers ask for
-// these by themselves.
-func (m *Mirror) remember(changes []Change) {
+// appendHistory adds changes to the history, without large values, which peers request
+// separately. It is called with cacheMu held.
+func (m *Mirror) appendHistory(changes []Change) {
 	for _, c := range changes {
-		m.history = append(m.history, c.slim())
+		m.history = append(m.history, c.withoutLarge())
 	}
-	if over := len(m.history) - max(historyLeast, len(m.pairs)); over > 0 {
-		m.base = m.history[over-1].ModRevision
+	if over := len(m.history) - max(minHistory, len(m.pairs)); over > 0 {
+		m.historyStart = m.history[over-1].ModRevision
 		m.history = append([]Change(nil), m.history[over:]...)
 	}
 }
 
-// tell is called with tellMu held, so that observers hear of changes in order. Of a
-// late value they hear once it is here.
-func (m *Mirror) tell(changes []Change) {
-	here := slices.DeleteFunc(slices.Clone(changes), func(c Change) bool { return c.Late })
-	if len(here) == 0 {
+// notify calls the observers. For an unfetched value they are called once it is there. It is
+// called with notifyMu held, so that observers get changes in order.
+func (m *Mirror) notify(changes []Change) {
+	fetched := slices.DeleteFunc(slices.Clone(changes), func(c Change) bool { return c.Late })
+	if len(fetched) == 0 {
 		return
 	}
 	for _, f := range m.observers {
-		f(here)
+		f(fetched)
 	}
 }
 
-// Since returns the changes after a revision and the revision that they lead
-// to, for a peer; whole is false where they are not kept any more. Large values are
+// Since returns the changes after a revision, for a peer, and the revision that they lead to.
+// whole is false if the history no longer covers them. Large values are left out and marked as
 // late.
 func (m *Mirror) Since(after int64) (changes []Change, revision int64, whole bool) {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	if after < m.base || m.revision == 0 {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	if after < m.historyStart || m.revision == 0 {
 		return nil, m.revision, false
 	}
 	from := sort.Search(len(m.history), func(i int) bool { return m.history[i].ModRevision > after })
 	return slices.Clone(m.history[from:]), m.revision, true
 }
 
-// All returns what a peer is to be told of the keys after one, ordered, and the revision of the copy: the
-// pairs that keep wants, or all where it is nil. Large values are late.
+// All returns a snapshot for a peer, ordered by key, and its revision: the keys after the given
+// one whose pairs keep accepts, or all if keep is nil. Large values are left out and marked as
+// late.
 func (m *Mirror) All(after string, keep func(Pair) bool) ([]Change, int64) {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	var out []Change
 	for key, p := range m.pairs {
-		if _, late := m.late[key]; !late && key > after && (keep == nil || keep(p)) {
-			out = append(out, Change{Pair: p}.slim())
+		if _, waiting := m.unfetched[key]; !waiting && key > after && (keep == nil || keep(p)) {
+			out = append(out, Change{Pair: p}.withoutLarge())
 		}
 	}
-	for key, v := range m.late {
+	for key, v := range m.unfetched {
 		if key > after {
 			out = append(out, Change{Pair: Pair{Key: key, ModRevision: v.revision}, Late: true})
 		}
@@ -424,102 +426,103 @@
 	return out, m.revision
 }
 
-// Take takes changes from a peer, and when the service had answered it.
+// Take applies changes from a peer. heard is when the store last answered that peer.
 func (m *Mirror) Take(changes []Change, revision int64, heard clock.Time) {
 	if m.apply(changes, revision) {
-		m.hearVia(heard)
+		m.recordPeerContact(heard)
 	}
 }
 
-// TakeAll takes a peer's whole copy of a shard, "" for all keys, and when the service had answered
-// it. held is the shard that this copy was of when the peer was asked: where it is of another one by
-// now, what was asked for is wanted no longer.
+// TakeAll applies a peer's snapshot of a shard, "" for all keys. heard is when the store last
+// answered that peer. held is the shard that the cache contained when the snapshot was
+// requested; if it contains another one by now, the snapshot is discarded.
 func (m *Mirror) TakeAll(all []Change, revision int64, held, shard string, heard clock.Time) {
-	m.tellMu.Lock()
-	defer m.tellMu.Unlock()
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
 	if m.Shard() != held {
 		return
 	}
-	if m.resetNow(all, revision, shard) {
-		m.hearVia(heard)
+	if m.replaceLocked(all, revision, shard) {
+		m.recordPeerContact(heard)
 	}
 }
 
-// Revision returns the highest revision seen.
+// Revision returns the highest revision seen; 0 before the first snapshot.
 func (m *Mirror) Revision() int64 {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	return m.revision
 }
 
-// TakeMoved takes from a peer what this copy lacks of another shard that it holds from now on, and
-// when the service had answered the peer. What drops names is held no longer; held is as in TakeAll.
+// TakeMoved switches the cache to another shard by a peer's changes, which are what the cache
+// lacks of that shard. Pairs that drops accepts are removed. held and heard are as in TakeAll.
 func (m *Mirror) TakeMoved(changes []Change, revision int64, held, shard string, drops func(Pair) bool, heard clock.Time) {
-	m.tellMu.Lock()
-	defer m.tellMu.Unlock()
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
 	if m.Shard() != held {
 		return
 	}
-	if m.moveNow(changes, revision, shard, drops) {
-		m.hearVia(heard)
+	if m.switchShard(changes, revision, shard, drops) {
+		m.recordPeerContact(heard)
 	}
 }
 
-// moveNow takes another shard, unless it is of another era. It is called with tellMu held.
-func (m *Mirror) moveNow(changes []Change, revision int64, shard string, drops func(Pair) bool) bool {
-	m.mirrorMu.Lock()
+// switchShard switches the cache to another shard, unless the changes are of another store
+// incarnation. It is called with notifyMu held.
+func (m *Mirror) switchShard(changes []Change, revision int64, shard string, drops func(Pair) bool) bool {
+	m.cacheMu.Lock()
 	if Era(revision) != Era(m.revision) {
-		// The next question is answered with everything.
-		m.mirrorMu.Unlock()
+		// The response to the next request will be a full snapshot.
+		m.cacheMu.Unlock()
 		return false
 	}
-	var news []Change
+	var newer []Change
 	for _, c := range changes {
 		if c.ModRevision > m.pairs[c.Key].ModRevision {
-			news = append(news, c)
+			newer = append(newer, c)
 		}
 	}
 	for key, p := range m.pairs {
 		if drops(p) {
-			news = append(news, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, Dropped: true})
+			newer = append(newer, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, Dropped: true})
 		}
 	}
-	m.put(news)
-	// Peers that hold the former shard read everything anew.
-	m.base, m.history = revision, nil
-	m.shard, m.current, m.revision = shard, false, max(m.revision, revision)
-	m.wake()
-	m.mirrorMu.Unlock()
-	m.tell(news)
+	m.update(newer)
+	// Peers with the former shard must request a full snapshot.
+	m.historyStart, m.history = revision, nil
+	m.shard, m.watchable, m.revision = shard, false, max(m.revision, revision)
+	m.wakeWaiters()
+	m.cacheMu.Unlock()
+	m.notify(newer)
 	return true
 }
 
-// Shard names what the copy holds of the keys; "" stands for all of them.
+// Shard returns the ID of the shard that the cache contains; "" means all keys.
 func (m *Mirror) Shard() string {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	return m.shard
 }
 
-// Edits counts the changes of the copy.
+// Edits returns the number of changes made to the cache.
 func (m *Mirror) Edits() int64 {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
-	return m.edits
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return m.editCount
 }
 
-// Pair returns the copy of a key.
+// Pair returns the cached pair of a key.
 func (m *Mirror) Pair(key string) (Pair, bool) {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	p, ok := m.pairs[key]
 	return p, ok
 }
 
-// Under returns the copies of the keys that begin with prefix, in no order.
+// Under returns the cached pairs whose keys begin with prefix, in no order.
 func (m *Mirror) Under(prefix string) []Pair {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	var out []Pair
 	for key, p := range m.pairs {
 		if strings.HasPrefix(key, prefix) {
--- a/core/plat/mirror_test.go
+++ b/core/plat/mirror_test.go
@@ -16,11 +16,11 @@
 	"embertally.dev/core/plat"
 )
 
-// watched is a mirror with what its observer heard.
+// watched is a Mirror with the changes that its observer received.
 type watched struct {
 	*plat.Mirror
-	mu    sync.Mutex
-	heard []plat.Change
+	mu       sync.Mutex
+	received []plat.Change
 }
 
 func watch(from plat.Reader) *watched {
@@ -28,7 +28,7 @@
 	w.Observe(func(cs []plat.Change) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.heard = append(w.heard, cs...)
+		w.received = append(w.received, cs...)
 	})
 	return w
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestMirrorFollows(t *testing.T) {
+func TestMirrorAppliesChangesOfTheStore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/1", "x")
@@ -73,7 +73,7 @@
 	g.Expect(m.Under("a/")).To(gomega.BeEmpty())
 }
 
-func TestMirrorKeepsWhatItKnowsInAnOutage(t *testing.T) {
+func TestMirrorKeepsItsCacheInAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/1", "x")
@@ -81,14 +81,14 @@
 	m.start(t)
 	g.Eventually(m.value("a/1"), "10s", "5ms").Should(gomega.Equal("x"))
 	kv.SetDown(true)
-	put2 := func() { put(t, kv, "a/2", "y") }
+	putSecond := func() { put(t, kv, "a/2", "y") }
 	g.Consistently(m.value("a/1"), "50ms", "5ms").Should(gomega.Equal("x"))
 	kv.SetDown(false)
-	put2()
+	putSecond()
 	g.Eventually(m.value("a/2"), "10s", "5ms").Should(gomega.Equal("y"))
 }
 
-// forgetful is a service whose watch finds its history gone once.
+// forgetful is a store whose first watch fails because the history was compacted.
 type forgetful struct {
 	*memkv.KV
 	once sync.Once
@@ -109,7 +109,7 @@
 	return f.KV.Watch(ctx, span, from, h)
 }
 
-func TestMirrorReadsAnewWhenHistoryIsGone(t *testing.T) {
+func TestMirrorReadsAllAfterCompaction(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &forgetful{KV: &memkv.KV{}}
 	put(t, kv.KV, "a/1", "x")
@@ -119,10 +119,10 @@
 	g.Expect(m.value("a/1")()).To(gomega.BeEmpty())
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	g.Expect(m.heard).To(gomega.ContainElement(gomega.HaveField("Deleted", true)))
+	g.Expect(m.received).To(gomega.ContainElement(gomega.HaveField("Deleted", true)))
 }
 
-func TestMirrorTakesChangesFromAPeerOnce(t *testing.T) {
+func TestMirrorAppliesPeerChangesOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/1", "x")
@@ -130,7 +130,7 @@
 	peer.start(t)
 	g.Eventually(peer.value("a/1"), "10s", "5ms").Should(gomega.Equal("x"))
 
-	cut := watch(kv) // never started: the service does not answer it
+	cut := watch(kv) // never started: the store does not answer it
 	all, revision := peer.All("", nil)
 	now := clock.Now()
 	cut.TakeAll(all, revision, "", "", now)
@@ -144,43 +144,43 @@
 	g.Expect(whole).To(gomega.BeTrue())
 	cut.Take(changes, revision, now)
 	cut.Take(changes, revision, now)
-	g.Expect(cut.heard).To(gomega.HaveLen(2))
+	g.Expect(cut.received).To(gomega.HaveLen(2))
 
-	// An older state changes nothing.
+	// An older snapshot changes nothing.
 	cut.TakeAll(all, all[0].ModRevision, "", "", now)
 	g.Expect(cut.value("a/1")()).To(gomega.Equal("y"))
 	_, _, whole = peer.Since(-1)
 	g.Expect(whole).To(gomega.BeFalse())
 }
 
-// change is one that a test gives a mirror.
+// change returns a change of a key to a value.
 func change(key, value string, revision int64) plat.Change {
 	return plat.Change{Pair: plat.Pair{Key: key, Value: []byte(value), ModRevision: revision}}
 }
 
-// late is a change whose value is not there yet.
+// late returns a change whose value is unfetched.
 func late(key string, revision int64) plat.Change {
 	return plat.Change{Pair: plat.Pair{Key: key, ModRevision: revision}, Late: true}
 }
 
-func TestALateValueLeavesTheFormerOneInForceUntilItArrives(t *testing.T) {
+func TestFormerValueStaysCachedUntilNewOneIsFetched(t *testing.T) {
 	tests := []struct {
 		name string
-		// then is what happens after revision 5 of the key is known to be late.
-		then   func(m *watched)
-		value  string
-		behind bool
-		heard  int
+		// then runs after the value of the key at revision 5 was reported as unfetched.
+		then     func(m *watched)
+		value    string
+		behind   bool
+		received int
 	}{
 		{"nothing", func(*watched) {}, "former", true, 1},
-		{"it arrives", func(m *watched) { m.Arrive(change("a/1", "new", 5).Pair) }, "new", false, 2},
-		{"a newer one arrives", func(m *watched) { m.Arrive(change("a/1", "newer", 7).Pair) }, "newer", false, 2},
-		{"an older one arrives", func(m *watched) { m.Arrive(change("a/1", "old", 4).Pair) }, "former", true, 1},
-		{"it arrives twice", func(m *watched) {
+		{"it is fetched", func(m *watched) { m.Arrive(change("a/1", "new", 5).Pair) }, "new", false, 2},
+		{"a newer one is fetched", func(m *watched) { m.Arrive(change("a/1", "newer", 7).Pair) }, "newer", false, 2},
+		{"an older one is fetched", func(m *watched) { m.Arrive(change("a/1", "old", 4).Pair) }, "former", true, 1},
+		{"it is fetched twice", func(m *watched) {
 			m.Arrive(change("a/1", "new", 5).Pair)
 			m.Arrive(change("a/1", "new", 5).Pair)
 		}, "new", false, 2},
-		{"what arrived is told as late again", func(m *watched) {
+		{"the fetched value is reported as unfetched again", func(m *watched) {
 			m.Arrive(change("a/1", "newer", 7).Pair)
 			m.Take([]plat.Change{late("a/1", 7)}, 7, clock.Now())
 		}, "newer", false, 2},
@@ -188,15 +188,15 @@
 			m.Take([]plat.Change{{Pair: plat.Pair{Key: "a/1", ModRevision: 6}, Deleted: true}}, 6, clock.Now())
 			m.Arrive(change("a/1", "new", 5).Pair)
 		}, "", false, 2},
-		{"it comes with the others after all", func(m *watched) {
+		{"a later change carries its value", func(m *watched) {
 			m.Take([]plat.Change{change("a/1", "new", 6)}, 6, clock.Now())
 		}, "new", false, 2},
-		{"a whole copy names a later one", func(m *watched) {
+		{"a snapshot has a later one, unfetched", func(m *watched) {
 			m.TakeAll([]plat.Change{late("a/1", 8)}, 8, "", "", clock.Now())
 			m.Arrive(change("a/1", "new", 5).Pair)
 		}, "former", true, 1},
-		{"a whole copy lacks it", func(m *watched) { m.TakeAll(nil, 8, "", "", clock.Now()) }, "", false, 2},
-		{"a whole copy of before it arrived lacks it", func(m *watched) {
+		{"a snapshot lacks it", func(m *watched) { m.TakeAll(nil, 8, "", "", clock.Now()) }, "", false, 2},
+		{"a snapshot older than the fetched value lacks it", func(m *watched) {
 			m.Arrive(change("a/1", "newer", 9).Pair)
 			m.TakeAll(nil, 8, "", "", clock.Now())
 		}, "newer", false, 2},
@@ -210,13 +210,14 @@
 			tc.then(m)
 			g.Expect(m.value("a/1")()).To(gomega.Equal(tc.value))
 			g.Expect(m.Behind()).To(gomega.Equal(tc.behind))
-			g.Expect(m.heard).To(gomega.HaveLen(tc.heard))
+			g.Expect(m.received).To(gomega.HaveLen(tc.received))
 		})
 	}
 }
 
-// Who does not have a value tells peers that there is one all the same.
-func TestPeersHearOfValuesThatAreLargeOrLateWithoutThem(t *testing.T) {
+// Peers are told of a large or unfetched value without the value itself, so that they can fetch
+// it separately.
+func TestPeersGetLargeOrUnfetchedValuesAsLate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := watch(&memkv.KV{})
 	large := strings.Repeat("x", 32<<10)
@@ -232,7 +233,7 @@
 	g.Expect(m.value("a/2")()).To(gomega.Equal(large))
 }
 
-func TestOneKeyIsFetchedFromTheServiceItself(t *testing.T) {
+func TestFetchReadsOneKeyFromTheStore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/1", "x")
@@ -250,8 +251,9 @@
 	g.Expect(err).To(gomega.HaveOccurred())
 }
 
-// What a peer told of a shard that is held no longer changes nothing, nor what is known of its age.
-func TestWhatIsOfAFormerShardIsNotTaken(t *testing.T) {
+// A snapshot or changes requested for a shard that the cache no longer contains must not be
+// applied, nor make the cache look fresher.
+func TestDataOfFormerShardIsDiscarded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := plat.NewMirror(&memkv.KV{}, plat.Prefix(""), &event.Log{})
 	pair := func(key string, revision int64) plat.Change {
--- a/core/plat/outline.go
+++ b/core/plat/outline.go
@@ -9,45 +9,48 @@
 	"embertally.dev/core/wait"
 )
 
-// pager is a reader that gives keys page by page. Each page is a priced call.
+// pager is a Reader that can return keys page by page. The store charges for each page as for a
+// call.
 type pager interface {
 	// Pages calls f with the pages of a span, ordered by key, until f returns false or the last
-	// one, of which more is false. The revision is one that a watch may start after without
-	// missing a change of what was given.
+	// page was passed, for which more is false. A watch from the revision after the given one
+	// misses no change to the keys passed.
 	Pages(ctx context.Context, span Span, f func(pairs []Pair, revision int64, more bool) bool) error
 }
 
-// outlineTries is how often the outline is read while it grows: daemons that start together know
-// few of each other at first.
-const outlineTries = 3
+// maxOutlineReads is how often the outline is read while it grows: daemons that start together
+// find few of each other in it at first.
+const maxOutlineReads = 3
 
-// sketch reads the keys of the outline where all keys do not fit one page, and reports whether no
-// more is to be read: it was everything, or others follow the service for this daemon.
-func (m *Mirror) sketch(ctx context.Context) (done bool, err error) {
-	p, pages := m.from.(pager)
+// readFirst reads the keys of the outline first where not all keys fit one page. done is true if
+// no more has to be read: everything was, or this daemon takes changes from peers.
+func (m *Mirror) readFirst(ctx context.Context) (done bool, err error) {
+	p, pages := m.reader.(pager)
 	if !pages || m.Outline == "" {
 		return false, nil
 	}
-	for known, try := -1, 0; try < outlineTries; try++ {
+	for previous, try := -1, 0; try < maxOutlineReads; try++ {
 		outline, whole, err := m.readOutline(ctx, p)
 		if whole || err != nil {
 			return whole, err
 		}
 		m.seed(outline)
-		// The view goes by what was read before Follows goes by the view.
+		// The view of the fleet is built from these keys, and Follows depends on the view; leave
+		// it time to update.
 		wait.For(ctx, m.gather())
-		if m.rests() {
-			return true, errors.WithStack(errRests)
+		if m.followsPeers() {
+			return true, errors.WithStack(errFollowsPeers)
 		}
-		if len(outline) == known {
+		if len(outline) == previous {
 			return false, nil
 		}
-		known = len(outline)
+		previous = len(outline)
 	}
 	return false, nil
 }
 
-// readOutline reads pages until the outline is there. Where that was everything it is taken.
+// readOutline reads pages until all keys of the outline were read. If that was the whole span,
+// it is applied as a snapshot and whole is true.
 func (m *Mirror) readOutline(ctx context.Context, p pager) (outline []Pair, whole bool, err error) {
 	var all []Pair
 	first := int64(0)
@@ -66,7 +69,7 @@
 		return nil, false, err
 	}
 	if whole {
-		m.read(all, first)
+		m.applyRead(all, first)
 		return nil, true, nil
 	}
 	for _, pair := range all {
@@ -77,14 +80,14 @@
 	return outline, false, nil
 }
 
-// seed takes keys of the outline, which is not a copy of any revision.
+// seed puts the keys of the outline into the cache, which is not yet of any revision by that.
 func (m *Mirror) seed(outline []Pair) {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	if m.revision > 0 {
 		return
 	}
-	m.edits++
+	m.editCount++
 	for key := range m.pairs {
 		delete(m.pairs, key)
 	}
@@ -93,9 +96,9 @@
 	}
 }
 
-// Known reports whether the copy holds anything, if only the outline.
+// Known reports whether the cache contains anything, if only the outline.
 func (m *Mirror) Known() bool {
-	m.mirrorMu.Lock()
-	defer m.mirrorMu.Unlock()
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
 	return m.revision > 0 || len(m.pairs) > 0
 }
--- a/core/plat/restore_test.go
+++ b/core/plat/restore_test.go
@@ -15,25 +15,25 @@
 	"embertally.dev/core/plat"
 )
 
-func TestRevisionsAreOrderedByEraFirst(t *testing.T) {
+func TestRevisionsAreOrderedByIncarnationFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(plat.Revision(0, 17)).To(gomega.Equal(int64(17)), "of a service without eras")
+	g.Expect(plat.Revision(0, 17)).To(gomega.Equal(int64(17)), "of a store without incarnations")
 	g.Expect(plat.Revision(2, 1)).To(gomega.BeNumerically(">", plat.Revision(1, 1<<39)))
-	for _, era := range []int64{0, 1, plat.EraMost} {
+	for _, incarnation := range []int64{0, 1, plat.EraMost} {
 		for _, number := range []int64{0, 1, 1<<40 - 1} {
-			r := plat.Revision(era, number)
-			g.Expect(plat.Era(r)).To(gomega.Equal(era))
+			r := plat.Revision(incarnation, number)
+			g.Expect(plat.Era(r)).To(gomega.Equal(incarnation))
 			g.Expect(plat.Number(r)).To(gomega.Equal(number))
-			g.Expect(int64(float64(r))).To(gomega.Equal(r), "fences travel as numbers")
+			g.Expect(int64(float64(r))).To(gomega.Equal(r), "fencing tokens are sent as numbers")
 		}
 	}
 	g.Expect(plat.Number(-1)).To(gomega.Equal(int64(-1)))
 	g.Expect(plat.Era(-1)).To(gomega.BeZero())
 }
 
-// A seeded schedule of writes and restores to any former state: the mirror and its observers end up
-// with what the service holds.
-func TestAMirrorFollowsAServiceThatComesBackFromCopies(t *testing.T) {
+// After a random schedule of writes and restores of any former copy, the cache and its observers
+// end up with what the store has.
+func TestMirrorFollowsRestoredStore(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -62,7 +62,7 @@
 	}
 }
 
-// agrees reports whether mirror and observer hold what the service does.
+// agrees reports whether the cache and the observer have what the store has.
 func (w *watched) agrees(kv *memkv.KV) func() bool {
 	return func() bool {
 		want := map[string]string{}
@@ -77,12 +77,12 @@
 	}
 }
 
-// model returns what an observer knows.
+// model returns the keys and values that result from the changes received.
 func (w *watched) model() map[string]string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]string{}
-	for _, c := range w.heard {
+	for _, c := range w.received {
 		if c.Deleted {
 			delete(out, c.Key)
 		} else {
@@ -92,7 +92,7 @@
 	return out
 }
 
-func TestTheFirstCopyOfEachEraIsTold(t *testing.T) {
+func TestEnteredIsCalledOncePerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/old", "1")
@@ -105,16 +105,17 @@
 	put(t, kv, "a/new", "1")
 	g.Eventually(w.value("a/new"), "60s", "1ms").Should(gomega.Equal("1"))
 	g.Expect(entered.Load()).To(gomega.Equal(int64(1)))
-	// Also where the copy holds the same.
-	for era := int64(1); era <= 2; era++ {
+	// Entered is called even if the snapshot has the same content as the cache.
+	for incarnation := int64(1); incarnation <= 2; incarnation++ {
 		kv.Restore(old)
-		g.Eventually(entered.Load, "60s", "1ms").Should(gomega.Equal(era + 1))
-		g.Expect(w.Era()).To(gomega.Equal(era))
+		g.Eventually(entered.Load, "60s", "1ms").Should(gomega.Equal(incarnation + 1))
+		g.Expect(w.Era()).To(gomega.Equal(incarnation))
 	}
 }
 
-// What the copy lacks is told as restored, what the service deletes later is not.
-func TestWhatARestoredServiceLacksIsToldApart(t *testing.T) {
+// Keys that are missing in a restored store are reported as restored; keys deleted later are
+// not.
+func TestKeysMissingAfterRestoreAreMarked(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/old", "1")
@@ -131,7 +132,7 @@
 	restored := map[string]bool{}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, c := range w.heard {
+	for _, c := range w.received {
 		if c.Deleted {
 			restored[c.Key] = c.Restored
 		}
@@ -139,12 +140,13 @@
 	g.Expect(restored).To(gomega.Equal(map[string]bool{"a/new": true, "a/old": false}))
 }
 
-// A peer that still holds the former era is not believed, nor does it make the copy look fresher. One of
-// a later era is believed where it tells everything.
-func TestWhatPeersOfAnotherEraTell(t *testing.T) {
+// Changes and snapshots from a peer of an earlier store incarnation are not applied and do not
+// make the cache look fresher. From a peer of a later one, a snapshot is applied, but not
+// changes.
+func TestDataOfPeersInAnotherIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
-	pair := func(key string, era, number int64) plat.Change {
-		return plat.Change{Pair: plat.Pair{Key: key, Value: []byte("v"), ModRevision: plat.Revision(era, number)}}
+	pair := func(key string, incarnation, number int64) plat.Change {
+		return plat.Change{Pair: plat.Pair{Key: key, Value: []byte("v"), ModRevision: plat.Revision(incarnation, number)}}
 	}
 	m := plat.NewMirror(&memkv.KV{}, plat.Prefix(""), &event.Log{})
 	at := clock.Now()
@@ -157,7 +159,7 @@
 	m.TakeAll([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", later)
 	m.TakeMoved([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", func(plat.Pair) bool { return false }, later)
 	m.Take([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), later)
-	g.Expect(m.Fresh()).To(gomega.Equal(at), "of another era")
+	g.Expect(m.Fresh()).To(gomega.Equal(at), "of another store incarnation")
 	g.Expect(m.Shard()).To(gomega.BeEmpty())
 	_, there := m.Pair("b")
 	g.Expect(there).To(gomega.BeFalse())
@@ -167,7 +169,7 @@
 	g.Expect(m.Fresh()).To(gomega.Equal(later))
 	_, there = m.Pair("a")
 	g.Expect(there).To(gomega.BeFalse())
-	// Who asks after a revision of the former era is told everything.
+	// A request for the changes after a revision of the former incarnation needs a snapshot.
 	_, _, whole := m.Since(plat.Revision(2, 9))
 	g.Expect(whole).To(gomega.BeFalse())
 }
--- a/core/plat/revision.go
+++ b/core/plat/revision.go
@@ -1,35 +1,38 @@
 package plat
 
-// Revisions of the service rise within an era only: a service that comes back from an older copy
-// begins another era, in which it gives revisions out again. What this package calls a revision is
-// both in one number, ordered by era first, so that all that compares revisions stays right over
-// eras. Of a service without eras it is the service's own number.
+// The store's revisions increase within one store incarnation only: a store that comes back from
+// an older copy starts another incarnation, in which it assigns the same revision numbers again.
+// A revision in this package is one number that combines the store incarnation, in its upper
+// bits, and the store's own revision number, so that comparisons of revisions are valid across
+// incarnations. For a store without incarnations it equals the store's own number.
 
 const (
-	// eraShift is how many bits of a revision are the service's own number.
-	eraShift = 40
-	// EraMost is the highest era that a revision can hold: fences are revisions, and travel as
-	// numbers that must stay exact in a float64.
-	EraMost = 1<<(53-eraShift) - 1
+	// incarnationShift is the number of bits of a revision that hold the store's own number.
+	incarnationShift = 40
+	// EraMost is the highest store incarnation that a revision can hold. Revisions serve as
+	// fencing tokens, which are sent as numbers that must be exact in a float64.
+	EraMost = 1<<(53-incarnationShift) - 1
 )
 
-// Revision returns the revision of the service's own number in an era.
-func Revision(era, number int64) int64 { return era<<eraShift | number }
+// Revision combines a store incarnation and the store's own revision number.
+func Revision(incarnation, number int64) int64 { return incarnation<<incarnationShift | number }
 
-// Era returns the era of a revision; 0 where the service has none.
-func Era(revision int64) int64 { return max(0, revision) >> eraShift }
+// Era returns the store incarnation of a revision; 0 where the store has none.
+func Era(revision int64) int64 { return max(0, revision) >> incarnationShift }
 
-// Number returns the service's own number of a revision. One below 0, which no key has, stays.
+// Number returns the store's own number of a revision. Negative revisions, which no key has, are
+// returned unchanged.
 func Number(revision int64) int64 {
 	if revision < 0 {
 		return revision
 	}
-	return revision & (1<<eraShift - 1)
+	return revision & (1<<incarnationShift - 1)
 }
 
-// Session names a session of the service. The zero value is none.
+// Session identifies a session of the store. The zero value means no session.
 type Session struct {
 	ID int64
-	// Era is that in which it was opened. In a later one its name may be that of another session.
+	// Era is the store incarnation in which the session was opened. In a later one the same ID
+	// may belong to another session.
 	Era int64
 }
