--- a/core/plat/watchcache.go
+++ b/core/plat/watchcache.go
@@ -426,24 +426,24 @@
 	return out, m.revision
 }
 
-// Take applies changes from a peer. heard is when the store last answered that peer.
-func (m *Mirror) Take(changes []Change, revision int64, heard clock.Time) {
+// Take applies changes from a peer. contact is when the store last answered that peer.
+func (m *Mirror) Take(changes []Change, revision int64, contact clock.Time) {
 	if m.apply(changes, revision) {
-		m.recordPeerContact(heard)
+		m.recordPeerContact(contact)
 	}
 }
 
-// TakeAll applies a peer's snapshot of a shard, "" for all keys. heard is when the store last
-// answered that peer. held is the shard that the cache contained when the snapshot was
+// TakeAll applies a peer's snapshot of a shard, "" for all keys. contact is when the store last
+// answered that peer. fromShard is the shard that the cache contained when the snapshot was
 // requested; if it contains another one by now, the snapshot is discarded.
-func (m *Mirror) TakeAll(all []Change, revision int64, held, shard string, heard clock.Time) {
+func (m *Mirror) TakeAll(all []Change, revision int64, fromShard, shard string, contact clock.Time) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
-	if m.Shard() != held {
+	if m.Shard() != fromShard {
 		return
 	}
 	if m.replaceLocked(all, revision, shard) {
-		m.recordPeerContact(heard)
+		m.recordPeerContact(contact)
 	}
 }
 
@@ -455,21 +455,22 @@
 }
 
 // TakeMoved switches the cache to another shard by a peer's changes, which are what the cache
-// lacks of that shard. Pairs that drops accepts are removed. held and heard are as in TakeAll.
-func (m *Mirror) TakeMoved(changes []Change, revision int64, held, shard string, drops func(Pair) bool, heard clock.Time) {
+// lacks of that shard. Pairs that remove accepts are removed from the cache. fromShard and
+// contact are as in TakeAll.
+func (m *Mirror) TakeMoved(changes []Change, revision int64, fromShard, shard string, remove func(Pair) bool, contact clock.Time) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
-	if m.Shard() != held {
+	if m.Shard() != fromShard {
 		return
 	}
-	if m.switchShard(changes, revision, shard, drops) {
-		m.recordPeerContact(heard)
+	if m.switchShard(changes, revision, shard, remove) {
+		m.recordPeerContact(contact)
 	}
 }
 
 // switchShard switches the cache to another shard, unless the changes are of another store
 // incarnation. It is called with notifyMu held.
-func (m *Mirror) switchShard(changes []Change, revision int64, shard string, drops func(Pair) bool) bool {
+func (m *Mirror) switchShard(changes []Change, revision int64, shard string, remove func(Pair) bool) bool {
 	m.cacheMu.Lock()
 	if Era(revision) != Era(m.revision) {
 		// The response to the next request will be a full snapshot.
@@ -483,7 +484,7 @@
 		}
 	}
 	for key, p := range m.pairs {
-		if drops(p) {
+		if remove(p) {
 			newer = append(newer, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, Dropped: true})
 		}
 	}
--- a/core/plat/watchcache_test.go
+++ b/core/plat/watchcache_test.go
@@ -158,8 +158,8 @@
 	return plat.Change{Pair: plat.Pair{Key: key, Value: []byte(value), ModRevision: revision}}
 }
 
-// late returns a change whose value is unfetched.
-func late(key string, revision int64) plat.Change {
+// unfetched returns a change whose value is unfetched.
+func unfetched(key string, revision int64) plat.Change {
 	return plat.Change{Pair: plat.Pair{Key: key, ModRevision: revision}, Late: true}
 }
 
@@ -182,7 +182,7 @@
 		}, "new", false, 2},
 		{"the fetched value is reported as unfetched again", func(m *watched) {
 			m.Arrive(change("a/1", "newer", 7).Pair)
-			m.Take([]plat.Change{late("a/1", 7)}, 7, clock.Now())
+			m.Take([]plat.Change{unfetched("a/1", 7)}, 7, clock.Now())
 		}, "newer", false, 2},
 		{"it is deleted", func(m *watched) {
 			m.Take([]plat.Change{{Pair: plat.Pair{Key: "a/1", ModRevision: 6}, Deleted: true}}, 6, clock.Now())
@@ -192,7 +192,7 @@
 			m.Take([]plat.Change{change("a/1", "new", 6)}, 6, clock.Now())
 		}, "new", false, 2},
 		{"a snapshot has a later one, unfetched", func(m *watched) {
-			m.TakeAll([]plat.Change{late("a/1", 8)}, 8, "", "", clock.Now())
+			m.TakeAll([]plat.Change{unfetched("a/1", 8)}, 8, "", "", clock.Now())
 			m.Arrive(change("a/1", "new", 5).Pair)
 		}, "former", true, 1},
 		{"a snapshot lacks it", func(m *watched) { m.TakeAll(nil, 8, "", "", clock.Now()) }, "", false, 2},
@@ -206,7 +206,7 @@
 			g := gomega.NewWithT(t)
 			m := watch(&memkv.KV{})
 			m.Take([]plat.Change{change("a/1", "former", 2)}, 2, clock.Now())
-			m.Take([]plat.Change{late("a/1", 5)}, 5, clock.Now())
+			m.Take([]plat.Change{unfetched("a/1", 5)}, 5, clock.Now())
 			tc.then(m)
 			g.Expect(m.value("a/1")()).To(gomega.Equal(tc.value))
 			g.Expect(m.Behind()).To(gomega.Equal(tc.behind))
@@ -221,8 +221,8 @@
 	g := gomega.NewWithT(t)
 	m := watch(&memkv.KV{})
 	large := strings.Repeat("x", 32<<10)
-	m.Take([]plat.Change{change("a/1", "small", 2), change("a/2", large, 3), late("a/3", 4)}, 4, clock.Now())
-	want := []plat.Change{change("a/1", "small", 2), late("a/2", 3), late("a/3", 4)}
+	m.Take([]plat.Change{change("a/1", "small", 2), change("a/2", large, 3), unfetched("a/3", 4)}, 4, clock.Now())
+	want := []plat.Change{change("a/1", "small", 2), unfetched("a/2", 3), unfetched("a/3", 4)}
 	changes, revision, whole := m.Since(1)
 	g.Expect(whole).To(gomega.BeTrue())
 	g.Expect(revision).To(gomega.Equal(int64(4)))
--- a/core/wire/frame.go
+++ b/core/wire/frame.go
@@ -1,8 +1,8 @@
-// Package wire owns the connections between daemons: frames with a length and
-// a msgpack body over TCP with TLS, and calls and notices made of them.
+// Package wire owns the connections between daemons: length-prefixed frames with a msgpack body
+// over TCP with TLS, and the calls and notifications sent in them.
 //
-// It must not know what the messages mean. Each slice registers the kinds that
-// it answers.
+// It must not know what the messages mean. Other packages register a handler for each kind of
+// message.
 package wire
 
 import (
@@ -13,32 +13,33 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Kind names a sort of message.
+// Kind identifies the type of a message.
 type Kind string
 
-// MaxFrame bounds one frame. The largest is a whole configuration.
+// MaxFrame is the largest body of a frame, in bytes. The largest message is a whole
+// configuration.
 const MaxFrame = 32 << 20
 
-// ErrTooLarge says that a frame is over MaxFrame.
-var ErrTooLarge = errors.New("frame is too large")
+// ErrTooLarge means that a frame exceeds MaxFrame.
+var ErrTooLarge = errors.New("frame too large")
 
-// envelope is one frame's content.
+// envelope is the body of a frame.
 type envelope struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// ID joins an answer to its call; zero marks a notice, which gets none.
+	// ID matches a response to its call; zero marks a notification, which gets no response.
 	ID uint64
-	// Kind is empty in an answer.
+	// Kind is the kind of the message; empty in a response.
 	Kind Kind
-	// Err is the error of an answer.
+	// Err is the error that a handler returned; empty in other messages.
 	Err string
-	// Body is the message.
+	// Body is the encoded message.
 	Body msgpack.RawMessage
 }
 
 const headerSize = 4
 
-// encode returns the frame of e.
+// encode returns the frame that contains e.
 func encode(e *envelope) ([]byte, error) {
 	body, err := msgpack.Marshal(e)
 	if err != nil {
@@ -52,11 +53,11 @@
 	return append(frame, body...), nil
 }
 
-// firstRead bounds what is set aside before bytes of the frame arrive, so that
-// a false length costs a sender's own bytes first.
+// firstRead bounds the memory in bytes that is allocated before any of a frame's body has
+// arrived, so that a sender that states a false length must send bytes before more is allocated.
 const firstRead = 64 << 10
 
-// decode reads one frame from r.
+// decode reads one frame from r and returns its content and its size in bytes.
 func decode(r io.Reader) (*envelope, int, error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -72,7 +73,7 @@
 	}
 	var e envelope
 	if err := msgpack.Unmarshal(body, &e); err != nil {
-		return nil, 0, errors.Wrap(err, "frame")
+		return nil, 0, errors.Wrap(err, "decode frame")
 	}
 	return &e, headerSize + size, nil
 }
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -14,45 +14,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrRemote wraps errors that the other daemon answered with. Every other
-// error of a call means that the answer, if any, is not known.
-var ErrRemote = errors.New("peer answered with an error")
+// ErrRemote wraps errors returned by the peer's handler. Every other error of a call, ErrNotSent
+// excepted, leaves unknown whether the peer handled it.
+var ErrRemote = errors.New("peer returned an error")
 
-// ErrNotSent says that a call did not leave this daemon.
+// ErrNotSent means that a message did not leave this daemon.
 var ErrNotSent = errors.New("message was not sent")
 
-// Link makes calls to one other daemon over one connection, which it opens
-// when needed.
+// Link makes calls to one peer over one connection, which it opens when needed.
 type Link struct {
 	name string
-	// peer is the box that must answer.
+	// peer is the name of the box that the peer's certificate must contain.
 	peer    string
 	address string
-	// tls is nil for plain connections.
+	// tls returns the configuration of TLS; nil for connections without TLS.
 	tls   func() *tls.Config
 	bytes atomic.Int64
 
 	linkMu sync.Mutex
-	// conn is the open connection, or nil. Guarded by linkMu.
-	conn *dialled
-	// failed is when opening last failed. Guarded by linkMu.
-	failed time.Time
-	closed bool // guarded by linkMu
+	// conn is the current connection, or nil. Guarded by linkMu.
+	conn *clientConn
+	// lastFailure is when opening a connection last failed. Guarded by linkMu.
+	lastFailure time.Time
+	closed      bool // guarded by linkMu
 }
 
-// NewLink returns a link on which this daemon, called name, reaches peer at
-// address. With TLS the peer's certificate must name it.
+// NewLink returns a link from this daemon, called name, to peer at address. With TLS, the peer's
+// certificate must contain the name peer.
 func NewLink(name, peer, address string, conf func() *tls.Config) *Link {
 	return &Link{name: name, peer: peer, address: address, tls: conf}
 }
 
-// Address returns where the link leads.
+// Address returns the peer's address.
 func (l *Link) Address() string { return l.address }
 
-// Bytes returns how many bytes of frames were read and written.
+// Bytes returns the number of bytes of frames read and written.
 func (l *Link) Bytes() int64 { return l.bytes.Load() }
 
-// Close ends the connection; running calls fail.
+// Close closes the connection; running calls fail.
 func (l *Link) Close() {
 	l.linkMu.Lock()
 	defer l.linkMu.Unlock()
@@ -62,7 +61,7 @@
 	}
 }
 
-// Call sends req and decodes the answer into resp, unless that is nil.
+// Call sends req and decodes the response into resp, unless that is nil.
 func (l *Link) Call(ctx context.Context, kind Kind, req, resp any) error {
 	d, err := l.open(ctx)
 	if err != nil {
@@ -81,20 +80,20 @@
 	case <-ctx.Done():
 		return errors.Wrapf(ctx.Err(), "%s to %s", kind, l.address)
 	case <-d.broken:
-		return errors.Errorf("%s to %s: connection broke", kind, l.address)
+		return errors.Errorf("%s to %s: connection lost", kind, l.address)
 	case <-c.done:
 	}
-	if c.answer.Err != "" {
-		return errors.Wrap(ErrRemote, c.answer.Err)
+	if c.response.Err != "" {
+		return errors.Wrap(ErrRemote, c.response.Err)
 	}
-	if resp == nil || len(c.answer.Body) == 0 {
-		// An answer that is nil has no body.
+	if resp == nil || len(c.response.Body) == 0 {
+		// A nil response has no body.
 		return nil
 	}
-	return errors.Wrap(msgpack.Unmarshal(c.answer.Body, resp), "answer")
+	return errors.Wrap(msgpack.Unmarshal(c.response.Body, resp), "decode response")
 }
 
-// Notify sends a message that gets no answer.
+// Notify sends a message that gets no response.
 func (l *Link) Notify(ctx context.Context, kind Kind, msg any) error {
 	d, err := l.open(ctx)
 	if err != nil {
@@ -103,7 +102,7 @@
 	return l.send(d, &envelope{Kind: kind}, msg)
 }
 
-func (l *Link) send(d *dialled, e *envelope, msg any) error {
+func (l *Link) send(d *clientConn, e *envelope, msg any) error {
 	body, err := msgpack.Marshal(msg)
 	if err != nil {
 		return errors.WithStack(err)
@@ -118,24 +117,24 @@
 	return err
 }
 
-// redialPause spaces tries to open a connection.
+// redialPause is the shortest time from a failure to open a connection to the next attempt.
 const redialPause = 100 * time.Millisecond
 
-func (l *Link) open(ctx context.Context) (*dialled, error) {
+func (l *Link) open(ctx context.Context) (*clientConn, error) {
 	l.linkMu.Lock()
 	defer l.linkMu.Unlock()
 	if l.closed {
-		return nil, errors.New("link is closed")
+		return nil, errors.New("link closed")
 	}
 	if l.conn != nil && l.conn.alive() {
 		return l.conn, nil
 	}
-	if time.Since(l.failed) < redialPause {
-		return nil, errors.Errorf("%s did not answer just now", l.address)
+	if time.Since(l.lastFailure) < redialPause {
+		return nil, errors.Errorf("connection to %s failed just now", l.address)
 	}
 	d, err := l.dial(ctx)
 	if err != nil {
-		l.failed = time.Now()
+		l.lastFailure = time.Now()
 		return nil, err
 	}
 	l.conn = d
@@ -144,7 +143,7 @@
 
 const dialLimit = time.Second
 
-func (l *Link) dial(ctx context.Context) (*dialled, error) {
+func (l *Link) dial(ctx context.Context) (*clientConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialLimit)
 	defer cancel()
 	var nd net.Dialer
@@ -156,15 +155,15 @@
 		tc := tls.Client(conn, l.tls())
 		if err := tc.HandshakeContext(ctx); err != nil {
 			conn.Close()
-			return nil, errors.Wrap(err, "handshake")
+			return nil, errors.Wrap(err, "TLS handshake")
 		}
 		if !slices.Contains(certNames(tc), l.peer) {
 			conn.Close()
-			return nil, errors.Errorf("the certificate at %s does not name %q", l.address, l.peer)
+			return nil, errors.Errorf("certificate of %s does not contain the name %q", l.address, l.peer)
 		}
 		conn = tc
 	}
-	d := &dialled{conn: conn, broken: make(chan struct{}), calls: map[uint64]*call{}}
+	d := &clientConn{conn: conn, broken: make(chan struct{}), calls: map[uint64]*call{}}
 	if err := l.send(d, &envelope{Kind: kindHello}, l.name); err != nil {
 		conn.Close()
 		return nil, err
@@ -173,52 +172,52 @@
 	return d, nil
 }
 
-// call is one call that waits for its answer.
+// call is a call that waits for its response.
 type call struct {
-	answer *envelope
-	done   chan struct{}
+	response *envelope
+	done     chan struct{}
 }
 
-// dialled is one open connection of a link.
-type dialled struct {
+// clientConn is a connection that a Link has opened.
+type clientConn struct {
 	conn   net.Conn
-	broken chan struct{} // closed when the connection has ended
+	broken chan struct{} // closed when the connection is closed
 
 	writeMu sync.Mutex // held while a frame is written
 
 	callsMu sync.Mutex
 	calls   map[uint64]*call // guarded by callsMu
-	next    uint64           // last call's number; guarded by callsMu
+	next    uint64           // ID of the last call; guarded by callsMu
 	ended   bool             // guarded by callsMu
 }
 
-// maxCalls bounds the calls that wait on one connection.
+// maxCalls bounds the calls that wait for a response on one connection.
 const maxCalls = 4096
 
-func (d *dialled) add(c *call) (uint64, error) {
+func (d *clientConn) add(c *call) (uint64, error) {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
 	if d.ended || len(d.calls) >= maxCalls {
-		return 0, errors.Wrap(ErrNotSent, "connection has ended or is full")
+		return 0, errors.Wrap(ErrNotSent, "connection is closed or has too many waiting calls")
 	}
 	d.next++
 	d.calls[d.next] = c
 	return d.next, nil
 }
 
-func (d *dialled) drop(id uint64) {
+func (d *clientConn) drop(id uint64) {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
 	delete(d.calls, id)
 }
 
-func (d *dialled) alive() bool {
+func (d *clientConn) alive() bool {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
 	return !d.ended
 }
 
-func (d *dialled) fail() {
+func (d *clientConn) fail() {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
 	if !d.ended {
@@ -228,7 +227,7 @@
 	}
 }
 
-func (d *dialled) write(frame []byte) (int, error) {
+func (d *clientConn) write(frame []byte) (int, error) {
 	d.writeMu.Lock()
 	defer d.writeMu.Unlock()
 	d.conn.SetWriteDeadline(time.Now().Add(writeLimit))
@@ -239,8 +238,8 @@
 	return n, errors.WithStack(err)
 }
 
-// run hands answers to their calls until the connection ends.
-func (d *dialled) run(bytes *atomic.Int64) {
+// run passes responses to their calls until the connection breaks.
+func (d *clientConn) run(bytes *atomic.Int64) {
 	defer d.fail()
 	r := bufio.NewReaderSize(d.conn, readBuffer)
 	for {
@@ -254,7 +253,7 @@
 		delete(d.calls, e.ID)
 		d.callsMu.Unlock()
 		if c != nil {
-			c.answer = e
+			c.response = e
 			close(c.done)
 		}
 	}
--- a/core/wire/mux.go
+++ b/core/wire/mux.go
@@ -16,36 +16,38 @@
 	"embertally.dev/core/bugs"
 )
 
-// Handler answers one kind of message. from is the proven name of the sender.
+// Handler handles one kind of message and returns the response. from is the sender's name, which
+// with TLS its certificate contains. body is the encoded message.
 type Handler func(ctx context.Context, from string, body []byte) (any, error)
 
-// Handle makes a typed handler: f gets the message decoded.
+// Handle returns a Handler that decodes the message and passes it to f.
 func Handle[Req, Resp any](f func(ctx context.Context, from string, req *Req) (Resp, error)) Handler {
 	return func(ctx context.Context, from string, body []byte) (any, error) {
 		var req Req
 		if err := msgpack.Unmarshal(body, &req); err != nil {
-			return nil, errors.Wrap(err, "message")
+			return nil, errors.Wrap(err, "decode message")
 		}
 		return f(ctx, from, &req)
 	}
 }
 
-// Mux answers the messages of other daemons.
+// Mux accepts connections from peers and passes their messages to the registered handlers.
 type Mux struct {
-	// handlers is filled before Serve and only read afterwards.
+	// handlers are the handlers by kind; filled before Serve and only read afterwards.
 	handlers map[Kind]Handler
-	// Refused, if set, hears of connections that did not prove their name.
+	// Refused, if set, is called for each connection that is rejected because the peer did not
+	// prove its name.
 	Refused func(address string, err error)
 	bytes   atomic.Int64
 
 	connsMu sync.Mutex
 	// conns are the open connections. Guarded by connsMu.
 	conns map[net.Conn]bool
-	// closed tells that no connection is taken any more. Guarded by connsMu.
+	// closed means that no more connections are accepted. Guarded by connsMu.
 	closed bool
 }
 
-// Register makes h answer kind. It must not be called after Serve.
+// Register makes h the handler of kind. It must be called before Serve.
 func (m *Mux) Register(kind Kind, h Handler) {
 	if m.handlers == nil {
 		m.handlers = map[Kind]Handler{}
@@ -53,21 +55,21 @@
 	m.handlers[kind] = h
 }
 
-// Bytes returns how many bytes of frames were read and written.
+// Bytes returns the number of bytes of frames read and written.
 func (m *Mux) Bytes() int64 { return m.bytes.Load() }
 
-// Bounds of the serving side.
+// Limits of the serving side.
 const (
 	handshakeLimit = 5 * time.Second
-	// running bounds the calls of one connection that are answered at once.
-	running = 512
-	// maxConns bounds the connections of all peers.
+	// maxRunning bounds the messages of one connection that are handled concurrently.
+	maxRunning = 512
+	// maxConns bounds the connections of all peers together.
 	maxConns = 1024
 )
 
-// Serve answers connections of l until ctx ends.
+// Serve accepts connections from l and handles their messages until ctx ends.
 func (m *Mux) Serve(ctx context.Context, l net.Listener) {
-	stop := context.AfterFunc(ctx, func() { l.Close(); m.end() })
+	stop := context.AfterFunc(ctx, func() { l.Close(); m.shutdown() })
 	defer stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -84,17 +86,17 @@
 			c.Close()
 			continue
 		}
-		s := &served{mux: m, conn: c, slots: make(chan struct{}, running)}
+		s := &serverConn{mux: m, conn: c, slots: make(chan struct{}, maxRunning)}
 		wg.Go(func() { s.run(ctx) })
 	}
 }
 
-// acceptPause spaces tries to accept after an error, such as too many files.
+// acceptPause is the pause after an error of Accept, such as too many open files.
 const acceptPause = 20 * time.Millisecond
 
-// add records a connection and reports whether it is to be served. One that was accepted
-// while the others were closed would be served until its peer closes it; where the peer
-// stops as well and waits in the same way, both would for ever.
+// add records a connection and reports whether it is to be served. A connection accepted while
+// the others are closed must not be served: it would be until its peer closes it, and if the
+// peer is stopping too and waits in the same way, both would wait for ever.
 func (m *Mux) add(c net.Conn) bool {
 	m.connsMu.Lock()
 	defer m.connsMu.Unlock()
@@ -114,8 +116,8 @@
 	delete(m.conns, c)
 }
 
-// end closes all connections and takes no more.
-func (m *Mux) end() {
+// shutdown closes all connections and makes add reject further ones.
+func (m *Mux) shutdown() {
 	m.connsMu.Lock()
 	m.closed = true
 	m.connsMu.Unlock()
@@ -130,8 +132,8 @@
 	}
 }
 
-// served is one connection of a peer to this daemon.
-type served struct {
+// serverConn is a connection that a peer has opened to this daemon.
+type serverConn struct {
 	mux   *Mux
 	conn  net.Conn
 	from  string
@@ -140,12 +142,12 @@
 	writeMu sync.Mutex // held while a frame is written
 }
 
-func (s *served) run(ctx context.Context) {
+func (s *serverConn) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer s.mux.remove(s.conn)
 	defer s.conn.Close()
-	if err := s.greet(ctx); err != nil {
+	if err := s.readHello(ctx); err != nil {
 		if s.mux.Refused != nil && ctx.Err() == nil {
 			s.mux.Refused(s.conn.RemoteAddr().String(), err)
 		}
@@ -164,22 +166,23 @@
 		s.slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-s.slots }()
-			s.answer(ctx, e)
+			s.respond(ctx, e)
 		})
 	}
 }
 
 const readBuffer = 8 << 10
 
-// greet reads the peer's name and checks it against its certificate.
-func (s *served) greet(ctx context.Context) error {
+// readHello reads the peer's name from its first message and, with TLS, checks that its
+// certificate contains it.
+func (s *serverConn) readHello(ctx context.Context) error {
 	s.conn.SetDeadline(time.Now().Add(handshakeLimit))
 	defer s.conn.SetDeadline(time.Time{})
 	var names []string
 	tc, secure := s.conn.(*tls.Conn)
 	if secure {
 		if err := tc.HandshakeContext(ctx); err != nil {
-			return errors.Wrap(err, "handshake")
+			return errors.Wrap(err, "TLS handshake")
 		}
 		names = certNames(tc)
 	}
@@ -188,15 +191,15 @@
 		return err
 	}
 	if err := msgpack.Unmarshal(e.Body, &s.from); err != nil || e.Kind != kindHello {
-		return errors.New("the first message is not a greeting")
+		return errors.New("first message is not a valid hello")
 	}
 	if secure && !slices.Contains(names, s.from) {
-		return errors.Errorf("the certificate does not name %q", s.from)
+		return errors.Errorf("certificate does not contain the name %q", s.from)
 	}
 	return nil
 }
 
-// certNames returns the boxes that the other side's certificate names.
+// certNames returns the names in the peer's certificate.
 func certNames(c *tls.Conn) []string {
 	certs := c.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
@@ -207,27 +210,27 @@
 
 const kindHello Kind = "hello"
 
-// errBroken is what a peer is told whose message met a state that the program rules out.
-var errBroken = errors.New("the daemon met a state that it rules out")
+// errInternal is the response to a message whose handler panicked.
+var errInternal = errors.New("internal error: handler panicked")
 
-// guarded handles a message. One that would end the process is answered with an error: who
-// sent it asks other daemons next, which would end in their turn.
-func guarded(ctx context.Context, h Handler, from string, e *envelope) (reply any, err error) {
+// handle calls h and converts a panic to an error. If the panic ended the process, the sender
+// would repeat its request to other daemons, which would crash in turn.
+func handle(ctx context.Context, h Handler, from string, e *envelope) (reply any, err error) {
 	defer func() {
-		if why := recover(); why != nil {
-			bugs.Report("message %s of %s: %v", e.Kind, from, why)
-			reply, err = nil, errors.WithStack(errBroken)
+		if reason := recover(); reason != nil {
+			bugs.Report("message %s from %s: %v", e.Kind, from, reason)
+			reply, err = nil, errors.WithStack(errInternal)
 		}
 	}()
 	return h(ctx, from, e.Body)
 }
 
-func (s *served) answer(ctx context.Context, e *envelope) {
+func (s *serverConn) respond(ctx context.Context, e *envelope) {
 	h := s.mux.handlers[e.Kind]
 	reply := &envelope{ID: e.ID}
 	if h == nil {
 		reply.Err = "no handler for " + string(e.Kind)
-	} else if v, err := guarded(ctx, h, s.from, e); err != nil {
+	} else if v, err := handle(ctx, h, s.from, e); err != nil {
 		reply.Err = err.Error()
 	} else if reply.Body, err = msgpack.Marshal(v); err != nil {
 		reply.Err = err.Error()
@@ -252,5 +255,5 @@
 	}
 }
 
-// writeLimit bounds the writing of one frame to a peer that does not read.
+// writeLimit bounds the time to write one frame, since the peer may not read.
 const writeLimit = 10 * time.Second
--- a/core/wire/stop_test.go
+++ b/core/wire/stop_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// lateListener hands out one connection at once and another one when the first was closed.
+// lateListener returns one connection at once, and another one when the first was closed.
 type lateListener struct {
 	net.Listener
 	first, late net.Conn
@@ -33,9 +33,9 @@
 	return l.Listener.Accept()
 }
 
-// A connection that is accepted while a daemon stops is not served until its peer closes
-// it, which may wait for this daemon in the same way.
-func TestAConnectionAcceptedInAStopDoesNotHoldItUp(t *testing.T) {
+// Regression test: a connection accepted while the Mux stops must not be served until its peer
+// closes it, since the peer may be waiting in the same way.
+func TestConnectionAcceptedDuringShutdownIsClosed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -44,16 +44,16 @@
 	defer latePeer.Close()
 	closed := make(chan struct{})
 	go func() {
-		// The first connection is closed with all that are known.
+		// The Mux closes the first connection together with all others it has recorded.
 		firstPeer.Read(make([]byte, 1))
 		close(closed)
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	var m Mux
 	go func() {
 		m.Serve(ctx, &lateListener{Listener: l, first: first, late: late, closed: closed})
-		close(ended)
+		close(stopped)
 	}()
 	g.Eventually(func() int {
 		m.connsMu.Lock()
@@ -61,12 +61,12 @@
 		return len(m.conns)
 	}, "30s", "1ms").Should(gomega.Equal(1))
 	cancel()
-	// A greeting is waited for up to handshakeLimit; the late peer has sent one.
+	// Reading the hello would take up to handshakeLimit if the late peer did not send one.
 	go func() {
 		frame, err := encode(&envelope{Kind: kindHello, Body: []byte{0xa1, 'p'}})
 		if err == nil {
 			latePeer.Write(frame)
 		}
 	}()
-	g.Eventually(ended, "30s", "1ms").Should(gomega.BeClosed())
+	g.Eventually(stopped, "30s", "1ms").Should(gomega.BeClosed())
 }
--- a/core/wire/wire_test.go
+++ b/core/wire/wire_test.go
@@ -23,7 +23,7 @@
 	Text string `msgpack:"t"`
 }
 
-// serve answers on a new listener until the test ends.
+// serve serves m on a new listener until the test ends.
 func serve(t *testing.T, m *Mux) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +72,7 @@
 		}
 		g.Expect(got.Text).To(gomega.Equal(tc.want), tc.name)
 	}
-	g.Expect(link.Bytes()).To(gomega.Equal(m.Bytes()+int64(helloBytes(t))), "both sides count the same but for the greeting")
+	g.Expect(link.Bytes()).To(gomega.Equal(m.Bytes()+int64(helloBytes(t))), "both sides count the same except for the hello")
 }
 
 func helloBytes(t *testing.T) int {
@@ -84,14 +84,14 @@
 	return len(raw)
 }
 
-func TestCallToNobodyIsNotSent(t *testing.T) {
+func TestCallWithoutListenerIsNotSent(t *testing.T) {
 	link := NewLink("me", "peer", "127.0.0.1:1", nil)
 	defer link.Close()
 	err := link.Call(context.Background(), "echo", hello{}, nil)
 	gomega.NewWithT(t).Expect(errors.Is(err, ErrNotSent)).To(gomega.BeTrue())
 }
 
-func TestBrokenConnectionFailsItsCallsAndIsOpenedAgain(t *testing.T) {
+func TestLostConnectionFailsCallsAndIsReopened(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var m Mux
 	entered := make(chan struct{}, 1)
@@ -113,10 +113,10 @@
 	g.Expect(got.Text).To(gomega.Equal("again"))
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestConnectionsWithoutHelloAreRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
-	refused := make(chan error, 8)
-	m := Mux{Refused: func(_ string, err error) { refused <- err }}
+	rejected := make(chan error, 8)
+	m := Mux{Refused: func(_ string, err error) { rejected <- err }}
 	address := serve(t, &m)
 	frames := [][]byte{
 		[]byte("GET / HTTP/1.1\r\n\r\n"),
@@ -129,7 +129,7 @@
 		_, err = c.Write(f)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		c.Close()
-		g.Eventually(refused, "20s").Should(gomega.Receive(gomega.HaveOccurred()))
+		g.Eventually(rejected, "20s").Should(gomega.Receive(gomega.HaveOccurred()))
 	}
 }
 
@@ -154,15 +154,15 @@
 	})
 }
 
-// A message that meets a state which the program rules out is answered with an error, and the
-// daemon goes on: its sender asks others next, which would end one after the other.
-func TestAMessageThatWouldEndTheProcessIsAnswered(t *testing.T) {
+// A handler that panics must not end the process, since the sender repeats its request to other
+// daemons, which would crash one after the other.
+func TestHandlerPanicIsReturnedAsError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var reported atomic.Int64
 	t.Cleanup(bugs.Handle(func(string, []byte) { reported.Add(1) }))
 	var m Mux
 	m.Register("fatal", Handle(func(context.Context, string, *hello) (*hello, error) {
-		panic("what nobody thought of")
+		panic("unexpected state")
 	}))
 	m.Register("echo", Handle(func(_ context.Context, _ string, h *hello) (*hello, error) { return h, nil }))
 	link := NewLink("me", "peer", serve(t, &m), nil)
