--- a/core/certs/certs.go
+++ b/core/certs/certs.go
@@ -1,9 +1,9 @@
-// Package certs owns the reading of certificate authorities, and the making of
-// keys for first steps and tests: a signing certificate, certificates of boxes,
-// and random API keys.
+// Package certs owns the reading of certificate authorities from files, and the generation of
+// keys for getting started and for tests: a certificate authority, certificates of boxes, and
+// random API keys.
 //
-// It must not know where the keys are used. Sites with a certificate authority
-// of their own do not need it.
+// It must not know where the keys are used. Sites with a certificate authority of their own do
+// not need it.
 package certs
 
 import (
@@ -23,23 +23,23 @@
 	"github.com/pkg/errors"
 )
 
-// validity is how long certificates are valid.
+// validity is the lifetime of the certificates that this package signs.
 const validity = 365 * 24 * time.Hour
 
-// Authority signs certificates of boxes.
+// Authority is a certificate authority that signs the certificates of boxes.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	dir  string
 }
 
-// Files in the folder of an authority.
+// Names of the files in an authority's directory.
 const (
 	caCert = "ca.pem"
 	caKey  = "ca-key.pem"
 )
 
-// NewAuthority makes an authority and writes it to dir.
+// NewAuthority generates an authority and writes its certificate and key to dir.
 func NewAuthority(dir string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -85,12 +85,12 @@
 	}
 	block, _ := pem.Decode(raw)
 	if block == nil {
-		return nil, errors.Errorf("%s is not in PEM form", path)
+		return nil, errors.Errorf("%s: no PEM block found", path)
 	}
 	return block.Bytes, nil
 }
 
-// Pool reads the certificates that others must be signed by from a file.
+// Pool reads the CA certificates that peers' certificates are verified with from a PEM file.
 func Pool(path string) (*x509.CertPool, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -98,16 +98,16 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, errors.Errorf("%s holds no certificate", path)
+		return nil, errors.Errorf("%s: no certificate found", path)
 	}
 	return pool, nil
 }
 
-// CAFile returns the file with the authority's certificate.
+// CAFile returns the path of the authority's certificate.
 func (a *Authority) CAFile() string { return filepath.Join(a.dir, caCert) }
 
-// Issue makes a certificate that names a box and its IP numbers, and returns
-// the files with it and its key.
+// Issue generates a key and a certificate that contains a box's name and IP addresses, and
+// returns the paths of both files.
 func (a *Authority) Issue(name string, ips ...net.IP) (certFile, keyFile string, err error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -155,10 +155,10 @@
 
 const keyBytes = 24
 
-// NewKey returns a random key for a caller or operator.
+// NewKey returns a random API key for a caller or operator.
 func NewKey() string {
 	raw := make([]byte, keyBytes)
-	// The random source of the system does not fail.
+	// rand.Read never returns an error.
 	rand.Read(raw)
 	return base64.RawURLEncoding.EncodeToString(raw)
 }
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock owns the time that ages, leases and silences are measured by. It goes on
-// while the machine is suspended, and does not jump when the time of day is set.
+// Package clock owns the clock that ages, leases and periods of silence are measured with. It
+// keeps running while the system is suspended, and does not jump when the time of day is set.
 //
-// It must not know what is measured. Times of day and timers are package time's.
+// It must not know what is measured. For times of day and timers use package time.
 package clock
 
 import (
@@ -11,40 +11,39 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time is a moment on this machine. It means nothing on another one, or after a start of
-// the machine. The zero value stands for never, and comes before all others.
+// Time is a point in time on this box, valid until its next boot and meaningless on other boxes.
+// The zero value means never and is before all others.
 //
-// It is a type of its own so that it cannot be taken for a time.Time: the steady reading in
-// there stands still during a suspension, so that what was known before seems as young
-// after it as it was.
+// It is a separate type so that it cannot be confused with time.Time: the monotonic reading in
+// that stops during a system suspend, so that data would seem no older after it than before.
 type Time struct{ boot time.Duration }
 
-// moved is what tests have moved the clock by.
-var moved atomic.Int64
+// testOffset is the time in ns that Suspend has added to the clock.
+var testOffset atomic.Int64
 
-// began is the origin of the steady clock that stands in for a missing one.
-var began = time.Now()
+// start is the origin of the monotonic clock where CLOCK_BOOTTIME is not available.
+var start = time.Now()
 
-// Now returns the time by CLOCK_BOOTTIME. Where the kernel has none it is the steady clock,
-// which stands still during a suspension.
+// Now returns the time of CLOCK_BOOTTIME. Where the kernel has none it uses the monotonic clock,
+// which stops during a system suspend.
 func Now() Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return Time{time.Since(began) + 1 + time.Duration(moved.Load())}
+		return Time{time.Since(start) + 1 + time.Duration(testOffset.Load())}
 	}
-	return Time{time.Duration(ts.Nano() + moved.Load())}
+	return Time{time.Duration(ts.Nano() + testOffset.Load())}
 }
 
-// Since returns how long ago t was, suspensions included.
+// Since returns the time elapsed since t, system suspends included.
 func Since(t Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is until t.
+// Until returns the time remaining until t.
 func Until(t Time) time.Duration { return t.Sub(Now()) }
 
-// Add returns the time d later.
+// Add returns t + d.
 func (t Time) Add(d time.Duration) Time { return Time{t.boot + d} }
 
-// Sub returns how much later t is than u.
+// Sub returns t - u.
 func (t Time) Sub(u Time) time.Duration { return t.boot - u.boot }
 
 // After reports whether t is later than u.
@@ -53,9 +52,9 @@
 // Before reports whether t is earlier than u.
 func (t Time) Before(u Time) bool { return t.boot < u.boot }
 
-// IsZero reports whether t stands for never.
+// IsZero reports whether t is the zero value.
 func (t Time) IsZero() bool { return t == Time{} }
 
-// Suspend moves the clock on by d while the steady clock stays, as a suspension of the
-// machine does. It is for tests: nothing undoes it.
-func Suspend(d time.Duration) { moved.Add(int64(d)) }
+// Suspend advances the clock by d while the monotonic clock does not move, as a system suspend
+// does. It is for tests and cannot be undone.
+func Suspend(d time.Duration) { testOffset.Add(int64(d)) }
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -9,12 +9,12 @@
 	"embertally.dev/core/clock"
 )
 
-func TestASuspensionCounts(t *testing.T) {
+func TestSuspendAdvancesTheClock(t *testing.T) {
 	g := gomega.NewWithT(t)
-	before, steady := clock.Now(), time.Now()
+	before, monotonic := clock.Now(), time.Now()
 	clock.Suspend(time.Minute)
-	g.Expect(clock.Since(before)).To(gomega.BeNumerically("~", time.Minute+time.Since(steady), time.Second))
-	g.Expect(time.Since(steady)).To(gomega.BeNumerically("<", 30*time.Second))
+	g.Expect(clock.Since(before)).To(gomega.BeNumerically("~", time.Minute+time.Since(monotonic), time.Second))
+	g.Expect(time.Since(monotonic)).To(gomega.BeNumerically("<", 30*time.Second))
 }
 
 func TestTimesAreOrdered(t *testing.T) {
@@ -30,7 +30,7 @@
 	g.Expect(clock.Now().Before(now)).To(gomega.BeFalse())
 }
 
-// What a reading costs: 206 ns, a call of the kernel.
+// One call takes 206 ns, since it is a system call.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		clock.Now()
--- a/core/memkv/memkv.go
+++ b/core/memkv/memkv.go
@@ -1,5 +1,7 @@
-// Package memkv owns a key-value service in memory, for the tests of the
-// slices that use one. Faults are decided by the test for each commit.
+// Package memkv owns an in-memory coordination store for the tests of packages that use one. A
+// test can inject a fault into each commit.
+//
+// It must not know what the tests keep in it.
 package memkv
 
 import (
@@ -14,66 +16,66 @@
 	"embertally.dev/core/plat"
 )
 
-// Fate is what becomes of one commit.
+// Fate is the fault injected into a commit.
 type Fate int
 
-// The fates of commits.
+// The faults of commits.
 const (
-	// Answered is the ordinary fate.
+	// Answered means no fault.
 	Answered Fate = iota
-	// Lost takes effect, but its answer is lost.
+	// Lost applies the commit but loses the response.
 	Lost
-	// Dropped neither takes effect nor is answered.
+	// Dropped loses the request: the commit is not applied and gets no response.
 	Dropped
-	// Late takes effect only before the commit after next, unanswered.
+	// Late delays the commit: it gets no response and is applied just before the next one, if
+	// its compares hold then.
 	Late
 )
 
-// KV is a key-value service in memory. The zero value is empty and has no
-// faults.
+// KV is an in-memory coordination store. The zero value is empty and has no faults.
 type KV struct {
 	mu       sync.Mutex
 	revision int64
 	data     map[string]plat.Pair
-	history  []plat.Change
-	late     []plat.Txn
-	moved    chan struct{}
-	writes   int
-	down     bool
-	fate     func() Fate
-	// sessions holds the keys of each open session.
-	sessions map[int64][]string
-	opened   int64
-	// era is that of all revisions; it rises with each Restore.
-	era int64
-	// base is the revision after which history is whole.
-	base int64
+	history  []plat.Change // in order
+	delayed  []plat.Txn    // commits with the fault Late
+	changed  chan struct{} // closed at the next change; nil while no watch waits
+	writes   int           // commits that took effect
+	down     bool          // true while every call fails
+	fate     func() Fate   // chooses the fault of each commit; nil for none
+	// sessions holds the keys of each open session by its ID.
+	sessions    map[int64][]string
+	lastSession int64 // ID of the last session opened
+	// incarnation is the store incarnation, which Restore increments; all revisions are of it.
+	incarnation int64
+	// historyStart is the revision after which history is complete.
+	historyStart int64
 }
 
-// SetFate makes f decide about each commit.
+// SetFate makes f choose the fault of each commit.
 func (k *KV) SetFate(f func() Fate) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.fate = f
 }
 
-// SetDown makes every call fail, or ends that.
+// SetDown makes every call fail, until it is called with false.
 func (k *KV) SetDown(down bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.down = down
 }
 
-// Writes returns how many commits took effect.
+// Writes returns the number of commits that took effect.
 func (k *KV) Writes() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.writes
 }
 
-var errDown = errors.New("the service is down")
+var errDown = errors.New("store is down")
 
-// Read returns one key, or nil.
+// Read returns one key, or nil if it does not exist.
 func (k *KV) Read(ctx context.Context, key string) (*plat.Pair, error) {
 	pairs, _, err := k.Range(ctx, plat.Span{From: key, To: key + "\x00"})
 	if err != nil || len(pairs) == 0 {
@@ -82,7 +84,7 @@
 	return &pairs[0], nil
 }
 
-// Range returns the keys of span, ordered.
+// Range returns the keys of span, ordered by key, and the current revision.
 func (k *KV) Range(_ context.Context, span plat.Span) ([]plat.Pair, int64, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -99,20 +101,20 @@
 	return out, k.revision, nil
 }
 
-// in reports whether a span holds a key; an end of "\x00" holds all later keys.
+// in reports whether a span contains a key; a span To "\x00" contains all later keys.
 func in(s plat.Span, key string) bool { return key >= s.From && (key < s.To || s.To == "\x00") }
 
-// Commit carries out t as its fate wants.
+// Commit executes t with the fault that the function set by SetFate chooses.
 func (k *KV) Commit(_ context.Context, t plat.Txn) (plat.Outcome, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.down {
 		return plat.Outcome{}, plat.ErrUnknown
 	}
-	late := k.late
-	k.late = nil
-	for _, old := range late {
-		k.apply(old)
+	delayed := k.delayed
+	k.delayed = nil
+	for _, d := range delayed {
+		k.apply(d)
 	}
 	fate := Answered
 	if k.fate != nil {
@@ -122,11 +124,11 @@
 	case Dropped:
 		return plat.Outcome{}, plat.ErrUnknown
 	case Late:
-		k.late = append(k.late, t)
+		k.delayed = append(k.delayed, t)
 		return plat.Outcome{}, plat.ErrUnknown
 	}
 	for _, p := range t.Puts {
-		if _, open := k.sessions[p.Session.ID]; p.Session.ID != 0 && (!open || p.Session.Era != k.era) {
+		if _, open := k.sessions[p.Session.ID]; p.Session.ID != 0 && (!open || p.Session.Era != k.incarnation) {
 			return plat.Outcome{}, plat.ErrSessionOver
 		}
 	}
@@ -162,9 +164,9 @@
 	if t.DeleteRange != nil {
 		k.remove(*t.DeleteRange)
 	}
-	if k.moved != nil {
-		close(k.moved)
-		k.moved = nil
+	if k.changed != nil {
+		close(k.changed)
+		k.changed = nil
 	}
 	return plat.Outcome{Succeeded: true, Revision: k.revision}
 }
@@ -178,7 +180,7 @@
 	}
 }
 
-// Open begins a session, which lives until it is ended or expired.
+// Open starts a session, which lasts until End or Expire.
 func (k *KV) Open(context.Context, time.Duration) (plat.Session, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -188,25 +190,25 @@
 	if k.sessions == nil {
 		k.sessions = map[int64][]string{}
 	}
-	k.opened++
-	k.sessions[k.opened] = nil
-	return plat.Session{ID: k.opened, Era: k.era}, nil
+	k.lastSession++
+	k.sessions[k.lastSession] = nil
+	return plat.Session{ID: k.lastSession, Era: k.incarnation}, nil
 }
 
-// Renew fails where a session was ended or expired.
+// Renew fails if a session has ended. It does not extend a session: they expire by Expire only.
 func (k *KV) Renew(_ context.Context, session plat.Session) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.down {
 		return errDown
 	}
-	if _, open := k.sessions[session.ID]; !open || session.Era != k.era {
+	if _, open := k.sessions[session.ID]; !open || session.Era != k.incarnation {
 		return plat.ErrSessionOver
 	}
 	return nil
 }
 
-// End ends a session with its keys.
+// End ends a session and deletes its keys.
 func (k *KV) End(_ context.Context, session plat.Session) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -217,7 +219,7 @@
 	return nil
 }
 
-// Expire ends all sessions, as if nobody had renewed them.
+// Expire ends all sessions and deletes their keys, as if none had been renewed in time.
 func (k *KV) Expire() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -233,14 +235,14 @@
 	for _, key := range keys {
 		k.remove(plat.Span{From: key, To: key + "\x00"})
 	}
-	if k.moved != nil {
-		close(k.moved)
-		k.moved = nil
+	if k.changed != nil {
+		close(k.changed)
+		k.changed = nil
 	}
 }
 
-// Watch calls f with the changes of span from a revision on, until ctx ends or
-// the service goes down.
+// Watch calls f with the changes of span from a revision on, until ctx ends, f fails or the
+// store is down when it wakes up.
 func (k *KV) Watch(ctx context.Context, span plat.Span, from int64, f func([]plat.Change, int64) error) error {
 	for {
 		k.mu.Lock()
@@ -248,7 +250,7 @@
 			k.mu.Unlock()
 			return errDown
 		}
-		if plat.Era(from) != k.era || (k.base > 0 && from <= k.base) {
+		if plat.Era(from) != k.incarnation || (k.historyStart > 0 && from <= k.historyStart) {
 			k.mu.Unlock()
 			return plat.ErrCompacted
 		}
@@ -260,10 +262,10 @@
 		}
 		from = k.revision + 1
 		revision := k.revision
-		if k.moved == nil {
-			k.moved = make(chan struct{})
+		if k.changed == nil {
+			k.changed = make(chan struct{})
 		}
-		moved := k.moved
+		changed := k.changed
 		k.mu.Unlock()
 		if err := f(list, revision); err != nil {
 			return err
@@ -271,14 +273,15 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-moved:
+		case <-changed:
 		}
 	}
 }
 
-// Under returns the keys that begin with prefix, ordered.
+// Under returns the pairs whose keys begin with prefix, ordered by key; none while the store is
+// down.
 func (k *KV) Under(prefix string) []plat.Pair {
-	// A Range fails only while the service is down, and then holds nothing to be read.
+	// Range fails only while the store is down, and then returns nothing.
 	pairs, _, _ := k.Range(context.Background(), plat.Prefix(prefix))
 	return pairs
 }
--- a/core/memkv/restore.go
+++ b/core/memkv/restore.go
@@ -6,45 +6,46 @@
 	"embertally.dev/core/plat"
 )
 
-// Copy is a state of the service at one moment.
+// Copy is a snapshot of the store.
 type Copy struct {
-	number   int64
-	data     map[string]plat.Pair
-	sessions map[int64][]string
-	opened   int64
+	number      int64 // the store's own revision number
+	data        map[string]plat.Pair
+	sessions    map[int64][]string
+	lastSession int64
 }
 
-// Copy returns a copy of the service.
+// Copy returns a snapshot of the store.
 func (k *KV) Copy() *Copy {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return &Copy{plat.Number(k.revision), maps.Clone(k.data), maps.Clone(k.sessions), k.opened}
+	return &Copy{plat.Number(k.revision), maps.Clone(k.data), maps.Clone(k.sessions), k.lastSession}
 }
 
-// Restore makes the service come back from a copy, in the next era. Revisions and names of sessions
-// are given out again.
+// Restore sets the store to a snapshot, in the next store incarnation. Revision numbers and
+// session IDs from after the snapshot are assigned again. Watches that wait fail with
+// ErrCompacted.
 func (k *KV) Restore(c *Copy) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.era++
-	k.revision = plat.Revision(k.era, c.number)
-	k.base = k.revision
-	k.history, k.late, k.opened = nil, nil, c.opened
+	k.incarnation++
+	k.revision = plat.Revision(k.incarnation, c.number)
+	k.historyStart = k.revision
+	k.history, k.delayed, k.lastSession = nil, nil, c.lastSession
 	k.sessions = maps.Clone(c.sessions)
 	k.data = make(map[string]plat.Pair, len(c.data))
 	for key, p := range c.data {
-		p.ModRevision = plat.Revision(k.era, plat.Number(p.ModRevision))
+		p.ModRevision = plat.Revision(k.incarnation, plat.Number(p.ModRevision))
 		k.data[key] = p
 	}
-	if k.moved != nil {
-		close(k.moved)
-		k.moved = nil
+	if k.changed != nil {
+		close(k.changed)
+		k.changed = nil
 	}
 }
 
-// Era returns how often the service has come back from a copy.
+// Era returns the store incarnation, which is the number of calls of Restore.
 func (k *KV) Era() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.era
+	return k.incarnation
 }
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -27,7 +27,7 @@
 	// peer is the name of the box that the peer's certificate must contain.
 	peer    string
 	address string
-	// tls returns the configuration of TLS; nil for connections without TLS.
+	// tls returns the TLS configuration; nil for connections without TLS.
 	tls   func() *tls.Config
 	bytes atomic.Int64
 
@@ -141,10 +141,10 @@
 	return d, nil
 }
 
-const dialLimit = time.Second
+const dialTimeout = time.Second
 
 func (l *Link) dial(ctx context.Context) (*clientConn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	var nd net.Dialer
 	conn, err := nd.DialContext(ctx, "tcp", l.address)
@@ -230,7 +230,7 @@
 func (d *clientConn) write(frame []byte) (int, error) {
 	d.writeMu.Lock()
 	defer d.writeMu.Unlock()
-	d.conn.SetWriteDeadline(time.Now().Add(writeLimit))
+	d.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := d.conn.Write(frame)
 	if err != nil {
 		d.fail()
--- a/core/wire/mux.go
+++ b/core/wire/mux.go
@@ -60,7 +60,7 @@
 
 // Limits of the serving side.
 const (
-	handshakeLimit = 5 * time.Second
+	handshakeTimeout = 5 * time.Second
 	// maxRunning bounds the messages of one connection that are handled concurrently.
 	maxRunning = 512
 	// maxConns bounds the connections of all peers together.
@@ -176,7 +176,7 @@
 // readHello reads the peer's name from its first message and, with TLS, checks that its
 // certificate contains it.
 func (s *serverConn) readHello(ctx context.Context) error {
-	s.conn.SetDeadline(time.Now().Add(handshakeLimit))
+	s.conn.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer s.conn.SetDeadline(time.Time{})
 	var names []string
 	tc, secure := s.conn.(*tls.Conn)
@@ -213,9 +213,9 @@
 // errInternal is the response to a message whose handler panicked.
 var errInternal = errors.New("internal error: handler panicked")
 
-// handle calls h and converts a panic to an error. If the panic ended the process, the sender
-// would repeat its request to other daemons, which would crash in turn.
-func handle(ctx context.Context, h Handler, from string, e *envelope) (reply any, err error) {
+// callHandler calls h and converts a panic to an error. If the panic ended the process, the
+// sender would repeat its request to other daemons, which would crash in turn.
+func callHandler(ctx context.Context, h Handler, from string, e *envelope) (reply any, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			bugs.Report("message %s from %s: %v", e.Kind, from, reason)
@@ -230,7 +230,7 @@
 	reply := &envelope{ID: e.ID}
 	if h == nil {
 		reply.Err = "no handler for " + string(e.Kind)
-	} else if v, err := handle(ctx, h, s.from, e); err != nil {
+	} else if v, err := callHandler(ctx, h, s.from, e); err != nil {
 		reply.Err = err.Error()
 	} else if reply.Body, err = msgpack.Marshal(v); err != nil {
 		reply.Err = err.Error()
@@ -247,7 +247,7 @@
 	}
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
-	s.conn.SetWriteDeadline(time.Now().Add(writeLimit))
+	s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := s.conn.Write(frame)
 	s.mux.bytes.Add(int64(n))
 	if err != nil {
@@ -255,5 +255,5 @@
 	}
 }
 
-// writeLimit bounds the time to write one frame, since the peer may not read.
-const writeLimit = 10 * time.Second
+// writeTimeout bounds the time to write one frame, since the peer may not read.
+const writeTimeout = 10 * time.Second
--- a/core/wire/stop_test.go
+++ b/core/wire/stop_test.go
@@ -61,7 +61,7 @@
 		return len(m.conns)
 	}, "30s", "1ms").Should(gomega.Equal(1))
 	cancel()
-	// Reading the hello would take up to handshakeLimit if the late peer did not send one.
+	// Reading the hello would take up to handshakeTimeout if the late peer did not send one.
 	go func() {
 		frame, err := encode(&envelope{Kind: kindHello, Body: []byte{0xa1, 'p'}})
 		if err == nil {
