--- a/core/fleet/drain.go
+++ b/core/fleet/drain.go
@@ -13,30 +13,30 @@
 // ignored.
 const maxDrainOrders = 4096
 
-// SetMark applies an operator's drain order to a target and sends it to peers. leaving is false
-// to cancel the drain.
-func (f *Fleet) SetMark(target string, leaving bool) {
-	m := DrainOrder{Leaving: leaving, Stamp: time.Now().UnixNano()}
+// SetMark applies an operator's drain order to a target and sends it to peers. drain is false to
+// cancel the drain.
+func (f *Fleet) SetMark(target string, drain bool) {
+	order := DrainOrder{Drain: drain, Stamp: time.Now().UnixNano()}
 	f.fleetMu.Lock()
-	if old := f.drainOrders[target]; m.Stamp <= old.Stamp {
-		m.Stamp = old.Stamp + 1
+	if old := f.drainOrders[target]; order.Stamp <= old.Stamp {
+		order.Stamp = old.Stamp + 1
 	}
 	f.fleetMu.Unlock()
-	f.merge(map[string]DrainOrder{target: m})
+	f.merge(map[string]DrainOrder{target: order})
 	f.Kick()
 }
 
 // merge stores the orders that are newer than the recorded ones and reports whether there were
 // any.
-func (f *Fleet) merge(drainOrders map[string]DrainOrder) bool {
+func (f *Fleet) merge(orders map[string]DrainOrder) bool {
 	f.fleetMu.Lock()
 	var taken []string
-	for target, m := range drainOrders {
+	for target, order := range orders {
 		old, known := f.drainOrders[target]
-		if m.Stamp <= old.Stamp || (!known && len(f.drainOrders) >= maxDrainOrders) {
+		if order.Stamp <= old.Stamp || (!known && len(f.drainOrders) >= maxDrainOrders) {
 			continue
 		}
-		f.drainOrders[target] = m
+		f.drainOrders[target] = order
 		taken = append(taken, target)
 	}
 	f.fleetMu.Unlock()
@@ -46,7 +46,7 @@
 	f.rebuild()
 	for _, target := range taken {
 		code := event.TargetReturning
-		if drainOrders[target].Leaving {
+		if orders[target].Drain {
 			code = event.TargetLeaving
 		}
 		f.opts.Log.Emit(code, event.Ref{Target: target}, "")
@@ -70,12 +70,12 @@
 
 // Receive merges a peer's drain orders and forwards new ones to other peers.
 func (p *drainOrderPart) Receive(_ string, body []byte) {
-	var drainOrders map[string]DrainOrder
-	if msgpack.Unmarshal(body, &drainOrders) != nil {
+	var orders map[string]DrainOrder
+	if msgpack.Unmarshal(body, &orders) != nil {
 		return
 	}
 	f := (*Fleet)(p)
-	if f.merge(drainOrders) {
+	if f.merge(orders) {
 		f.Kick()
 	}
 }
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -82,8 +82,8 @@
 		{"list not read yet", View{}, &conf.Target{Box: "live"}, true},
 		{"no box", View{boxesLoaded: true}, &conf.Target{}, true},
 		{"drained by configuration", View{}, &conf.Target{Drain: true}, false},
-		{"drained by order", View{drainOrders: map[string]DrainOrder{"t": {Leaving: true}}}, &conf.Target{}, false},
-		{"drain order cancelled", View{drainOrders: map[string]DrainOrder{"t": {Leaving: false}}}, &conf.Target{}, true},
+		{"drained by order", View{drainOrders: map[string]DrainOrder{"t": {Drain: true}}}, &conf.Target{}, false},
+		{"drain order cancelled", View{drainOrders: map[string]DrainOrder{"t": {Drain: false}}}, &conf.Target{}, true},
 		{"not configured", View{}, nil, false},
 	}
 	for _, tc := range tests {
@@ -100,7 +100,7 @@
 		stamps := rapid.SliceOfNDistinct(rapid.Int64Range(1, 1000), 1, 10, rapid.ID).Draw(t, "stamps")
 		var newest DrainOrder
 		for _, s := range stamps {
-			m := DrainOrder{Leaving: s%2 == 0, Stamp: s}
+			m := DrainOrder{Drain: s%2 == 0, Stamp: s}
 			if s > newest.Stamp {
 				newest = m
 			}
--- a/core/fleet/place_test.go
+++ b/core/fleet/place_test.go
@@ -21,20 +21,20 @@
 		return v
 	}
 	const key = 7
-	fleetPlaces, cellPlaces := map[int]bool{}, map[int]map[int]bool{0: {}, 1: {}}
+	fleetRanks, cellRanks := map[int]bool{}, map[int]map[int]bool{0: {}, 1: {}}
 	for i, n := range names {
-		place, of := view(n, true).Place(key, false)
-		g.Expect(of).To(gomega.Equal(5), "peers without a heartbeat count")
-		fleetPlaces[place] = true
-		place, of = view(n, true).Place(key, true)
-		g.Expect(of).To(gomega.Equal(3 - i%2))
-		cellPlaces[i%2][place] = true
-		place, of = view(n, false).Place(key, false)
-		g.Expect([]int{place, of}).To(gomega.Equal([]int{0, 0}), "the box list was not read yet")
+		rank, count := view(n, true).Place(key, false)
+		g.Expect(count).To(gomega.Equal(5), "peers without a heartbeat count")
+		fleetRanks[rank] = true
+		rank, count = view(n, true).Place(key, true)
+		g.Expect(count).To(gomega.Equal(3 - i%2))
+		cellRanks[i%2][rank] = true
+		rank, count = view(n, false).Place(key, false)
+		g.Expect([]int{rank, count}).To(gomega.Equal([]int{0, 0}), "the box list was not read yet")
 	}
-	g.Expect(fleetPlaces).To(gomega.HaveLen(5), "all agree on the order")
-	g.Expect(cellPlaces[0]).To(gomega.HaveLen(3))
-	g.Expect(cellPlaces[1]).To(gomega.HaveLen(2))
+	g.Expect(fleetRanks).To(gomega.HaveLen(5), "all agree on the order")
+	g.Expect(cellRanks[0]).To(gomega.HaveLen(3))
+	g.Expect(cellRanks[1]).To(gomega.HaveLen(2))
 }
 
 func TestCellCacheFollowsThePlan(t *testing.T) {
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -167,22 +167,22 @@
 // whole fleet, and the number of these daemons. Peers that have not sent a heartbeat are
 // included, so that a daemon that is cut off does not consider itself the first. Until the box
 // list was read, both results are 0.
-func (v *View) Place(key uint64, cell bool) (place, of int) {
+func (v *View) Place(key uint64, cell bool) (rank, count int) {
 	if !v.boxesLoaded {
 		return 0, 0
 	}
 	own := score(key, v.self)
-	of = 1
+	count = 1
 	for _, p := range v.peers {
 		if cell && p.Cell != v.cell {
 			continue
 		}
-		of++
+		count++
 		if s := score(key, p.Name); s > own || (s == own && p.Name < v.self) {
-			place++
+			rank++
 		}
 	}
-	return place, of
+	return rank, count
 }
 
 // Ranked returns the first n of the daemons that Place ranks, without this one.
@@ -280,7 +280,7 @@
 // Usable reports whether a target may get new requests, by its configuration, the drain orders
 // and the box list.
 func (v *View) Usable(name string, t *conf.Target) bool {
-	if t == nil || t.Drain || v.drainOrders[name].Leaving {
+	if t == nil || t.Drain || v.drainOrders[name].Drain {
 		return false
 	}
 	if t.Box == "" || !v.boxesLoaded {
@@ -338,8 +338,8 @@
 // DrainOrder is an operator's order that a target gets no new requests, or gets them again.
 // Daemons pass it on in heartbeats, without the coordination store.
 type DrainOrder struct {
-	// Leaving is true to drain the target, false to cancel the drain.
-	Leaving bool `msgpack:"l" json:"leaving"`
+	// Drain is true to drain the target, false to cancel the drain.
+	Drain bool `msgpack:"l" json:"leaving"`
 	// Stamp orders the orders for one target, in ns since the Unix epoch; the highest applies.
 	Stamp int64 `msgpack:"s" json:"stamp"`
 }
--- a/core/wire/frame.go
+++ b/core/wire/frame.go
@@ -73,7 +73,7 @@
 	}
 	var e envelope
 	if err := msgpack.Unmarshal(body, &e); err != nil {
-		return nil, 0, errors.Wrap(err, "decode frame")
+		return nil, 0, errors.Wrap(err, "frame")
 	}
 	return &e, headerSize + size, nil
 }
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -155,7 +155,7 @@
 		tc := tls.Client(conn, l.tls())
 		if err := tc.HandshakeContext(ctx); err != nil {
 			conn.Close()
-			return nil, errors.Wrap(err, "TLS handshake")
+			return nil, errors.Wrap(err, "handshake")
 		}
 		if !slices.Contains(certNames(tc), l.peer) {
 			conn.Close()
--- a/core/wire/mux.go
+++ b/core/wire/mux.go
@@ -25,7 +25,7 @@
 	return func(ctx context.Context, from string, body []byte) (any, error) {
 		var req Req
 		if err := msgpack.Unmarshal(body, &req); err != nil {
-			return nil, errors.Wrap(err, "decode message")
+			return nil, errors.Wrap(err, "message")
 		}
 		return f(ctx, from, &req)
 	}
@@ -182,7 +182,7 @@
 	tc, secure := s.conn.(*tls.Conn)
 	if secure {
 		if err := tc.HandshakeContext(ctx); err != nil {
-			return errors.Wrap(err, "TLS handshake")
+			return errors.Wrap(err, "handshake")
 		}
 		names = certNames(tc)
 	}
