--- a/core/fleet/call.go
+++ b/core/fleet/call.go
@@ -10,7 +10,8 @@
 	"embertally.dev/core/wire"
 )
 
-// link returns the link to a peer, and replaces it if the peer's address has changed.
+// link returns the link to a peer. It creates one if there is none or the peer's address has
+// changed.
 func (f *Fleet) link(p Peer) *wire.Link {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -44,7 +44,8 @@
 	Suspect time.Duration
 	// BoxPause is the interval between reads of the box list.
 	BoxPause time.Duration
-	Boxes    BoxLister
+	// Boxes reads the box list; if nil, peers are those of Seeds and of received heartbeats.
+	Boxes BoxLister
 	// TLS returns the client-side configuration; nil for connections without TLS.
 	TLS func() *tls.Config
 	Log *event.Log
@@ -69,7 +70,7 @@
 	peerStates map[string]*peerState
 	// links holds the links to peers by name. Guarded by fleetMu.
 	links       map[string]*wire.Link
-	boxes       map[string]plat.Box   // guarded by fleetMu
+	boxes       map[string]plat.Box   // the box list, by name; guarded by fleetMu
 	boxesLoaded bool                  // true once the box list was read; guarded by fleetMu
 	cells       cellCache             // guarded by fleetMu
 	drainOrders map[string]DrainOrder // by target; guarded by fleetMu
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -150,17 +150,17 @@
 func TestFleetFindsLosesAndDrainsDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ms := start(t, 4)
-	duty := func(i int) func() []string { return func() []string { return ms[i].View().OnDuty() } }
+	eligible := func(i int) func() []string { return func() []string { return ms[i].View().OnDuty() } }
 	for i := range ms {
-		g.Eventually(duty(i), "20s", "20ms").Should(gomega.HaveLen(4))
+		g.Eventually(eligible(i), "20s", "20ms").Should(gomega.HaveLen(4))
 	}
 	ms[3].stop()
 	for i := range 3 {
-		g.Eventually(duty(i), "20s", "20ms").Should(gomega.Equal(names(3)))
+		g.Eventually(eligible(i), "20s", "20ms").Should(gomega.Equal(names(3)))
 	}
 	ms[2].Drain()
 	for i := range 3 {
-		g.Eventually(duty(i), "20s", "20ms").Should(gomega.Equal(names(2)))
+		g.Eventually(eligible(i), "20s", "20ms").Should(gomega.Equal(names(2)))
 	}
 }
 
--- a/core/fleet/heartbeat.go
+++ b/core/fleet/heartbeat.go
@@ -47,6 +47,7 @@
 	Domain  string
 }
 
+// heartbeatPart is the body of one Part, by the name it was attached with.
 type heartbeatPart struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
@@ -59,7 +60,7 @@
 	lastHeartbeat clock.Time
 	incarnation   string
 	draining      bool
-	alive         bool
+	alive         bool // false once it was silent for longer than Options.Suspect
 	// address and domain are the peer's, from its last full heartbeat; empty if that carried
 	// none.
 	address string
@@ -73,8 +74,8 @@
 	sinceFull int
 }
 
-// batchDelay is how long Kick waits, so that changes made together go out in one heartbeat. It
-// is short because with regular heartbeats alone load reports are 75 ms old on average, and
+// batchDelay is the delay of heartbeats after Kick, so that changes made together go out in one.
+// It is short because with regular heartbeats alone load reports are 75 ms old on average, and
 // daemons that choose on loads of that age all pick the same worker.
 const batchDelay = 5 * time.Millisecond
 
@@ -176,13 +177,13 @@
 // sendHeartbeats sends a heartbeat to each peer of this daemon's cell, full or with changes
 // only.
 func (f *Fleet) sendHeartbeats(ctx context.Context) {
-	var part, full *heartbeat
+	var partial, full *heartbeat
 	view := f.View()
 	for _, p := range view.peers {
 		if p.Cell != view.cell || p.Address == "" {
 			continue
 		}
-		msg := &part
+		msg := &partial
 		wantsFull, taken := f.wantsFull(p)
 		if wantsFull {
 			msg = &full
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -227,7 +227,7 @@
 func (v *View) WeighedCell(key uint64) int {
 	best, highest := 0, math.Inf(-1)
 	for c, size := range v.sizes() {
-		uniform := (float64(score(key, v.label(c))>>drawShift) + 1) / (drawSteps + 1)
+		uniform := (float64(score(key, v.label(c))>>uniformShift) + 1) / (uniformSteps + 1)
 		if weighted := -float64(size) / math.Log(uniform); weighted > highest {
 			best, highest = c, weighted
 		}
@@ -246,8 +246,8 @@
 // The upper 52 bits of a hash are mapped to a number above 0 and below 1; with 52 bits each
 // result is exact in a float64.
 const (
-	drawShift = 12
-	drawSteps = 1 << 52
+	uniformShift = 12
+	uniformSteps = 1 << 52
 )
 
 // sizes returns the number of daemons of each cell.
--- a/core/plat/incarnation.go
+++ b/core/plat/incarnation.go
@@ -7,8 +7,9 @@
 	"embertally.dev/core/event"
 )
 
-// noteIncarnation records that a snapshot of a store incarnation is about to be applied, and
-// reports a new incarnation. It is called with cacheMu held.
+// noteIncarnation is called before a snapshot is applied. For the first snapshot of a store
+// incarnation it records the time, calls Entered and, unless it is the very first, logs that the
+// store was restored. It is called with cacheMu held.
 func (m *Mirror) noteIncarnation(revision int64) {
 	if m.revision > 0 && Era(revision) == Era(m.revision) {
 		return
--- a/core/plat/kv.go
+++ b/core/plat/kv.go
@@ -63,7 +63,8 @@
 	DeleteRange *Span
 }
 
-// Span is the half-open range of keys [From, To).
+// Span is the half-open range of keys [From, To). As in etcd, a To of "\x00" means no upper
+// bound.
 type Span struct{ From, To string }
 
 // Prefix returns the span of all keys that begin with p.
--- a/core/plat/outline.go
+++ b/core/plat/outline.go
@@ -80,7 +80,8 @@
 	return outline, false, nil
 }
 
-// seed puts the keys of the outline into the cache, which is not yet of any revision by that.
+// seed fills the cache with the keys of the outline until there is a snapshot. It sets no
+// revision, since the keys need not be of the same one.
 func (m *Mirror) seed(outline []Pair) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
--- a/core/wire/wire_test.go
+++ b/core/wire/wire_test.go
@@ -43,7 +43,7 @@
 	m.Register("echo", Handle(func(_ context.Context, from string, h *hello) (*hello, error) {
 		switch h.Text {
 		case "fail":
-			return nil, errors.New("as asked")
+			return nil, errors.New("as requested")
 		case "nothing":
 			return nil, nil
 		}
