--- a/core/plat/restore_test.go
+++ b/core/plat/restore_test.go
@@ -24,7 +24,7 @@
 			r := plat.Revision(incarnation, number)
 			g.Expect(plat.Era(r)).To(gomega.Equal(incarnation))
 			g.Expect(plat.Number(r)).To(gomega.Equal(number))
-			g.Expect(int64(float64(r))).To(gomega.Equal(r), "fencing tokens are sent as numbers")
+			g.Expect(int64(float64(r))).To(gomega.Equal(r), "fencing numbers must be exact in a float64")
 		}
 	}
 	g.Expect(plat.Number(-1)).To(gomega.Equal(int64(-1)))
--- a/core/plat/revision.go
+++ b/core/plat/revision.go
@@ -10,7 +10,7 @@
 	// incarnationShift is the number of bits of a revision that hold the store's own number.
 	incarnationShift = 40
 	// EraMost is the highest store incarnation that a revision can hold. Revisions serve as
-	// fencing tokens, which are sent as numbers that must be exact in a float64.
+	// fencing numbers, which are sent as numbers that must be exact in a float64.
 	EraMost = 1<<(53-incarnationShift) - 1
 )
 
--- a/core/plat/watchcache_test.go
+++ b/core/plat/watchcache_test.go
@@ -88,13 +88,13 @@
 	g.Eventually(m.value("a/2"), "10s", "5ms").Should(gomega.Equal("y"))
 }
 
-// forgetful is a store whose first watch fails because the history was compacted.
-type forgetful struct {
+// compactedOnce is a store whose first watch fails because the history was compacted.
+type compactedOnce struct {
 	*memkv.KV
 	once sync.Once
 }
 
-func (f *forgetful) Watch(ctx context.Context, span plat.Span, from int64, h func([]plat.Change, int64) error) error {
+func (f *compactedOnce) Watch(ctx context.Context, span plat.Span, from int64, h func([]plat.Change, int64) error) error {
 	var err error
 	f.once.Do(func() {
 		_, e := f.Commit(ctx, plat.Txn{Deletes: []string{"a/1"}, Puts: []plat.Put{{Key: "a/2", Value: []byte("y")}}})
@@ -111,7 +111,7 @@
 
 func TestMirrorReadsAllAfterCompaction(t *testing.T) {
 	g := gomega.NewWithT(t)
-	kv := &forgetful{KV: &memkv.KV{}}
+	kv := &compactedOnce{KV: &memkv.KV{}}
 	put(t, kv.KV, "a/1", "x")
 	m := watch(kv)
 	m.start(t)
@@ -130,25 +130,25 @@
 	peer.start(t)
 	g.Eventually(peer.value("a/1"), "10s", "5ms").Should(gomega.Equal("x"))
 
-	cut := watch(kv) // never started: the store does not answer it
+	follower := watch(kv) // never started: the store does not answer it
 	all, revision := peer.All("", nil)
 	now := clock.Now()
-	cut.TakeAll(all, revision, "", "", now)
-	g.Expect(cut.value("a/1")()).To(gomega.Equal("x"))
-	g.Expect(cut.Fresh()).To(gomega.Equal(now))
-	g.Expect(cut.Contact().IsZero()).To(gomega.BeTrue())
+	follower.TakeAll(all, revision, "", "", now)
+	g.Expect(follower.value("a/1")()).To(gomega.Equal("x"))
+	g.Expect(follower.Fresh()).To(gomega.Equal(now))
+	g.Expect(follower.Contact().IsZero()).To(gomega.BeTrue())
 
 	put(t, kv, "a/1", "y")
 	g.Eventually(peer.value("a/1"), "10s", "5ms").Should(gomega.Equal("y"))
-	changes, revision, whole := peer.Since(cut.Revision())
+	changes, revision, whole := peer.Since(follower.Revision())
 	g.Expect(whole).To(gomega.BeTrue())
-	cut.Take(changes, revision, now)
-	cut.Take(changes, revision, now)
-	g.Expect(cut.received).To(gomega.HaveLen(2))
+	follower.Take(changes, revision, now)
+	follower.Take(changes, revision, now)
+	g.Expect(follower.received).To(gomega.HaveLen(2))
 
 	// An older snapshot changes nothing.
-	cut.TakeAll(all, all[0].ModRevision, "", "", now)
-	g.Expect(cut.value("a/1")()).To(gomega.Equal("y"))
+	follower.TakeAll(all, all[0].ModRevision, "", "", now)
+	g.Expect(follower.value("a/1")()).To(gomega.Equal("y"))
 	_, _, whole = peer.Since(-1)
 	g.Expect(whole).To(gomega.BeFalse())
 }
