--- a/core/fleet/boxes.go
+++ b/core/fleet/boxes.go
@@ -70,16 +70,16 @@
 
 func (r boxReader) logChanges(old, next map[string]plat.Box) {
 	for name, b := range next {
-		was, known := old[name]
+		before, listed := old[name]
 		switch {
-		case !known:
+		case !listed:
 			r.opts.Log.Emit(event.BoxAppeared, event.Ref{Target: name}, string(b.State))
-		case b.State == plat.BoxLeaving && was.State != plat.BoxLeaving:
+		case b.State == plat.BoxLeaving && before.State != plat.BoxLeaving:
 			r.opts.Log.Emit(event.BoxLeaving, event.Ref{Target: name}, "")
 		}
 	}
 	for name := range old {
-		if _, known := next[name]; !known {
+		if _, listed := next[name]; !listed {
 			r.opts.Log.Emit(event.BoxGone, event.Ref{Target: name}, "")
 		}
 	}
--- a/core/fleet/cells.go
+++ b/core/fleet/cells.go
@@ -112,8 +112,8 @@
 
 // of returns the cell of a daemon, which must be in the same domain at each call.
 func (c *cellCache) of(name, domain string) int {
-	cell, known := c.byName[name]
-	if !known {
+	cell, cached := c.byName[name]
+	if !cached {
 		cell = c.plan.of(name, domain)
 		c.byName[name] = cell
 	}
--- a/core/fleet/drain.go
+++ b/core/fleet/drain.go
@@ -32,8 +32,8 @@
 	f.fleetMu.Lock()
 	var taken []string
 	for target, order := range orders {
-		old, known := f.drainOrders[target]
-		if order.Stamp <= old.Stamp || (!known && len(f.drainOrders) >= maxDrainOrders) {
+		old, recorded := f.drainOrders[target]
+		if order.Stamp <= old.Stamp || (!recorded && len(f.drainOrders) >= maxDrainOrders) {
 			continue
 		}
 		f.drainOrders[target] = order
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -69,16 +69,16 @@
 }
 
 func TestUsable(t *testing.T) {
-	known := map[string]plat.Box{"live": {State: plat.BoxLive}, "leaving": {State: plat.BoxLeaving}}
+	boxes := map[string]plat.Box{"live": {State: plat.BoxLive}, "leaving": {State: plat.BoxLeaving}}
 	tests := []struct {
 		name   string
 		view   View
 		target *conf.Target
 		want   bool
 	}{
-		{"listed live", View{boxes: known, boxesLoaded: true}, &conf.Target{Box: "live"}, true},
-		{"listed leaving", View{boxes: known, boxesLoaded: true}, &conf.Target{Box: "leaving"}, false},
-		{"not listed", View{boxes: known, boxesLoaded: true}, &conf.Target{Box: "gone"}, false},
+		{"listed live", View{boxes: boxes, boxesLoaded: true}, &conf.Target{Box: "live"}, true},
+		{"listed leaving", View{boxes: boxes, boxesLoaded: true}, &conf.Target{Box: "leaving"}, false},
+		{"not listed", View{boxes: boxes, boxesLoaded: true}, &conf.Target{Box: "gone"}, false},
 		{"list not read yet", View{}, &conf.Target{Box: "live"}, true},
 		{"no box", View{boxesLoaded: true}, &conf.Target{}, true},
 		{"drained by configuration", View{}, &conf.Target{Drain: true}, false},
--- a/core/memkv/memkv.go
+++ b/core/memkv/memkv.go
@@ -42,7 +42,7 @@
 	changed  chan struct{} // closed at the next change; nil while no watch waits
 	writes   int           // commits that took effect
 	down     bool          // true while every call fails
-	fate     func() Fate   // chooses the fault of each commit; nil for none
+	fault    func() Fate   // chooses the fault of each commit; nil for none
 	// sessions holds the keys of each open session by its ID.
 	sessions    map[int64][]string
 	lastSession int64 // ID of the last session opened
@@ -56,7 +56,7 @@
 func (k *KV) SetFate(f func() Fate) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.fate = f
+	k.fault = f
 }
 
 // SetDown makes every call fail, until it is called with false.
@@ -116,11 +116,11 @@
 	for _, d := range delayed {
 		k.apply(d)
 	}
-	fate := Answered
-	if k.fate != nil {
-		fate = k.fate()
+	fault := Answered
+	if k.fault != nil {
+		fault = k.fault()
 	}
-	switch fate {
+	switch fault {
 	case Dropped:
 		return plat.Outcome{}, plat.ErrUnknown
 	case Late:
@@ -133,7 +133,7 @@
 		}
 	}
 	out := k.apply(t)
-	if fate == Lost {
+	if fault == Lost {
 		return plat.Outcome{}, plat.ErrUnknown
 	}
 	return out, nil
--- a/core/wire/mux.go
+++ b/core/wire/mux.go
@@ -136,8 +136,8 @@
 type serverConn struct {
 	mux   *Mux
 	conn  net.Conn
-	from  string
-	slots chan struct{}
+	from  string        // the peer's name, set by readHello
+	slots chan struct{} // has one element for each message that is being handled
 
 	writeMu sync.Mutex // held while a frame is written
 }
@@ -171,6 +171,7 @@
 	}
 }
 
+// readBuffer is the size in bytes of the buffer that frames are read through.
 const readBuffer = 8 << 10
 
 // readHello reads the peer's name from its first message and, with TLS, checks that its
--- a/core/wire/stop_test.go
+++ b/core/wire/stop_test.go
@@ -12,18 +12,18 @@
 // lateListener returns one connection at once, and another one when the first was closed.
 type lateListener struct {
 	net.Listener
-	first, late net.Conn
-	closed      <-chan struct{}
-	once, again sync.Once
+	first, late         net.Conn
+	closed              <-chan struct{}
+	firstOnce, lateOnce sync.Once
 }
 
 func (l *lateListener) Accept() (net.Conn, error) {
 	var out net.Conn
-	l.once.Do(func() { out = l.first })
+	l.firstOnce.Do(func() { out = l.first })
 	if out != nil {
 		return out, nil
 	}
-	l.again.Do(func() {
+	l.lateOnce.Do(func() {
 		<-l.closed
 		out = l.late
 	})
