--- /dev/null
+++ b/core/fleet/heartbeat.go
@@ -0,0 +1,293 @@
+package fleet
+
+import (
+	"context"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"embertally.dev/core/clock"
+	"embertally.dev/core/event"
+	"embertally.dev/core/wire"
+)
+
+// Part supplies one component's share of the heartbeats. If it has a method Told, that is called
+// after each round of heartbeats.
+type Part interface {
+	// Collect returns the body for one heartbeat, or nil for none. With full it covers the whole
+	// state, otherwise only what changed.
+	Collect(full bool) any
+	// Receive handles the body from a peer's heartbeat.
+	Receive(peer string, body []byte)
+}
+
+type namedPart struct {
+	name string
+	part Part
+}
+
+const kindHeartbeat wire.Kind = "fleet.beat"
+
+// heartbeat is the message that daemons of a cell send each other at intervals.
+type heartbeat struct {
+	//lint:ignore U1000 read by the codec: frames are arrays
+	_msgpack    struct{} `msgpack:",as_array"`
+	Incarnation string
+	Draining    bool
+	// Full means that the parts carry the whole state, not only what changed.
+	Full bool
+	// Taken acknowledges a full heartbeat: the incarnation of the receiver that the sender last
+	// received one from. Until the receiver sees its own incarnation here, it keeps sending full
+	// ones.
+	Taken string
+	Parts []heartbeatPart
+	// Address and Domain are the sender's peer address and failure domain; set in full
+	// heartbeats only.
+	Address string
+	Domain  string
+}
+
+// heartbeatPart is the body of one Part, by the name it was attached with.
+type heartbeatPart struct {
+	//lint:ignore U1000 read by the codec: frames are arrays
+	_msgpack struct{} `msgpack:",as_array"`
+	Name     string
+	Body     msgpack.RawMessage
+}
+
+// peerState is what a peer's heartbeats reported.
+type peerState struct {
+	lastHeartbeat clock.Time
+	incarnation   string
+	draining      bool
+	alive         bool // false once it was silent for longer than Options.Suspect
+	// address and domain are the peer's, from its last full heartbeat; empty if that carried
+	// none.
+	address string
+	domain  string
+	// fullIncarnation is the incarnation of the peer that sent its last full heartbeat.
+	fullIncarnation string
+	// ackedIncarnation is the incarnation of this daemon that the peer acknowledges a full
+	// heartbeat from.
+	ackedIncarnation string
+	// sinceFull counts the heartbeats sent to the peer since the last full one.
+	sinceFull int
+}
+
+// batchDelay is the delay of heartbeats after Kick, so that changes made together go out in one.
+// It is short because with regular heartbeats alone load reports are 75 ms old on average, and
+// daemons that choose on loads of that age all pick the same worker.
+const batchDelay = 5 * time.Millisecond
+
+// loop sends heartbeats and detects lost peers until ctx ends.
+func (f *Fleet) loop(ctx context.Context) {
+	last := clock.Now()
+	t := time.NewTimer(f.opts.Heartbeat)
+	defer t.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-t.C:
+		case <-f.trigger:
+			time.Sleep(batchDelay)
+		}
+		t.Reset(f.interval())
+		if gap := clock.Since(last); gap > f.opts.Suspect {
+			f.resumed(gap)
+		}
+		last = clock.Now()
+		f.detectLost(last)
+		f.sendHeartbeats(ctx)
+	}
+}
+
+// Heartbeat rates of large fleets.
+const (
+	// From largeFleetCells cells on, heartbeats without changes are sent largeFleetFactor times
+	// less often. Changes are sent at once.
+	largeFleetCells  = 3
+	largeFleetFactor = 2
+	// minHeartbeats is how many heartbeats are sent at least within Options.Suspect, and
+	// minHeartbeatsDomains the same where cells lie within failure domains: in fleets of that
+	// size, most of a daemon's wakeups are due to heartbeats.
+	minHeartbeats        = 4
+	minHeartbeatsDomains = 3
+)
+
+// interval returns the longest time between two heartbeats.
+func (f *Fleet) interval() time.Duration {
+	view := f.View()
+	switch {
+	case view.cells < largeFleetCells:
+		return f.opts.Heartbeat
+	case view.plan != nil && len(view.plan.domains) > 0:
+		return max(f.opts.Heartbeat, f.opts.Suspect/minHeartbeatsDomains)
+	}
+	return max(f.opts.Heartbeat, min(largeFleetFactor*f.opts.Heartbeat, f.opts.Suspect/minHeartbeats))
+}
+
+// resumed restarts the silence of all live peers, since their heartbeats could not arrive while
+// this process was stopped, and calls the OnWake functions.
+func (f *Fleet) resumed(gap time.Duration) {
+	f.fleetMu.Lock()
+	now := clock.Now()
+	for _, h := range f.peerStates {
+		if h.alive {
+			h.lastHeartbeat = now
+		}
+	}
+	f.fleetMu.Unlock()
+	for _, g := range f.onResume {
+		g(gap)
+	}
+}
+
+// forgetAfter is how long the state of a silent peer is kept.
+const forgetAfter = 10 * time.Minute
+
+// detectLost marks peers as lost that were silent for longer than Options.Suspect.
+func (f *Fleet) detectLost(now clock.Time) {
+	f.fleetMu.Lock()
+	var lost []string
+	for name, h := range f.peerStates {
+		if h.alive && now.Sub(h.lastHeartbeat) > f.opts.Suspect {
+			h.alive = false
+			lost = append(lost, name)
+		}
+		if !h.alive && now.Sub(h.lastHeartbeat) > forgetAfter {
+			delete(f.peerStates, name)
+		}
+	}
+	f.fleetMu.Unlock()
+	for _, name := range lost {
+		f.opts.Log.Emit(event.PeerDown, event.Ref{}, name)
+	}
+	if len(lost) > 0 {
+		f.rebuild()
+	}
+}
+
+// fullEvery is the number of heartbeats to a peer from one full one to the next.
+const fullEvery = 20
+
+// sendTimeout bounds the sending of one heartbeat.
+const sendTimeout = 500 * time.Millisecond
+
+// sendHeartbeats sends a heartbeat to each peer of this daemon's cell, full or with changes
+// only.
+func (f *Fleet) sendHeartbeats(ctx context.Context) {
+	var partial, full *heartbeat
+	view := f.View()
+	for _, p := range view.peers {
+		if p.Cell != view.cell || p.Address == "" {
+			continue
+		}
+		msg := &partial
+		wantsFull, taken := f.wantsFull(p)
+		if wantsFull {
+			msg = &full
+		}
+		if *msg == nil {
+			*msg = f.collect(wantsFull)
+		}
+		own := **msg
+		own.Taken = taken
+		go sender{f, p, &own}.run(ctx)
+	}
+	for _, p := range f.parts {
+		if t, ok := p.part.(interface{ Told() }); ok {
+			t.Told()
+		}
+	}
+}
+
+// wantsFull reports whether the peer's next heartbeat is a full one, and which incarnation of
+// the peer sent the last full one received.
+func (f *Fleet) wantsFull(p Peer) (full bool, taken string) {
+	f.fleetMu.Lock()
+	defer f.fleetMu.Unlock()
+	h := f.peerStates[p.Name]
+	if h == nil {
+		return true, ""
+	}
+	h.sinceFull++
+	if h.ackedIncarnation == f.opts.Incarnation && h.sinceFull < fullEvery {
+		return false, h.fullIncarnation
+	}
+	h.sinceFull = 0
+	return true, h.fullIncarnation
+}
+
+// collect assembles a heartbeat from all parts. A part that cannot be encoded is left out.
+func (f *Fleet) collect(full bool) *heartbeat {
+	f.fleetMu.Lock()
+	b := &heartbeat{Incarnation: f.opts.Incarnation, Draining: f.draining, Full: full}
+	if full {
+		b.Address, b.Domain = f.opts.Address, f.opts.Domain
+	}
+	f.fleetMu.Unlock()
+	for _, p := range f.parts {
+		v := p.part.Collect(full)
+		if v == nil {
+			continue
+		}
+		raw, err := msgpack.Marshal(v)
+		if err == nil {
+			b.Parts = append(b.Parts, heartbeatPart{Name: p.name, Body: raw})
+		}
+	}
+	return b
+}
+
+// sender sends one heartbeat to one peer.
+type sender struct {
+	f    *Fleet
+	peer Peer
+	msg  *heartbeat
+}
+
+func (s sender) run(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
+	defer cancel()
+	// The next heartbeat makes up for one that is lost.
+	_ = s.f.link(s.peer).Notify(ctx, kindHeartbeat, s.msg)
+}
+
+// receive handles a peer's heartbeat.
+func (f *Fleet) receive(_ context.Context, from string, b *heartbeat) (struct{}, error) {
+	if f.record(from, b) {
+		f.opts.Log.Emit(event.PeerUp, event.Ref{}, from)
+		f.rebuild()
+	}
+	for _, bp := range b.Parts {
+		for _, p := range f.parts {
+			if p.name == bp.Name {
+				p.part.Receive(from, bp.Body)
+			}
+		}
+	}
+	return struct{}{}, nil
+}
+
+// record stores a heartbeat's content and reports whether the view changes by it.
+func (f *Fleet) record(from string, b *heartbeat) bool {
+	f.fleetMu.Lock()
+	defer f.fleetMu.Unlock()
+	now := clock.Now()
+	f.lastContact = now
+	h := f.peerStates[from]
+	if h == nil {
+		h = &peerState{}
+		f.peerStates[from] = h
+	}
+	changed := !h.alive || h.incarnation != b.Incarnation || h.draining != b.Draining
+	h.lastHeartbeat, h.alive = now, true
+	h.incarnation, h.draining, h.ackedIncarnation = b.Incarnation, b.Draining, b.Taken
+	if b.Full {
+		h.fullIncarnation = b.Incarnation
+		changed = changed || h.address != b.Address
+		h.address, h.domain = b.Address, b.Domain
+	}
+	return changed
+}
--- /dev/null
+++ b/core/plat/incarnation.go
@@ -0,0 +1,38 @@
+package plat
+
+import (
+	"strconv"
+
+	"embertally.dev/core/clock"
+	"embertally.dev/core/event"
+)
+
+// noteIncarnation is called before a snapshot is applied. For the first snapshot of a store
+// incarnation it records the time, calls Entered and, unless it is the very first, logs that the
+// store was restored. It is called with cacheMu held.
+func (m *Mirror) noteIncarnation(revision int64) {
+	if m.revision > 0 && Era(revision) == Era(m.revision) {
+		return
+	}
+	m.incarnationSince = clock.Now()
+	if m.Entered != nil {
+		m.Entered()
+	}
+	if m.revision > 0 {
+		text := "store incarnation " + strconv.FormatInt(Era(revision), 10) + ", revision " + strconv.FormatInt(Number(revision), 10) +
+			"; cached was " + strconv.FormatInt(Number(m.revision), 10) + " of store incarnation " + strconv.FormatInt(Era(m.revision), 10)
+		m.log.Emit(event.ServiceRestored, event.Ref{}, text)
+	}
+}
+
+// Era returns the store incarnation that the cache is of; 0 where the store has none, or before
+// the first snapshot.
+func (m *Mirror) Era() int64 { return Era(m.Revision()) }
+
+// EraSince returns when the first snapshot of the current store incarnation was applied; zero
+// before the first snapshot.
+func (m *Mirror) EraSince() clock.Time {
+	m.cacheMu.Lock()
+	defer m.cacheMu.Unlock()
+	return m.incarnationSince
+}
