--- a/core/cache/follow.go
+++ b/core/cache/follow.go
@@ -10,7 +10,7 @@
 	"embertally.dev/core/event"
 )
 
-// Run is a sequence of blocks of one chain in a cache event, each the parent of the next.
+// BlockRun is a sequence of blocks of one chain in a cache event, each the parent of the next.
 type BlockRun struct {
 	// Parent is the short hash of the block before the first of Blocks; zero at the start of
 	// a chain.
@@ -18,7 +18,7 @@
 	Blocks Packed `json:"blocks"`
 }
 
-// Note is one cache event of a worker.
+// CacheEvent is one cache event of a worker.
 type CacheEvent struct {
 	// Seq increases by one with each event; a larger step means that events were lost.
 	Seq     uint64    `json:"seq"`
--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -13,20 +13,20 @@
 	Blocks int
 }
 
-// Keeping is the number of first blocks of a chain that a store holds.
+// StoreBlocks is the number of first blocks of a chain that a store holds.
 type StoreBlocks struct {
 	Store  string
 	Blocks int
 }
 
-// Position is what an Index has recorded about one context.
+// ContextState is what an Index has recorded about one context.
 type ContextState struct {
-	// Known is set if the context is in the index.
+	// Recorded is set if the context is in the index.
 	Recorded bool
-	// Holdings and Keepings list the workers and stores that hold blocks of the chain.
+	// Workers and Stores list the workers and stores that hold blocks of the chain.
 	Workers []WorkerBlocks
 	Stores  []StoreBlocks
-	// Looked is set if the stores have been queried for the context.
+	// StoresQueried is set if the stores have been queried for the context.
 	StoresQueried bool
 }
 
@@ -156,7 +156,7 @@
 	}
 }
 
-// Held records that a worker holds the first n blocks of chain.
+// SetWorkerBlocks records that a worker holds the first n blocks of chain.
 func (x *Index) SetWorkerBlocks(root uint64, chain []uint64, worker string, n int, now time.Time) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
@@ -175,7 +175,7 @@
 	return append(list, WorkerBlocks{worker, n})
 }
 
-// Kept records that a store holds the first n blocks of chain; n may be zero.
+// SetStoreBlocks records that a store holds the first n blocks of chain; n may be zero.
 func (x *Index) SetStoreBlocks(root uint64, chain []uint64, store string, n int, now time.Time) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
@@ -198,7 +198,7 @@
 	x.touch(root, chain, now).storesQueried = true
 }
 
-// Mark refers to one block: by the context Root, the block's short hash, and its position in
+// BlockRef refers to one block: by the context Root, the block's short hash, and its position in
 // the chain, counted from one.
 type BlockRef struct {
 	Root  uint64 `msgpack:"r"`
@@ -222,7 +222,7 @@
 	return m.Depth - 1
 }
 
-// Lose records that a worker no longer holds the given blocks, nor those after them.
+// RemoveWorkerBlocks records that a worker no longer holds the given blocks, nor those after them.
 func (x *Index) RemoveWorkerBlocks(worker string, blocks []BlockRef) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
@@ -239,7 +239,7 @@
 	}
 }
 
-// Resync replaces everything recorded about a worker by the chains whose last blocks are
+// ReplaceWorkerBlocks replaces everything recorded about a worker by the chains whose last blocks are
 // tips.
 func (x *Index) ReplaceWorkerBlocks(worker string, tips []BlockRef) {
 	x.ForgetWorker(worker)
--- a/core/cache/segments.go
+++ b/core/cache/segments.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Part is one segment of a prompt, in prompt order. Requests may share their leading
+// Segment is one segment of a prompt, in prompt order. Requests may share their leading
 // segments.
 type Segment struct {
 	ID     string
 	Tokens int
 }
 
-// PartSalt forms the cache salt under which segments are stored. Segments of other weights,
+// SegmentSalt forms the cache salt under which segments are stored. Segments of other weights,
 // and those of an isolated organisation, have a different salt.
 type SegmentSalt struct {
 	Model   string
@@ -39,17 +39,17 @@
 	return model, version, err == nil && found
 }
 
-// PartName identifies a cached segment.
+// SegmentName identifies a cached segment.
 type SegmentName struct{ Salt, ID string }
 
-// PartChange is one change of the segments that a store holds.
+// SegmentChange is one change of the segments that a store holds.
 type SegmentChange struct {
 	SegmentName
 	// Tokens is the number of tokens held now; 0 if the segment was removed.
 	Tokens int
 }
 
-// PartEvents is a list of changes that a store reported.
+// SegmentEvents is a list of changes that a store reported.
 type SegmentEvents struct {
 	// Epoch changes when the store restarts.
 	Epoch int64
@@ -64,7 +64,7 @@
 	Age time.Duration
 }
 
-// Watcher is a client of the KV-cache stores.
+// StoreClient is a client of the KV-cache stores.
 type StoreClient interface {
 	// Events returns the changes after since and waits up to wait for the first.
 	Events(ctx context.Context, address string, since int64, wait time.Duration) (SegmentEvents, error)
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -14,8 +14,8 @@
 	"embertally.dev/core/event"
 )
 
-// Kept tracks which prompt segments the KV-cache stores hold, from their events. The zero
-// value is not usable; see NewKept.
+// StoreIndexes tracks which prompt segments the KV-cache stores hold, from their events. The zero
+// value is not usable; see NewStoreIndexes.
 //
 // Lock order: indexesMu is never held together with another lock of this package.
 type StoreIndexes struct {
@@ -26,7 +26,7 @@
 	indexes   map[string]*storeIndex // by address; guarded by indexesMu
 }
 
-// NewKept returns a Kept that follows no stores until Set is called.
+// NewStoreIndexes returns StoreIndexes that follow no stores until Set is called.
 func NewStoreIndexes(watcher StoreClient, log *event.Log) *StoreIndexes {
 	return &StoreIndexes{watcher: watcher, log: log, indexes: map[string]*storeIndex{}}
 }
@@ -65,10 +65,10 @@
 // store.
 const maxFill = 0.985
 
-// CopyLimit returns the maximum duration of a transfer that is decided now.
+// TransferTimeout returns the maximum duration of a transfer that is decided now.
 func TransferTimeout() time.Duration { return transferTimeout }
 
-// Told returns the changes that a store reported after since, or its whole contents if all
+// EventsSince returns the changes that a store reported after since, or its whole contents if all
 // is set, for a peer that does not query the store itself. It returns false if this daemon's
 // view of the store is not current.
 func (s *StoreIndexes) EventsSince(address string, since int64, all bool, now clock.Time) (SegmentEvents, bool) {
@@ -81,7 +81,7 @@
 	return ix.eventsSince(since, all, now), true
 }
 
-// News returns a channel that is closed when the store next reports or stops answering, or
+// Changed returns a channel that is closed when the store next reports or stops answering, or
 // nil if the store is not followed.
 func (s *StoreIndexes) Changed(address string) <-chan struct{} {
 	s.indexesMu.Lock()
@@ -102,7 +102,7 @@
 	return now.Sub(clock.Time{})
 }
 
-// Watchers returns how many daemons may follow a store at a time, or 0 if that is not
+// MaxWatchers returns how many daemons may follow a store at a time, or 0 if that is not
 // configured.
 func (s *StoreIndexes) MaxWatchers(address string) int {
 	s.indexesMu.Lock()
@@ -113,7 +113,7 @@
 	return 0
 }
 
-// Place is a store that holds a segment.
+// StoredSegment is a store that holds a segment.
 type StoredSegment struct {
 	Address string
 	// Tokens is the number of tokens held.
@@ -124,7 +124,7 @@
 	info *StoreInfo
 }
 
-// Time returns the expected duration of the transfer to a failure domain, from the
+// TransferTime returns the expected duration of the transfer to a failure domain, from the
 // configured speed of the store's link.
 func (p StoredSegment) TransferTime(domain string) time.Duration {
 	return p.info.transferTime(p.Tokens, domain)
@@ -146,7 +146,7 @@
 	return out
 }
 
-// Room returns the address of the store that should hold a segment, or "" if a store holds
+// ChooseStore returns the address of the store that should hold a segment, or "" if a store holds
 // it already or none has free capacity. It considers only stores in failure domains that
 // allowed accepts. Daemons with the same view choose the same store.
 func (s *StoreIndexes) ChooseStore(name SegmentName, tokens int, allowed func(domain string) bool, now clock.Time) string {
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -13,7 +13,7 @@
 	"embertally.dev/core/event"
 )
 
-// fakeStore is a Watcher that returns the events and contents that a test sets.
+// fakeStore is a StoreClient that returns the events and contents that a test sets.
 type fakeStore struct {
 	mu       sync.Mutex
 	epoch    int64
@@ -83,7 +83,7 @@
 	return SegmentChange{SegmentName: SegmentName{Salt: "v1/m/", ID: id}, Tokens: tokens}
 }
 
-// newFollowing returns a Kept that follows stores with the given capacities, at the
+// newFollowing returns StoreIndexes that follow stores with the given capacities, at the
 // addresses "a", "b" and so on.
 func newFollowing(t *testing.T, s *fakeStore, capacities ...int) *StoreIndexes {
 	k := NewStoreIndexes(s, &event.Log{})
--- a/core/cache/sweep.go
+++ b/core/cache/sweep.go
@@ -25,8 +25,8 @@
 // themselves.
 //
 // A segment may be freed only when no transfer of it can still be used. Daemons copy
-// segments only while their view of the desired weights is at most CopyFresh old, and
-// engines discard transfers that take longer than CopyLimit; the sweeper waits for both.
+// segments only while their view of the desired weights is at most MaxDesiredAge old, and
+// engines discard transfers that take longer than TransferTimeout; the sweeper waits for both.
 type Sweeper struct{ o SweepOptions }
 
 // NewSweeper returns a sweeper.
@@ -36,7 +36,7 @@
 	// sweepInterval is the time between sweeps.
 	sweepInterval = 250 * time.Millisecond
 	// sweepDelay is the time from newer weights becoming desired until segments of the older
-	// ones are freed: CopyFresh for daemons that have not yet received the change,
+	// ones are freed: MaxDesiredAge for daemons that have not yet received the change,
 	// transferTimeout for their last transfers, and a margin for network delay.
 	sweepDelay = MaxDesiredAge + transferTimeout + 800*time.Millisecond
 	// sweepRankDelay is the extra delay per rank of the daemons that free segments of one
@@ -48,7 +48,7 @@
 	sweepTimeout = time.Second
 )
 
-// CopyFresh is the age of a daemon's view of the desired weights up to which it copies
+// MaxDesiredAge is the age of a daemon's view of the desired weights up to which it copies
 // segments from stores.
 const MaxDesiredAge = 2200 * time.Millisecond
 
--- a/core/cache/workercaches.go
+++ b/core/cache/workercaches.go
@@ -8,17 +8,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Where estimates what the workers' KV caches hold, from the requests that this daemon and
+// WorkerCaches estimates what the workers' KV caches hold, from the requests that this daemon and
 // its peers sent. It assumes that a worker keeps what it read until newer requests evict it,
 // least recently used first. It does not query the workers: they report changes late, and
 // following all of them costs more than it gains. The zero value is ready.
 //
 // Lock order: cachesMu is never held together with another lock of this package.
 type WorkerCaches struct {
-	// Room returns the capacity of a worker's KV cache in tokens, or 0 if unknown. It is
+	// Capacity returns the capacity of a worker's KV cache in tokens, or 0 if unknown. It is
 	// called with cachesMu held. Set before use; nil means that all are unknown.
 	Capacity func(target string) int
-	// ReadLife is how long after its last use a segment counts as recently read, and how
+	// ReadWindow is how long after its last use a segment counts as recently read, and how
 	// long a worker without requests is remembered; 0 stands for defaultReadWindow. Set
 	// before use.
 	ReadWindow time.Duration
@@ -45,13 +45,13 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Target   string
 	Salt     string
-	// Parts are the segments that other requests share, in prompt order.
+	// Segments are the segments that other requests share, in prompt order.
 	Segments []UsedSegment
-	// Rest is the number of further tokens, which no other request shares.
+	// Unshared is the number of further tokens, which no other request shares.
 	Unshared int
 }
 
-// UsedPart is one segment of a Use.
+// UsedSegment is one segment of a Use.
 type UsedSegment struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
@@ -60,7 +60,7 @@
 }
 
 const (
-	// defaultReadWindow is the value of Where.ReadLife if none is set.
+	// defaultReadWindow is the value of WorkerCaches.ReadWindow if none is set.
 	defaultReadWindow = 20 * time.Second
 	// staleCheckInterval is the time between removals of stale entries.
 	staleCheckInterval = 5 * time.Second
@@ -68,7 +68,7 @@
 	maxUnsent = 200
 )
 
-// Note records that a request is sent to a worker.
+// RecordUse records that a request is sent to a worker.
 func (w *WorkerCaches) RecordUse(u Use, now time.Time) {
 	w.cachesMu.Lock()
 	defer w.cachesMu.Unlock()
--- a/core/cache/workercaches_test.go
+++ b/core/cache/workercaches_test.go
@@ -30,7 +30,7 @@
 	return out
 }
 
-// capacity returns a Where.Room with the same capacity for all workers.
+// capacity returns a WorkerCaches.Capacity with the same capacity for all workers.
 func capacity(tokens int) func(string) int { return func(string) int { return tokens } }
 
 func TestUsesAreSentOnce(t *testing.T) {
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -27,7 +27,7 @@
 	"embertally.dev/core/wire"
 )
 
-// Options configures a Home.
+// Options configures an Owner.
 type Options struct {
 	// Domain is this daemon's failure domain.
 	Domain    string
@@ -37,14 +37,14 @@
 	Log       *event.Log
 	// Client reaches engines and stores.
 	Client *http.Client
-	// LoadPause is the interval at which a worker's load is read.
+	// LoadInterval is the interval at which a worker's load is read.
 	LoadInterval time.Duration
-	// Ended, if set, is called with the name of a worker incarnation when a report shows
+	// IncarnationReplaced, if set, is called with the name of a worker incarnation when a report shows
 	// that another one has replaced it. It must not block.
 	IncarnationReplaced func(incarnation string)
 }
 
-// Home does the assigned work of one daemon.
+// Owner does the assigned work of one daemon.
 type Owner struct {
 	o           Options
 	index       cache.Index
@@ -60,7 +60,7 @@
 	configured    sync.Once
 	configuredAt  time.Time
 	cachedTargets atomic.Pointer[cellTargets]
-	warm          atomic.Bool // set once Warm has returned true
+	warm          atomic.Bool // set once WarmedUp has returned true
 	stats         Stats
 	// storeMu guards downUntil.
 	storeMu   sync.Mutex
@@ -79,7 +79,7 @@
 // maxExports bounds the export queue.
 const maxExports = 256
 
-// New returns a Home and registers its messages with the fleet.
+// New returns an Owner and registers its messages with the fleet.
 func New(o Options) *Owner {
 	h := &Owner{o: o, loads: loads{onReplaced: o.IncarnationReplaced}, exports: make(chan export, maxExports), downUntil: map[string]time.Time{}}
 	h.assignments.home = h
@@ -181,7 +181,7 @@
 // notifyTimeout bounds a notification to another daemon.
 const notifyTimeout = 2 * time.Second
 
-// Finish reports the outcome of a request to the context owner.
+// ReportOutcome reports the outcome of a request to the context owner.
 func (h *Owner) ReportOutcome(view *fleet.View, owner string, d *Outcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
@@ -284,7 +284,7 @@
 	return out, blockBytes
 }
 
-// Weights returns the name of loaded weights as used in load reports: "model@version", with
+// WeightsName returns the name of loaded weights as used in load reports: "model@version", with
 // "+adapter" if there is one.
 func WeightsName(s cache.Salt) string {
 	name := s.Model + "@" + s.WeightVersion
@@ -403,7 +403,7 @@
 // workers.
 const warmupLimit = 5 * time.Second
 
-// Warm reports whether the load of enough workers is known to place requests: every usable
+// WarmedUp reports whether the load of enough workers is known to place requests: every usable
 // worker has reported, or warmupLimit has passed.
 func (h *Owner) WarmedUp() bool {
 	if h.warm.Load() {
@@ -438,7 +438,7 @@
 	Loading bool
 }
 
-// Worker returns the state of a worker, or false if there is no recent report.
+// WorkerStatus returns the state of a worker, or false if there is no recent report.
 func (h *Owner) WorkerStatus(name string) (WorkerStatus, bool) {
 	l, ok := h.loads.load(name, 0, time.Now())
 	return WorkerStatus{l.tokensAhead, l.Running, l.Free, l.Total, l.Holds, l.Loading}, ok
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -18,12 +18,12 @@
 	kindLinkRelease wire.Kind = "home.linkDone"
 )
 
-// Ask is a request for a worker, sent to the context owner.
+// PlacementRequest is a request for a worker, sent to the context owner.
 type PlacementRequest struct {
 	Request    string     `msgpack:"i"`
 	Deployment string     `msgpack:"d"`
 	Salt       cache.Salt `msgpack:"s"`
-	// Roots is the number of first blocks that identify the context.
+	// RootBlocks is the number of first blocks that identify the context.
 	RootBlocks int          `msgpack:"r"`
 	Chain      []cache.Hash `msgpack:"c"`
 	// Tokens is the length of the prompt.
@@ -47,29 +47,29 @@
 	return cache.Root(req.seed(), req.Chain, req.RootBlocks)
 }
 
-// Answer is the decision where a request goes, with its reasons.
+// PlacementResult is the decision where a request goes, with its reasons.
 type PlacementResult struct {
 	Verdict    route.Verdict  `msgpack:"v"`
 	Worker     string         `msgpack:"w"`
 	Expected   time.Duration  `msgpack:"e"`
 	RetryAfter time.Duration  `msgpack:"r,omitempty"`
 	Options    []route.Option `msgpack:"o,omitempty"`
-	// Held is how many first blocks of the prompt the worker was recorded as holding.
+	// HeldBlocks is how many first blocks of the prompt the worker was recorded as holding.
 	HeldBlocks int `msgpack:"h"`
-	// Imported is the number of blocks read from a store for the request, and LinkBytes the
+	// ImportedBlocks is the number of blocks read from a store for the request, and LinkBytes the
 	// bytes moved for that.
 	ImportedBlocks int   `msgpack:"m"`
 	LinkBytes      int64 `msgpack:"b,omitempty"`
-	// Home is the daemon that decided.
+	// Owner is the daemon that decided.
 	Owner string `msgpack:"n"`
 	// Boot identifies the incarnation of the worker, if the owner has it.
 	Boot string `msgpack:"z,omitempty"`
 }
 
-// Run returns the name of the chosen worker's incarnation.
+// Incarnation returns the name of the chosen worker's incarnation.
 func (ans *PlacementResult) Incarnation() string { return incarnationName(ans.Worker, ans.Boot) }
 
-// RunOf returns the name of a worker's incarnation, or "" if this daemon has no report of
+// Incarnation returns the name of a worker's incarnation, or "" if this daemon has no report of
 // it.
 func (h *Owner) Incarnation(worker string) string {
 	boot := h.loads.boot(worker)
@@ -83,7 +83,7 @@
 // the same worker name.
 func incarnationName(worker, boot string) string { return worker + "@" + boot }
 
-// Done reports the outcome of a request to the context owner.
+// Outcome reports the outcome of a request to the context owner.
 type Outcome struct {
 	Request    string       `msgpack:"i"`
 	Salt       cache.Salt   `msgpack:"s"`
--- a/core/learn/links.go
+++ b/core/learn/links.go
@@ -85,7 +85,7 @@
 
 // LinkState is the estimated state of a link.
 type LinkState struct {
-	// Slow is the estimated time of a copy divided by the configured one.
+	// Slowdown is the estimated time of a copy divided by the configured one.
 	Slowdown float64
 	// Wait is how long a new copy waits for the copies before it.
 	Wait time.Duration
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -74,10 +74,10 @@
 
 // TargetState is the estimated state of a target.
 type TargetState struct {
-	// Pace is the target's speed factor: its time to the first answer divided by that
+	// Slowdown is the target's speed factor: its time to the first answer divided by that
 	// expected of its service. Above 1 the target is slower.
 	Slowdown float64
-	// Faults is the share of the target's answers that are failures, 0 to 1.
+	// FailureShare is the share of the target's answers that are failures, 0 to 1.
 	FailureShare float64
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-// Timed records a target's time to the first answer, divided by that expected of its
+// ObserveTime records a target's time to the first answer, divided by that expected of its
 // service. A ratio that is not positive and finite is ignored.
 func (t *Targets) ObserveTime(id, service string, ratio float64, now time.Time) {
 	if !(ratio > 0) || !finite(ratio) {
@@ -110,7 +110,7 @@
 	t.observe(id, targetReport{Service: service, Times: 1, LogSlowdown: float32(logRatio)}, now)
 }
 
-// Answered records the outcome of an attempt at a target: good is false for failures.
+// ObserveAnswer records the outcome of an attempt at a target: good is false for failures.
 func (t *Targets) ObserveAnswer(id, service string, good bool, now time.Time) {
 	r := targetReport{Service: service, Answers: 1}
 	if !good {
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -14,17 +14,17 @@
 // event of a prompt's answer, or the whole answer of a plain call. The zero value is a
 // request without prompt tokens at an idle target.
 type Factors struct {
-	// Own is the number of prompt tokens of the request that are prefilled.
+	// OwnTokens is the number of prompt tokens of the request that are prefilled.
 	OwnTokens int
-	// Before is the number of tokens of other requests that are prefilled first.
+	// QueuedTokens is the number of tokens of other requests that are prefilled first.
 	QueuedTokens int
-	// Beside is the number of requests that run at the target, divided by the number
+	// Utilisation is the number of requests that run at the target, divided by the number
 	// that it runs concurrently; at most 1.
 	Utilisation float64
-	// Waiting is the number of requests that are queued at the target, divided by the
+	// QueuedPerSlot is the number of requests that are queued at the target, divided by the
 	// number that it runs concurrently.
 	QueuedPerSlot float64
-	// Crowd is the probability that the target's memory is full when the request's turn
+	// MemoryPressure is the probability that the target's memory is full when the request's turn
 	// comes, 0 to 1; above 1 the requests there do not fit.
 	MemoryPressure float64
 }
@@ -49,18 +49,18 @@
 type Prior struct {
 	// Fixed is the time at an idle target without the prefill.
 	Fixed time.Duration
-	// Own and Before are the times to prefill a thousand tokens of the request and of
-	// the requests before it.
+	// PerThousandOwn and PerThousandQueued are the times to prefill a thousand tokens of the
+	// request and of the requests before it.
 	PerThousandOwn, PerThousandQueued time.Duration
-	// Beside is the time added if the target runs as many requests as it can, and
-	// Waiting the time added for each multiple of that number in its queue.
+	// Utilisation is the time added if the target runs as many requests as it can, and
+	// QueuedPerSlot the time added for each multiple of that number in its queue.
 	Utilisation, QueuedPerSlot time.Duration
-	// Crowd is the time that a request waits for memory if it is full.
+	// MemoryPressure is the time that a request waits for memory if it is full.
 	MemoryPressure time.Duration
-	// Spread is the standard deviation of the logarithm of observed over expected
+	// LogStdDev is the standard deviation of the logarithm of observed over expected
 	// times.
 	LogStdDev float64
-	// Weight is the number of observations that the prior counts for.
+	// Observations is the number of observations that the prior counts for.
 	Observations float64
 }
 
@@ -100,8 +100,8 @@
 	return max(seconds(sum), minTime)
 }
 
-// Parts returns the two components of the expected time: that before the request's turn,
-// by Before, Waiting and Crowd, and that from its turn to the first answer.
+// Components returns the two components of the expected time: that before the request's turn,
+// by QueuedTokens, QueuedPerSlot and MemoryPressure, and that from its turn to the first answer.
 func (e *Estimate) Components(f Factors) (queueing, service time.Duration) {
 	service = e.Time(Factors{OwnTokens: f.OwnTokens, Utilisation: f.Utilisation})
 	return e.Time(f) - service, service
@@ -374,7 +374,7 @@
 	return out
 }
 
-// priorRatios is the number of ratios that the prior's Spread counts for.
+// priorRatios is the number of ratios that the prior's LogStdDev counts for.
 const priorRatios = 12
 
 // Rejected returns the number of observations that were out of range.
@@ -384,7 +384,7 @@
 	return t.rejected
 }
 
-// Patience returns the wait budget of an attempt: how long to wait for its answer before
+// WaitBudget returns the wait budget of an attempt: how long to wait for its answer before
 // the request is sent to another target. It is the shortest wait after which an answer of
 // the other target within limit is more probable, by more than margin, than one of this
 // target is then; limit if there is none. expected and next are the expected times to the
--- a/core/relay/dialect.go
+++ b/core/relay/dialect.go
@@ -8,82 +8,82 @@
 	"embertally.dev/core/roster"
 )
 
-// Ask is the metadata of a caller's request.
+// RequestMeta is the metadata of a caller's request.
 type RequestMeta struct {
-	// ID identifies the caller's attempt; every answer repeats it.
+	// AttemptID identifies the caller's attempt; every answer repeats it.
 	AttemptID string
-	// Deadline is how long the caller waits, from the arrival of the request; 0 if not given.
+	// Timeout is how long the caller waits, from the arrival of the request; 0 if not given.
 	Timeout time.Duration
-	// Key is the caller's API key, or "".
+	// APIKey is the caller's API key, or "".
 	APIKey string
 	// Model is the requested model, or "".
 	Model string
-	// Prompt is the length of the prompt in tokens.
+	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens int
-	// Parts are the segments of the prompt, in order.
+	// Segments are the segments of the prompt, in order.
 	Segments []cache.Segment
-	// After is the ID of the last event that the caller received of a broken stream, or "".
+	// LastEventID is the ID of the last event that the caller received of a broken stream, or "".
 	LastEventID string
 }
 
-// Sending is the metadata that is sent to a target with a request.
+// AttemptMeta is the metadata that is sent to a target with a request.
 type AttemptMeta struct {
-	// Deadline is the remaining time.
+	// Timeout is the remaining time.
 	Timeout time.Duration
 	// Target is the ID of the target incarnation that must answer.
 	Target string
 	// Organisation is the caller's organisation, or "".
 	Organisation string
-	// Salt is the cache salt of the segments, or "".
+	// CacheSalt is the cache salt of the segments, or "".
 	CacheSalt string
-	// Weights is the version of the weights that the target must have; 0 for any.
+	// WeightVersion is the version of the weights that the target must have; 0 for any.
 	WeightVersion int64
 	// Priority is the request's priority; 0 is the most urgent.
 	Priority int
-	// Copy holds, for each segment, the address of the KV-cache store or worker to copy it from, or
+	// CopyFrom holds, for each segment, the address of the KV-cache store or worker to copy it from, or
 	// "".
 	CopyFrom []string
-	// CopyUntil is the time on the targets' clock after which copies must be discarded; 0 for
+	// CopyDeadline is the time on the targets' clock after which copies must be discarded; 0 for
 	// never.
 	CopyDeadline time.Duration
-	// Keep holds, for each segment, the address of the KV-cache store to write it to, or "".
+	// StoreTo holds, for each segment, the address of the KV-cache store to write it to, or "".
 	StoreTo []string
-	// After is the ID of the last event that the caller has received, or "".
+	// LastEventID is the ID of the last event that the caller has received, or "".
 	LastEventID string
 }
 
-// Reply is the metadata in the header of a target's answer.
+// ResponseMeta is the metadata in the header of a target's answer.
 type ResponseMeta struct {
-	// ID identifies the caller's attempt that is answered.
+	// AttemptID identifies the caller's attempt that is answered.
 	AttemptID string
-	// Sealed is set if the target signed the answer.
+	// Signed is set if the target signed the answer.
 	Signed bool
-	// NotRun is set if the target did not execute the request and never will.
+	// NotExecuted is set if the target did not execute the request and never will.
 	NotExecuted bool
 	// Target is the name of the target that answered, or "" if not given.
 	Target string
-	// Weights is the version of the weights; 0 if not given.
+	// WeightVersion is the version of the weights; 0 if not given.
 	WeightVersion int64
 	// Encoded is set if the body is not encoded as the target made it.
 	Encoded bool
-	// Leaves is set if the target reports that it is shutting down.
+	// ShuttingDown is set if the target reports that it is shutting down.
 	ShuttingDown bool
-	// Rest is the pushback that a refusal asks for, or 0; Odd is its value if it cannot be parsed,
-	// or "".
+	// Pushback is the pushback that comes with a rejection, or 0; BadPushback is its value if that
+	// cannot be parsed, or "".
 	Pushback    time.Duration
 	BadPushback string
-	// Limit is the rate limit that the target names, for all daemons together.
+	// RateLimit is the rate limit that the target names, for all daemons together.
 	RateLimit roster.RateLimit
 }
 
 // Dialect reads and writes the headers used with callers and targets.
 type Dialect interface {
-	// Ask parses a caller's headers.
+	// ParseRequest parses a caller's headers.
 	ParseRequest(h http.Header) (RequestMeta, error)
-	// Sending removes the headers reserved for the daemon from h, and writes s.
+	// WriteAttempt removes the headers reserved for the daemon from h, and writes s.
 	WriteAttempt(h http.Header, s *AttemptMeta)
-	// Reply parses the header of a target's answer.
+	// ParseResponse parses the header of a target's answer.
 	ParseResponse(status int, h http.Header) ResponseMeta
-	// Refusal writes the ID of the caller's attempt and the Retry-After.
+	// WriteRefusal writes the ID of the caller's attempt and the Retry-After.
 	WriteRefusal(h http.Header, id string, after time.Duration)
 }
--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -149,7 +149,7 @@
 const maxSkippedNoted = 4
 
 // count counts a target that is unavailable to this daemon. duration is what is known of how long
-// that lasts; see roster.Gate.Stop.
+// that lasts; see roster.Availability.Reason.
 func (u *unavailability) count(id string, reason roster.UnavailabilityReason, duration time.Duration) {
 	if (reason == roster.ShuttingDown || reason == roster.UnderPushback || reason == roster.RateLimited) && len(u.skipped) < maxSkippedNoted {
 		u.skipped = append(u.skipped, id+" "+reason.String())
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -27,7 +27,7 @@
 	kindPlacementUpdate wire.Kind = "relay.placed"
 )
 
-// Homes queries the owners of contexts in other cells, and decides as an owner for this daemon's
+// ContextOwners queries the owners of contexts in other cells, and decides as an owner for this daemon's
 // own cell.
 //
 // In a large fleet each cell uses a share of the workers and knows which contexts these have
@@ -76,7 +76,7 @@
 	expiryInterval = time.Second
 )
 
-// NewHomes makes a relay query the owners of contexts. It must be called before the fleet runs and
+// NewContextOwners makes a relay query the owners of contexts. It must be called before the fleet runs and
 // the relay serves.
 func NewContextOwners(rl *Relay, f *fleet.Fleet) *ContextOwners {
 	h := &ContextOwners{
@@ -140,7 +140,7 @@
 	// The factors of the expected time; see learn.Factors.
 	PrefillTokens, QueuedTokens           int
 	Occupancy, QueueRatio, MemoryPressure float64
-	// The candidate's state and what is expected of it; see route.Candidate and route.Judgement.
+	// The candidate's state and what is expected of it; see route.Candidate and route.Evaluation.
 	CachedTokens, CopiedTokens, Running, HeldTokens int
 	Expected, Baseline                              time.Duration
 	OnTimeChance, ServedChance, Gain, Utility       float64
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -30,21 +30,22 @@
 	Dialect Dialect
 	Roster  *roster.Roster
 	Pool    *target.Pool
-	// Kept is the index of the segments in KV-cache stores, Where that of those cached by workers.
+	// StoreIndex is the index of the segments in KV-cache stores, WorkerCaches that of the segments
+	// cached by workers.
 	StoreIndex   *cache.StoreIndexes
 	WorkerCaches *cache.WorkerCaches
 	// Links is the learned speed and load of the links of stores and workers.
 	Links *learn.Links
 	// Retention is the learned chance that a segment is still in a worker's KV cache.
 	Retention *learn.Retention
-	// Times and Targets are statistics of the targets' answers. Engines and Calls are the priors of
-	// the time to a first answer, for model workers and for plain calls.
+	// FirstAnswerTimes and TargetStats are statistics of the targets' responses. EnginePrior and
+	// CallPrior are the priors of the time to a first answer, for model workers and for plain calls.
 	FirstAnswerTimes       *learn.Times
 	TargetStats            *learn.Targets
 	EnginePrior, CallPrior learn.Prior
-	// Prices is the cost model: the utility of answers and the cost of serving them.
+	// Costs is the cost model: the utility of answers and the cost of serving them.
 	Costs route.CostModel
-	// Without disables single mechanisms.
+	// Disabled disables single mechanisms.
 	Disabled Disabled
 	Log      *event.Log
 	Stats    *Stats
@@ -52,56 +53,56 @@
 	Poison *poison.Guard
 	// Canary restricts requests to the versions that a rollout allows. Nil restricts none.
 	Canary *canary.Guard
-	// Placement is the policy that chooses workers. The zero value means route.Returning.
+	// Placement is the policy that chooses workers. The zero value means route.LowestCost.
 	Placement route.Placement
 	// Domain is the failure domain of this daemon.
 	Domain string
 	// Regions maps each failure domain to its region. It must not be changed.
 	Regions map[string]string
-	// Named returns the desired version of a model's weights.
+	// DesiredWeights returns the desired version of a model's weights.
 	DesiredWeights func(model string) int64
-	// Outdated reports whether a version of the weights was superseded so long ago that no request
+	// WeightsOutdated reports whether a version of the weights was superseded so long ago that no request
 	// may start on it.
 	WeightsOutdated func(model string, version int64) bool
-	// Age returns the age of this daemon's view of the coordination store.
+	// ViewAge returns the age of this daemon's view of the coordination store.
 	ViewAge func() time.Duration
 	// StoreDown reports whether the coordination store is known to be unreachable. Nil means never.
 	StoreDown func() bool
-	// Current reports whether this daemon's configuration is known to be current. Only then may it
+	// ConfigCurrent reports whether this daemon's configuration is known to be current. Only then may it
 	// answer that a route or key does not exist.
 	ConfigCurrent func() bool
-	// Lacks returns how long a newer configuration has been known to exist without having arrived.
+	// ConfigOverdue returns how long a newer configuration has been known to exist without having arrived.
 	// It is 0 while the applied one may still be used. Nil means always 0.
 	ConfigOverdue func() time.Duration
-	// CopyMay reports whether segments may be copied from KV-cache stores: the daemon's view of the
+	// MayCopy reports whether segments may be copied from KV-cache stores: the daemon's view of the
 	// desired weights is recent enough.
 	MayCopy func() bool
-	// Placed is called when the load of a target or its reported state has changed, to publish that
+	// PublishState is called when the load of a target or its reported state has changed, to publish that
 	// to the other daemons at once. It must be set.
 	PublishState func()
-	// Share returns those of the given workers that this daemon uses. A large fleet partitions its
+	// OwnTargets returns those of the given workers that this daemon uses. A large fleet partitions its
 	// workers, so that a daemon knows the load of the ones that it uses.
 	OwnTargets func(names []string) []string
-	// Basis returns a value that stays equal as long as Share returns the same partition. Nil means
-	// that shares must not be cached.
+	// ShardVersion returns a value that stays equal as long as OwnTargets uses the same partition. Nil
+	// means that its results must not be cached.
 	ShardVersion func() any
-	// Divided reports whether the targets of a service are sharded by cell, so that this daemon may
+	// Sharded reports whether the targets of a service are sharded by cell, so that this daemon may
 	// list only those of its own cell. Nil means never.
 	Sharded func(service string) bool
-	// Uses reports whether a target of a sharded service belongs to this daemon's cell.
+	// InOwnCell reports whether a target of a sharded service belongs to this daemon's cell.
 	InOwnCell func(name, domain string) bool
-	// CellDaemons returns the number of daemons in this daemon's cell.
+	// CellDaemonCount returns the number of daemons in this daemon's cell.
 	CellDaemonCount func() int
-	// Daemons returns the number of daemons that share the connections to targets.
+	// DaemonCount returns the number of daemons that share the connections to targets.
 	DaemonCount func() int
-	// Place returns this daemon's rank, from 0, among the daemons that may send to a target, and
+	// Rank returns this daemon's rank, from 0, among the daemons that may send to a target, and
 	// their number. They are the daemons of its cell, or of the whole fleet.
 	Rank func(target string, cell bool) (place, of int)
-	// Choosers returns the n best-ranked other daemons among those that Place counts. Nil means
+	// RankedDaemons returns the n best-ranked other daemons among those that Rank counts. Nil means
 	// none.
 	RankedDaemons func(t *roster.Target, n int) []string
-	// All daemons together send a target that is warming up at most ColdOver times the rate that
-	// its service configures, plus ColdExtra requests per second.
+	// All daemons together send a target that is warming up at most WarmUpFactor times the rate that
+	// its service configures, plus WarmUpExtra requests per second.
 	WarmUpFactor, WarmUpExtra float64
 	// RetryShare, RetryExtra and RetryWindow bound the retries of all daemons together: within
 	// RetryWindow, RetryShare for each request, plus RetryExtra.
@@ -119,7 +120,7 @@
 	// start is the origin of the monotonic time used by retryBudgets.
 	start   time.Time
 	running atomic.Int64
-	// closeConnections is set by Close.
+	// closeConnections is set by CloseConnections.
 	closeConnections atomic.Bool
 	// refusing is set when a planned stop is about to end: new requests are refused.
 	refusing atomic.Bool
@@ -161,10 +162,10 @@
 // Running returns the number of unfinished requests.
 func (rl *Relay) Running() int64 { return rl.running.Load() }
 
-// Close starts a planned stop: from now on each answer closes its connection.
+// CloseConnections starts a planned stop: from now on each answer closes its connection.
 func (rl *Relay) CloseConnections() { rl.closeConnections.Store(true) }
 
-// Refuse makes the relay refuse new requests, near the end of a planned stop.
+// RefuseRequests makes the relay refuse new requests, near the end of a planned stop.
 func (rl *Relay) RefuseRequests() { rl.refusing.Store(true) }
 
 // minOutage is the least expected remaining time of an outage of the coordination store: outages
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -147,7 +147,7 @@
 	desired    int64
 	minWeights int64
 	stale      bool
-	// configOverdue is the result of Options.Lacks.
+	// configOverdue is the result of Options.ConfigOverdue.
 	configOverdue time.Duration
 
 	mu       sync.Mutex
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -8,7 +8,7 @@
 
 // targetShare holds those of a service's targets that this daemon uses.
 type targetShare struct {
-	// all are the targets of the service, and basis identifies the partition; see Options.Basis.
+	// all are the targets of the service, and basis identifies the partition; see Options.ShardVersion.
 	all   []*roster.Target
 	basis any
 	// own are the targets that this daemon uses, and fraction the fraction of all that these serve.
--- a/core/relay/without.go
+++ b/core/relay/without.go
@@ -1,6 +1,6 @@
 package relay
 
-// Without disables single mechanisms, to measure what each contributes. The zero value disables
+// Disabled disables single mechanisms, to measure what each contributes. The zero value disables
 // none.
 type Disabled struct {
 	Times           bool `yaml:"times" doc:"Learning times to first answers: what is expected of targets stays as the settings say."`
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -6,22 +6,22 @@
 	"embertally.dev/core/clock"
 )
 
-// Stop is the reason why a target may not get a request now.
+// UnavailabilityReason is the reason why a target may not get a request now.
 type UnavailabilityReason uint8
 
 // Reasons, in the order in which they are checked.
 const (
-	// Open: the target is available.
+	// Available: the target is available.
 	Available UnavailabilityReason = iota
-	// Gone: it is no longer listed.
+	// Removed: it is no longer listed.
 	Removed
-	// Leaves: the list, the target itself or a peer reports that it is shutting down.
+	// ShuttingDown: the list, the target itself or a peer reports that it is shutting down.
 	ShuttingDown
-	// Swaps: it has a weight update pending.
+	// UpdatingWeights: it has a weight update pending.
 	UpdatingWeights
-	// Rests: it is under pushback for this daemon, or in the ramp that follows.
+	// UnderPushback: it is under pushback for this daemon, or in the ramp that follows.
 	UnderPushback
-	// Limited: it is rate-limited, and this daemon has no permit now.
+	// RateLimited: it is rate-limited, and this daemon has no permit now.
 	RateLimited
 	// Suspect: recent requests got no response.
 	Suspect
@@ -34,8 +34,8 @@
 // String returns the reason as it appears in log lines.
 func (s UnavailabilityReason) String() string { return reasonNames[s] }
 
-// Gate is an immutable snapshot of the availability of all targets. Every way of sending consults
-// it when it chooses a target, and then Enter once a connection is open, so that a reason found by
+// Availability is an immutable snapshot of the availability of all targets. Every way of sending consults
+// it when it chooses a target, and then Admit once a connection is open, so that a reason found by
 // one of them applies to all.
 type Availability struct {
 	at           time.Time
@@ -55,7 +55,7 @@
 	limitWait time.Duration
 }
 
-// Gate returns a snapshot of the availability of all targets.
+// Availability returns a snapshot of the availability of all targets.
 func (r *Roster) Availability(now time.Time) *Availability {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -73,14 +73,14 @@
 	return g
 }
 
-// Stop returns why a target is unavailable, and for how much longer if that is known: what is left
+// Reason returns why a target is unavailable, and for how much longer if that is known: what is left
 // of its pushback, the time until this daemon has a permit, or, as an estimate for an evacuation,
 // as long again as it has lasted.
 func (g *Availability) Reason(t *Target) (UnavailabilityReason, time.Duration) {
 	return g.reason(t, g.updating[t.id], g.selfStatuses[t.id])
 }
 
-// reason is Stop, given the status of the target.
+// reason is Reason, given the status of the target.
 func (g *Availability) reason(t *Target, updating bool, self selfStatus) (UnavailabilityReason, time.Duration) {
 	health, entry := t.Health(g.at), t.Entry()
 	switch {
@@ -103,15 +103,15 @@
 	return Available, 0
 }
 
-// Limits reports whether a target has a rate limit.
+// RateLimited reports whether a target has a rate limit.
 func (g *Availability) RateLimited(t *Target) bool { return g.selfStatuses[t.id].limited }
 
-// Enter returns Open if a request may be sent to a target now, and counts it. It is called last,
-// once a connection is open: since the target was chosen, it may have told another request that it
+// Admit returns Available if a request may be sent to a target now, and counts it. It is called last,
+// once a connection is open: since the target was chosen, it may have reported to another request that it
 // is shutting down, under pushback or rate-limited. A request with a permit has already been
 // counted against the rate limit.
 //
-// It looks at one target only, because a Gate allocates two maps, which is too much for each
+// It looks at one target only, because an Availability allocates two maps, which is too much for each
 // request.
 func (r *Roster) Admit(t *Target, permit Permit) UnavailabilityReason {
 	now := time.Now()
@@ -152,14 +152,14 @@
 	return status
 }
 
-// Leaving reports whether an incarnation is shutting down, and how that is known.
+// ShuttingDown reports whether an incarnation is shutting down, and how that is known.
 func (r *Roster) ShuttingDown(t *Target) (Source, bool) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	return r.shuttingDown(t)
 }
 
-// shuttingDown is Leaving with rosterMu held.
+// shuttingDown is ShuttingDown with rosterMu held.
 func (r *Roster) shuttingDown(t *Target) (Source, bool) {
 	if report := r.selfReports[t.id]; report != nil && report.shuttingDown {
 		return report.source, true
@@ -167,7 +167,7 @@
 	return ByList, t.Entry().ShuttingDown
 }
 
-// Stopped returns the targets of a service that are unavailable because they reported shutting down
+// SelfUnavailable returns the targets of a service that are unavailable because they reported shutting down
 // or pushback.
 func (r *Roster) SelfUnavailable(service string) []string {
 	r.rosterMu.Lock()
--- a/core/roster/domains.go
+++ b/core/roster/domains.go
@@ -49,7 +49,7 @@
 	return now.Sub(e.since), true
 }
 
-// Cold reports whether a target has just started and can take only few requests. For the time
+// WarmingUp reports whether a target has just started and can take only few requests. For the time
 // warmUp after the end of an evacuation all targets of the domain count as warming up: they may
 // have been emptied or restarted meanwhile, and their entries may show that up to a heartbeat after
 // operators let requests go there again.
--- a/core/roster/external.go
+++ b/core/roster/external.go
@@ -68,7 +68,7 @@
 	return len(r.targets), len(r.external.byID)
 }
 
-// Guest returns the target of an entry that another daemon sent. If this daemon's list contains the
+// AddExternal returns the target of an entry that another daemon sent. If this daemon's list contains the
 // incarnation, the listed target is returned and the entry is ignored.
 func (r *Roster) AddExternal(e Entry) *Target {
 	r.rosterMu.Lock()
--- a/core/roster/heartbeat.go
+++ b/core/roster/heartbeat.go
@@ -6,7 +6,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Share is the roster's part of heartbeats: it sends other daemons what this one learns first about
+// HeartbeatPart is the roster's part of heartbeats: it sends other daemons what this one learns first about
 // targets, and receives the same from them.
 type HeartbeatPart struct{ *Roster }
 
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -89,7 +89,7 @@
 	return logged
 }
 
-// RestList holds the pushback of targets by name, for callers without a Roster. The zero value is
+// PushbackList holds the pushback of targets by name, for callers without a Roster. The zero value is
 // ready to use.
 type PushbackList struct {
 	pushbacksMu sync.Mutex
@@ -102,7 +102,7 @@
 	pushback
 }
 
-// Turned records that an incarnation of a target rejected a request with a pushback of d. It
+// RecordRejection records that an incarnation of a target rejected a request with a pushback of d. It
 // reports whether a log line is due for that.
 func (r *PushbackList) RecordRejection(name, incarnation string, d time.Duration) bool {
 	if d <= 0 {
@@ -121,7 +121,7 @@
 	return p.extend(d, clock.Now())
 }
 
-// Took records that a target accepted a request. It reports whether that ended a ramp and a log
+// RecordAccepted records that a target accepted a request. It reports whether that ended a ramp and a log
 // line is due for it.
 func (r *PushbackList) RecordAccepted(name string) bool {
 	r.pushbacksMu.Lock()
@@ -138,7 +138,7 @@
 	return p == nil || p.take(clock.Now())
 }
 
-// Left returns how much longer each target gets no requests, without those that may get one.
+// Remaining returns how much longer each target gets no requests, without those that may get one.
 // incarnationOf returns the current incarnation of a name, or "" if unknown: the pushback of
 // another incarnation does not apply to it. Targets whose ramp is over are forgotten.
 func (r *PushbackList) Remaining(incarnationOf func(name string) string) map[string]time.Duration {
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -9,13 +9,13 @@
 	"embertally.dev/core/event"
 )
 
-// Limit is the rate limit that a response of a target states. The zero value states none.
+// RateLimit is the rate limit that a response of a target states. The zero value states none.
 type RateLimit struct {
-	// Named means that the response states a rate.
+	// Stated means that the response states a rate.
 	Stated bool
 	// PerSecond is the number of requests a second from all daemons together.
 	PerSecond float64
-	// Odd is an unreadable value, or "".
+	// Invalid is an unreadable value, or "".
 	Invalid string
 }
 
@@ -120,10 +120,10 @@
 	return strconv.FormatFloat(l.perSecond, 'g', -1, 64) + " requests a second"
 }
 
-// Token is a permit to send one request to a target. The zero value belongs to a request whose
+// Permit is a permit to send one request to a target. The zero value belongs to a request whose
 // target had no rate limit when it was chosen.
 type Permit struct {
-	// Held means that a permit was taken. Far means that another daemon chose the target, and so
+	// Taken means that a permit was taken. Remote means that another daemon chose the target, and so
 	// decided about the permit.
 	Taken, Remote bool
 	// seq is the limit's seq when the permit was taken here; 0 if it was taken elsewhere.
@@ -148,7 +148,7 @@
 	return l
 }
 
-// Holders returns how many daemons send to a rate-limited target; 0 if it has no rate limit.
+// Senders returns how many daemons send to a rate-limited target; 0 if it has no rate limit.
 func (r *Roster) Senders(t *Target) int {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -159,7 +159,7 @@
 	return senderCount(l.rate(), l.daemons)
 }
 
-// Take takes a permit for a request to a target that was chosen here, and reports whether the
+// TakePermit takes a permit for a request to a target that was chosen here, and reports whether the
 // request may be sent.
 func (r *Roster) TakePermit(t *Target) (Permit, bool) {
 	r.rosterMu.Lock()
@@ -176,7 +176,7 @@
 	return Permit{Taken: true, seq: l.seq}, true
 }
 
-// Return gives back the permit of a request that was not sent.
+// ReturnPermit gives back the permit of a request that was not sent.
 func (r *Roster) ReturnPermit(t *Target, permit Permit) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -187,7 +187,7 @@
 	report.limit.nextPermit = clock.Now()
 }
 
-// HearLimit records the rate limit that a response of an incarnation states, or that it states
+// RecordLimit records the rate limit that a response of an incarnation states, or that it states
 // none. sent is when the request was sent. executed means that the incarnation accepted the request
 // and signed the response: any other response without a rate does not end a limit. It reports
 // whether other daemons need to be notified.
@@ -237,11 +237,11 @@
 // limitLogInterval is the minimum time between log lines about the rate limit of one target.
 const limitLogInterval = time.Second
 
-// LimitNews is the update about an incarnation's rate limit that daemons send each other.
+// RateLimitUpdate is the update about an incarnation's rate limit that daemons send each other.
 type RateLimitUpdate struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// On means that there is a rate limit, and PerSecond is its rate.
+	// Active means that there is a rate limit, and PerSecond is its rate.
 	Active    bool
 	PerSecond float64
 	// Seq orders the changes; see limitState.
@@ -294,7 +294,7 @@
 	}
 }
 
-// Limits returns the rate limits applied here to a service's targets, for another daemon that
+// RateLimits returns the rate limits applied here to a service's targets, for another daemon that
 // chooses among them.
 func (r *Roster) RateLimits(service string) map[string]RateLimitUpdate {
 	r.rosterMu.Lock()
@@ -309,24 +309,24 @@
 	return out
 }
 
-// MergeLimits applies rate limit updates of another daemon.
+// MergeRateLimits applies rate limit updates of another daemon.
 func (r *Roster) MergeRateLimits(updates map[string]RateLimitUpdate) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	r.mergeLimits(updates)
 }
 
-// LimitedTarget is a rate-limited target.
+// RateLimitedTarget is a rate-limited target.
 type RateLimitedTarget struct {
 	ID        string
 	PerSecond float64
 	// Age is how long ago this daemon received the last change of the limit.
 	Age time.Duration
-	// Holds means that this daemon sends to the target.
+	// Sends means that this daemon sends to the target.
 	Sends bool
 }
 
-// Limited returns the listed targets that have a rate limit, in no order.
+// RateLimitedTargets returns the listed targets that have a rate limit, in no order.
 func (r *Roster) RateLimitedTargets() []RateLimitedTarget {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/restored.go
+++ b/core/roster/restored.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// Lose records that a list restored from an older copy lacks a target. The target is kept for as
+// RecordMissing records that a list restored from an older copy lacks a target. The target is kept for as
 // long as its entry may take to be written again, unless it is shutting down.
 func (r *Roster) RecordMissing(name string) {
 	r.rosterMu.Lock()
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -23,7 +23,7 @@
 	// Name is the target's name in the list, which successive incarnations may share. "" stands for
 	// ID.
 	Name string
-	// Born is when the incarnation started, by the target's clock; zero if not reported.
+	// Started is when the incarnation started, by the target's clock; zero if not reported.
 	Started time.Time
 	Service string // name of the service that it belongs to
 	// Address is IP and port. It may later be reused by a target of another service.
@@ -33,13 +33,13 @@
 	Version string
 	// Slots is how many requests the target runs at once.
 	Slots int
-	// Leaving means that the target is shutting down and takes no new work.
+	// ShuttingDown means that the target is shutting down and takes no new work.
 	ShuttingDown bool
-	// Cold is how much longer the target is warming up after its start.
+	// WarmUp is how much longer the target is warming up after its start.
 	WarmUp time.Duration
 	// Weights holds the weights version that the target has of each model.
 	Weights map[string]int64
-	// Orders is how many orders the target has accepted.
+	// OrderCount is how many orders the target has accepted.
 	OrderCount int64
 	// Revision is the list's revision at which the entry was written; 0 if unknown.
 	Revision int64
@@ -51,9 +51,9 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	// Running is the number of unfinished requests.
 	Running int
-	// Unread is the number of prompt tokens of requests that have no response yet.
+	// QueuedTokens is the number of prompt tokens of requests that have no response yet.
 	QueuedTokens int
-	// Held is the number of context tokens held by all running requests.
+	// OccupiedTokens is the number of context tokens held by all running requests.
 	OccupiedTokens int
 }
 
@@ -79,7 +79,7 @@
 
 	busy busyTargets
 
-	// Place, if set, returns this daemon's rank for a target (the number of daemons before it) and
+	// Rank, if set, returns this daemon's rank for a target (the number of daemons before it) and
 	// the number of daemons that may choose the target. It is set before use, and called with
 	// rosterMu held.
 	Rank func(t *Target) (rank, daemons int)
@@ -220,7 +220,7 @@
 	}
 }
 
-// Ended records that another incarnation answers in place of the given one: the target has
+// RecordReplaced records that another incarnation answers in place of the given one: the target has
 // restarted, but the list does not show it yet. Until it does, the target gets no requests.
 func (r *Roster) RecordReplaced(id string) {
 	r.rosterMu.Lock()
@@ -265,7 +265,7 @@
 	time.AfterFunc(duration, func() { r.removeLapsed(t.id) })
 }
 
-// Unlist records that a name's entry is unusable, as another writer may leave it. Unlike with a
+// RemoveUnusable records that a name's entry is unusable, as another writer may leave it. Unlike with a
 // missing entry, the target is removed at once.
 func (r *Roster) RemoveUnusable(name string) {
 	r.rosterMu.Lock()
@@ -276,7 +276,7 @@
 	}
 }
 
-// Drop records that this daemon's list no longer contains a target, which other daemons may still
+// MakeExternal records that this daemon's list no longer contains a target, which other daemons may still
 // list. The target becomes an external one.
 func (r *Roster) MakeExternal(name string) {
 	r.rosterMu.Lock()
@@ -332,7 +332,7 @@
 // arrive in bursts. It is called with rosterMu held.
 func (r *Roster) invalidateLists() { r.byService.Store(nil) }
 
-// Of returns the targets of a service, including those that are shutting down, ordered by ID. The
+// ByService returns the targets of a service, including those that are shutting down, ordered by ID. The
 // list must not be changed; the same one is returned until the targets change.
 func (r *Roster) ByService(service string) []*Target {
 	if byService := r.byService.Load(); byService != nil {
@@ -360,7 +360,7 @@
 	return out
 }
 
-// Named returns the current incarnation of a name in the list, or nil.
+// ByName returns the current incarnation of a name in the list, or nil.
 func (r *Roster) ByName(name string) *Target {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/selfreport.go
+++ b/core/roster/selfreport.go
@@ -59,7 +59,7 @@
 	return report
 }
 
-// Leaves records that an incarnation reported that it is shutting down, and the source of the
+// RecordShutdown records that an incarnation reported that it is shutting down, and the source of the
 // report. It returns whether this is new.
 func (r *Roster) RecordShutdown(id string, source Source) bool {
 	r.rosterMu.Lock()
@@ -67,7 +67,7 @@
 	return r.recordShutdown(id, source)
 }
 
-// recordShutdown is Leaves with rosterMu held.
+// recordShutdown is RecordShutdown with rosterMu held.
 func (r *Roster) recordShutdown(id string, source Source) bool {
 	if report := r.selfReports[id]; report != nil && report.shuttingDown {
 		return false
@@ -102,11 +102,11 @@
 	return out
 }
 
-// shutdownRecallTime is how far back LeavingRuns reaches. It is longer than the time whose writes
+// shutdownRecallTime is how far back RecentShutdowns reaches. It is longer than the time whose writes
 // are lost when a coordination store is restored from a copy.
 const shutdownRecallTime = time.Minute
 
-// LeavingRuns returns the incarnations that recently reported shutting down, whether still listed
+// RecentShutdowns returns the incarnations that recently reported shutting down, whether still listed
 // or not.
 func (r *Roster) RecentShutdowns() []string {
 	r.rosterMu.Lock()
@@ -114,15 +114,15 @@
 	return r.shutdownsWithin(shutdownRecallTime)
 }
 
-// Asked is the pushback that came with a rejection.
+// Pushback is the pushback that came with a rejection.
 type Pushback struct {
-	// Rest is how long the target wants no requests; 0 if it did not say.
+	// Duration is how long the target wants no requests; 0 if it did not say.
 	Duration time.Duration
-	// Odd is an unreadable value, or "".
+	// Invalid is an unreadable value, or "".
 	Invalid string
 }
 
-// Turned records that an incarnation rejected a request of this daemon.
+// RecordRejection records that an incarnation rejected a request of this daemon.
 func (r *Roster) RecordRejection(id string, p Pushback) {
 	if p == (Pushback{}) {
 		return
@@ -148,7 +148,7 @@
 	r.log.Emit(event.TargetUnreadable, event.Ref{Target: id}, text)
 }
 
-// Took records that an incarnation accepted a request. This ends the ramp after a pushback, but not
+// RecordAccepted records that an incarnation accepted a request. This ends the ramp after a pushback, but not
 // the pushback itself.
 func (r *Roster) RecordAccepted(id string) {
 	r.rosterMu.Lock()
@@ -158,7 +158,7 @@
 	}
 }
 
-// WordCounts returns how many listed targets reported shutting down in a response or through a
+// SelfReportCounts returns how many listed targets reported shutting down in a response or through a
 // peer, and how many are under pushback.
 func (r *Roster) SelfReportCounts() (shuttingDown, underPushback int) {
 	r.rosterMu.Lock()
--- a/core/roster/target.go
+++ b/core/roster/target.go
@@ -112,13 +112,13 @@
 	t.removed = true
 }
 
-// Begin adds work that is sent to the target. End subtracts it when it has finished.
+// AddLoad adds work that is sent to the target. RemoveLoad subtracts it when it has finished.
 func (t *Target) AddLoad(l Load) {
 	t.adjustLoad(l, 1)
 	t.busy.add(t)
 }
 
-// End subtracts what Begin added.
+// RemoveLoad subtracts what AddLoad added.
 func (t *Target) RemoveLoad(l Load) { t.adjustLoad(l, -1) }
 
 // adjustLoad adds l to this daemon's work if sign is 1 and subtracts it if sign is -1.
@@ -128,7 +128,7 @@
 	t.local.add(l, sign)
 }
 
-// Own returns the work that this daemon has in flight at the target.
+// LocalLoad returns the work that this daemon has in flight at the target.
 func (t *Target) LocalLoad() Load {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
@@ -141,7 +141,7 @@
 	Suspect bool
 	// Lapsed means that its entry disappeared in an outage of the list.
 	Lapsed bool
-	// Gone means that the target was removed.
+	// Removed means that the target was removed.
 	Removed bool
 }
 
@@ -165,7 +165,7 @@
 	return h
 }
 
-// Silent records that a request got no response.
+// RecordNoResponse records that a request got no response.
 func (t *Target) RecordNoResponse(now time.Time) {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
@@ -173,7 +173,7 @@
 	t.lastFailure = now
 }
 
-// Answered records that the target responded.
+// RecordResponse records that the target responded.
 func (t *Target) RecordResponse() {
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
--- a/core/roster/updates.go
+++ b/core/roster/updates.go
@@ -6,8 +6,8 @@
 	"embertally.dev/core/event"
 )
 
-// Order records that a target has a weight update pending until a deadline, so that it gets no new
-// work. Other daemons are notified of it until Done.
+// BeginUpdate records that a target has a weight update pending until a deadline, so that it gets no new
+// work. Other daemons are notified of it until EndUpdate.
 func (r *Roster) BeginUpdate(id string, until time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -30,7 +30,7 @@
 	r.peerUpdating[peer] = deadlines
 }
 
-// Done records that a target has finished its weight update, or will not do it.
+// EndUpdate records that a target has finished its weight update, or will not do it.
 func (r *Roster) EndUpdate(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-// Ordered returns the targets with a pending weight update, as recorded by this daemon or reported
+// Updating returns the targets with a pending weight update, as recorded by this daemon or reported
 // by a peer.
 func (r *Roster) Updating(now time.Time) map[string]bool {
 	r.rosterMu.Lock()
@@ -48,7 +48,7 @@
 	return r.updatingNow(now)
 }
 
-// updatingNow is Ordered with rosterMu held.
+// updatingNow is Updating with rosterMu held.
 func (r *Roster) updatingNow(now time.Time) map[string]bool {
 	out := map[string]bool{}
 	addPending(out, r.updating, now)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Reloads records that a target rejects work while it changes its weights. Other daemons are
-// notified. Unlike Order, it does not count as a weight update that this daemon recorded.
+// RecordReloading records that a target rejects work while it changes its weights. Other daemons are
+// notified. Unlike BeginUpdate, it does not count as a weight update that this daemon recorded.
 func (r *Roster) RecordReloading(id string, until time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -105,7 +105,7 @@
 	return out
 }
 
-// Learn records the weights version of a model that a target was seen to have. Within one
+// RecordVersion records the weights version of a model that a target was seen to have. Within one
 // incarnation the version only rises.
 func (r *Roster) RecordVersion(id, model string, version int64) {
 	r.rosterMu.Lock()
@@ -113,7 +113,7 @@
 	r.recordVersion(id, model, version)
 }
 
-// recordVersion is Learn with rosterMu held.
+// recordVersion is RecordVersion with rosterMu held.
 func (r *Roster) recordVersion(id, model string, version int64) {
 	t := r.targets[id]
 	if t == nil || t.Entry().Weights[model] >= version {
--- a/core/route/evict.go
+++ b/core/route/evict.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Shed describes one context that a full KV-cache store can evict.
+// EvictionCandidate describes one context that a full KV-cache store can evict.
 type EvictionCandidate struct {
 	// Index identifies the context to the caller.
 	Index int
@@ -17,7 +17,7 @@
 	Reads int
 }
 
-// GiveUp returns the indexes of the contexts to evict from a full KV-cache store so
+// ChooseEvictions returns the indexes of the contexts to evict from a full KV-cache store so
 // that at least the given number of blocks are freed. A context that was read often is
 // more likely to be needed again, one that was idle for long less likely.
 func ChooseEvictions(list []EvictionCandidate, blocks int) []int {
--- a/core/route/link.go
+++ b/core/route/link.go
@@ -10,7 +10,7 @@
 	ID           uint64
 	Organisation string
 	Bytes        int64
-	// Waiting reports that a caller waits for the transfer. It is set for imports and
+	// CallerWaits reports that a caller waits for the transfer. It is set for imports and
 	// not for exports.
 	CallerWaits bool
 }
@@ -47,7 +47,7 @@
 	usageDecay = 0.98
 )
 
-// Ask enqueues a transfer. It returns false if the queue is full.
+// Enqueue enqueues a transfer. It returns false if the queue is full.
 func (l *Link) Enqueue(t Transfer) bool {
 	if len(l.queued) >= maxQueued {
 		return false
@@ -136,7 +136,7 @@
 	}
 }
 
-// Done removes a transfer, whether it is active or queued.
+// Remove removes a transfer, whether it is active or queued.
 func (l *Link) Remove(id uint64) {
 	isTransfer := func(t Transfer) bool { return t.ID == id }
 	l.active = slices.DeleteFunc(l.active, isTransfer)
--- a/core/route/pick.go
+++ b/core/route/pick.go
@@ -8,8 +8,8 @@
 const tieMargin = 0.003
 
 // Pick returns the index of the best candidate and its evaluation, or -1 if there are
-// no candidates. Candidates whose Gain is not above 0 are selected only if that holds
-// for all. random is in [0, 1).
+// no candidates. Candidates whose CallerUtility is not above 0 are selected only if
+// that holds for all. random is in [0, 1).
 func Pick(a *PickRequest, list []Candidate, e *learn.Estimate, p *CostModel, random float64) (int, Evaluation) {
 	if len(list) == 0 {
 		return -1, Evaluation{}
@@ -42,8 +42,8 @@
 	return best, evaluated[best]
 }
 
-// better reports whether a is a better choice than b: a positive Gain comes first, then
-// the higher Worth.
+// better reports whether a is a better choice than b: a positive CallerUtility comes
+// first, then the higher NetUtility.
 func better(a, b *Evaluation) bool {
 	if (a.CallerUtility > 0) != (b.CallerUtility > 0) {
 		return a.CallerUtility > 0
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -82,8 +82,8 @@
 }
 
 // A request that is going to miss its objective anyway costs other callers more than its
-// own caller gains, so that its Gain is not positive. The operator's serving costs never
-// make Gain negative.
+// own caller gains, so that its CallerUtility is not positive. The operator's serving
+// costs never make it negative.
 func TestGainExcludesServingCosts(t *testing.T) {
 	long := PickRequest{Tokens: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second, UtilityRate: 60}
 	tests := []struct {
@@ -105,7 +105,7 @@
 }
 
 // For any input, utilities are finite, probabilities are between 0 and 1, and a target that
-// is slower, more loaded or fails more often has no higher Worth.
+// is slower, more loaded or fails more often has no higher NetUtility.
 func TestEvaluateIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := PickRequest{
--- a/core/route/place.go
+++ b/core/route/place.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Policy holds the weights that convert each cost of an option to seconds. It
+// CostWeights holds the weights that convert each cost of an option to seconds. It
 // is sent between daemons.
 type CostWeights struct {
 	// FirstToken is the factor for the expected time to first token.
 	FirstToken float64 `msgpack:"FirstToken"`
-	// Token is the cost of one recomputed token in seconds.
+	// SecondsPerToken is the cost of one recomputed token in seconds.
 	SecondsPerToken float64 `msgpack:"Token"`
-	// Byte is the cost of one byte over a store's link in seconds.
+	// SecondsPerByte is the cost of one byte over a store's link in seconds.
 	SecondsPerByte float64 `msgpack:"Byte"`
 }
 
@@ -35,47 +35,47 @@
 	// Deadline is the time remaining until the first token is due; zero means
 	// no deadline.
 	Deadline time.Duration
-	// Prices weights the costs of the options.
+	// Weights weights the costs of the options.
 	Weights CostWeights
-	// Context is the hash of the context, used by StickyHash.
+	// ContextHash is the hash of the context, used by StickyHash.
 	ContextHash uint64
 	// Turn is a request counter, used by RoundRobin.
 	Turn uint64
-	// Chance is a random number in [0, 1), used by Returning.
+	// Random is a random number in [0, 1), used by LowestCost.
 	Random float64
 }
 
 // Worker describes one candidate to Place.
 type Worker struct {
 	Name string
-	// Held is the number of leading blocks of the prompt that the worker has
+	// CachedBlocks is the number of leading blocks of the prompt that the worker has
 	// cached.
 	CachedBlocks int
 	// QueuedTokens is the projected number of tokens to prefill before this
 	// request: the reported queue, corrected by what was sent since.
 	QueuedTokens int
-	// Room is the number of blocks that fit into the worker's memory beside the
+	// FreeBlocks is the number of blocks that fit into the worker's memory beside the
 	// requests that this daemon sent it and that have no first token yet; zero
 	// means unknown.
 	FreeBlocks int
 	// Running is the number of answers being generated.
 	Running int
-	// Speed is the prefill speed in tokens per second.
+	// PrefillPerSecond is the prefill speed in tokens per second.
 	PrefillPerSecond float64
-	// Distance is the one-way network latency to the worker.
+	// OneWayLatency is the one-way network latency to the worker.
 	OneWayLatency time.Duration
 }
 
-// Kept describes the part of the prompt's context that a KV-cache store holds.
+// StoredContext describes the part of the prompt's context that a KV-cache store holds.
 type StoredContext struct {
 	Store string
 	// Blocks is the number of leading blocks of the prompt in the store.
 	Blocks int
 	// BlockBytes is the size of one KV-cache block in bytes.
 	BlockBytes int64
-	// Rate is the capacity of the store's link in bytes per second.
+	// LinkBytesPerSecond is the capacity of the store's link in bytes per second.
 	LinkBytesPerSecond float64
-	// Backlog is the number of bytes queued for the link before this request.
+	// BacklogBytes is the number of bytes queued for the link before this request.
 	BacklogBytes int64
 	// Latency is the time before the first byte arrives.
 	Latency time.Duration
@@ -105,7 +105,7 @@
 	Recomputed int
 	// LinkBytes is the number of bytes read from the store.
 	LinkBytes int64
-	// Cost is the total cost in seconds, weighted by a Policy.
+	// Cost is the total cost in seconds, weighted by CostWeights.
 	Cost float64
 }
 
@@ -126,7 +126,7 @@
 	Verdict Verdict
 	// Chosen is the selected option; for TooLate it is the fastest one.
 	Chosen Option
-	// Weighed holds the cheapest options, one per worker at most, cheapest first.
+	// Cheapest holds the cheapest options, one per worker at most, cheapest first.
 	Cheapest []Option
 	// RetryAfter is, for TooLate, the time after which the deadline could be met.
 	RetryAfter time.Duration
--- a/core/route/placement.go
+++ b/core/route/placement.go
@@ -5,9 +5,9 @@
 // Placement names an algorithm that selects a worker.
 type Placement string
 
-// The placements. All but Returning are baselines for comparison.
+// The placements. All but LowestCost are baselines for comparison.
 const (
-	// Returning minimises the cost of queueing, import and recomputation.
+	// LowestCost minimises the cost of queueing, import and recomputation.
 	LowestCost Placement = "returning"
 	// RoundRobin selects the workers in turn.
 	RoundRobin Placement = "roundRobin"
@@ -34,18 +34,18 @@
 // Exports reports whether a placement writes contexts to KV-cache stores.
 func (p Placement) Exports() bool { return p == LowestCost || p == AlwaysImport || p == MostCached }
 
-// Spot holds the inputs of a placement other than the candidates.
+// PlacementInput holds the inputs of a placement other than the candidates.
 type PlacementInput struct {
-	// Context is the hash of the last prompt segment that is shared with other
+	// ContextHash is the hash of the last prompt segment that is shared with other
 	// requests, or 0. StickyHash uses it.
 	ContextHash uint64
 	// Turn is a counter of choices. RoundRobin uses it.
 	Turn uint64
-	// Chance is a random number in [0, 1). Returning uses it.
+	// Random is a random number in [0, 1). LowestCost uses it.
 	Random float64
 }
 
-// PickBy returns the index of the candidate that a placement selects and its
+// PickWith returns the index of the candidate that a placement selects and its
 // evaluation, or -1 if there are no candidates. Placements other than RoundRobin,
 // StickyHash and LeastTokens select as Pick does.
 func PickWith(p Placement, a *PickRequest, list []Candidate, e *learn.Estimate, prices *CostModel, s PlacementInput) (int, Evaluation) {
--- a/core/route/retry_budget.go
+++ b/core/route/retry_budget.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Allowance is a retry budget. Over a sliding window it bounds the retries to a
+// RetryBudget is a retry budget. Over a sliding window it bounds the retries to a
 // service to a share of the requests plus a constant. Times are readings of a
 // monotonic clock. The zero value allows no retries.
 type RetryBudget struct {
-	// Share is the number of retries allowed per request.
+	// RetriesPerRequest is the number of retries allowed per request.
 	RetriesPerRequest float64
-	// Extra is the number of further retries allowed per window.
+	// ExtraRetries is the number of further retries allowed per window.
 	ExtraRetries float64
 	// Window is the length of the window.
 	Window time.Duration
@@ -42,7 +42,7 @@
 	return &a.buckets[a.current%int64(len(a.buckets))]
 }
 
-// Earn records a request.
+// RecordRequest records a request.
 func (a *RetryBudget) RecordRequest(now time.Duration) {
 	if a.Window <= 0 {
 		return
@@ -51,7 +51,7 @@
 	a.currentBucket().requests++
 }
 
-// Spend reports whether a retry is allowed, and records it if so.
+// TryRetry reports whether a retry is allowed, and records it if so.
 func (a *RetryBudget) TryRetry(now time.Duration) bool {
 	if a.Window <= 0 {
 		return false
--- a/core/route/retry_throttle.go
+++ b/core/route/retry_throttle.go
@@ -1,6 +1,6 @@
 package route
 
-// Budget throttles retries to a share of the requests, so that retries do not
+// RetryThrottle throttles retries to a share of the requests, so that retries do not
 // amplify an overload. The zero value allows retryBurst retries.
 type RetryThrottle struct {
 	// spent is incremented by 1 with each retry and decremented by retryShare with
@@ -15,10 +15,10 @@
 	retryBurst = 20
 )
 
-// Earn records a request.
+// RecordRequest records a request.
 func (b *RetryThrottle) RecordRequest() { b.spent = max(0, b.spent-retryShare) }
 
-// Spend reports whether a retry is allowed, and records it if so.
+// TryRetry reports whether a retry is allowed, and records it if so.
 func (b *RetryThrottle) TryRetry() bool {
 	if b.spent >= retryBurst {
 		return false
@@ -27,7 +27,7 @@
 	return true
 }
 
-// Version chooses between the two weight versions of a deployment during a weight
+// UseDesiredVersion chooses between the two weight versions of a deployment during a weight
 // update, and reports whether a context uses the desired one. ready of total workers
 // have loaded the desired version. fraction is the context's hash, scaled to [0, 1): a
 // context switches once it is below the share of ready workers, so that the load on
--- a/core/route/utility.go
+++ b/core/route/utility.go
@@ -7,46 +7,46 @@
 	"embertally.dev/core/learn"
 )
 
-// Prices is the cost model: the utility of answers and the cost of serving them. One
+// CostModel is the cost model: the utility of answers and the cost of serving them. One
 // unit is the utility of the answer to a plain call within its latency objective.
 type CostModel struct {
-	// Token is the utility that each token of a prompt adds to its answer.
+	// UtilityPerToken is the utility that each token of a prompt adds to its answer.
 	UtilityPerToken float64
-	// Late is the share of its utility that an answer past its latency objective
+	// PastObjectiveShare is the share of its utility that an answer past its latency objective
 	// retains.
 	PastObjectiveShare float64
-	// Again is the cost of prefilling a token that some worker has prefilled recently.
+	// RecomputePerToken is the cost of prefilling a token that some worker has prefilled recently.
 	RecomputePerToken float64
-	// Copied is the cost of copying a token of cached context to a worker.
+	// CopyPerToken is the cost of copying a token of cached context to a worker.
 	CopyPerToken float64
-	// Old is the share of its utility that an answer computed with replaced weights
+	// OldWeightsPenalty is the share of its utility that an answer computed with replaced weights
 	// loses.
 	OldWeightsPenalty float64
-	// Connect is the cost of opening a connection to a target.
+	// NewConnectionCost is the cost of opening a connection to a target.
 	NewConnectionCost float64
-	// Across is the cost of sending a megabyte (1 << 20 bytes) between failure domains.
+	// CrossDomainPerMiB is the cost of sending a megabyte (1 << 20 bytes) between failure domains.
 	CrossDomainPerMiB float64
-	// Wait is the share of its utility that an answer loses for each multiple of the
+	// DelayPenalty is the share of its utility that an answer loses for each multiple of the
 	// latency objective that it takes, also within the objective.
 	DelayPenalty float64
 }
 
-// Worth returns the utility of an answer within its latency objective to a prompt of
+// Utility returns the utility of an answer within its latency objective to a prompt of
 // some tokens; plain calls have 0 tokens.
 func (p *CostModel) Utility(tokens int) float64 { return 1 + p.UtilityPerToken*float64(tokens) }
 
-// Asked describes a request to Pick.
+// PickRequest describes a request to Pick.
 type PickRequest struct {
 	// Tokens is the length of the prompt in tokens; 0 for plain calls.
 	Tokens int
 	// Bytes is the size of the request in bytes.
 	Bytes int
-	// Aim is the latency objective, from the start of the request; 0 means none.
+	// Objective is the latency objective, from the start of the request; 0 means none.
 	Objective time.Duration
-	// Spent is the time elapsed since the start of the request, and Left the time
-	// remaining until its deadline.
+	// Elapsed is the time elapsed since the start of the request, and Remaining the
+	// time until its deadline.
 	Elapsed, Remaining time.Duration
-	// Rate is the utility per second of the requests that arrive at one target of
+	// UtilityRate is the utility per second of the requests that arrive at one target of
 	// the service. They wait longer when the target gets more work.
 	UtilityRate float64
 }
@@ -57,36 +57,36 @@
 	Running int
 	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// Unread is the number of prompt tokens that the target prefills before those of
+	// QueuedTokens is the number of prompt tokens that the target prefills before those of
 	// a new request.
 	QueuedTokens int
-	// Held is the number of context tokens that the running requests occupy.
+	// OccupiedTokens is the number of context tokens that the running requests occupy.
 	OccupiedTokens int
-	// Memory is the number of context tokens that fit into the target's memory; 0 for
+	// MemoryTokens is the number of context tokens that fit into the target's memory; 0 for
 	// plain services.
 	MemoryTokens int
-	// Kept is the number of tokens of the request's prompt that the target is expected
+	// CachedTokens is the number of tokens of the request's prompt that the target is expected
 	// to have cached.
 	CachedTokens int
-	// Copied is the number of further tokens that can be copied to the target.
+	// CopiedTokens is the number of further tokens that can be copied to the target.
 	CopiedTokens int
 	// CopyTime is the time that the copy takes.
 	CopyTime time.Duration
-	// Again is the number of tokens that the target would prefill although some worker
+	// RecomputedTokens is the number of tokens that the target would prefill although some worker
 	// has prefilled them recently.
 	RecomputedTokens int
-	// Old reports that the target has older weights than the desired ones.
+	// OldWeights reports that the target has older weights than the desired ones.
 	OldWeights bool
-	// Far reports that the target is in another failure domain.
+	// CrossDomain reports that the target is in another failure domain.
 	CrossDomain bool
-	// Cold reports that no connection to the target is open.
+	// NoConnection reports that no connection to the target is open.
 	NoConnection bool
-	// Doubtful reports that the target's registration has lapsed, so that it may have
+	// Lapsed reports that the target's registration has lapsed, so that it may have
 	// been removed.
 	Lapsed bool
-	// Faults is the share of the target's answers that are failures, 0 to 1.
+	// FailureShare is the share of the target's answers that are failures, 0 to 1.
 	FailureShare float64
-	// Pace is the target's speed factor: its time to the first answer divided by that
+	// Slowdown is the target's speed factor: its time to the first answer divided by that
 	// expected of its service. Above 1 the target is slower.
 	Slowdown float64
 }
@@ -129,18 +129,18 @@
 	return min(math.Pow(utilisation, slots), maxMemoryPressure)
 }
 
-// Judgement is the evaluation of a candidate for a request.
+// Evaluation is the evaluation of a candidate for a request.
 type Evaluation struct {
 	// Expected is the expected time to the first answer.
 	Expected time.Duration
-	// InTime is the probability of an answer within the latency objective, and Served
-	// that of an answer before the deadline. Both ignore the target's failures.
+	// WithinObjective is the probability of an answer within the latency objective, and
+	// BeforeDeadline that of an answer before the deadline. Both ignore the target's failures.
 	WithinObjective, BeforeDeadline float64
-	// Gain is the utility to callers: that of this request's answer, less what other
+	// CallerUtility is the utility to callers: that of this request's answer, less what other
 	// requests lose by waiting for it and by the eviction of their cached segments. The
-	// request is worth serving at the candidate only if Gain is above 0.
+	// request is worth serving at the candidate only if CallerUtility is above 0.
 	CallerUtility float64
-	// Worth is Gain less the cost of serving the request at the candidate.
+	// NetUtility is CallerUtility less the cost of serving the request at the candidate.
 	NetUtility float64
 }
 
@@ -178,7 +178,7 @@
 // headBytes is the approximate size of the headers of a request and its answer.
 const headBytes = 1500
 
-// bytesPerMegabyte converts sizes in bytes to the unit of Prices.Across.
+// bytesPerMegabyte converts sizes in bytes to the unit of CostModel.CrossDomainPerMiB.
 const bytesPerMegabyte = 1 << 20
 
 // servingCost returns the cost of serving a request at a candidate that does not
--- a/core/route/warmup.go
+++ b/core/route/warmup.go
@@ -7,7 +7,7 @@
 // before a box is lost or the network is partitioned, and the view after.
 const ConcurrentViews = 2
 
-// ColdShare returns the number of requests per second that one daemon may send to a target
+// WarmupShare returns the number of requests per second that one daemon may send to a target
 // that is warming up. maxRate is the target's warm-up rate: what it may get per second from
 // all daemons together. index is this daemon's position among the daemons that may send to
 // the target. Daemons don't coordinate: each computes its share from the list of boxes, and
@@ -28,19 +28,19 @@
 	return share
 }
 
-// Pace is the rate limiter of one daemon for one target that is warming up. The zero value
+// WarmupLimiter is the rate limiter of one daemon for one target that is warming up. The zero value
 // has recorded no attempts.
 type WarmupLimiter struct {
 	// sent holds the times of the attempts within the last warmupWindow, oldest first.
 	sent []time.Time
 }
 
-// warmupWindow is the length of the sliding window of Pace. It is a second, plus the time by
-// which two attempts may move closer to each other on the way to the target, a scheduling
-// delay of a busy daemon.
+// warmupWindow is the length of the sliding window of a WarmupLimiter. It is a second, plus
+// the time by which two attempts may move closer to each other on the way to the target,
+// a scheduling delay of a busy daemon.
 const warmupWindow = 1050 * time.Millisecond
 
-// May reports whether another attempt is allowed if at most share are per second.
+// Allows reports whether another attempt is allowed if at most share are per second.
 func (p *WarmupLimiter) Allows(share int, now time.Time) bool {
 	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= warmupWindow {
 		p.sent = p.sent[1:]
@@ -48,7 +48,7 @@
 	return len(p.sent) < share
 }
 
-// Sent records an attempt.
+// RecordAttempt records an attempt.
 func (p *WarmupLimiter) RecordAttempt(now time.Time) { p.sent = append(p.sent, now) }
 
 // Idle reports whether there was no attempt within the window.
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -32,7 +32,7 @@
 	maxLeaving = 1024
 )
 
-// InForce holds the applied values that operators have written, by key of the coordination store.
+// AppliedValues holds the applied values that operators have written, by key of the coordination store.
 // After the store was restored from an older copy, daemons that have only read the copy get the
 // values that it lacks from peers, and which targets are shutting down.
 type AppliedValues struct {
@@ -40,9 +40,9 @@
 	fleet      *fleet.Fleet
 	transfers  *transfers
 	log        *event.Log
-	// Leaving, if set, returns the incarnations of targets that recently reported that they are
-	// shutting down; Leaves is called with those that a peer names. Both are set before the fleet
-	// runs.
+	// ShuttingDown, if set, returns the incarnations of targets that recently reported that they are
+	// shutting down; OnShuttingDown is called with those that a peer names. Both are set before the
+	// fleet runs.
 	ShuttingDown   func() []string
 	OnShuttingDown func(incarnation string)
 
@@ -94,7 +94,7 @@
 // errNotReady is returned while a peer has only its own copy of the store.
 var errNotReady = errors.New("this daemon has not requested the applied values from its peers yet")
 
-// NewInForce returns an InForce and registers it with the fleet of m.
+// NewAppliedValues returns AppliedValues and registers them with the fleet of m.
 func NewAppliedValues(m *WatchCacheSync) *AppliedValues {
 	n := &AppliedValues{watchCache: m.watchCache, fleet: m.fleet, transfers: m.values.transfers, log: m.log, values: map[string]appliedValue{}}
 	n.fleet.Mux().Register(kindApplied, wire.Handle(n.handleApplied))
@@ -111,21 +111,21 @@
 	}
 }
 
-// Drop removes a value.
+// Remove removes a value.
 func (n *AppliedValues) Remove(key string) {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	delete(n.values, key)
 }
 
-// Settle makes this daemon answer peers' requests.
+// MarkReady makes this daemon answer peers' requests.
 func (n *AppliedValues) MarkReady() {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	n.ready = true
 }
 
-// Settled reports whether this daemon answers peers' requests.
+// Ready reports whether this daemon answers peers' requests.
 func (n *AppliedValues) Ready() bool {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
@@ -186,7 +186,7 @@
 	return exists && n.watchCache.Era() >= incarnation && bytes.Equal(p.Value, v.Value)
 }
 
-// Ask requests newer values from some peers, live ones first, and calls take, one call at a time,
+// Pull requests newer values from some peers, live ones first, and calls take, one call at a time,
 // with each that is newer than the stored one at that time. It returns how many peers responded.
 func (n *AppliedValues) Pull(ctx context.Context, take func(plat.Pair)) int {
 	peers := n.peers()
--- a/core/spread/relays.go
+++ b/core/spread/relays.go
@@ -53,7 +53,7 @@
 	return slices.Contains(s.relaysOf(view), view.Self()) || s.IsStandby()
 }
 
-// Hold returns how long the store is to hold a watch request for changes.
+// WatchWait returns how long the store is to hold a watch request for changes.
 func (s *WatchCacheSync) WatchWait() time.Duration {
 	if s.fleet.View().Cells() < minCellsForRelays {
 		return watchWaitSmall
@@ -144,7 +144,7 @@
 	return r
 }
 
-// Asks returns the daemons that watch the store by rank, for this daemon's cell or, where there are
+// WatchingDaemons returns the daemons that watch the store by rank, for this daemon's cell or, where there are
 // watch relays, for the fleet.
 func (s *WatchCacheSync) WatchingDaemons() []string {
 	view := s.fleet.View()
--- a/core/spread/shards.go
+++ b/core/spread/shards.go
@@ -208,7 +208,7 @@
 	return func(p plat.Pair) bool { return !v.includes(p) }
 }
 
-// Divided reports whether the targets of a service are sharded between the cells.
+// Sharded reports whether the targets of a service are sharded between the cells.
 func (s *WatchCacheSync) Sharded(service string) bool {
 	if cached := s.watchCache.Shard(); cached != "" {
 		return slices.Contains(parseShardName(cached).Sharded, service)
@@ -217,8 +217,8 @@
 	return slices.Contains(s.entries.sharded(view.Cells()), service)
 }
 
-// Basis returns a comparable value that the results of Uses depend on: while it is equal, so are
-// they.
+// ShardVersion returns a comparable value that the results of InOwnCell depend on: while it is
+// equal, so are they.
 func (s *WatchCacheSync) ShardVersion() any {
 	type shardBasis struct {
 		view  *fleet.View
@@ -227,7 +227,7 @@
 	return shardBasis{s.fleet.View(), s.watchCache.Shard()}
 }
 
-// Uses reports whether a target of a sharded service belongs to this daemon's cell. While the cache
+// InOwnCell reports whether a target of a sharded service belongs to this daemon's cell. While the cache
 // itself holds a shard, all its targets do, so that a change of shards leaves no gap.
 func (s *WatchCacheSync) InOwnCell(name, domain string) bool {
 	return s.watchCache.Shard() != "" || s.fleet.View().Shard().Holds(name, domain)
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -45,19 +45,19 @@
 	AgeMillis int
 }
 
-// DutyWatch names the assignment to watch the coordination store's configuration for a cell.
+// WatchAssignment names the assignment to watch the coordination store's configuration for a cell.
 const WatchAssignment = "watch"
 
 // AppliedPrefix is the key prefix under which each cell publishes the sequence that it has applied.
 const AppliedPrefix = "embertally/force/"
 
-// coordinationStore is the part of the coordination store's client that Spread uses.
+// coordinationStore is the part of the coordination store's client that ConfigReplicator uses.
 type coordinationStore interface {
 	Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error)
 	Commit(ctx context.Context, t plat.Txn) (plat.Outcome, error)
 }
 
-// Spread replicates a configuration store between the daemons of the fleet.
+// ConfigReplicator replicates a configuration store between the daemons of the fleet.
 type ConfigReplicator struct {
 	store     *conf.Store
 	fleet     *fleet.Fleet
@@ -75,7 +75,7 @@
 	stateChanged chan struct{}
 }
 
-// New returns a Spread for store and attaches it to the fleet's heartbeats.
+// New returns a ConfigReplicator for store and attaches it to the fleet's heartbeats.
 func New(store *conf.Store, f *fleet.Fleet, kv coordinationStore) *ConfigReplicator {
 	s := &ConfigReplicator{
 		store: store, fleet: f, kv: kv, transfers: newTransfers(f, nil), wake: make(chan struct{}, 1),
@@ -202,7 +202,7 @@
 // Wake returns a channel that receives when a peer may have a later sequence.
 func (s *ConfigReplicator) Wake() <-chan struct{} { return s.wake }
 
-// Ahead returns the live peer with the highest sequence above seq, or with any sequence while
+// PeerAhead returns the live peer with the highest sequence above seq, or with any sequence while
 // nothing is loaded here. It returns "" if there is none.
 func (s *ConfigReplicator) PeerAhead(seq uint64) string {
 	loaded := s.store.Loaded()
@@ -242,13 +242,13 @@
 	return d, errors.Wrap(msgpack.Unmarshal(raw, &d), "decoding a peer's configuration changes")
 }
 
-// WatchHolder reports whether this daemon is assigned to watch the coordination store for its cell.
+// HoldsWatch reports whether this daemon is assigned to watch the coordination store for its cell.
 func (s *ConfigReplicator) HoldsWatch() bool {
 	v := s.fleet.View()
 	return v.Duty(fleet.Key(WatchAssignment)) == v.Self()
 }
 
-// Seq returns the sequence that a peer last reported as applied; 0 if it reported none.
+// PeerSeq returns the sequence that a peer last reported as applied; 0 if it reported none.
 func (s *ConfigReplicator) PeerSeq(peer string) uint64 {
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
@@ -276,7 +276,7 @@
 	return now.Sub(s.lastCurrent) < maxLag
 }
 
-// Heard reports whether any live peer reported a loaded configuration.
+// AnyPeerLoaded reports whether any live peer reported a loaded configuration.
 func (s *ConfigReplicator) AnyPeerLoaded() bool {
 	s.statesMu.Lock()
 	defer s.statesMu.Unlock()
@@ -288,7 +288,7 @@
 	return false
 }
 
-// NotYet returns the live or listed daemons of this cell, and the other cells, that have not
+// Lagging returns the live or listed daemons of this cell, and the other cells, that have not
 // applied seq.
 func (s *ConfigReplicator) Lagging(ctx context.Context, seq uint64) []string {
 	view := s.fleet.View()
@@ -341,10 +341,10 @@
 	return 0
 }
 
-// pollInterval is the time between two reads of the other cells' sequences while Await waits.
+// pollInterval is the time between two reads of the other cells' sequences while AwaitApplied waits.
 const pollInterval = 200 * time.Millisecond
 
-// Await waits until every daemon and cell has applied seq, or ctx ends. It returns those that have
+// AwaitApplied waits until every daemon and cell has applied seq, or ctx ends. It returns those that have
 // not.
 func (s *ConfigReplicator) AwaitApplied(ctx context.Context, seq uint64) []string {
 	for {
--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -20,7 +20,7 @@
 
 const kindStoreIndex wire.Kind = "spread.shelf"
 
-// Shelves keeps the index of what KV-cache stores hold. A store admits a few watchers at a time,
+// StoreIndexes keeps the index of what KV-cache stores hold. A store admits a few watchers at a time,
 // and each request is priced. In a larger fleet only a few daemons of the whole fleet may send
 // requests to a store; one of each cell sends its requests to the first of these, and publishes the
 // changes to the others of its cell in heartbeats.
@@ -42,7 +42,7 @@
 	published, publishing map[string]publishedPoint
 }
 
-// NewShelves returns a Shelves that watches stores by way of direct. Serve must be called before it
+// NewStoreIndexes returns StoreIndexes that watch stores by way of direct. Serve must be called before it
 // is used.
 func NewStoreIndexes(direct cache.StoreClient, f *fleet.Fleet) *StoreIndexes {
 	return &StoreIndexes{
--- a/core/spread/storeindex_rank.go
+++ b/core/spread/storeindex_rank.go
@@ -77,7 +77,7 @@
 	return r
 }
 
-// Rank returns how many daemons come before this one for assignments at a store: in a large fleet
+// AssignmentRank returns how many daemons come before this one for assignments at a store: in a large fleet
 // those that send requests to it come first.
 func (s *StoreIndexes) AssignmentRank(address string) int {
 	view := s.fleet.View()
--- a/core/spread/updates.go
+++ b/core/spread/updates.go
@@ -21,7 +21,7 @@
 	maxRemoteHold = 2 * time.Second
 )
 
-// Swaps notifies the cell that uses a worker when a weight update of the worker is about to start,
+// WeightUpdateNotifier notifies the cell that uses a worker when a weight update of the worker is about to start,
 // while it runs, and when it has completed.
 //
 // Heartbeats reach only the cell of the daemon that gives the order. Without a notice each daemon
@@ -29,12 +29,12 @@
 type WeightUpdateNotifier struct {
 	fleet  *fleet.Fleet
 	roster *roster.Roster
-	// Divided, if set, reports whether the targets of a service are sharded between the cells. It
+	// Sharded, if set, reports whether the targets of a service are sharded between the cells. It
 	// is set before use.
 	Sharded func(service string) bool
 }
 
-// NewSwaps returns a Swaps. It must be called before the fleet runs.
+// NewWeightUpdateNotifier returns a WeightUpdateNotifier. It must be called before the fleet runs.
 func NewWeightUpdateNotifier(f *fleet.Fleet, r *roster.Roster) *WeightUpdateNotifier {
 	s := &WeightUpdateNotifier{fleet: f, roster: r}
 	f.Mux().Register(kindWeightUpdate, wire.Handle(s.handleNotice))
@@ -54,13 +54,13 @@
 	Remaining time.Duration
 }
 
-// Began notifies the worker's cell that a weight update is about to start or still runs, and takes
+// UpdateStarted notifies the worker's cell that a weight update is about to start or still runs, and takes
 // about the time remaining.
 func (s *WeightUpdateNotifier) UpdateStarted(t *roster.Target, model string, remaining time.Duration) {
 	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Remaining: remaining})
 }
 
-// Ended notifies the worker's cell that the worker has a version of the weights.
+// UpdateEnded notifies the worker's cell that the worker has a version of the weights.
 func (s *WeightUpdateNotifier) UpdateEnded(t *roster.Target, model string, version int64) {
 	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Version: version})
 }
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -21,7 +21,7 @@
 
 const kindChanges wire.Kind = "spread.mirror"
 
-// Mirrors keeps this daemon's watch cache current while the coordination store does not answer it
+// WatchCacheSync keeps this daemon's watch cache current while the coordination store does not answer it
 // or other daemons watch the store for it: it requests the changes from a peer.
 type WatchCacheSync struct {
 	// started is when this daemon started.
@@ -37,7 +37,7 @@
 	// daemon's requests that a peer did not answer.
 	bytesSent, requestsFailed atomic.Int64
 
-	// Entry, if set, parses a pair as a target's entry; it returns false where the pair is none. It
+	// EntryParser, if set, parses a pair as a target's entry; it returns false where the pair is none. It
 	// is set before Run.
 	EntryParser func(plat.Pair) (Entry, bool)
 	entries     entryIndex
@@ -51,7 +51,7 @@
 	peerFresh map[string]clock.Time
 }
 
-// NewMirrors returns Mirrors for m and attaches it to the fleet's heartbeats.
+// NewWatchCacheSync returns a WatchCacheSync for m and attaches it to the fleet's heartbeats.
 func NewWatchCacheSync(m *plat.Mirror, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
 	s := &WatchCacheSync{started: clock.Now(), watchCache: m, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
 	s.relayBackoff.First, s.relayBackoff.Most = backoffFirst, backoffMax
@@ -63,10 +63,10 @@
 	return s
 }
 
-// Told returns how many bytes of values were sent to peers.
+// BytesSent returns how many bytes of values were sent to peers.
 func (s *WatchCacheSync) BytesSent() int64 { return s.bytesSent.Load() }
 
-// Failed returns how many requests to peers failed.
+// RequestsFailed returns how many requests to peers failed.
 func (s *WatchCacheSync) RequestsFailed() int64 { return s.requestsFailed.Load() }
 
 // cacheHeartbeat is the part of a heartbeat that reports how old a watch cache is.
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -48,7 +48,7 @@
 	return 0
 }
 
-// Rest returns the pushback of the response in err, or 0.
+// Pushback returns the pushback of the response in err, or 0.
 func Pushback(err error) time.Duration {
 	var s *StatusError
 	if errors.As(err, &s) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// NewOnceTransport returns a transport that opens a connection for each call. The standard
+// NewTransportWithoutReuse returns a transport that opens a connection for each call. The standard
 // transport retries some calls by itself when a reused connection fails, but never on a new
 // connection.
 func NewTransportWithoutReuse() *http.Transport {
@@ -101,13 +101,13 @@
 // NewEngine returns a client of the engine at url.
 func NewEngine(url string, client *http.Client) *Engine { return &Engine{url, client} }
 
-// News is an engine's response to a poll for cache events.
+// EventBatch is an engine's response to a poll for cache events.
 type EventBatch struct {
 	Events []cache.CacheEvent `json:"events"`
 	Load   Load               `json:"load"`
 }
 
-// News waits for the time gather, and returns the cache events after seq together with the load.
+// PollEvents waits for the time gather, and returns the cache events after seq together with the load.
 // Polling is cheap mainly because one call returns both, and many events at once.
 func (e *Engine) PollEvents(ctx context.Context, seq uint64, gather time.Duration) (EventBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, gather+callTimeout)
@@ -138,7 +138,7 @@
 
 // Load is an engine's report of its work, which lags behind.
 type Load struct {
-	// Boot identifies the engine's incarnation.
+	// Incarnation identifies the engine's incarnation.
 	Incarnation string `json:"boot"`
 	// QueuedTokens holds the numbers of waiting prompt tokens by priority, lowest first.
 	QueuedTokens []int `json:"queuedTokens"`
@@ -152,7 +152,7 @@
 	Loading                bool      `json:"loading,omitempty"`
 }
 
-// Staged is the result of an import. The blocks are not used until a request refers to them.
+// ImportResult is the result of an import. The blocks are not used until a request refers to them.
 type ImportResult struct {
 	ID     string  `json:"id"`
 	Blocks []Block `json:"blocks"`
@@ -179,7 +179,7 @@
 	return e.do(ctx, http.MethodPost, "/v1/cache/commit", body, nil)
 }
 
-// Exported is the result of an export to a store.
+// ExportResult is the result of an export to a store.
 type ExportResult struct {
 	Blocks []Block `json:"blocks"`
 	Bytes  int64   `json:"bytes"`
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Outgoing is one request to a target.
+// Request is one request to a target.
 type Request struct {
 	Method string
 	// URI is the path and query as the caller sent them.
@@ -19,10 +19,10 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh, if positive, is the longest time that a reused connection may have been idle, so that
+	// MaxIdle, if positive, is the longest time that a reused connection may have been idle, so that
 	// the request does not go out on one that the target is about to close.
 	MaxIdle time.Duration
-	// May, if set, is called when a connection is open and nothing has been written yet. If it
+	// BeforeWrite, if set, is called when a connection is open and nothing has been written yet. If it
 	// returns an error, nothing is written and the error is the cause of Send's.
 	BeforeWrite func() error
 }
@@ -48,19 +48,19 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.cause }
 
-// WasSent reports whether a failed request may have reached its target.
+// MayHaveArrived reports whether a failed request may have reached its target.
 func MayHaveArrived(err error) bool {
 	var s *SendError
 	return errors.As(err, &s) && s.MayHaveArrived
 }
 
-// WasEarly reports whether a request failed on a connection that its target had closed before.
+// ClosedEarly reports whether a request failed on a connection that its target had closed before.
 func ClosedEarly(err error) bool {
 	var s *SendError
 	return errors.As(err, &s) && s.ClosedEarly
 }
 
-// Incoming is the response of a target, whose body is still to be read.
+// Response is the response of a target, whose body is still to be read.
 type Response struct {
 	Status int
 	Header http.Header
@@ -107,7 +107,7 @@
 	conn.pool.put(conn, in.Header.Get("Keep-Alive"))
 }
 
-// Spoil makes Close discard the connection.
+// Discard makes Close discard the connection.
 func (in *Response) Discard() { in.failed = true }
 
 // reusable reports whether the response and the request are complete.
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -61,7 +61,7 @@
 // ErrFull means that the target has as many connections as it may have.
 var ErrFull = errors.New("all connections to the target are in use")
 
-// SetMost bounds the connections to an address; 0 means no bound.
+// SetMaxConns bounds the connections to an address; 0 means no bound.
 func (p *Pool) SetMaxConns(address string, maxOpen int) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
@@ -81,7 +81,7 @@
 	return state
 }
 
-// Forget closes the idle connections to an address that was removed.
+// CloseIdle closes the idle connections to an address that was removed.
 func (p *Pool) CloseIdle(address string) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// Room returns how many more requests can be sent to an address at once.
+// FreeCapacity returns how many more requests can be sent to an address at once.
 func (p *Pool) FreeCapacity(address string) int {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
@@ -110,7 +110,7 @@
 	return state.maxOpen - state.open + len(state.idle)
 }
 
-// Warm reports whether an idle connection to an address is open.
+// HasIdle reports whether an idle connection to an address is open.
 func (p *Pool) HasIdle(address string) bool {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
@@ -155,7 +155,7 @@
 	return in, nil
 }
 
-// Try opens a connection to an address and keeps it for the next request.
+// Connect opens a connection to an address and keeps it for the next request.
 func (p *Pool) Connect(ctx context.Context, address string) error {
 	p.poolMu.Lock()
 	state := p.state(address)
--- a/core/target/retryafter.go
+++ b/core/target/retryafter.go
@@ -11,7 +11,7 @@
 // headerRetryAfter is the standard header (RFC 9110). Targets may use fractions of a second.
 const headerRetryAfter = "Retry-After"
 
-// AskedRest returns the pushback in a response that rejects a request. Of several values the
+// ParsePushback returns the pushback in a response that rejects a request. Of several values the
 // longest applies; invalid is an unreadable value, quoted, or "".
 func ParsePushback(status int, h http.Header) (pushback time.Duration, invalid string) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
--- a/core/target/store.go
+++ b/core/target/store.go
@@ -60,7 +60,7 @@
 	return do(ctx, s.client, http.MethodDelete, s.url+"/v1/manifests/"+root.String(), nil, nil)
 }
 
-// KeptContext is one context in a store's usage report.
+// StoredContext is one context in a store's usage report.
 type StoredContext struct {
 	Root   cache.Hash `json:"root"`
 	Blocks int        `json:"blocks"`
