--- a/core/cache/storefollower.go
+++ b/core/cache/storefollower.go
@@ -54,7 +54,7 @@
 func (f storeFollower) step(ctx context.Context) error {
 	since, synced := f.indexes.position(f.address)
 	if !synced {
-		contents, err := f.indexes.watcher.Contents(ctx, f.address)
+		contents, err := f.indexes.client.Contents(ctx, f.address)
 		if err != nil {
 			return err
 		}
@@ -73,7 +73,7 @@
 		// The contents listing does not include the targets' clock, which copies need.
 		wait = firstPollWait
 	}
-	ev, err := f.indexes.watcher.Events(ctx, f.address, since, wait)
+	ev, err := f.indexes.client.Events(ctx, f.address, since, wait)
 	if err != nil {
 		return err
 	}
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -19,7 +19,7 @@
 //
 // Lock order: indexesMu is never held together with another lock of this package.
 type StoreIndexes struct {
-	watcher StoreClient
+	client StoreClient
 	log     *event.Log
 
 	indexesMu sync.Mutex
@@ -27,8 +27,8 @@
 }
 
 // NewStoreIndexes returns StoreIndexes that follow no stores until Set is called.
-func NewStoreIndexes(watcher StoreClient, log *event.Log) *StoreIndexes {
-	return &StoreIndexes{watcher: watcher, log: log, indexes: map[string]*storeIndex{}}
+func NewStoreIndexes(client StoreClient, log *event.Log) *StoreIndexes {
+	return &StoreIndexes{client: client, log: log, indexes: map[string]*storeIndex{}}
 }
 
 // Set starts following the given stores and stops following all others. Following ends with
@@ -202,7 +202,7 @@
 
 // Free frees segments of a store that were seen in the given epoch.
 func (s *StoreIndexes) Free(ctx context.Context, address string, epoch int64, segments []SegmentName) error {
-	if err := s.watcher.Free(ctx, address, epoch, segments); err != nil {
+	if err := s.client.Free(ctx, address, epoch, segments); err != nil {
 		return errors.Wrap(err, address)
 	}
 	s.indexesMu.Lock()
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -114,12 +114,12 @@
 	g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
 	g.Expect(found(k, "1")()).To(gomega.BeFalse())
 	g.Expect(k.Tokens()).To(gomega.Equal(50))
-	places := k.Find(SegmentName{"v1/m/", "2"}, clock.Now())
-	g.Expect(places).To(gomega.HaveLen(1))
-	place := places[0]
-	g.Expect(place.TransferTime("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
-	g.Expect(place.TransferTime("d")).To(gomega.Equal(50 * time.Microsecond))
-	g.Expect(place.Until).To(gomega.BeNumerically(">", time.Hour))
+	found := k.Find(SegmentName{"v1/m/", "2"}, clock.Now())
+	g.Expect(found).To(gomega.HaveLen(1))
+	stored := found[0]
+	g.Expect(stored.TransferTime("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
+	g.Expect(stored.TransferTime("d")).To(gomega.Equal(50 * time.Microsecond))
+	g.Expect(stored.Until).To(gomega.BeNumerically(">", time.Hour))
 }
 
 func TestGapOrNewEpochResyncs(t *testing.T) {
--- a/core/home/assignments.go
+++ b/core/home/assignments.go
@@ -13,7 +13,7 @@
 
 // assignments follows the workers that are assigned to this daemon.
 type assignments struct {
-	home *Owner
+	owner *Owner
 	// running are the followers started for snap and view. Only run uses these fields.
 	running map[string]runningFollower
 	snap    *conf.Snapshot
@@ -42,20 +42,20 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-a.home.o.Conf.Changed():
+		case <-a.owner.o.Conf.Changed():
 		}
 	}
 }
 
 // adjust starts and stops followers to match the assignments.
 func (a *assignments) adjust(ctx context.Context, wg *sync.WaitGroup) {
-	snap, view := a.home.o.Conf.Snapshot(), a.home.o.Fleet.View()
+	snap, view := a.owner.o.Conf.Snapshot(), a.owner.o.Fleet.View()
 	if a.snap == snap && a.view == view {
 		return
 	}
 	a.snap, a.view = snap, view
 	assigned := map[string]*conf.Target{}
-	for _, name := range a.home.targets(snap, view).workers {
+	for _, name := range a.owner.targets(snap, view).workers {
 		if view.Duty(fleet.Key("follow/"+name)) == view.Self() {
 			assigned[name] = snap.Target(name)
 		}
@@ -64,7 +64,7 @@
 		if t := assigned[name]; t == nil || t.URL != f.url {
 			f.stop()
 			delete(a.running, name)
-			a.home.loads.unfollow(name)
+			a.owner.loads.unfollow(name)
 		}
 	}
 	for name, t := range assigned {
@@ -73,8 +73,8 @@
 		}
 		ctx, stop := context.WithCancel(ctx)
 		a.running[name] = runningFollower{url: t.URL, stop: stop}
-		e := a.home.engine(t)
-		f := cache.NewFollower(name, &feed{a.home, name, e}, a.rootBlocks(snap, t), a.home, a.home.o.Log)
+		e := a.owner.engine(t)
+		f := cache.NewFollower(name, &feed{a.owner, name, e}, a.rootBlocks(snap, t), a.owner, a.owner.o.Log)
 		wg.Go(func() { f.Run(ctx) })
 	}
 }
@@ -91,18 +91,18 @@
 
 // feed provides the cache events of one worker and records its load.
 type feed struct {
-	home   *Owner
+	owner   *Owner
 	worker string
 	engine *target.Engine
 }
 
 // CacheNotes returns cache events and records the load that comes with them.
 func (f *feed) CacheNotes(ctx context.Context, seq uint64) ([]cache.CacheEvent, error) {
-	n, err := f.engine.PollEvents(ctx, seq, f.home.o.LoadInterval)
+	n, err := f.engine.PollEvents(ctx, seq, f.owner.o.LoadInterval)
 	if err != nil {
 		return nil, err
 	}
-	f.home.loads.setFollowed(f.convert(n.Load), time.Now())
+	f.owner.loads.setFollowed(f.convert(n.Load), time.Now())
 	return n.Events, nil
 }
 
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -82,7 +82,7 @@
 // New returns an Owner and registers its messages with the fleet.
 func New(o Options) *Owner {
 	h := &Owner{o: o, loads: loads{onReplaced: o.IncarnationReplaced}, exports: make(chan export, maxExports), downUntil: map[string]time.Time{}}
-	h.assignments.home = h
+	h.assignments.owner = h
 	m := o.Fleet.Mux()
 	m.Register(kindPlace, wire.Handle(h.place))
 	m.Register(kindDone, wire.Handle(h.done))
@@ -206,10 +206,10 @@
 	}
 	snap, view, now := h.o.Conf.Snapshot(), h.o.Fleet.View(), time.Now()
 	root, shorts := req.Root(), cache.Shorts(req.Chain)
-	pos := h.index.Find(root.Short(), shorts)
-	found := h.queryStores(ctx, snap, view, req, root, &pos)
-	workers, blockBytes := h.candidates(snap, view, req, pos, now)
-	d := route.Place(h.o.Placement, h.request(req, root), workers, h.importSources(snap, pos, blockBytes))
+	state := h.index.Find(root.Short(), shorts)
+	found := h.queryStores(ctx, snap, view, req, root, &state)
+	workers, blockBytes := h.candidates(snap, view, req, state, now)
+	d := route.Place(h.o.Placement, h.request(req, root), workers, h.importSources(snap, state, blockBytes))
 	ans := PlacementResult{
 		Verdict: d.Verdict, Worker: d.Chosen.Worker, Expected: d.Chosen.Expected,
 		RetryAfter: d.RetryAfter, Options: d.Cheapest, Owner: view.Self(),
@@ -256,7 +256,7 @@
 
 // candidates returns the workers that may serve the request, and the size of a block in
 // bytes.
-func (h *Owner) candidates(snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, pos cache.ContextState, now time.Time) ([]route.Worker, int64) {
+func (h *Owner) candidates(snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, state cache.ContextState, now time.Time) ([]route.Worker, int64) {
 	var out []route.Worker
 	blockBytes := int64(0)
 	weights := WeightsName(req.Salt)
@@ -273,7 +273,7 @@
 		if w.PrefillPerSecond == 0 {
 			w.PrefillPerSecond = t.Prefill()
 		}
-		for _, held := range pos.Workers {
+		for _, held := range state.Workers {
 			if held.Worker == name {
 				w.CachedBlocks = held.Blocks
 			}
@@ -325,8 +325,8 @@
 		if !ok {
 			continue
 		}
-		for _, held := range load.Holds {
-			if v, ok := versionOf(held, model); ok && !slices.Contains(out, v) {
+		for _, weights := range load.Holds {
+			if v, ok := versionOf(weights, model); ok && !slices.Contains(out, v) {
 				out = append(out, v)
 			}
 		}
@@ -336,11 +336,11 @@
 
 // versionOf returns the version in the name of loaded weights. It returns false if they are
 // of another model or have an adapter.
-func versionOf(held, model string) (string, bool) {
-	if len(held) <= len(model) || held[:len(model)] != model || held[len(model)] != '@' {
+func versionOf(weights, model string) (string, bool) {
+	if len(weights) <= len(model) || weights[:len(model)] != model || weights[len(model)] != '@' {
 		return "", false
 	}
-	v := held[len(model)+1:]
+	v := weights[len(model)+1:]
 	for _, c := range v {
 		if c == '+' {
 			return "", false
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -153,7 +153,7 @@
 
 func TestVersionOf(t *testing.T) {
 	tests := []struct {
-		held, model, want string
+		weights, model, want string
 		ok                bool
 	}{
 		{"m@v1", "m", "v1", true},
@@ -162,8 +162,8 @@
 		{"m", "m", "", false},
 	}
 	for _, tc := range tests {
-		got, ok := versionOf(tc.held, tc.model)
-		gomega.NewWithT(t).Expect([]any{got, ok}).To(gomega.Equal([]any{tc.want, tc.ok}), tc.held)
+		got, ok := versionOf(tc.weights, tc.model)
+		gomega.NewWithT(t).Expect([]any{got, ok}).To(gomega.Equal([]any{tc.want, tc.ok}), tc.weights)
 	}
 }
 
--- a/core/home/transfer.go
+++ b/core/home/transfer.go
@@ -31,9 +31,9 @@
 
 // queryStores queries the stores for a context, unless they have been queried already. It
 // adds what they hold to pos.
-func (h *Owner) queryStores(ctx context.Context, snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, root cache.Hash, pos *cache.ContextState) manifests {
+func (h *Owner) queryStores(ctx context.Context, snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, root cache.Hash, state *cache.ContextState) manifests {
 	d := snap.Deployment(req.Deployment)
-	if pos.StoresQueried || !h.o.Placement.Exports() || d == nil || len(req.Chain) < d.ExportFrom() {
+	if state.StoresQueried || !h.o.Placement.Exports() || d == nil || len(req.Chain) < d.ExportFrom() {
 		return nil
 	}
 	names := h.stores(snap, view, root)
@@ -64,7 +64,7 @@
 		h.index.SetStoreBlocks(root.Short(), shorts, names[i], n, now)
 		if n > 0 {
 			out[names[i]] = m
-			pos.Stores = append(pos.Stores, cache.StoreBlocks{Store: names[i], Blocks: n})
+			state.Stores = append(state.Stores, cache.StoreBlocks{Store: names[i], Blocks: n})
 		}
 	}
 	return out
@@ -107,9 +107,9 @@
 
 // importSources returns the stores that hold blocks of the context, in the form that
 // route.Place expects.
-func (h *Owner) importSources(snap *conf.Snapshot, pos cache.ContextState, blockBytes int64) []route.StoredContext {
+func (h *Owner) importSources(snap *conf.Snapshot, state cache.ContextState, blockBytes int64) []route.StoredContext {
 	var out []route.StoredContext
-	for _, k := range pos.Stores {
+	for _, k := range state.Stores {
 		t := snap.Target(k.Store)
 		if t == nil || h.isDown(k.Store) {
 			continue
--- a/core/learn/links.go
+++ b/core/learn/links.go
@@ -76,7 +76,7 @@
 	// has recovered is soon recognised.
 	maxSlowdownWeight = 6
 	// maxSlowdown bounds the slowdown of one sample, and its inverse.
-	maxSlowdown = 16
+	maxLinkSlowdown = 16
 	// maxBusy bounds how far into the future a link is assumed to be busy.
 	maxBusy = 5 * time.Second
 	// maxReported bounds the unreported copies, and the unreported samples.
@@ -152,7 +152,7 @@
 	if !(ratio > 0) || !finite(ratio) {
 		return
 	}
-	logRatio := math.Log(min(max(ratio, 1.0/maxSlowdown), maxSlowdown))
+	logRatio := math.Log(min(max(ratio, 1.0/maxLinkSlowdown), maxLinkSlowdown))
 	l.linksMu.Lock()
 	defer l.linksMu.Unlock()
 	for _, s := range [...]linkSample{
@@ -180,7 +180,7 @@
 // addSample adds a sample to its link, or counts it as rejected. It is called with linksMu
 // held.
 func (l *Links) addSample(s linkSample, now time.Time) {
-	limit := math.Log(maxSlowdown)
+	limit := math.Log(maxLinkSlowdown)
 	if !finite(float64(s.LogSlowdown)) || s.Weight < 0 || s.Weight > 1 {
 		l.rejected++
 		return
--- a/core/learn/links_test.go
+++ b/core/learn/links_test.go
@@ -85,7 +85,7 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			l.Receive("faulty", raw)
 			st := l.State("store", time.Now())
-			g.Expect(st.Slowdown).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", maxSlowdown)))
+			g.Expect(st.Slowdown).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", maxLinkSlowdown)))
 			g.Expect(st.Wait).To(gomega.BeNumerically("<=", maxBusy))
 			g.Expect(l.Rejected()).To(gomega.Equal(tc.rejected))
 		})
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -65,7 +65,7 @@
 	priorFailures       = 0.02
 	failuresPriorWeight = 10
 	// maxSpeedFactor bounds the speed factor of one observation, and its inverse.
-	maxSpeedFactor = 8
+	maxTargetSlowdown = 8
 	// targetExpiry is the time after which a target without observations is removed.
 	targetExpiry = time.Minute
 	// maxReportCount bounds each count in a peer's report of a target.
@@ -106,7 +106,7 @@
 	if !(ratio > 0) || !finite(ratio) {
 		return
 	}
-	logRatio := math.Log(min(max(ratio, 1.0/maxSpeedFactor), maxSpeedFactor))
+	logRatio := math.Log(min(max(ratio, 1.0/maxTargetSlowdown), maxTargetSlowdown))
 	t.observe(id, targetReport{Service: service, Times: 1, LogSlowdown: float32(logRatio)}, now)
 }
 
@@ -179,7 +179,7 @@
 
 // valid reports whether a peer's report is within the possible ranges.
 func (r *targetReport) valid() bool {
-	limit := math.Log(maxSpeedFactor) * float64(r.Times) * 1.01
+	limit := math.Log(maxTargetSlowdown) * float64(r.Times) * 1.01
 	return r.Times >= 0 && r.Times <= maxReportCount && r.Answers >= 0 && r.Answers <= maxReportCount &&
 		r.Failures >= 0 && r.Failures <= r.Answers && math.Abs(float64(r.LogSlowdown)) <= limit
 }
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -52,26 +52,26 @@
 	}
 	ctx, cancel := p.waitBudget(ctx, c)
 	defer cancel()
-	in, err := p.relay.options.Pool.Send(ctx, c.target.Entry().Address, p.outgoing(c))
+	resp, err := p.relay.options.Pool.Send(ctx, c.target.Entry().Address, p.targetRequest(c))
 	if err != nil {
 		return p.classifyNoAnswer(ctx, c, err), nil
 	}
-	defer in.Close()
-	reply := p.relay.options.Dialect.ParseResponse(in.Status, in.Header)
-	if out, ok := p.checkAnswer(c, in, &reply); !ok {
+	defer resp.Close()
+	respMeta := p.relay.options.Dialect.ParseResponse(resp.Status, resp.Header)
+	if out, ok := p.checkAnswer(c, resp, &respMeta); !ok {
 		return out, nil
 	}
 	p.attempts++
 	p.executions++
 	p.relay.options.Poison.Answers(c.target.ID())
-	if reply.WeightVersion > 0 {
-		p.relay.options.Roster.RecordVersion(c.target.ID(), p.meta.Model, reply.WeightVersion)
+	if respMeta.WeightVersion > 0 {
+		p.relay.options.Roster.RecordVersion(c.target.ID(), p.meta.Model, respMeta.WeightVersion)
 	}
-	if p.route.Kind == table.Stream && in.Status == http.StatusOK {
-		out := p.passOnStream(c, in, &reply, sent, onFirst)
+	if p.route.Kind == table.Stream && resp.Status == http.StatusOK {
+		out := p.passOnStream(c, resp, &respMeta, sent, onFirst)
 		return out, nil
 	}
-	return p.passOnPlain(c, in, &reply, sent)
+	return p.passOnPlain(c, resp, &respMeta, sent)
 }
 
 // errSlow ends the wait for a slow target if another one may be faster.
@@ -88,7 +88,7 @@
 	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.Attempts || remaining <= 0 || c.onlyCandidate || p.relay.options.Disabled.WaitBudget {
 		return context.WithCancel(ctx)
 	}
-	budget := p.estimate(now).WaitBudget(remaining, c.judgement.Expected, c.judgement.Expected, retryAdvantage)
+	budget := p.estimate(now).WaitBudget(remaining, c.evaluation.Expected, c.evaluation.Expected, retryAdvantage)
 	if budget >= remaining {
 		return context.WithCancel(ctx)
 	}
@@ -156,35 +156,35 @@
 
 // checkAnswer reports whether a response is the target's answer to this request; if not it returns
 // the outcome of the attempt.
-func (p *proxiedRequest) checkAnswer(c *choice, in *target.Response, reply *ResponseMeta) (outcome, bool) {
-	misdirected := in.Status == http.StatusMisdirectedRequest
-	p.recordSelfReport(c, misdirected, reply)
+func (p *proxiedRequest) checkAnswer(c *choice, resp *target.Response, respMeta *ResponseMeta) (outcome, bool) {
+	misdirected := resp.Status == http.StatusMisdirectedRequest
+	p.recordSelfReport(c, misdirected, respMeta)
 	switch {
-	case reply.AttemptID != "" && reply.AttemptID != p.meta.AttemptID, reply.AttemptID == "" && !reply.NotExecuted && !misdirected:
+	case respMeta.AttemptID != "" && respMeta.AttemptID != p.meta.AttemptID, respMeta.AttemptID == "" && !respMeta.NotExecuted && !misdirected:
 		p.relay.options.Stats.MismatchedAnswers.Inc()
-		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer is for request "+strconv.Quote(reply.AttemptID))
-		in.Discard()
+		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer is for request "+strconv.Quote(respMeta.AttemptID))
+		resp.Discard()
 		p.attempts++
 		p.executions++
 		p.recordAnswer(c, false)
 		return outcomeIncomplete, false
 	case misdirected:
 		p.relay.options.Stats.Misdirected.Inc()
-		if reply.WeightVersion > 0 {
-			p.relay.options.Roster.RecordVersion(c.target.ID(), p.meta.Model, reply.WeightVersion)
+		if respMeta.WeightVersion > 0 {
+			p.relay.options.Roster.RecordVersion(c.target.ID(), p.meta.Model, respMeta.WeightVersion)
 		}
-		if reply.Target != "" && reply.Target != c.target.Entry().Name {
+		if respMeta.Target != "" && respMeta.Target != c.target.Entry().Name {
 			// The address now belongs to another target.
 			p.recordNoAnswer(c)
 		}
-	case reply.NotExecuted:
+	case respMeta.NotExecuted:
 		p.relay.options.Stats.NotExecuted.Inc()
 		p.recordReload(c)
 	default:
 		return outcomeDone, true
 	}
 	// If this fails, only the connection is not reused; the refusal is already known.
-	_, _ = io.Copy(io.Discard, io.LimitReader(in, maxDrainBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDrainBytes))
 	p.attempts++
 	return outcomeRefused, false
 }
@@ -208,7 +208,7 @@
 const maxDrainBytes = 16 << 10
 
 // outgoing returns the request as it is sent to the target.
-func (p *proxiedRequest) outgoing(c *choice) *target.Request {
+func (p *proxiedRequest) targetRequest(c *choice) *target.Request {
 	h := make(http.Header, len(p.r.Header)+8)
 	hopByHop := strings.Split(p.r.Header.Get("Connection"), ",")
 	for name, values := range p.r.Header {
--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -24,7 +24,7 @@
 	load        roster.Load
 	// judgement is what was expected of the target, and baseline the expected time to a first
 	// answer of any target of the service with the same load.
-	judgement route.Evaluation
+	evaluation route.Evaluation
 	baseline  time.Duration
 	// factors are the inputs of that time.
 	factors learn.Factors
@@ -109,12 +109,12 @@
 	}
 	input, estimate := p.routeInput(len(targets), share, now), p.estimate(now)
 	spot := route.PlacementInput{ContextHash: p.contextHash(), Turn: p.relay.choiceCount.Add(1), Random: randomFraction()}
-	index, judgement := route.PickWith(p.placement(svc), &input, candidates, estimate, &p.relay.options.Costs, spot)
+	index, evaluation := route.PickWith(p.placement(svc), &input, candidates, estimate, &p.relay.options.Costs, spot)
 	if index < 0 {
 		return nil, reason
 	}
 	best := &alternatives[index]
-	out := &choice{target: best.eligible.target, plan: best.plan, eligible: best.eligible, candidate: best.candidate, onlyCandidate: len(targets) == 1, judgement: judgement}
+	out := &choice{target: best.eligible.target, plan: best.plan, eligible: best.eligible, candidate: best.candidate, onlyCandidate: len(targets) == 1, evaluation: evaluation}
 	out.factors = best.candidate.Factors(&input)
 	out.baseline = estimate.Time(out.factors)
 	p.fillMetadata(svc, out)
@@ -192,14 +192,14 @@
 
 // candidate returns what a decision needs to know of a target, except for the shared segments.
 func (p *proxiedRequest) candidate(svc *table.Service, t eligibleTarget) route.Candidate {
-	without := &p.relay.options.Disabled
+	disabled := &p.relay.options.Disabled
 	c := route.Candidate{
 		Running: t.load.Running, Slots: max(1, t.entry.Slots), QueuedTokens: t.load.QueuedTokens, OccupiedTokens: t.load.OccupiedTokens,
-		CrossDomain: t.entry.Domain != p.originDomain && !without.LocalDomain, NoConnection: (p.remote || !p.relay.options.Pool.HasIdle(t.entry.Address)) && !without.OpenConnections, Lapsed: t.health.Lapsed,
+		CrossDomain: t.entry.Domain != p.originDomain && !disabled.LocalDomain, NoConnection: (p.remote || !p.relay.options.Pool.HasIdle(t.entry.Address)) && !disabled.OpenConnections, Lapsed: t.health.Lapsed,
 		FailureShare: t.state.FailureShare, Slowdown: t.state.Slowdown,
 	}
 	if svc.Engine != nil {
-		if !without.MemoryPressure {
+		if !disabled.MemoryPressure {
 			c.MemoryTokens = svc.Engine.MemoryTokens
 		}
 		c.OldWeights = t.weightVersion < p.relay.options.DesiredWeights(p.meta.Model)
@@ -258,8 +258,8 @@
 	}
 	candidate := &c.candidate
 	p.note("cached %d and copied %d of %d shared tokens, prompt %d tokens, queued %d tokens, running %d, held %d tokens, expected %s, on-time chance %.2f, utility %.2f, weights %d",
-		candidate.CachedTokens, candidate.CopiedTokens, p.sharedTokens(), p.meta.PromptTokens, candidate.QueuedTokens, candidate.Running, candidate.OccupiedTokens, c.judgement.Expected.Round(time.Millisecond),
-		c.judgement.WithinObjective, c.judgement.NetUtility, c.attemptMeta.WeightVersion)
+		candidate.CachedTokens, candidate.CopiedTokens, p.sharedTokens(), p.meta.PromptTokens, candidate.QueuedTokens, candidate.Running, candidate.OccupiedTokens, c.evaluation.Expected.Round(time.Millisecond),
+		c.evaluation.WithinObjective, c.evaluation.NetUtility, c.attemptMeta.WeightVersion)
 }
 
 // Priorities of requests at model workers; 0 is the most urgent.
--- a/core/relay/finish.go
+++ b/core/relay/finish.go
@@ -94,7 +94,7 @@
 		return
 	}
 	p.forecast = &event.Forecast{
-		Service: p.service, Target: c.target.ID(), ExpectedMillis: event.Millis(c.judgement.Expected),
-		InTime: c.judgement.WithinObjective, Served: c.judgement.BeforeDeadline, AimMillis: event.Millis(p.route.Aim - time.Since(p.start)),
+		Service: p.service, Target: c.target.ID(), ExpectedMillis: event.Millis(c.evaluation.Expected),
+		InTime: c.evaluation.WithinObjective, Served: c.evaluation.BeforeDeadline, AimMillis: event.Millis(p.route.Aim - time.Since(p.start)),
 	}
 }
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -174,12 +174,12 @@
 
 // newPlacementResponse returns a choice as it is sent to other daemons.
 func newPlacementResponse(c *choice, age time.Duration) *placementResponse {
-	f, candidate, judgement, e := &c.factors, &c.candidate, &c.judgement, c.target.Entry()
+	f, candidate, evaluation, e := &c.factors, &c.candidate, &c.evaluation, c.target.Entry()
 	return &placementResponse{
 		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.WeightVersion, CopyFrom: c.attemptMeta.CopyFrom, CopyDeadline: c.attemptMeta.CopyDeadline, StoreTo: c.attemptMeta.StoreTo,
 		PrefillTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Occupancy: f.Utilisation, QueueRatio: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
 		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens, Running: candidate.Running, HeldTokens: candidate.OccupiedTokens,
-		Expected: judgement.Expected, Baseline: c.baseline, OnTimeChance: judgement.WithinObjective, ServedChance: judgement.BeforeDeadline, Gain: judgement.CallerUtility, Utility: judgement.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
+		Expected: evaluation.Expected, Baseline: c.baseline, OnTimeChance: evaluation.WithinObjective, ServedChance: evaluation.BeforeDeadline, Gain: evaluation.CallerUtility, Utility: evaluation.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
 		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Started, Slots: e.Slots}, ListAge: age,
 	}
 }
@@ -190,7 +190,7 @@
 		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Permit{Taken: r.PermitHeld, Remote: true},
 		attemptMeta: AttemptMeta{Target: r.Target, WeightVersion: r.WeightVersion, CopyFrom: r.CopyFrom, CopyDeadline: r.CopyDeadline, StoreTo: r.StoreTo},
 		load:        roster.Load{Running: 1, QueuedTokens: r.PrefillTokens, OccupiedTokens: tokens},
-		judgement:   route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeChance, BeforeDeadline: r.ServedChance, CallerUtility: r.Gain, NetUtility: r.Utility},
+		evaluation:   route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeChance, BeforeDeadline: r.ServedChance, CallerUtility: r.Gain, NetUtility: r.Utility},
 		factors:     learn.Factors{OwnTokens: r.PrefillTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Occupancy, QueuedPerSlot: r.QueueRatio, MemoryPressure: r.MemoryPressure},
 		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.HeldTokens, QueuedTokens: r.QueuedTokens},
 	}
@@ -227,7 +227,7 @@
 		return nil
 	}
 	c := p.chooseByPeers(ctx, svc, peers, now)
-	if c == nil || (local != nil && local.judgement.CallerUtility > 0 && local.judgement.NetUtility > c.judgement.NetUtility+p.splitCost()) {
+	if c == nil || (local != nil && local.evaluation.CallerUtility > 0 && local.evaluation.NetUtility > c.evaluation.NetUtility+p.splitCost()) {
 		return nil
 	}
 	return c
@@ -295,8 +295,8 @@
 // splitCost returns the cost of caching a context in two cells: for its next request it is copied,
 // over a connection that is not yet open.
 func (p *proxiedRequest) splitCost() float64 {
-	prices := &p.relay.options.Costs
-	return prices.NewConnectionCost + prices.CopyPerToken*float64(p.sharedTokens()) + splitLoss*prices.Utility(p.meta.PromptTokens)
+	costs := &p.relay.options.Costs
+	return costs.NewConnectionCost + costs.CopyPerToken*float64(p.sharedTokens()) + splitLoss*costs.Utility(p.meta.PromptTokens)
 }
 
 // splitLoss is the fraction of an answer's utility that is lost by the time of a copy: an answer
--- a/core/relay/placements.go
+++ b/core/relay/placements.go
@@ -35,7 +35,7 @@
 		c, reason := p.chooseLocal(svc, time.Now())
 		// The other daemon reports if it uses the choice.
 		c.releaseLoad()
-		if c == nil || c.judgement.CallerUtility <= 0 {
+		if c == nil || c.evaluation.CallerUtility <= 0 {
 			return nil, errors.Wrap(errCannotPlace, reason)
 		}
 		if p.acquire(c, time.Now()) {
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -24,15 +24,15 @@
 }
 
 // passOnPlain passes on an answer that is not a stream.
-func (p *proxiedRequest) passOnPlain(c *choice, in *target.Response, reply *ResponseMeta, sent time.Time) (outcome, *bufferedAnswer) {
-	body, err := readAll(nil, io.LimitReader(in, maxBufferedBytes))
+func (p *proxiedRequest) passOnPlain(c *choice, resp *target.Response, respMeta *ResponseMeta, sent time.Time) (outcome, *bufferedAnswer) {
+	body, err := readAll(nil, io.LimitReader(resp, maxBufferedBytes))
 	if err != nil {
 		return p.classifyReadError(c, err), nil
 	}
-	answer := &bufferedAnswer{in.Status, in.Header, body}
-	good := in.Status < http.StatusInternalServerError
-	if (in.Status/100 == 2 && !reply.Signed) || reply.Encoded {
-		in.Discard()
+	answer := &bufferedAnswer{resp.Status, resp.Header, body}
+	good := resp.Status < http.StatusInternalServerError
+	if (resp.Status/100 == 2 && !respMeta.Signed) || respMeta.Encoded {
+		resp.Discard()
 		p.recordAnswer(c, false)
 		p.note("the answer is not signed")
 		return outcomeIncomplete, nil
@@ -50,16 +50,16 @@
 		answer.write(p)
 		return outcomeDone, nil
 	}
-	return p.passOnRest(answer, in), nil
+	return p.passOnRest(answer, resp), nil
 }
 
 // passOnRest passes on an answer that is too large to be buffered completely.
-func (p *proxiedRequest) passOnRest(answer *bufferedAnswer, in *target.Response) outcome {
-	answer.writeHeader(p, in.Length)
+func (p *proxiedRequest) passOnRest(answer *bufferedAnswer, resp *target.Response) outcome {
+	answer.writeHeader(p, resp.Length)
 	if _, err := p.w.Write(answer.body); err != nil {
 		return outcomeCallerGone
 	}
-	if _, err := io.Copy(p.w, in); err != nil {
+	if _, err := io.Copy(p.w, resp); err != nil {
 		p.aborted = true
 		return outcomeTruncated
 	}
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -97,7 +97,7 @@
 	DaemonCount func() int
 	// Rank returns this daemon's rank, from 0, among the daemons that may send to a target, and
 	// their number. They are the daemons of its cell, or of the whole fleet.
-	Rank func(target string, cell bool) (place, of int)
+	Rank func(target string, cell bool) (rank, of int)
 	// RankedDaemons returns the n best-ranked other daemons among those that Rank counts. Nil means
 	// none.
 	RankedDaemons func(t *roster.Target, n int) []string
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -272,10 +272,10 @@
 
 // storeSegment adds the KV-cache store to the rig and waits until the segment is known to be there.
 func storeSegment(r *rig, salt, id string) {
-	r.kept.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
+	r.storeIndex.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
 	name := cache.SegmentName{Salt: salt, ID: id}
 	r.g.Eventually(func() bool {
-		return len(r.kept.Find(name, clock.Now())) > 0
+		return len(r.storeIndex.Find(name, clock.Now())) > 0
 	}, "10s", "5ms").Should(gomega.BeTrue())
 }
 
@@ -318,7 +318,7 @@
 	tests := []struct {
 		name   string
 		stored []cache.SegmentChange
-		parts  string
+		segments  string
 		copy   string
 		keep   string
 	}{
@@ -333,7 +333,7 @@
 			r := newRig(t, fakeStores{tc.stored})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, tc.stored[0].ID)
-			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
+			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
 			r.g.Expect(r.received()[0].header.Get("Keep")).To(gomega.Equal(tc.keep))
@@ -374,10 +374,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, fakeStores{[]cache.SegmentChange{{SegmentName: name, Tokens: 5000}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
-			r.kept.Set(testContext(r.t), []cache.StoreInfo{
+			r.storeIndex.Set(testContext(r.t), []cache.StoreInfo{
 				{Address: "near:1", Room: 1 << 20, TokenTime: 10 * time.Microsecond}, {Address: "far:1", Room: 1 << 20, TokenTime: 20 * time.Microsecond},
 			})
-			r.g.Eventually(func() int { return len(r.kept.Find(name, clock.Now())) }, "10s", "5ms").Should(gomega.Equal(2))
+			r.g.Eventually(func() int { return len(r.storeIndex.Find(name, clock.Now())) }, "10s", "5ms").Should(gomega.Equal(2))
 			t2 := r.target("t2", "llm", always(stream(true)))
 			r.roster.Target("t2").AddLoad(roster.Load{Running: 100})
 			tc.make(r)
@@ -455,8 +455,8 @@
 func TestLongPromptsWaitForMemory(t *testing.T) {
 	tests := []struct {
 		name   string
-		held   int
-		parts  string
+		occupied   int
+		segments  string
 		status int
 	}{
 		{"free memory", 1 << 19, "a:3000 b:10", 200},
@@ -470,8 +470,8 @@
 			// Workers that prefill any prompt on time if they have the memory.
 			r.relay.options.EnginePrior.PerThousandOwn = time.Millisecond / 10
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
-			r.roster.Target("t1").AddLoad(roster.Load{Running: 1, OccupiedTokens: tc.held})
-			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
+			r.roster.Target("t1").AddLoad(roster.Load{Running: 1, OccupiedTokens: tc.occupied})
+			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			r.g.Expect(a.header.Get("Come-Back") != "").To(gomega.Equal(tc.status == 503))
 		})
@@ -483,7 +483,7 @@
 func TestPromptsArePublishedAtOnce(t *testing.T) {
 	tests := []struct {
 		name  string
-		parts string
+		segments string
 		want  []int
 	}{
 		{"long prompt", "a:3000 b:10", []int{3010}},
@@ -496,7 +496,7 @@
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			var published []int
 			r.relay.options.PublishState = func() { published = append(published, r.roster.Target("t1").LocalLoad().OccupiedTokens) }
-			r.g.Expect(r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts).status).To(gomega.Equal(http.StatusOK))
+			r.g.Expect(r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments).status).To(gomega.Equal(http.StatusOK))
 			r.g.Expect(published).To(gomega.Equal(tc.want))
 		})
 	}
@@ -574,7 +574,7 @@
 	tests := []struct {
 		name   string
 		behind time.Duration
-		parts  string
+		segments  string
 		copy   string
 	}{
 		{"an idle link", 0, "text:400 own:80", "store:1,"},
@@ -591,7 +591,7 @@
 			if tc.behind > 0 {
 				r.relay.options.Links.Begin("store:1", "else", tc.behind, time.Now())
 			}
-			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.parts)
+			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
 			r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -158,9 +158,9 @@
 		}
 		c, reason := p.choose(ctx)
 		if c != nil {
-			p.expectedWait = c.judgement.Expected
+			p.expectedWait = c.evaluation.Expected
 		}
-		if c != nil && (c.judgement.CallerUtility > 0 || p.relay.options.Disabled.Refusals) {
+		if c != nil && (c.evaluation.CallerUtility > 0 || p.relay.options.Disabled.Refusals) {
 			if !p.acquire(c, time.Now()) {
 				c.releaseLoad()
 				continue
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -58,13 +58,13 @@
 
 func (testDialect) ParseResponse(_ int, h http.Header) ResponseMeta {
 	version, _ := strconv.ParseInt(h.Get("Weights"), 10, 64)
-	rest, _ := time.ParseDuration(h.Get("Rest"))
+	pushback, _ := time.ParseDuration(h.Get("Rest"))
 	rate, err := strconv.ParseFloat(h.Get("Limit"), 64)
 	return ResponseMeta{
 		RateLimit: roster.RateLimit{Stated: err == nil, PerSecond: rate},
 
 		AttemptID: h.Get("Id"), Signed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "", Target: h.Get("Run"),
-		WeightVersion: version, Encoded: h.Get("Content-Encoding") != "", ShuttingDown: h.Get("Leaves") != "", Pushback: rest,
+		WeightVersion: version, Encoded: h.Get("Content-Encoding") != "", ShuttingDown: h.Get("Leaves") != "", Pushback: pushback,
 	}
 }
 
@@ -141,7 +141,7 @@
 	g          *gomega.WithT
 	relay      *Relay
 	roster     *roster.Roster
-	kept       *cache.StoreIndexes
+	storeIndex       *cache.StoreIndexes
 	log        *event.Log
 	front      *httptest.Server
 	desired    int64
@@ -197,7 +197,7 @@
 var (
 	enginePrior = learn.Prior{Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond, MemoryPressure: 300 * time.Millisecond, QueuedPerSlot: time.Second, LogStdDev: 0.5, Observations: 5}
 	callPrior   = learn.Prior{Fixed: 40 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5, Observations: 5}
-	testPrices  = route.CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
+	testCosts  = route.CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
 )
 
 func newRig(t *testing.T, stores cache.StoreClient) *rig {
@@ -206,11 +206,11 @@
 		stores = fakeStores{}
 	}
 	r.roster = roster.New(r.log, nil)
-	r.kept = cache.NewStoreIndexes(stores, r.log)
+	r.storeIndex = cache.NewStoreIndexes(stores, r.log)
 	r.relay = New(Options{
-		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, StoreIndex: r.kept, WorkerCaches: &cache.WorkerCaches{}, Links: &learn.Links{}, Retention: &learn.Retention{}, Log: r.log, Stats: NewStats(),
+		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, StoreIndex: r.storeIndex, WorkerCaches: &cache.WorkerCaches{}, Links: &learn.Links{}, Retention: &learn.Retention{}, Log: r.log, Stats: NewStats(),
 		DesiredWeights: func(string) int64 { return r.desired }, ConfigCurrent: func() bool { return !r.stale }, ConfigOverdue: func() time.Duration { return r.configOverdue }, WeightsOutdated: func(_ string, v int64) bool { return v < r.minWeights }, MayCopy: func() bool { return true },
-		FirstAnswerTimes: learn.NewTimes(), TargetStats: &learn.Targets{}, EnginePrior: enginePrior, CallPrior: callPrior, Costs: testPrices,
+		FirstAnswerTimes: learn.NewTimes(), TargetStats: &learn.Targets{}, EnginePrior: enginePrior, CallPrior: callPrior, Costs: testCosts,
 		DaemonCount: func() int { return 1 }, Rank: func(string, bool) (int, int) { return 0, 1 }, WarmUpFactor: 1, PublishState: func() {}, ViewAge: func() time.Duration { return 0 }, OwnTargets: func(names []string) []string { return names }, RetryShare: 0.2, RetryExtra: 20, RetryWindow: 10 * time.Second,
 	})
 	r.relay.SetTable(table.New(table.Spec{
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -99,8 +99,8 @@
 func (p *proxiedRequest) bestSource(svc *table.Service, t eligibleTarget, segment *sharedSegment, now time.Time) source {
 	best := source{stored: len(segment.stores) > 0}
 	destination := p.relay.options.Links.State(t.entry.Address, now)
-	for _, place := range segment.stores {
-		p.considerSource(&best, destination, segment, source{address: place.Address, chance: 1, copyTime: place.TransferTime(t.entry.Domain), deadline: place.Until}, now)
+	for _, stored := range segment.stores {
+		p.considerSource(&best, destination, segment, source{address: stored.Address, chance: 1, copyTime: stored.TransferTime(t.entry.Domain), deadline: stored.Until}, now)
 	}
 	for _, h := range segment.holders {
 		if h.target == t.target {
@@ -130,10 +130,10 @@
 
 // copyCost returns the cost of a copy if the answer waits for nothing else.
 func (p *proxiedRequest) copyCost(src *source, segment *sharedSegment) float64 {
-	prices := &p.relay.options.Costs
-	cost := (1 - src.chance) * prices.RecomputePerToken * float64(segment.Tokens)
+	costs := &p.relay.options.Costs
+	cost := (1 - src.chance) * costs.RecomputePerToken * float64(segment.Tokens)
 	if p.route.Aim > 0 {
-		cost += prices.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
+		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
 	}
 	return cost
 }
@@ -173,11 +173,11 @@
 // copyWorthwhile reports whether copying a segment costs less than the risk that the worker does
 // not have it cached. Engines copy what they are told to, even what they have cached.
 func (p *proxiedRequest) copyWorthwhile(src *source, segment *sharedSegment) bool {
-	prices := &p.relay.options.Costs
-	gain := (1 - src.cachedChance) * src.chance * prices.RecomputePerToken * float64(segment.Tokens)
-	cost := prices.CopyPerToken * float64(segment.Tokens)
+	costs := &p.relay.options.Costs
+	gain := (1 - src.cachedChance) * src.chance * costs.RecomputePerToken * float64(segment.Tokens)
+	cost := costs.CopyPerToken * float64(segment.Tokens)
 	if p.route.Aim > 0 {
-		cost += prices.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
+		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
 	}
 	return src.cachedChance == 0 || (gain > cost && !p.relay.options.Disabled.SpareCopies)
 }
--- a/core/relay/selfreport.go
+++ b/core/relay/selfreport.go
@@ -4,11 +4,11 @@
 
 // recordSelfReport records the self-reported state in the header of a target's answer. It is called
 // for every answer to a caller's request before any of it is passed on.
-func (p *proxiedRequest) recordSelfReport(c *choice, misdirected bool, reply *ResponseMeta) {
-	if !p.isFromTarget(c, misdirected, reply) {
+func (p *proxiedRequest) recordSelfReport(c *choice, misdirected bool, respMeta *ResponseMeta) {
+	if !p.isFromTarget(c, misdirected, respMeta) {
 		return
 	}
-	if reply.ShuttingDown {
+	if respMeta.ShuttingDown {
 		p.relay.options.Stats.ReportedShutdown.Inc()
 		p.note("%s reports that it is shutting down", c.target.ID())
 		c.report.recordShutdown()
@@ -17,20 +17,20 @@
 			p.relay.options.PublishState()
 		}
 	}
-	if reply.Pushback > 0 || reply.BadPushback != "" {
+	if respMeta.Pushback > 0 || respMeta.BadPushback != "" {
 		p.relay.options.Stats.Pushbacks.Inc()
-		p.note("%s asks for pushback of %s%s", c.target.ID(), reply.Pushback, reply.BadPushback)
-		p.relay.options.Roster.RecordRejection(c.target.ID(), roster.Pushback{Duration: reply.Pushback, Invalid: reply.BadPushback})
+		p.note("%s asks for pushback of %s%s", c.target.ID(), respMeta.Pushback, respMeta.BadPushback)
+		p.relay.options.Roster.RecordRejection(c.target.ID(), roster.Pushback{Duration: respMeta.Pushback, Invalid: respMeta.BadPushback})
 	}
-	if l := reply.RateLimit; l.Stated || l.Invalid != "" {
+	if l := respMeta.RateLimit; l.Stated || l.Invalid != "" {
 		p.relay.options.Stats.ReportedRateLimit.Inc()
 		p.note("%s names a rate limit of %g per second%s", c.target.ID(), l.PerSecond, l.Invalid)
 	}
-	if p.relay.options.Roster.RecordLimit(c.target.ID(), reply.RateLimit, c.sentAt, reply.Signed && !reply.NotExecuted) {
+	if p.relay.options.Roster.RecordLimit(c.target.ID(), respMeta.RateLimit, c.sentAt, respMeta.Signed && !respMeta.NotExecuted) {
 		// Until other daemons receive this they send at the previous rate.
 		p.relay.options.PublishState()
 	}
-	if !misdirected && !reply.NotExecuted {
+	if !misdirected && !respMeta.NotExecuted {
 		p.relay.options.Roster.RecordAccepted(c.target.ID())
 	}
 }
@@ -38,9 +38,9 @@
 // isFromTarget reports whether an answer comes from the target that was asked. An answer to another
 // request may come from any target. A misdirected request was answered by the target that has the
 // address now, unless it names this one.
-func (p *proxiedRequest) isFromTarget(c *choice, misdirected bool, reply *ResponseMeta) bool {
+func (p *proxiedRequest) isFromTarget(c *choice, misdirected bool, respMeta *ResponseMeta) bool {
 	if misdirected {
-		return reply.Target == c.target.Entry().Name
+		return respMeta.Target == c.target.Entry().Name
 	}
-	return reply.AttemptID == p.meta.AttemptID || (reply.AttemptID == "" && reply.NotExecuted)
+	return respMeta.AttemptID == p.meta.AttemptID || (respMeta.AttemptID == "" && respMeta.NotExecuted)
 }
--- a/core/relay/sharded_test.go
+++ b/core/relay/sharded_test.go
@@ -64,7 +64,7 @@
 	tests := []struct {
 		name    string
 		age     time.Duration
-		divided bool
+		sharded bool
 		want    bool
 	}{
 		{"fresh", 100 * time.Millisecond, true, true},
@@ -75,7 +75,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.relay.owners = &ContextOwners{relay: r.relay, fleet: fleet.New(fleet.Options{Name: "me", Log: r.log})}
-			r.relay.options.Sharded = func(string) bool { return tc.divided }
+			r.relay.options.Sharded = func(string) bool { return tc.sharded }
 			r.relay.options.CellDaemonCount = func() int { return 1 }
 			p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}}
 			response := &placementResponse{Target: "w9@1", WeightVersion: 1, ListAge: tc.age, Entry: placementEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4}}
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -10,7 +10,7 @@
 type targetShare struct {
 	// all are the targets of the service, and basis identifies the partition; see Options.ShardVersion.
 	all   []*roster.Target
-	basis any
+	shardVersion any
 	// own are the targets that this daemon uses, and fraction the fraction of all that these serve.
 	own      []*roster.Target
 	fraction float64
@@ -26,13 +26,13 @@
 // get returns the share of a service. It is computed again only if the targets or the basis have
 // changed.
 func (s *shareCache) get(service string, all []*roster.Target, o *Options) *targetShare {
-	var basis any
+	var shardVersion any
 	if o.ShardVersion != nil {
-		basis = o.ShardVersion()
+		shardVersion = o.ShardVersion()
 	}
 	s.sharesMu.Lock()
 	defer s.sharesMu.Unlock()
-	if cached := s.services[service]; cached != nil && basis != nil && cached.basis == basis && sameList(cached.all, all) {
+	if cached := s.services[service]; cached != nil && shardVersion != nil && cached.shardVersion == shardVersion && sameList(cached.all, all) {
 		return cached
 	}
 	var out *targetShare
@@ -41,7 +41,7 @@
 	} else {
 		out = computeShare(all, o)
 	}
-	out.basis = basis
+	out.shardVersion = shardVersion
 	if s.services == nil {
 		s.services = map[string]*targetShare{}
 	}
--- a/core/relay/share_test.go
+++ b/core/relay/share_test.go
@@ -23,10 +23,10 @@
 func TestShareCacheFollowsTargetsAndFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := listedTargets(4)
-	offset, basis, calls := 0, any("one"), 0
+	offset, shardVersion, calls := 0, any("one"), 0
 	o := &Options{
 		OwnTargets:   func(names []string) []string { calls++; return names[offset : offset+len(names)/2] },
-		ShardVersion: func() any { return basis },
+		ShardVersion: func() any { return shardVersion },
 	}
 	var s shareCache
 	own := func() []string {
@@ -41,7 +41,7 @@
 	g.Expect(own()).To(gomega.Equal([]string{"w-0000", "w-0001"}))
 	g.Expect(own()).To(gomega.Equal([]string{"w-0000", "w-0001"}))
 	g.Expect(calls).To(gomega.Equal(1))
-	offset, basis = 2, "other"
+	offset, shardVersion = 2, "other"
 	g.Expect(own()).To(gomega.Equal([]string{"w-0002", "w-0003"}), "the fleet has changed")
 	r.RemoveUnusable("w-0003")
 	r.Put(roster.Entry{ID: "w-0009", Service: "llm"})
--- a/core/relay/stream.go
+++ b/core/relay/stream.go
@@ -55,17 +55,17 @@
 
 // passOnStream passes on the events of an answer. If the stream breaks, another worker may resume
 // the request after the last event that the caller has received.
-func (p *proxiedRequest) passOnStream(c *choice, in *target.Response, reply *ResponseMeta, sent time.Time, onFirst func()) outcome {
-	if !reply.Signed || reply.Encoded {
-		in.Discard()
+func (p *proxiedRequest) passOnStream(c *choice, resp *target.Response, respMeta *ResponseMeta, sent time.Time, onFirst func()) outcome {
+	if !respMeta.Signed || respMeta.Encoded {
+		resp.Discard()
 		p.recordAnswer(c, false)
 		return outcomeIncomplete
 	}
-	r := bufio.NewReaderSize(in, 2<<10)
+	r := bufio.NewReaderSize(resp, 2<<10)
 	for n := 0; ; n++ {
 		ev, err := nextEvent(r)
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			return p.finishStream(c, in)
+			return p.finishStream(c, resp)
 		}
 		if err != nil {
 			return p.classifyBrokenStream(c, err)
@@ -79,8 +79,8 @@
 			// The caller received this event from the previous worker.
 			continue
 		}
-		if err := p.writeEvent(in, ev); err != nil {
-			in.Discard()
+		if err := p.writeEvent(resp, ev); err != nil {
+			resp.Discard()
 			return outcomeCallerGone
 		}
 	}
@@ -99,13 +99,13 @@
 }
 
 // writeEvent passes one event on to the caller.
-func (p *proxiedRequest) writeEvent(in *target.Response, ev rawEvent) error {
+func (p *proxiedRequest) writeEvent(resp *target.Response, ev rawEvent) error {
 	rc := http.NewResponseController(p.w)
 	if err := rc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.WithStack(err)
 	}
 	if !p.headerSent {
-		(&bufferedAnswer{in.Status, in.Header, nil}).writeHeader(p, -1)
+		(&bufferedAnswer{resp.Status, resp.Header, nil}).writeHeader(p, -1)
 		p.firstAt = time.Now()
 		p.relay.options.Stats.FirstSeconds.Update(p.firstAt.Sub(p.start).Seconds())
 	}
@@ -119,13 +119,13 @@
 }
 
 // finishStream records the regular end of a stream.
-func (p *proxiedRequest) finishStream(c *choice, in *target.Response) outcome {
+func (p *proxiedRequest) finishStream(c *choice, resp *target.Response) outcome {
 	p.recordSuccess(c)
 	if p.headerSent {
 		return outcomeDone
 	}
 	// A complete answer without events.
-	(&bufferedAnswer{in.Status, in.Header, nil}).writeHeader(p, -1)
+	(&bufferedAnswer{resp.Status, resp.Header, nil}).writeHeader(p, -1)
 	p.recordAnswer(c, true)
 	return outcomeDone
 }
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -59,30 +59,30 @@
 func (r *Roster) Availability(now time.Time) *Availability {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	g := &Availability{at: now, updating: r.updatingNow(now), evacuations: *r.evacuations.Load()}
+	a := &Availability{at: now, updating: r.updatingNow(now), evacuations: *r.evacuations.Load()}
 	if len(r.selfReports) == 0 {
-		return g
+		return a
 	}
-	g.selfStatuses = make(map[string]selfStatus, len(r.selfReports))
+	a.selfStatuses = make(map[string]selfStatus, len(r.selfReports))
 	clockNow := clock.Now()
 	for id, report := range r.selfReports {
 		if status := r.selfStatusOf(id, report, clockNow); status != (selfStatus{}) {
-			g.selfStatuses[id] = status
+			a.selfStatuses[id] = status
 		}
 	}
-	return g
+	return a
 }
 
 // Reason returns why a target is unavailable, and for how much longer if that is known: what is left
 // of its pushback, the time until this daemon has a permit, or, as an estimate for an evacuation,
 // as long again as it has lasted.
-func (g *Availability) Reason(t *Target) (UnavailabilityReason, time.Duration) {
-	return g.reason(t, g.updating[t.id], g.selfStatuses[t.id])
+func (a *Availability) Reason(t *Target) (UnavailabilityReason, time.Duration) {
+	return a.reason(t, a.updating[t.id], a.selfStatuses[t.id])
 }
 
 // reason is Reason, given the status of the target.
-func (g *Availability) reason(t *Target, updating bool, self selfStatus) (UnavailabilityReason, time.Duration) {
-	health, entry := t.Health(g.at), t.Entry()
+func (a *Availability) reason(t *Target, updating bool, self selfStatus) (UnavailabilityReason, time.Duration) {
+	health, entry := t.Health(a.at), t.Entry()
 	switch {
 	case health.Removed:
 		return Removed, 0
@@ -97,14 +97,14 @@
 	case health.Suspect:
 		return Suspect, 0
 	}
-	if duration, on := evacuated(g.evacuations, entry.Domain, g.at); on {
+	if duration, on := evacuated(a.evacuations, entry.Domain, a.at); on {
 		return Evacuated, duration
 	}
 	return Available, 0
 }
 
 // RateLimited reports whether a target has a rate limit.
-func (g *Availability) RateLimited(t *Target) bool { return g.selfStatuses[t.id].limited }
+func (a *Availability) RateLimited(t *Target) bool { return a.selfStatuses[t.id].limited }
 
 // Admit returns Available if a request may be sent to a target now, and counts it. It is called last,
 // once a connection is open: since the target was chosen, it may have reported to another request that it
@@ -128,8 +128,8 @@
 	case permit.Remote && status.limited:
 		status.limitWait = max(status.limitWait, time.Nanosecond)
 	}
-	g := Availability{at: now, evacuations: *r.evacuations.Load()}
-	reason, _ := g.reason(t, r.isUpdating(t.id, now), status)
+	a := Availability{at: now, evacuations: *r.evacuations.Load()}
+	reason, _ := a.reason(t, r.isUpdating(t.id, now), status)
 	if reason == Available && report != nil {
 		report.pushback.take(clockNow)
 		if report.limit.active && !permit.Taken {
--- a/core/roster/bench_test.go
+++ b/core/roster/bench_test.go
@@ -57,15 +57,15 @@
 	list := r.ByService("s")
 	b.ReportAllocs()
 	for b.Loop() {
-		gate := r.Availability(time.Now())
-		open := 0
+		availability := r.Availability(time.Now())
+		available := 0
 		for _, t := range list {
-			if stop, _ := gate.Reason(t); stop == Available {
-				open++
+			if reason, _ := availability.Reason(t); reason == Available {
+				available++
 			}
 		}
-		if open != 100 {
-			b.Fatal(open)
+		if available != 100 {
+			b.Fatal(available)
 		}
 	}
 }
@@ -84,9 +84,9 @@
 	list := r.ByService("s")
 	b.ReportAllocs()
 	for b.Loop() {
-		gate := r.Availability(time.Now())
+		availability := r.Availability(time.Now())
 		for _, t := range list {
-			gate.Reason(t)
+			availability.Reason(t)
 		}
 	}
 }
--- a/core/roster/domains_test.go
+++ b/core/roster/domains_test.go
@@ -20,7 +20,7 @@
 		after     time.Duration
 		evacuated bool
 		duration  time.Duration
-		cold      bool
+		warmingUp      bool
 	}{
 		{"none", nil, 0, false, 0, false},
 		{"active", []bool{true}, 5 * time.Second, true, 5 * time.Second, false},
@@ -44,7 +44,7 @@
 			duration, on := r.Evacuated("d", now)
 			g.Expect(on).To(gomega.Equal(tc.evacuated))
 			g.Expect(duration).To(gomega.Equal(tc.duration))
-			g.Expect(r.WarmingUp(r.Target("a"), warmUp, now)).To(gomega.Equal(tc.cold))
+			g.Expect(r.WarmingUp(r.Target("a"), warmUp, now)).To(gomega.Equal(tc.warmingUp))
 			_, on = r.Evacuated("other", now)
 			g.Expect(on).To(gomega.BeFalse())
 		})
--- a/core/roster/external_test.go
+++ b/core/roster/external_test.go
@@ -17,7 +17,7 @@
 		steps func(r *Roster) *Target
 		// listed is whether it is among the targets of its service.
 		listed bool
-		stop   UnavailabilityReason
+		reason   UnavailabilityReason
 	}{
 		{"sent by another daemon", func(r *Roster) *Target { return r.AddExternal(incarnationEntry("a@1000", 1000)) }, false, Available},
 		{"sent twice", func(r *Roster) *Target {
@@ -57,7 +57,7 @@
 			target := tc.steps(r)
 			g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(target), "its state is kept")
 			g.Expect(len(r.ByService("s")) == 1).To(gomega.Equal(tc.listed))
-			g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(tc.stop))
+			g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(tc.reason))
 			g.Expect(removed).To(gomega.BeZero(), "no incarnation was removed")
 		})
 	}
--- a/core/roster/incarnations_test.go
+++ b/core/roster/incarnations_test.go
@@ -11,9 +11,9 @@
 )
 
 // incarnationEntry is an entry of one incarnation of the target a.
-func incarnationEntry(id string, born int64) Entry {
+func incarnationEntry(id string, started int64) Entry {
 	e := entry(id)
-	e.Name, e.Started = "a", time.UnixMilli(born)
+	e.Name, e.Started = "a", time.UnixMilli(started)
 	return e
 }
 
@@ -81,8 +81,8 @@
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	r.Put(incarnationEntry("a@1000", 1000))
-	kept := r.Target("a@1000")
+	existing := r.Target("a@1000")
 	g.Expect(r.Put(incarnationEntry("a@1000", 1000))).To(gomega.BeNil())
-	g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(kept))
-	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(kept), "the caller closes its connections")
+	g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(existing))
+	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(existing), "the caller closes its connections")
 }
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -93,11 +93,11 @@
 // ready to use.
 type PushbackList struct {
 	pushbacksMu sync.Mutex
-	byName      map[string]*namedPushback // guarded by pushbacksMu
+	byName      map[string]*incarnationPushback // guarded by pushbacksMu
 }
 
 // namedPushback is the pushback of one incarnation of a target.
-type namedPushback struct {
+type incarnationPushback struct {
 	incarnation string // "" if unknown
 	pushback
 }
@@ -111,11 +111,11 @@
 	r.pushbacksMu.Lock()
 	defer r.pushbacksMu.Unlock()
 	if r.byName == nil {
-		r.byName = map[string]*namedPushback{}
+		r.byName = map[string]*incarnationPushback{}
 	}
 	p := r.byName[name]
 	if p == nil || p.incarnation != incarnation {
-		p = &namedPushback{incarnation: incarnation}
+		p = &incarnationPushback{incarnation: incarnation}
 		r.byName[name] = p
 	}
 	return p.extend(d, clock.Now())
--- a/core/roster/ratelimit_test.go
+++ b/core/roster/ratelimit_test.go
@@ -169,8 +169,8 @@
 	g.Expect(permit).To(gomega.Equal(Permit{}), "there is no limit")
 	g.Expect(r.RecordLimit("a@1000", statedRate(2), clock.Now(), true)).To(gomega.BeTrue())
 	g.Expect(r.Admit(target, permit)).To(gomega.Equal(RateLimited), "it was stated after the target was chosen")
-	stop, wait := r.Availability(time.Now()).Reason(target)
-	g.Expect(stop).To(gomega.Equal(RateLimited))
+	reason, wait := r.Availability(time.Now()).Reason(target)
+	g.Expect(reason).To(gomega.Equal(RateLimited))
 	g.Expect(wait).To(gomega.BeNumerically("~", 500*time.Millisecond, 100*time.Millisecond))
 
 	clock.Suspend(500 * time.Millisecond)
--- a/core/roster/restored_test.go
+++ b/core/roster/restored_test.go
@@ -94,8 +94,8 @@
 				g.Expect(tc.want).To(gomega.Equal(Removed))
 				return
 			}
-			stop, _ := r.Availability(time.Now()).Reason(target)
-			g.Expect(stop).To(gomega.Equal(tc.want))
+			reason, _ := r.Availability(time.Now()).Reason(target)
+			g.Expect(reason).To(gomega.Equal(tc.want))
 		})
 	}
 }
@@ -105,16 +105,16 @@
 func TestRestoredEntryDoesNotRestartWarmUp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
-	cold := entryAt("a", false, 1, 10)
-	cold.WarmUp = time.Hour
-	r.Put(cold)
+	warming := entryAt("a", false, 1, 10)
+	warming.WarmUp = time.Hour
+	r.Put(warming)
 	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeTrue())
 	r.Put(entryAt("a", false, 1, 12))
 	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeFalse())
-	cold.Revision = plat.Revision(2, 10)
-	r.Put(cold)
+	warming.Revision = plat.Revision(2, 10)
+	r.Put(warming)
 	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeFalse())
-	cold.Revision = plat.Revision(2, 13)
-	r.Put(cold)
+	warming.Revision = plat.Revision(2, 13)
+	r.Put(warming)
 	g.Expect(r.Target("a").warmingUp(time.Now())).To(gomega.BeTrue(), "it was written since")
 }
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -29,14 +29,14 @@
 	r.Put(entry("b"))
 	r.Put(entry("a"))
 	g.Expect(ids(r.ByService("s"))).To(gomega.Equal([]string{"a", "b"}))
-	leaving := entry("a")
-	leaving.ShuttingDown = true
-	r.Put(leaving)
+	shuttingDown := entry("a")
+	shuttingDown.ShuttingDown = true
+	r.Put(shuttingDown)
 	g.Expect(r.Target("a").Entry().ShuttingDown).To(gomega.BeTrue())
-	kept := r.Target("a")
+	existing := r.Target("a")
 	r.Remove("a", clock.Now())
 	g.Expect(ids(r.ByService("s"))).To(gomega.Equal([]string{"b"}))
-	g.Expect(kept.Health(time.Now()).Removed).To(gomega.BeTrue())
+	g.Expect(existing.Health(time.Now()).Removed).To(gomega.BeTrue())
 	r.Remove("none", clock.Now())
 }
 
@@ -44,8 +44,8 @@
 	tests := []struct {
 		name    string
 		outage  time.Duration
-		leaving bool
-		kept    bool
+		shuttingDown bool
+		retained    bool
 	}{
 		{"after an outage", 4 * time.Second, false, true},
 		{"after a short outage", 100 * time.Millisecond, false, false},
@@ -57,11 +57,11 @@
 			now, clockNow := time.Now(), clock.Now()
 			r := New(&event.Log{}, func() (clock.Time, time.Duration) { return clockNow, tc.outage })
 			e := entry("a")
-			e.ShuttingDown = tc.leaving
+			e.ShuttingDown = tc.shuttingDown
 			r.Put(e)
 			r.Remove("a", clockNow)
-			g.Expect(r.Target("a") != nil).To(gomega.Equal(tc.kept))
-			if !tc.kept {
+			g.Expect(r.Target("a") != nil).To(gomega.Equal(tc.retained))
+			if !tc.retained {
 				return
 			}
 			g.Expect(r.Target("a").Health(now).Lapsed).To(gomega.BeTrue())
@@ -103,24 +103,24 @@
 
 func TestPeerLoadsAreAddedAndExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
-	mine, other := New(&event.Log{}, nil), New(&event.Log{}, nil)
-	mine.Put(entry("a"))
+	local, other := New(&event.Log{}, nil), New(&event.Log{}, nil)
+	local.Put(entry("a"))
 	other.Put(entry("a"))
-	mine.Target("a").AddLoad(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10})
+	local.Target("a").AddLoad(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10})
 	other.Target("a").AddLoad(Load{Running: 2, QueuedTokens: 5, OccupiedTokens: 7})
 	other.BeginUpdate("a", time.Now().Add(time.Minute))
 	raw, err := msgpack.Marshal(HeartbeatPart{other}.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	HeartbeatPart{mine}.Receive("other", raw)
-	g.Expect(mine.Target("a").Load()).To(gomega.Equal(Load{Running: 3, QueuedTokens: 15, OccupiedTokens: 17}))
-	g.Expect(mine.Updating(time.Now())).To(gomega.HaveKey("a"))
-	mine.EndUpdate("a")
-	g.Expect(mine.Updating(time.Now())).To(gomega.BeEmpty())
-	mine.sumPeerLoads(time.Now().Add(2 * peerLoadTTL))
-	g.Expect(mine.Target("a").Load()).To(gomega.Equal(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10}))
-	HeartbeatPart{mine}.Receive("other", []byte("no msgpack"))
-	mine.Target("a").RemoveLoad(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10})
-	g.Expect(mine.Target("a").LocalLoad()).To(gomega.Equal(Load{}))
+	HeartbeatPart{local}.Receive("other", raw)
+	g.Expect(local.Target("a").Load()).To(gomega.Equal(Load{Running: 3, QueuedTokens: 15, OccupiedTokens: 17}))
+	g.Expect(local.Updating(time.Now())).To(gomega.HaveKey("a"))
+	local.EndUpdate("a")
+	g.Expect(local.Updating(time.Now())).To(gomega.BeEmpty())
+	local.sumPeerLoads(time.Now().Add(2 * peerLoadTTL))
+	g.Expect(local.Target("a").Load()).To(gomega.Equal(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10}))
+	HeartbeatPart{local}.Receive("other", []byte("no msgpack"))
+	local.Target("a").RemoveLoad(Load{Running: 1, QueuedTokens: 10, OccupiedTokens: 10})
+	g.Expect(local.Target("a").LocalLoad()).To(gomega.Equal(Load{}))
 }
 
 // sendHeartbeat passes one heartbeat from one roster to another.
--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -16,7 +16,7 @@
 			for i := range tc.workers {
 				workers = append(workers, worker(fmt.Sprint("engine-", i), i%7, i*100))
 			}
-			r, k := request(), kept(100, 4e9)
+			r, k := request(), stored(100, 4e9)
 			b.ReportAllocs()
 			for b.Loop() {
 				Place(LowestCost, r, workers, k)
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -12,7 +12,7 @@
 )
 
 // prices returns the cost model of the tests.
-func prices() *CostModel {
+func costs() *CostModel {
 	return &CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
 }
 
@@ -74,7 +74,7 @@
 				e = calls()
 			}
 			for _, random := range []float64{0, 0.5, 0.999} {
-				chosen, _ := Pick(&tc.request, tc.list, e, prices(), random)
+				chosen, _ := Pick(&tc.request, tc.list, e, costs(), random)
 				gomega.NewWithT(t).Expect(chosen).To(gomega.Equal(tc.want))
 			}
 		})
@@ -99,7 +99,7 @@
 		{"always fails", Candidate{Slots: 16, MemoryTokens: 100000, FailureShare: 1}, false},
 	}
 	for _, tc := range tests {
-		j := Evaluate(&long, &tc.candidate, engines(), prices())
+		j := Evaluate(&long, &tc.candidate, engines(), costs())
 		gomega.NewWithT(t).Expect(j.CallerUtility > 0).To(gomega.Equal(tc.positive), "%s: %+v", tc.name, j)
 	}
 }
@@ -120,7 +120,7 @@
 			FailureShare: rapid.Float64Range(0, 1).Draw(t, "faults"), Slowdown: rapid.Float64Range(0, 8).Draw(t, "pace"),
 		}
 		e := engines()
-		j := Evaluate(&a, &c, e, prices())
+		j := Evaluate(&a, &c, e, costs())
 		if !(j.NetUtility <= 1e9 && j.NetUtility >= -1e9 && j.CallerUtility >= j.NetUtility && j.Expected >= 0) {
 			t.Fatalf("%+v", j)
 		}
@@ -135,7 +135,7 @@
 		} {
 			d := c
 			worse(&d)
-			if k := Evaluate(&a, &d, e, prices()); k.NetUtility > j.NetUtility+1e-9 {
+			if k := Evaluate(&a, &d, e, costs()); k.NetUtility > j.NetUtility+1e-9 {
 				t.Fatalf("%+v has a higher Worth than %+v: %+v, %+v", d, c, k, j)
 			}
 		}
@@ -149,7 +149,7 @@
 		list[i] = Candidate{Slots: 4}
 	}
 	for i := range list {
-		chosen, _ := Pick(&PickRequest{Objective: time.Second, Remaining: time.Second}, list, calls(), prices(), float64(i)/4+0.01)
+		chosen, _ := Pick(&PickRequest{Objective: time.Second, Remaining: time.Second}, list, calls(), costs(), float64(i)/4+0.01)
 		g.Expect(chosen).To(gomega.Equal(i))
 	}
 }
@@ -164,7 +164,7 @@
 			a, e := PickRequest{Tokens: 12000, Objective: time.Second, Remaining: 10 * time.Second, UtilityRate: 14}, engines()
 			b.ReportAllocs()
 			for b.Loop() {
-				Pick(&a, list, e, prices(), 0.3)
+				Pick(&a, list, e, costs(), 0.3)
 			}
 		})
 	}
--- a/core/route/place.go
+++ b/core/route/place.go
@@ -139,11 +139,11 @@
 const slowdownPerRunning = 0.02
 
 // Place selects a worker and an import for a request.
-func Place(p Placement, r Request, workers []Worker, kept []StoredContext) Decision {
+func Place(p Placement, r Request, workers []Worker, stored []StoredContext) Decision {
 	if len(workers) == 0 {
 		return Decision{Verdict: NoWorker}
 	}
-	options := optionsFor(p, r, workers, kept)
+	options := optionsFor(p, r, workers, stored)
 	chosen := choose(p, r, options)
 	d := Decision{Verdict: Placed, Chosen: chosen, Cheapest: cheapestOptions(options)}
 	if r.Deadline > 0 && chosen.Expected > r.Deadline {
@@ -179,11 +179,11 @@
 }
 
 // optionsFor returns the cheapest option of each worker.
-func optionsFor(p Placement, r Request, workers []Worker, kept []StoredContext) []Option {
+func optionsFor(p Placement, r Request, workers []Worker, stored []StoredContext) []Option {
 	out := make([]Option, 0, len(workers))
-	variants := make([]Option, 0, 1+2*len(kept))
+	variants := make([]Option, 0, 1+2*len(stored))
 	for _, w := range workers {
-		variants = appendVariants(variants[:0], p, r, w, kept)
+		variants = appendVariants(variants[:0], p, r, w, stored)
 		out = append(out, cheapest(r, variants))
 	}
 	return out
@@ -210,13 +210,13 @@
 // imported. Cost is piecewise linear in the number of imported blocks, so only the
 // end points and the number at which the import takes as long as the queue need to
 // be compared.
-func appendVariants(out []Option, p Placement, r Request, w Worker, kept []StoredContext) []Option {
+func appendVariants(out []Option, p Placement, r Request, w Worker, stored []StoredContext) []Option {
 	recompute := option(r, w, Import{}, StoredContext{})
 	out = append(out, recompute)
 	if p == RoundRobin || p == LeastTokens || p == StickyHash {
 		return out
 	}
-	for _, k := range kept {
+	for _, k := range stored {
 		if k.Blocks <= w.CachedBlocks {
 			continue
 		}
--- a/core/route/placement.go
+++ b/core/route/placement.go
@@ -48,7 +48,7 @@
 // PickWith returns the index of the candidate that a placement selects and its
 // evaluation, or -1 if there are no candidates. Placements other than RoundRobin,
 // StickyHash and LeastTokens select as Pick does.
-func PickWith(p Placement, a *PickRequest, list []Candidate, e *learn.Estimate, prices *CostModel, s PlacementInput) (int, Evaluation) {
+func PickWith(p Placement, a *PickRequest, list []Candidate, e *learn.Estimate, costs *CostModel, s PlacementInput) (int, Evaluation) {
 	if len(list) == 0 {
 		return -1, Evaluation{}
 	}
@@ -65,7 +65,7 @@
 			}
 		}
 	default:
-		return Pick(a, list, e, prices, s.Random)
+		return Pick(a, list, e, costs, s.Random)
 	}
-	return chosen, Evaluate(a, &list[chosen], e, prices)
+	return chosen, Evaluate(a, &list[chosen], e, costs)
 }
--- a/core/route/placement_test.go
+++ b/core/route/placement_test.go
@@ -22,7 +22,7 @@
 		{StickyHash, nil, -1},
 	}
 	for _, tc := range tests {
-		at, _ := PickWith(tc.placement, &PickRequest{Tokens: 5100, Objective: time.Second, Remaining: 10 * time.Second}, tc.list, engines(), prices(), spot)
+		at, _ := PickWith(tc.placement, &PickRequest{Tokens: 5100, Objective: time.Second, Remaining: 10 * time.Second}, tc.list, engines(), costs(), spot)
 		gomega.NewWithT(t).Expect(at).To(gomega.Equal(tc.want), string(tc.placement))
 	}
 }
--- a/core/route/retry_throttle.go
+++ b/core/route/retry_throttle.go
@@ -5,7 +5,7 @@
 type RetryThrottle struct {
 	// spent is incremented by 1 with each retry and decremented by retryShare with
 	// each request, down to 0; a retry is allowed while it is below retryBurst.
-	spent float64
+	used float64
 }
 
 const (
@@ -16,14 +16,14 @@
 )
 
 // RecordRequest records a request.
-func (b *RetryThrottle) RecordRequest() { b.spent = max(0, b.spent-retryShare) }
+func (b *RetryThrottle) RecordRequest() { b.used = max(0, b.used-retryShare) }
 
 // TryRetry reports whether a retry is allowed, and records it if so.
 func (b *RetryThrottle) TryRetry() bool {
-	if b.spent >= retryBurst {
+	if b.used >= retryBurst {
 		return false
 	}
-	b.spent++
+	b.used++
 	return true
 }
 
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -20,7 +20,7 @@
 	return Worker{Name: name, CachedBlocks: cachedBlocks, QueuedTokens: queuedTokens, PrefillPerSecond: 8000, OneWayLatency: time.Millisecond}
 }
 
-func kept(blocks int, rate float64) []StoredContext {
+func stored(blocks int, rate float64) []StoredContext {
 	return []StoredContext{{Store: "s", Blocks: blocks, BlockBytes: 4 << 20, LinkBytesPerSecond: rate, Latency: 3 * time.Millisecond}}
 }
 
@@ -29,7 +29,7 @@
 		name    string
 		change  func(r *Request)
 		workers []Worker
-		kept    []StoredContext
+		stored    []StoredContext
 		want    string
 		imports int
 		verdict Verdict
@@ -37,10 +37,10 @@
 		{"no workers", nil, nil, nil, "", 0, NoWorker},
 		{"the worker with the cached context, if it is idle", nil, []Worker{worker("a", 0, 0), worker("b", 100, 0)}, nil, "b", 0, Placed},
 		{"another, if the queue of the one with the cached context is longer than the prefill", nil, []Worker{worker("a", 0, 0), worker("b", 100, 20000)}, nil, "a", 0, Placed},
-		{"an import, if the worker with the cached context is busy and the link fast", nil, []Worker{worker("a", 0, 0), worker("b", 100, 8000)}, kept(100, 4e9), "a", 100, Placed},
-		{"recomputation, if the link is slow", nil, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 0, Placed},
-		{"an import over a slow link, if recomputed tokens are expensive", func(r *Request) { r.Weights.SecondsPerToken = 0.01 }, []Worker{worker("a", 0, 0)}, kept(100, 1e8), "a", 100, Placed},
-		{"an import of only the missing blocks", nil, []Worker{worker("a", 60, 0)}, kept(100, 4e9), "a", 40, Placed},
+		{"an import, if the worker with the cached context is busy and the link fast", nil, []Worker{worker("a", 0, 0), worker("b", 100, 8000)}, stored(100, 4e9), "a", 100, Placed},
+		{"recomputation, if the link is slow", nil, []Worker{worker("a", 0, 0)}, stored(100, 1e8), "a", 0, Placed},
+		{"an import over a slow link, if recomputed tokens are expensive", func(r *Request) { r.Weights.SecondsPerToken = 0.01 }, []Worker{worker("a", 0, 0)}, stored(100, 1e8), "a", 100, Placed},
+		{"an import of only the missing blocks", nil, []Worker{worker("a", 60, 0)}, stored(100, 4e9), "a", 40, Placed},
 		{"too late", func(r *Request) { r.Deadline = 100 * time.Millisecond }, []Worker{worker("a", 0, 0)}, nil, "a", 0, TooLate},
 		{"the fastest, if the cheapest is too late", func(r *Request) {
 			r.Weights.SecondsPerToken = 1
@@ -54,7 +54,7 @@
 			if tc.change != nil {
 				tc.change(&r)
 			}
-			d := Place(LowestCost, r, tc.workers, tc.kept)
+			d := Place(LowestCost, r, tc.workers, tc.stored)
 			g.Expect(d.Verdict).To(gomega.Equal(tc.verdict), fmt.Sprintf("%+v", d))
 			g.Expect(d.Chosen.Worker).To(gomega.Equal(tc.want))
 			g.Expect(d.Chosen.Import.Blocks()).To(gomega.Equal(tc.imports))
@@ -87,7 +87,7 @@
 			r.Turn, r.ContextHash = tc.turn, tc.key
 			var k []StoredContext
 			if tc.placement == AlwaysImport {
-				k = kept(100, 4e9)
+				k = stored(100, 4e9)
 			}
 			d := Place(tc.placement, r, workers, k)
 			g.Expect(d.Chosen.Worker).To(gomega.Equal(tc.want))
@@ -112,7 +112,7 @@
 			w := worker(fmt.Sprint(i), rapid.IntRange(0, 100).Draw(t, "held"), rapid.IntRange(0, 50000).Draw(t, "queued"))
 			workers = append(workers, w)
 		}
-		k := kept(rapid.IntRange(0, 100).Draw(t, "kept"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
+		k := stored(rapid.IntRange(0, 100).Draw(t, "kept"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
 		d := Place(LowestCost, r, workers, k)
 		im := d.Chosen.Import
 		if im.Blocks() < 0 || (im.Blocks() > 0 && im.To > k[0].Blocks) {
--- a/core/route/utility.go
+++ b/core/route/utility.go
@@ -148,12 +148,12 @@
 func Evaluate(a *PickRequest, c *Candidate, e *learn.Estimate, p *CostModel) Evaluation {
 	f := c.Factors(a)
 	queueing, service := e.Components(f)
-	speedFactor := max(c.Slowdown, 0)
-	if speedFactor == 0 {
-		speedFactor = 1
+	slowdown := max(c.Slowdown, 0)
+	if slowdown == 0 {
+		slowdown = 1
 	}
-	wait := time.Duration(speedFactor * float64(queueing))
-	work := time.Duration(speedFactor * float64(service))
+	wait := time.Duration(slowdown * float64(queueing))
+	work := time.Duration(slowdown * float64(service))
 	j := Evaluation{Expected: max(wait, c.CopyTime) + work, WithinObjective: 1}
 	expected := max(j.Expected, time.Microsecond).Seconds()
 	if a.Objective > 0 {
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -29,7 +29,7 @@
 	// appliedRestTimeout bounds the time for the other chunks of one response.
 	appliedRestTimeout = 5 * time.Second
 	// maxLeaving bounds the incarnations that one response names.
-	maxLeaving = 1024
+	maxShuttingDown = 1024
 )
 
 // AppliedValues holds the applied values that operators have written, by key of the coordination store.
@@ -151,7 +151,7 @@
 	}
 	out := &appliedResponse{}
 	if n.ShuttingDown != nil {
-		out.Leaving = firstN(n.ShuttingDown(), maxLeaving)
+		out.Leaving = firstN(n.ShuttingDown(), maxShuttingDown)
 	}
 	if len(newer) == 0 {
 		return out, nil
@@ -256,7 +256,7 @@
 		return nil, err
 	}
 	if p.OnShuttingDown != nil {
-		for _, incarnation := range firstN(got.Leaving, maxLeaving) {
+		for _, incarnation := range firstN(got.Leaving, maxShuttingDown) {
 			p.OnShuttingDown(incarnation)
 		}
 	}
--- a/core/spread/applied_test.go
+++ b/core/spread/applied_test.go
@@ -125,8 +125,8 @@
 func TestTargetsThatShutDownAreSent(t *testing.T) {
 	g, _, sender, requester := pair(t)
 	var received []string
-	sender.leaving.Store(&[]string{"i-1@1", "i-2@1"})
-	requester.applied.OnShuttingDown = func(run string) { received = append(received, run) }
+	sender.shuttingDown.Store(&[]string{"i-1@1", "i-2@1"})
+	requester.applied.OnShuttingDown = func(incarnation string) { received = append(received, incarnation) }
 	requester.pulled()
 	g.Expect(received).To(gomega.Equal([]string{"i-1@1", "i-2@1"}))
 	// They are sent as well where no value is newer.
--- a/core/spread/relays.go
+++ b/core/spread/relays.go
@@ -77,11 +77,11 @@
 	}
 	rounds := int(s.cacheAge() / staleAfter)
 	if view.Cells() >= minCellsForRelays {
-		place := fleet.Place(relayKey, view.Domains()[view.Domain()], view.Self())
-		return place > 0 && place <= rounds
+		rank := fleet.Place(relayKey, view.Domains()[view.Domain()], view.Self())
+		return rank > 0 && rank <= rounds
 	}
-	place := s.cellRank(view)
-	return place >= watchersPerCell && place < watchersPerCell+standbysPerRound*rounds
+	rank := s.cellRank(view)
+	return rank >= watchersPerCell && rank < watchersPerCell+standbysPerRound*rounds
 }
 
 // cellRank returns how many daemons of the cell rank before this one for watching the store.
@@ -129,13 +129,13 @@
 	if at := slices.Index(domainOrder, view.Domain()); at > 0 {
 		domainOrder = slices.Insert(slices.Delete(domainOrder, at, at+1), 0, view.Domain())
 	}
-	for place := range candidatesPerDomain {
+	for rank := range candidatesPerDomain {
 		for _, domain := range domainOrder {
 			first := fleet.RankFirst(relayKey, domains[domain], candidatesPerDomain)
-			if place < len(first) {
-				r.candidates = append(r.candidates, first[place])
+			if rank < len(first) {
+				r.candidates = append(r.candidates, first[rank])
 			}
-			if place == 0 {
+			if rank == 0 {
 				r.names = append(r.names, first[0])
 			}
 		}
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -99,7 +99,7 @@
 func TestOneDaemonOfEachDomainWatchesTheStore(t *testing.T) {
 	const daemons, domains = 48, 3
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
@@ -114,7 +114,7 @@
 func TestAFleetWithoutItsWatchRelaysReceivesChanges(t *testing.T) {
 	const daemons, domains = 48, 3
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
@@ -136,7 +136,7 @@
 func TestNoCacheIsTakenForYoungerThanItIs(t *testing.T) {
 	const daemons, domains, outage = 48, 3, 3 * time.Second
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
--- a/core/spread/shards.go
+++ b/core/spread/shards.go
@@ -220,11 +220,11 @@
 // ShardVersion returns a comparable value that the results of InOwnCell depend on: while it is
 // equal, so are they.
 func (s *WatchCacheSync) ShardVersion() any {
-	type shardBasis struct {
+	type shardVersion struct {
 		view  *fleet.View
 		shard string
 	}
-	return shardBasis{s.fleet.View(), s.watchCache.Shard()}
+	return shardVersion{s.fleet.View(), s.watchCache.Shard()}
 }
 
 // InOwnCell reports whether a target of a sharded service belongs to this daemon's cell. While the cache
--- a/core/spread/shards_test.go
+++ b/core/spread/shards_test.go
@@ -18,7 +18,7 @@
 
 // pagedStore returns keys in pages, each of them a priced call.
 type pagedStore struct {
-	*pricedStore
+	*billedStore
 	page int
 }
 
@@ -72,7 +72,7 @@
 func TestDaemonsHoldTheTargetsOfTheirCell(t *testing.T) {
 	const daemons, domains, large, small = 48, 3, 600, 12
 	g := gomega.NewWithT(t)
-	store := &pagedStore{pricedStore: &pricedStore{KV: &memkv.KV{}}, page: 100}
+	store := &pagedStore{billedStore: &billedStore{KV: &memkv.KV{}}, page: 100}
 	put(t, store.KV, "op/config", []byte("first"))
 	keys := entryKeys(t, store, "large", 0, large, domains)
 	entryKeys(t, store, "small", 0, small, domains)
@@ -125,7 +125,7 @@
 func TestStartingDaemonsReadTheOutlineOnly(t *testing.T) {
 	const daemons, domains, large, page = 48, 3, 3000, 100
 	g := gomega.NewWithT(t)
-	store := &pagedStore{pricedStore: &pricedStore{KV: &memkv.KV{}}, page: page}
+	store := &pagedStore{billedStore: &billedStore{KV: &memkv.KV{}}, page: page}
 	put(t, store.KV, "op/a/outline", []byte("here"))
 	put(t, store.KV, "op/config", []byte("first"))
 	entryKeys(t, store, "large", 0, large, domains)
@@ -142,7 +142,7 @@
 func TestAChangedCellRequestsOnlyTheTargetsItLacks(t *testing.T) {
 	const daemons, domains, large = 49, 3, 700
 	g := gomega.NewWithT(t)
-	store := &pagedStore{pricedStore: &pricedStore{KV: &memkv.KV{}}, page: 100}
+	store := &pagedStore{billedStore: &billedStore{KV: &memkv.KV{}}, page: 100}
 	put(t, store.KV, "op/config", []byte("first"))
 	keys := entryKeys(t, store, "large", 0, large, domains)
 	list := &boxList{}
@@ -227,7 +227,7 @@
 func TestFewDaemonsReadALargeValueFromTheStore(t *testing.T) {
 	const daemons, domains = 48, 3
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", configuration(1, 200))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, string(configuration(1, 200)))
@@ -244,7 +244,7 @@
 func TestAServiceThatBecomesShardedIsNotReadAgain(t *testing.T) {
 	const daemons, domains, few, large = 48, 3, 400, 600
 	g := gomega.NewWithT(t)
-	store := &pagedStore{pricedStore: &pricedStore{KV: &memkv.KV{}}, page: 100}
+	store := &pagedStore{billedStore: &billedStore{KV: &memkv.KV{}}, page: 100}
 	put(t, store.KV, "op/config", []byte("first"))
 	keys := entryKeys(t, store, "large", 0, few, domains)
 	members := domainFleet(t, store, daemons, domains)
--- a/core/spread/storecalls_test.go
+++ b/core/spread/storecalls_test.go
@@ -15,7 +15,7 @@
 
 // pricedStore is a store that counts its calls. A watch is a series of calls, each answered after
 // watchTime at the latest.
-type pricedStore struct {
+type billedStore struct {
 	*memkv.KV
 
 	countMu  sync.Mutex
@@ -30,7 +30,7 @@
 }
 
 // rangeCalls returns how many times keys were read other than by watches.
-func (s *pricedStore) rangeCalls() int {
+func (s *billedStore) rangeCalls() int {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.ranges
@@ -40,14 +40,14 @@
 const watchTime = 1500 * time.Millisecond
 
 // call counts one call, and reports whether it is answered.
-func (s *pricedStore) call() bool {
+func (s *billedStore) call() bool {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	s.calls++
 	return !s.down
 }
 
-func (s *pricedStore) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
+func (s *billedStore) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
 	if !s.call() {
 		return nil, 0, errRefused
 	}
@@ -57,7 +57,7 @@
 	return s.KV.Range(ctx, span)
 }
 
-func (s *pricedStore) Watch(ctx context.Context, span plat.Span, from int64, f func([]plat.Change, int64) error) error {
+func (s *billedStore) Watch(ctx context.Context, span plat.Span, from int64, f func([]plat.Change, int64) error) error {
 	for ctx.Err() == nil {
 		if !s.call() {
 			return errRefused
@@ -76,7 +76,7 @@
 }
 
 // answer counts a request until its answer is taken.
-func (s *pricedStore) response(take func() error) error {
+func (s *billedStore) response(take func() error) error {
 	s.countMu.Lock()
 	s.answering++
 	s.countMu.Unlock()
@@ -89,14 +89,14 @@
 }
 
 // quiet returns when the last answer was taken, and whether none is pending.
-func (s *pricedStore) quiet() (clock.Time, bool) {
+func (s *billedStore) quiet() (clock.Time, bool) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.taken, s.answering == 0
 }
 
 // wait returns the first changes from a revision on, or none after watchTime.
-func (s *pricedStore) wait(ctx context.Context, span plat.Span, from int64) (changes []plat.Change, revision int64) {
+func (s *billedStore) wait(ctx context.Context, span plat.Span, from int64) (changes []plat.Change, revision int64) {
 	ctx, cancel := context.WithTimeout(ctx, watchTime)
 	defer cancel()
 	s.count(1)
@@ -112,20 +112,20 @@
 	return changes, revision
 }
 
-func (s *pricedStore) count(by int) {
+func (s *billedStore) count(by int) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	s.watching += by
 }
 
-func (s *pricedStore) setDown(down bool) {
+func (s *billedStore) setDown(down bool) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	s.down = down
 }
 
 // stats returns how many calls there were and how many daemons watch.
-func (s *pricedStore) stats() (calls, watching int) {
+func (s *billedStore) stats() (calls, watching int) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.calls, s.watching
@@ -146,7 +146,7 @@
 func TestDaemonsThatStartTogetherDoNotAllWatchTheStore(t *testing.T) {
 	const daemons, cells = 40, 4
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := startTogether(t, store, daemons)
 	for _, m := range members {
@@ -166,7 +166,7 @@
 func TestAFleetSendsFewRequestsToAStoreThatIsDown(t *testing.T) {
 	const daemons, outage = 40, 5 * time.Second
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := startTogether(t, store, daemons)
 	for _, m := range members {
--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -28,7 +28,7 @@
 	direct cache.StoreClient
 	fleet  *fleet.Fleet
 	// kept holds the contents that peers are served from. It is set by Serve.
-	kept *cache.StoreIndexes
+	indexes *cache.StoreIndexes
 	// ranks holds which daemons may send requests to each store, for the latest view.
 	ranks atomic.Pointer[storeRanks]
 	inbox indexInbox
@@ -39,22 +39,22 @@
 	publishedMu sync.Mutex
 	// published is the position up to which each store's changes were published to peers of the
 	// cell; publishing holds those of the heartbeats that are being built. Guarded by publishedMu.
-	published, publishing map[string]publishedPoint
+	published, publishing map[string]publishedState
 }
 
 // NewStoreIndexes returns StoreIndexes that watch stores by way of direct. Serve must be called before it
 // is used.
 func NewStoreIndexes(direct cache.StoreClient, f *fleet.Fleet) *StoreIndexes {
 	return &StoreIndexes{
-		direct: direct, fleet: f, published: map[string]publishedPoint{}, publishing: map[string]publishedPoint{},
+		direct: direct, fleet: f, published: map[string]publishedState{}, publishing: map[string]publishedState{},
 		backoff: wait.Backoff[indexLink]{First: backoffFirst, Most: backoffMax},
 	}
 }
 
 // Serve makes this daemon respond to requests of peers from kept. It must be called before the fleet
 // runs.
-func (s *StoreIndexes) Serve(kept *cache.StoreIndexes) {
-	s.kept = kept
+func (s *StoreIndexes) Serve(indexes *cache.StoreIndexes) {
+	s.indexes = indexes
 	s.fleet.Mux().Register(kindStoreIndex, wire.Handle(s.handleIndex))
 	s.fleet.Attach("shelves", s)
 }
@@ -114,18 +114,18 @@
 
 // Events returns the changes of a store since a position; the response may wait for one as long as
 // hold.
-func (s *StoreIndexes) Events(ctx context.Context, address string, since int64, hold time.Duration) (cache.SegmentEvents, error) {
+func (s *StoreIndexes) Events(ctx context.Context, address string, since int64, wait time.Duration) (cache.SegmentEvents, error) {
 	return s.try(ctx, address, func(source indexSource) (cache.SegmentEvents, error) {
 		switch {
 		case source.peer == "":
-			return s.direct.Events(ctx, address, since, hold)
+			return s.direct.Events(ctx, address, since, wait)
 		case source.publishes:
-			if ev, ok := s.inbox.await(ctx, address, since, hold+heartbeatSlack); ok {
+			if ev, ok := s.inbox.await(ctx, address, since, wait+heartbeatSlack); ok {
 				return ev, nil
 			}
-			hold = 0
+			wait = 0
 		}
-		req := &indexRequest{Address: address, Since: since, WaitMillis: hold.Milliseconds(), AgeMillis: ageMillis(s.kept.Age(address, clock.Now()))}
+		req := &indexRequest{Address: address, Since: since, WaitMillis: wait.Milliseconds(), AgeMillis: ageMillis(s.indexes.Age(address, clock.Now()))}
 		got, err := s.request(ctx, source.peer, req)
 		if err != nil {
 			return cache.SegmentEvents{}, err
@@ -231,9 +231,9 @@
 	timeout := time.NewTimer(time.Duration(req.WaitMillis) * time.Millisecond)
 	defer timeout.Stop()
 	for last := req.WaitMillis <= 0; ; {
-		updated := s.kept.Changed(req.Address)
+		updated := s.indexes.Changed(req.Address)
 		now := clock.Now()
-		got, ok := s.kept.EventsSince(req.Address, req.Since, req.All, now)
+		got, ok := s.indexes.EventsSince(req.Address, req.Since, req.All, now)
 		switch {
 		case !ok:
 			return nil, errors.WithStack(errUnknownIndex)
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -84,7 +84,7 @@
 // indexMember is one daemon of a fleet with an index of a store.
 type indexMember struct {
 	name string
-	kept *cache.StoreIndexes
+	indexes *cache.StoreIndexes
 	stop context.CancelFunc
 }
 
@@ -99,13 +99,13 @@
 			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
 		indexes := spread.NewStoreIndexes(store, f)
-		m := &indexMember{name: seed.Name, kept: cache.NewStoreIndexes(indexes, &event.Log{})}
-		indexes.Serve(m.kept)
+		m := &indexMember{name: seed.Name, indexes: cache.NewStoreIndexes(indexes, &event.Log{})}
+		indexes.Serve(m.indexes)
 		ctx, cancel := context.WithCancel(context.Background())
 		m.stop = cancel
 		t.Cleanup(cancel)
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
-		m.kept.Set(ctx, []cache.StoreInfo{info})
+		m.indexes.Set(ctx, []cache.StoreInfo{info})
 		out = append(out, m)
 	}
 	return out
@@ -117,7 +117,7 @@
 	return func() int {
 		n := 0
 		for _, m := range members {
-			if _, ok := m.kept.EventsSince(address, 0, false, clock.Now()); ok && m.kept.Tokens() == segments {
+			if _, ok := m.indexes.EventsSince(address, 0, false, clock.Now()); ok && m.indexes.Tokens() == segments {
 				n++
 			}
 		}
--- a/core/spread/storeindex_publish.go
+++ b/core/spread/storeindex_publish.go
@@ -23,7 +23,7 @@
 )
 
 // publishedPoint is the position up to which a store's changes were published to peers.
-type publishedPoint struct {
+type publishedState struct {
 	epoch, next int64
 	freshAt     clock.Time
 }
@@ -50,17 +50,17 @@
 	defer s.publishedMu.Unlock()
 	clear(s.publishing)
 	var out []indexUpdate
-	for _, address := range s.kept.Stores() {
+	for _, address := range s.indexes.Stores() {
 		if source, err := s.source(address); err != nil || source.publishes {
 			continue
 		}
 		last, known := s.published[address]
-		got, ok := s.kept.EventsSince(address, last.next, false, now)
-		point := publishedPoint{got.Epoch, got.Next, now.Add(-got.Age)}
-		if !ok || !point.freshAt.After(last.freshAt) {
+		got, ok := s.indexes.EventsSince(address, last.next, false, now)
+		state := publishedState{got.Epoch, got.Next, now.Add(-got.Age)}
+		if !ok || !state.freshAt.After(last.freshAt) {
 			continue
 		}
-		s.publishing[address] = point
+		s.publishing[address] = state
 		update := indexUpdate{
 			Address: address, From: last.next, Epoch: got.Epoch, Next: got.Next, Segments: segmentsOf(got.Changes),
 			ClockMillis: got.Clock.Milliseconds(), AgeMillis: ageMillis(got.Age),
@@ -81,8 +81,8 @@
 func (s *StoreIndexes) Told() {
 	s.publishedMu.Lock()
 	defer s.publishedMu.Unlock()
-	for address, point := range s.publishing {
-		s.published[address] = point
+	for address, state := range s.publishing {
+		s.published[address] = state
 	}
 	clear(s.publishing)
 }
--- a/core/spread/storeindex_rank.go
+++ b/core/spread/storeindex_rank.go
@@ -102,7 +102,7 @@
 
 // watchers returns how many watchers a store admits.
 func (s *StoreIndexes) watchers(address string) int {
-	if n := s.kept.MaxWatchers(address); n > 0 {
+	if n := s.indexes.MaxWatchers(address); n > 0 {
 		return n
 	}
 	return defaultWatchers
--- a/core/spread/storeindex_test.go
+++ b/core/spread/storeindex_test.go
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
-	keptByName := map[string]*cache.StoreIndexes{}
+	indexesByName := map[string]*cache.StoreIndexes{}
 	fleetByName := map[string]*fleet.Fleet{}
 	for i, name := range names {
 		ownSeeds := direct
@@ -65,14 +65,14 @@
 			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
 		indexes := spread.NewStoreIndexes(store, f)
-		keptByName[name] = cache.NewStoreIndexes(indexes, &event.Log{})
-		indexes.Serve(keptByName[name])
+		indexesByName[name] = cache.NewStoreIndexes(indexes, &event.Log{})
+		indexes.Serve(indexesByName[name])
 		fleetByName[name] = f
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
 	}
 	for _, name := range []string{ranked[0], ranked[1], ranked[daemons-1]} {
 		g.Eventually(func() int { return len(fleetByName[name].View().OnDuty()) }, shortWait, pollInterval).Should(gomega.Equal(daemons))
-		keptByName[name].Set(ctx, []cache.StoreInfo{{Address: address, Room: segments}})
-		g.Eventually(keptByName[name].Tokens, longWait, pollInterval).Should(gomega.Equal(segments), name)
+		indexesByName[name].Set(ctx, []cache.StoreInfo{{Address: address, Room: segments}})
+		g.Eventually(indexesByName[name].Tokens, longWait, pollInterval).Should(gomega.Equal(segments), name)
 	}
 }
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -46,7 +46,7 @@
 	cacheSync  *spread.WatchCacheSync
 	applied    *spread.AppliedValues
 	// leaving holds the incarnations that the member reports as shutting down.
-	leaving atomic.Pointer[[]string]
+	shuttingDown atomic.Pointer[[]string]
 	// seen holds the keys of the changes that the watch cache reported, in their order.
 	seenMu sync.Mutex
 	seen   []string // guarded by seenMu
@@ -116,8 +116,8 @@
 	m.watchCache.Observe(m.observe)
 	m.cacheSync = spread.NewWatchCacheSync(m.watchCache, m.fleet, &event.Log{})
 	m.applied = spread.NewAppliedValues(m.cacheSync)
-	m.leaving.Store(&[]string{})
-	m.applied.ShuttingDown = func() []string { return *m.leaving.Load() }
+	m.shuttingDown.Store(&[]string{})
+	m.applied.ShuttingDown = func() []string { return *m.shuttingDown.Load() }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { m.fleet.Run(ctx, l) })
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -109,11 +109,11 @@
 
 // PollEvents waits for the time gather, and returns the cache events after seq together with the load.
 // Polling is cheap mainly because one call returns both, and many events at once.
-func (e *Engine) PollEvents(ctx context.Context, seq uint64, gather time.Duration) (EventBatch, error) {
-	ctx, cancel := context.WithTimeout(ctx, gather+callTimeout)
+func (e *Engine) PollEvents(ctx context.Context, seq uint64, batchTime time.Duration) (EventBatch, error) {
+	ctx, cancel := context.WithTimeout(ctx, batchTime+callTimeout)
 	defer cancel()
 	var n EventBatch
-	path := "/v1/cache/events?after=" + strconv.FormatUint(seq, 10) + "&gatherMillis=" + strconv.FormatInt(gather.Milliseconds(), 10)
+	path := "/v1/cache/events?after=" + strconv.FormatUint(seq, 10) + "&gatherMillis=" + strconv.FormatInt(batchTime.Milliseconds(), 10)
 	return n, e.do(ctx, http.MethodGet, path, nil, &n)
 }
 
@@ -270,8 +270,8 @@
 
 func (e *Engine) send(req *http.Request) (*http.Response, error) { return send(e.client, req) }
 
-func (e *Engine) do(ctx context.Context, method, path string, body, reply any) error {
-	return do(ctx, e.client, method, e.url+path, body, reply)
+func (e *Engine) do(ctx context.Context, method, path string, body, result any) error {
+	return do(ctx, e.client, method, e.url+path, body, result)
 }
 
 func send(client *http.Client, req *http.Request) (*http.Response, error) {
@@ -293,10 +293,10 @@
 	// maxErrorText bounds the bytes read of an error's text.
 	maxErrorText = 512
 	// maxReply bounds the size of a response that is read completely.
-	maxReply = 64 << 20
+	maxResponse = 64 << 20
 )
 
-func do(ctx context.Context, client *http.Client, method, url string, body, reply any) error {
+func do(ctx context.Context, client *http.Client, method, url string, body, result any) error {
 	var reader io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
@@ -315,9 +315,9 @@
 		return err
 	}
 	defer resp.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
-	if err != nil || reply == nil {
+	got, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
+	if err != nil || result == nil {
 		return errors.WithStack(err)
 	}
-	return errors.Wrap(json.Unmarshal(got, reply), "parse the response of a target")
+	return errors.Wrap(json.Unmarshal(got, result), "parse the response of a target")
 }
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -147,7 +147,7 @@
 // writer writes one request.
 type writer struct {
 	conn *poolConn
-	out  *Request
+	req  *Request
 	done chan<- error
 }
 
@@ -165,17 +165,17 @@
 // write writes the request line, the header and the body.
 func (w writer) write() error {
 	var b strings.Builder
-	b.WriteString(w.out.Method + " " + w.out.URI + " HTTP/1.1\r\nHost: " + w.out.Host + "\r\n")
-	if err := w.out.Header.Write(&b); err != nil {
+	b.WriteString(w.req.Method + " " + w.req.URI + " HTTP/1.1\r\nHost: " + w.req.Host + "\r\n")
+	if err := w.req.Header.Write(&b); err != nil {
 		return errors.WithStack(err)
 	}
-	if len(w.out.Body) > 0 || (w.out.Method != http.MethodGet && w.out.Method != http.MethodHead) {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(w.out.Body)) + "\r\n")
+	if len(w.req.Body) > 0 || (w.req.Method != http.MethodGet && w.req.Method != http.MethodHead) {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(w.req.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
 	parts := net.Buffers{[]byte(b.String())}
-	if len(w.out.Body) > 0 {
-		parts = append(parts, w.out.Body)
+	if len(w.req.Body) > 0 {
+		parts = append(parts, w.req.Body)
 	}
 	_, err := parts.WriteTo(w.conn.tcp)
 	return errors.WithStack(err)
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -123,36 +123,36 @@
 
 // Send sends a request and returns the response with its header read. The caller must Close the
 // response. An error is a *SendError.
-func (p *Pool) Send(ctx context.Context, address string, out *Request) (*Response, error) {
-	conn, err := p.get(ctx, address, out.MaxIdle)
+func (p *Pool) Send(ctx context.Context, address string, req *Request) (*Response, error) {
+	conn, err := p.get(ctx, address, req.MaxIdle)
 	if err != nil {
 		return nil, &SendError{cause: err}
 	}
-	if out.BeforeWrite != nil {
-		if err := out.BeforeWrite(); err != nil {
+	if req.BeforeWrite != nil {
+		if err := req.BeforeWrite(); err != nil {
 			p.putUnused(conn)
 			return nil, &SendError{cause: err}
 		}
 	}
-	in := &Response{conn: conn, written: make(chan error, 1)}
+	resp := &Response{conn: conn, written: make(chan error, 1)}
 	start := time.Now()
-	in.stopCancel = context.AfterFunc(ctx, func() { conn.tcp.SetDeadline(time.Unix(1, 0)) })
-	w := writer{conn, out, in.written}
-	if len(out.Body) <= maxDirectWrite {
+	resp.stopCancel = context.AfterFunc(ctx, func() { conn.tcp.SetDeadline(time.Unix(1, 0)) })
+	w := writer{conn, req, resp.written}
+	if len(req.Body) <= maxDirectWrite {
 		w.run()
 	} else {
 		go w.run()
 	}
-	if err := in.readHead(out.Method); err != nil {
+	if err := resp.readHead(req.Method); err != nil {
 		early := !conn.lastUsed.IsZero() && time.Since(start) < p.roundTrip(conn)
-		in.failed = true
-		in.Close()
+		resp.failed = true
+		resp.Close()
 		if c := context.Cause(ctx); c != nil {
 			err = c
 		}
 		return nil, &SendError{MayHaveArrived: true, ClosedEarly: early, cause: err}
 	}
-	return in, nil
+	return resp, nil
 }
 
 // Connect opens a connection to an address and keeps it for the next request.
@@ -197,9 +197,9 @@
 
 // get returns a connection to an address. If all are in use, it waits until one is free or ctx
 // ends.
-func (p *Pool) get(ctx context.Context, address string, fresh time.Duration) (*poolConn, error) {
+func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration) (*poolConn, error) {
 	for {
-		conn, canOpen := p.reserve(address, fresh)
+		conn, canOpen := p.reserve(address, maxIdle)
 		if conn != nil {
 			return conn, nil
 		}
@@ -214,13 +214,13 @@
 
 // reserve returns an idle connection that is still alive, or whether a new one may be opened. In
 // that case the new one is counted already.
-func (p *Pool) reserve(address string, fresh time.Duration) (*poolConn, bool) {
+func (p *Pool) reserve(address string, maxIdle time.Duration) (*poolConn, bool) {
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
 	state := p.state(address)
 	maxIdleTime := state.keepAlive
-	if fresh > 0 {
-		maxIdleTime = min(maxIdleTime, fresh)
+	if maxIdle > 0 {
+		maxIdleTime = min(maxIdleTime, maxIdle)
 	}
 	for len(state.idle) > 0 {
 		conn := state.idle[len(state.idle)-1]
