--- a/core/cache/follow.go
+++ b/core/cache/follow.go
@@ -80,7 +80,7 @@
 	return &Follower{worker: worker, feed: f, rootBlocks: rootBlocks, listener: l, log: log, nodes: map[uint64]node{}}
 }
 
-// followPause is the delay before retrying a worker that did not answer.
+// followPause is the delay before retrying a worker that did not respond.
 const followPause = 500 * time.Millisecond
 
 // Run follows the worker until ctx ends.
--- a/core/cache/storeindex.go
+++ b/core/cache/storeindex.go
@@ -29,7 +29,7 @@
 	// forwarded it; storeClock is the time it reported.
 	reportedAt clock.Time
 	storeClock time.Duration
-	// changed is closed and replaced when the store reports or stops answering.
+	// changed is closed and replaced when the store reports or stops responding.
 	changed chan struct{}
 	// down is set if the last query failed.
 	down bool
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -20,7 +20,7 @@
 // Lock order: indexesMu is never held together with another lock of this package.
 type StoreIndexes struct {
 	client StoreClient
-	log     *event.Log
+	log    *event.Log
 
 	indexesMu sync.Mutex
 	indexes   map[string]*storeIndex // by address; guarded by indexesMu
@@ -81,7 +81,7 @@
 	return ix.eventsSince(since, all, now), true
 }
 
-// Changed returns a channel that is closed when the store next reports or stops answering, or
+// Changed returns a channel that is closed when the store next reports or stops responding, or
 // nil if the store is not followed.
 func (s *StoreIndexes) Changed(address string) <-chan struct{} {
 	s.indexesMu.Lock()
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -114,9 +114,9 @@
 	g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
 	g.Expect(found(k, "1")()).To(gomega.BeFalse())
 	g.Expect(k.Tokens()).To(gomega.Equal(50))
-	found := k.Find(SegmentName{"v1/m/", "2"}, clock.Now())
-	g.Expect(found).To(gomega.HaveLen(1))
-	stored := found[0]
+	list := k.Find(SegmentName{"v1/m/", "2"}, clock.Now())
+	g.Expect(list).To(gomega.HaveLen(1))
+	stored := list[0]
 	g.Expect(stored.TransferTime("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
 	g.Expect(stored.TransferTime("d")).To(gomega.Equal(50 * time.Microsecond))
 	g.Expect(stored.Until).To(gomega.BeNumerically(">", time.Hour))
--- a/core/home/assignments.go
+++ b/core/home/assignments.go
@@ -91,7 +91,7 @@
 
 // feed provides the cache events of one worker and records its load.
 type feed struct {
-	owner   *Owner
+	owner  *Owner
 	worker string
 	engine *target.Engine
 }
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -154,7 +154,7 @@
 func TestVersionOf(t *testing.T) {
 	tests := []struct {
 		weights, model, want string
-		ok                bool
+		ok                   bool
 	}{
 		{"m@v1", "m", "v1", true},
 		{"m@v1+a", "m", "", false},
--- a/core/home/links.go
+++ b/core/home/links.go
@@ -102,7 +102,7 @@
 // rateWeight is the weight of one transfer in the moving average of the rate.
 const rateWeight = 0.2
 
-// minMeasuredBytes is the size below which a transfer says nothing about the rate.
+// minMeasuredBytes is the size below which a transfer is no measure of the rate.
 const minMeasuredBytes = 64 << 10
 
 // release ends a transfer. It has no effect the second time.
--- a/core/home/loads.go
+++ b/core/home/loads.go
@@ -19,7 +19,7 @@
 	// pending are this daemon's placements that no report shows yet, by worker. Guarded by
 	// loadsMu.
 	pending map[string][]pendingRequest
-	// failedUntil is until when a worker counts as not answering. Guarded by loadsMu.
+	// failedUntil is until when a worker counts as not responding. Guarded by loadsMu.
 	failedUntil map[string]time.Time
 	// changed are the workers followed here whose report changed since the last heartbeat.
 	// Guarded by loadsMu.
@@ -161,17 +161,17 @@
 	return l.reports[worker].Boot
 }
 
-// removePending records that a worker has begun to answer a request, or failed it.
+// removePending records that a worker has begun to respond to a request, or failed it.
 func (l *loads) removePending(worker, request string) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	l.pending[worker] = slices.DeleteFunc(l.pending[worker], func(p pendingRequest) bool { return p.request == request })
 }
 
-// failurePause is how long a worker that did not answer receives no requests.
+// failurePause is how long a worker that did not respond receives no requests.
 const failurePause = time.Second
 
-// markFailed records that a worker did not answer.
+// markFailed records that a worker did not respond.
 func (l *loads) markFailed(worker string, now time.Time) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // load returns the load that a request of the priority would find at a worker, or false if
-// the worker has no recent report or did not answer lately.
+// the worker has no recent report or did not respond lately.
 func (l *loads) load(worker string, priority int, now time.Time) (estimatedLoad, bool) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -94,7 +94,7 @@
 	Prefilled bool `msgpack:"p"`
 	// ExportFrom is the minimum length of a context to export, in blocks.
 	ExportFrom int `msgpack:"x"`
-	// Failed is set if the worker did not answer.
+	// Failed is set if the worker did not respond.
 	Failed bool `msgpack:"f,omitempty"`
 }
 
--- a/core/home/transfer.go
+++ b/core/home/transfer.go
@@ -30,7 +30,7 @@
 const maxStoresQueried = 2
 
 // queryStores queries the stores for a context, unless they have been queried already. It
-// adds what they hold to pos.
+// adds what they hold to state.
 func (h *Owner) queryStores(ctx context.Context, snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, root cache.Hash, state *cache.ContextState) manifests {
 	d := snap.Deployment(req.Deployment)
 	if state.StoresQueried || !h.o.Placement.Exports() || d == nil || len(req.Chain) < d.ExportFrom() {
@@ -211,8 +211,8 @@
 	exportLinkTimeout = 60 * time.Second
 )
 
-// acquireLink waits for a link and returns the function that releases it. waiting tells that
-// a caller waits for the transfer: it goes ahead if the link's scheduler does not answer,
+// acquireLink waits for a link and returns the function that releases it. waiting means that
+// a caller waits for the transfer: it goes ahead if the link's scheduler does not respond,
 // while an export does not.
 func (h *Owner) acquireLink(ctx context.Context, store, organisation string, bytes int64, waiting bool) (release func(int64, time.Duration), err error) {
 	limit := exportLinkTimeout
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -28,7 +28,7 @@
 // targetModel holds the observations of one target.
 type targetModel struct {
 	// logSlowdown is the mean of the logarithm of observed over expected times, and
-	// failures the share of failed answers.
+	// failures the share of failed responses.
 	logSlowdown, failures Mean
 	// updatedAt is the time of the last observation.
 	updatedAt time.Time
@@ -57,14 +57,14 @@
 	// maxTargetWeight bounds the total weight of the observations.
 	targetPriorWeight = 2
 	maxTargetWeight   = 20
-	// serviceHalfLife is the half-life of the weight of an answer in the share of
+	// serviceHalfLife is the half-life of the weight of a response in the share of
 	// failures of a whole service.
 	serviceHalfLife = 20 * time.Second
 	// priorFailures is the share of failures that is expected of a service by the
-	// prior, which counts as failuresPriorWeight answers.
+	// prior, which counts as failuresPriorWeight responses.
 	priorFailures       = 0.02
 	failuresPriorWeight = 10
-	// maxSpeedFactor bounds the speed factor of one observation, and its inverse.
+	// maxTargetSlowdown bounds the slowdown of one observation, and its inverse.
 	maxTargetSlowdown = 8
 	// targetExpiry is the time after which a target without observations is removed.
 	targetExpiry = time.Minute
@@ -74,10 +74,10 @@
 
 // TargetState is the estimated state of a target.
 type TargetState struct {
-	// Slowdown is the target's speed factor: its time to the first answer divided by that
+	// Slowdown is the target's time to the first answer divided by that
 	// expected of its service. Above 1 the target is slower.
 	Slowdown float64
-	// FailureShare is the share of the target's answers that are failures, 0 to 1.
+	// FailureShare is the share of the target's responses that are failures, 0 to 1.
 	FailureShare float64
 }
 
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -18,8 +18,8 @@
 	"embertally.dev/core/target"
 )
 
-// attempt sends the request to one target and passes its answer on.
-func (p *proxiedRequest) attempt(ctx context.Context, c *choice) (outcome, *bufferedAnswer) {
+// attempt sends the request to one target and passes its response on.
+func (p *proxiedRequest) attempt(ctx context.Context, c *choice) (outcome, *bufferedResponse) {
 	c.addLoad()
 	version := c.target.Entry().Version
 	p.relay.options.Canary.Begin(p.service, version)
@@ -37,7 +37,7 @@
 		p.relay.options.Canary.End(p.service, version)
 		c.report.reportEnd()
 	}()
-	// The prompt counts as not yet prefilled until the first event or answer.
+	// The prompt counts as not yet prefilled until the first event or response.
 	onFirst := func() {
 		if !prefilled {
 			prefilled = true
@@ -54,11 +54,11 @@
 	defer cancel()
 	resp, err := p.relay.options.Pool.Send(ctx, c.target.Entry().Address, p.targetRequest(c))
 	if err != nil {
-		return p.classifyNoAnswer(ctx, c, err), nil
+		return p.classifyNoResponse(ctx, c, err), nil
 	}
 	defer resp.Close()
 	respMeta := p.relay.options.Dialect.ParseResponse(resp.Status, resp.Header)
-	if out, ok := p.checkAnswer(c, resp, &respMeta); !ok {
+	if out, ok := p.checkResponse(c, resp, &respMeta); !ok {
 		return out, nil
 	}
 	p.attempts++
@@ -81,7 +81,7 @@
 // before a slow one is abandoned: the second attempt takes a slot there.
 const retryAdvantage = 0.1
 
-// waitBudget bounds the wait for an answer while another target may still answer on time.
+// waitBudget bounds the wait for a response while another target may still respond on time.
 func (p *proxiedRequest) waitBudget(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
 	now := time.Now()
 	remaining := p.route.Aim - now.Sub(p.start)
@@ -95,8 +95,8 @@
 	return context.WithTimeoutCause(ctx, budget, errSlow)
 }
 
-// classifyNoAnswer records an attempt without an answer and returns its outcome.
-func (p *proxiedRequest) classifyNoAnswer(ctx context.Context, c *choice, err error) outcome {
+// classifyNoResponse records an attempt without a response and returns its outcome.
+func (p *proxiedRequest) classifyNoResponse(ctx context.Context, c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
 	sent := target.MayHaveArrived(err)
 	if sent {
@@ -115,14 +115,14 @@
 		return outcomeNotSent
 	case !time.Now().Before(p.deadline):
 		if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			p.recordAnswer(c, false)
+			p.recordResponse(c, false)
 		}
 		return outcomeTimedOut
 	case errors.Is(context.Cause(ctx), errSlow):
-		p.recordAnswer(c, false)
+		p.recordResponse(c, false)
 		return outcomeIncomplete
 	}
-	p.recordNoAnswer(c)
+	p.recordNoResponse(c)
 	if !sent {
 		p.relay.options.Poison.Refused(c.target.ID(), err)
 		return outcomeNotSent
@@ -154,9 +154,9 @@
 	return p.organisation.Name
 }
 
-// checkAnswer reports whether a response is the target's answer to this request; if not it returns
+// checkResponse reports whether a response is the target's to this request; if not it returns
 // the outcome of the attempt.
-func (p *proxiedRequest) checkAnswer(c *choice, resp *target.Response, respMeta *ResponseMeta) (outcome, bool) {
+func (p *proxiedRequest) checkResponse(c *choice, resp *target.Response, respMeta *ResponseMeta) (outcome, bool) {
 	misdirected := resp.Status == http.StatusMisdirectedRequest
 	p.recordSelfReport(c, misdirected, respMeta)
 	switch {
@@ -166,7 +166,7 @@
 		resp.Discard()
 		p.attempts++
 		p.executions++
-		p.recordAnswer(c, false)
+		p.recordResponse(c, false)
 		return outcomeIncomplete, false
 	case misdirected:
 		p.relay.options.Stats.Misdirected.Inc()
@@ -175,7 +175,7 @@
 		}
 		if respMeta.Target != "" && respMeta.Target != c.target.Entry().Name {
 			// The address now belongs to another target.
-			p.recordNoAnswer(c)
+			p.recordNoResponse(c)
 		}
 	case respMeta.NotExecuted:
 		p.relay.options.Stats.NotExecuted.Inc()
@@ -183,13 +183,13 @@
 	default:
 		return outcomeDone, true
 	}
-	// If this fails, only the connection is not reused; the refusal is already known.
+	// If this fails, only the connection is not reused; the rejection is already known.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxDrainBytes))
 	p.attempts++
-	return outcomeRefused, false
+	return outcomeRejected, false
 }
 
-// reloadTime is how long all daemons of the cell skip a worker that refused a request while its
+// reloadTime is how long all daemons of the cell skip a worker that rejected a request while its
 // weights were older than desired. Weight-update orders are published only in the cell of the
 // daemon that gives them, which may be another one.
 const reloadTime = 700 * time.Millisecond
@@ -204,10 +204,10 @@
 	p.relay.options.PublishState()
 }
 
-// maxDrainBytes bounds how much of a refusal's body is read so that its connection can be reused.
+// maxDrainBytes bounds how much of a rejection's body is read so that its connection can be reused.
 const maxDrainBytes = 16 << 10
 
-// outgoing returns the request as it is sent to the target.
+// targetRequest returns the request as it is sent to the target.
 func (p *proxiedRequest) targetRequest(c *choice) *target.Request {
 	h := make(http.Header, len(p.r.Header)+8)
 	hopByHop := strings.Split(p.r.Header.Get("Connection"), ",")
--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -22,10 +22,10 @@
 	target      *roster.Target
 	attemptMeta AttemptMeta
 	load        roster.Load
-	// judgement is what was expected of the target, and baseline the expected time to a first
+	// evaluation is what was expected of the target, and baseline the expected time to a first
 	// answer of any target of the service with the same load.
 	evaluation route.Evaluation
-	baseline  time.Duration
+	baseline   time.Duration
 	// factors are the inputs of that time.
 	factors learn.Factors
 	// plan is how the target gets the shared segments; eligible and candidate are the inputs of the
--- a/core/relay/dialect.go
+++ b/core/relay/dialect.go
@@ -30,7 +30,7 @@
 type AttemptMeta struct {
 	// Timeout is the remaining time.
 	Timeout time.Duration
-	// Target is the ID of the target incarnation that must answer.
+	// Target is the ID of the target incarnation that must respond.
 	Target string
 	// Organisation is the caller's organisation, or "".
 	Organisation string
@@ -52,15 +52,15 @@
 	LastEventID string
 }
 
-// ResponseMeta is the metadata in the header of a target's answer.
+// ResponseMeta is the metadata in the header of a target's response.
 type ResponseMeta struct {
-	// AttemptID identifies the caller's attempt that is answered.
+	// AttemptID identifies the attempt that the target responds to.
 	AttemptID string
-	// Signed is set if the target signed the answer.
+	// Signed is set if the target signed the response.
 	Signed bool
 	// NotExecuted is set if the target did not execute the request and never will.
 	NotExecuted bool
-	// Target is the name of the target that answered, or "" if not given.
+	// Target is the name of the target that responded, or "" if not given.
 	Target string
 	// WeightVersion is the version of the weights; 0 if not given.
 	WeightVersion int64
@@ -72,7 +72,7 @@
 	// cannot be parsed, or "".
 	Pushback    time.Duration
 	BadPushback string
-	// RateLimit is the rate limit that the target names, for all daemons together.
+	// RateLimit is the rate limit that the target states, for all daemons together.
 	RateLimit roster.RateLimit
 }
 
@@ -82,7 +82,7 @@
 	ParseRequest(h http.Header) (RequestMeta, error)
 	// WriteAttempt removes the headers reserved for the daemon from h, and writes s.
 	WriteAttempt(h http.Header, s *AttemptMeta)
-	// ParseResponse parses the header of a target's answer.
+	// ParseResponse parses the header of a target's response.
 	ParseResponse(status int, h http.Header) ResponseMeta
 	// WriteRefusal writes the ID of the caller's attempt and the Retry-After.
 	WriteRefusal(h http.Header, id string, after time.Duration)
--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -33,7 +33,7 @@
 // ownEligibleTargets returns the eligible targets among those that this daemon uses, and the
 // fraction of the service's targets that it uses. If those are full, the request waits or is
 // refused, since this daemon does not know the load of other workers. It falls back to all targets
-// only if none of its own answers.
+// only if none of its own responds.
 func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
 	all := p.relay.options.Roster.ByService(p.service)
 	sharded := p.relay.sharded(p.service)
@@ -44,7 +44,7 @@
 	share := p.relay.shares.get(p.service, all, &p.relay.options)
 	own, reason = p.eligibleTargets(svc, share.own, true, now)
 	if sharded || len(own) > 0 || reason == allFull || endsAtKnownTime(reason) {
-		// If all of its own are under pushback, what they turned away would overload the others.
+		// If all of its own are under pushback, what they rejected would overload the others.
 		// Sharded targets outside the cell are chosen by other cells.
 		return own, share.fraction, reason
 	}
@@ -119,11 +119,10 @@
 	// allFull: targets are available, but have no free capacity.
 	allFull      = "all targets are full"
 	allEvacuated = "all failure domains of the service are evacuated"
-	// allUnderPushback: each target asked this daemon for pushback. It is known when the first
+	// allUnderPushback: each target is under pushback for this daemon. It is known when the first
 	// pushback ends.
 	allUnderPushback = "all targets rest"
-	// allRateLimited: as allUnderPushback, but some targets named a rate limit and are
-	// rate-limited.
+	// allRateLimited: as allUnderPushback, but some targets are rate-limited.
 	allRateLimited = "all targets rest or are over the limits that they named"
 )
 
--- a/core/relay/feedback.go
+++ b/core/relay/feedback.go
@@ -71,14 +71,14 @@
 	return p.relay.options.FirstAnswerTimes.Estimate(key, prior, now)
 }
 
-// recordAnswer records an answer of a target, and whether it was good.
-func (p *proxiedRequest) recordAnswer(c *choice, good bool) {
+// recordResponse records a response of a target, and whether it was good.
+func (p *proxiedRequest) recordResponse(c *choice, good bool) {
 	if !p.remote {
 		p.relay.options.Canary.Answered(p.service, p.route.Name, c.target.Entry().Version, good)
 	}
 	c.target.RecordResponse()
-	c.report.recordAnswer(good)
-	p.learnAnswer(c, good)
+	c.report.recordResponse(good)
+	p.learnResponse(c, good)
 }
 
 // recordFirstAnswer records the time to the first answer of an attempt.
@@ -123,15 +123,15 @@
 	}
 }
 
-// recordNoAnswer records that a target did not answer.
-func (p *proxiedRequest) recordNoAnswer(c *choice) {
+// recordNoResponse records that a target did not respond.
+func (p *proxiedRequest) recordNoResponse(c *choice) {
 	c.target.RecordNoResponse(time.Now())
-	c.report.recordNoAnswer()
-	p.learnAnswer(c, false)
+	c.report.recordNoResponse()
+	p.learnResponse(c, false)
 }
 
-// learnAnswer records whether a target answered well.
-func (p *proxiedRequest) learnAnswer(c *choice, good bool) {
+// learnResponse records whether a target responded, and without a failure.
+func (p *proxiedRequest) learnResponse(c *choice, good bool) {
 	if !p.relay.options.Disabled.Targets {
 		p.relay.options.TargetStats.ObserveAnswer(c.target.ID(), p.service, good, time.Now())
 	}
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -11,18 +11,18 @@
 	// outcomeUnavailable: no byte was sent, since the target became unavailable after it was
 	// chosen.
 	outcomeUnavailable
-	// outcomeRefused: the target reports that it did not execute the request.
-	outcomeRefused
-	// outcomeIncomplete: there is no answer or a truncated one; the request may have been executed.
+	// outcomeRejected: the target reports that it did not execute the request.
+	outcomeRejected
+	// outcomeIncomplete: there is no response or a truncated one; the request may have been executed.
 	outcomeIncomplete
-	// outcomeFailed: the target answered with an error, and the request may be retried elsewhere;
-	// the answer is kept.
+	// outcomeFailed: the target responded with an error, and the request may be retried
+	// elsewhere; the response is kept.
 	outcomeFailed
 	// outcomeCallerGone: the caller disconnected.
 	outcomeCallerGone
 	// outcomeTimedOut: the deadline has passed.
 	outcomeTimedOut
-	// outcomeTruncated: part of the answer was passed on and it cannot be completed.
+	// outcomeTruncated: part of the response was passed on and it cannot be completed.
 	outcomeTruncated
 )
 
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -38,7 +38,7 @@
 type ContextOwners struct {
 	relay *Relay
 	fleet *fleet.Fleet
-	// backoff holds the daemons that did not answer lately.
+	// backoff holds the daemons that did not respond lately.
 	backoff wait.Backoff[string]
 	// sequence numbers the names of placements.
 	sequence atomic.Int64
@@ -63,7 +63,7 @@
 	ownerQueryInterval = 60 * time.Millisecond
 	// maxOwnerQueries is how many daemons of a cell are queried, one after the other.
 	maxOwnerQueries = 2
-	// backoffFirst and backoffMax bound how long a daemon that did not answer is not queried.
+	// backoffFirst and backoffMax bound how long a daemon that did not respond is not queried.
 	backoffFirst = 300 * time.Millisecond
 	backoffMax   = 5 * time.Second
 	// maxExternalListAge is how old another cell's target list may be for this daemon to send by
@@ -89,7 +89,7 @@
 	return h
 }
 
-// placementRequest asks another daemon to choose a target for a request.
+// placementRequest requests that another daemon choose a target for a request.
 type placementRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
@@ -190,7 +190,7 @@
 		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Permit{Taken: r.PermitHeld, Remote: true},
 		attemptMeta: AttemptMeta{Target: r.Target, WeightVersion: r.WeightVersion, CopyFrom: r.CopyFrom, CopyDeadline: r.CopyDeadline, StoreTo: r.StoreTo},
 		load:        roster.Load{Running: 1, QueuedTokens: r.PrefillTokens, OccupiedTokens: tokens},
-		evaluation:   route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeChance, BeforeDeadline: r.ServedChance, CallerUtility: r.Gain, NetUtility: r.Utility},
+		evaluation:  route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeChance, BeforeDeadline: r.ServedChance, CallerUtility: r.Gain, NetUtility: r.Utility},
 		factors:     learn.Factors{OwnTokens: r.PrefillTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Occupancy, QueuedPerSlot: r.QueueRatio, MemoryPressure: r.MemoryPressure},
 		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.HeldTokens, QueuedTokens: r.QueuedTokens},
 	}
@@ -206,10 +206,10 @@
 	Response *placementResponse
 	// FirstEvent is the time from sending to the first event; 0 if there has been none yet.
 	FirstEvent time.Duration
-	// Ended is set once the attempt has ended, Bad if its answer was an error or was truncated,
-	// NoAnswer if there was none, and Reloading if the worker refused it and appears to be changing
-	// its weights.
-	Ended, Bad, NoAnswer, Reloading bool
+	// Ended is set once the attempt has ended, Bad if its response was an error or was
+	// truncated, NoResponse if there was none, and Reloading if the worker rejected it and appears
+	// to be changing its weights.
+	Ended, Bad, NoResponse, Reloading bool
 	// ShuttingDown is set if the worker reported that it is shutting down.
 	ShuttingDown bool
 }
@@ -271,7 +271,7 @@
 	return nil
 }
 
-// chooseByPeers returns the choice of the first of some daemons that answers, or nil if that has
+// chooseByPeers returns the choice of the first of some daemons that responds, or nil if that has
 // none. The daemons belong to one cell.
 func (p *proxiedRequest) chooseByPeers(ctx context.Context, svc *table.Service, peers []string, now time.Time) *choice {
 	h := p.relay.owners
@@ -413,7 +413,7 @@
 	request    *placementRequest
 	response   *placementResponse
 	// bad, noAnswer, reloading and shuttingDown are sent with the final update.
-	bad, noAnswer, reloading, shuttingDown bool
+	bad, noResponse, reloading, shuttingDown bool
 }
 
 // send sends an update in the background. If it is lost, the placement expires at the owner.
@@ -432,17 +432,17 @@
 	o.send(&placementUpdate{FirstEvent: took})
 }
 
-// recordAnswer records whether an answer was good.
-func (o *ownerReport) recordAnswer(good bool) {
+// recordResponse records whether a response was good.
+func (o *ownerReport) recordResponse(good bool) {
 	if o != nil {
 		o.bad = o.bad || !good
 	}
 }
 
-// recordNoAnswer records that there was no answer.
-func (o *ownerReport) recordNoAnswer() {
+// recordNoResponse records that there was no response.
+func (o *ownerReport) recordNoResponse() {
 	if o != nil {
-		o.noAnswer = true
+		o.noResponse = true
 	}
 }
 
@@ -463,7 +463,7 @@
 // reportEnd reports that the attempt has ended.
 func (o *ownerReport) reportEnd() {
 	if o != nil {
-		o.send(&placementUpdate{Ended: true, Bad: o.bad, NoAnswer: o.noAnswer, Reloading: o.reloading, ShuttingDown: o.shuttingDown})
+		o.send(&placementUpdate{Ended: true, Bad: o.bad, NoResponse: o.noResponse, Reloading: o.reloading, ShuttingDown: o.shuttingDown})
 	}
 }
 
--- a/core/relay/owners_test.go
+++ b/core/relay/owners_test.go
@@ -35,7 +35,7 @@
 	workers []string
 }
 
-// newFleetRig starts daemons and workers that answer as handle says.
+// newFleetRig starts daemons and workers that respond as handle does.
 func newFleetRig(t *testing.T, daemons, workers int, handle func(n int) handler) *fleetRig {
 	h := &fleetRig{g: gomega.NewWithT(t)}
 	var seeds []fleet.Peer
@@ -106,9 +106,9 @@
 	return -1
 }
 
-// ask sends a request with a context of 6,000 tokens to a daemon.
-func (h *fleetRig) ask(daemon int, context string) callerAnswer {
-	return h.rigs[daemon].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", context+":6000 own:100")
+// send sends a request with a context of 6,000 tokens to a daemon.
+func (h *fleetRig) send(daemon int, context string) callerAnswer {
+	return h.rigs[daemon].send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", context+":6000 own:100")
 }
 
 // cachedIn reports whether some daemon of a cell knows a worker that has a context cached.
@@ -156,7 +156,7 @@
 		cell, workers := h.ownerCell(context)
 		h.g.Expect(workers).NotTo(gomega.BeEmpty())
 		for daemon := range daemons {
-			h.g.Expect(h.ask(daemon, context).status).To(gomega.Equal(http.StatusOK))
+			h.g.Expect(h.send(daemon, context).status).To(gomega.Equal(http.StatusOK))
 			h.waitIdle()
 		}
 		h.g.Expect(h.cachedIn(cell, context)()).To(gomega.BeTrue())
@@ -178,7 +178,7 @@
 	}
 	for i, f := range h.fleets {
 		if f.View().Cell() != cell {
-			h.g.Expect(h.ask(i, "a1").status).To(gomega.Equal(http.StatusOK))
+			h.g.Expect(h.send(i, "a1").status).To(gomega.Equal(http.StatusOK))
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	}
 	for i, f := range h.fleets {
 		if f.View().Cell() != cell {
-			h.g.Expect(h.ask(i, "a1").status).To(gomega.Equal(http.StatusOK))
+			h.g.Expect(h.send(i, "a1").status).To(gomega.Equal(http.StatusOK))
 		}
 	}
 	// Another context of the same owner, since the first is now cached elsewhere.
@@ -218,7 +218,7 @@
 	// The owner is queried again: having no free target does not put it into backoff.
 	for i, f := range h.fleets {
 		if f.View().Cell() != cell {
-			h.g.Expect(h.ask(i, other).status).To(gomega.Equal(http.StatusOK))
+			h.g.Expect(h.send(i, other).status).To(gomega.Equal(http.StatusOK))
 			h.waitIdle()
 		}
 	}
--- a/core/relay/placements.go
+++ b/core/relay/placements.go
@@ -124,12 +124,12 @@
 	switch {
 	case update.Reloading:
 		pl.request.recordReload(c)
-	case update.NoAnswer:
-		pl.request.recordNoAnswer(c)
+	case update.NoResponse:
+		pl.request.recordNoResponse(c)
 	case update.Bad:
-		pl.request.recordAnswer(c, false)
+		pl.request.recordResponse(c, false)
 	case update.FirstEvent > 0:
-		pl.request.recordAnswer(c, true)
+		pl.request.recordResponse(c, true)
 		pl.request.learnFromFirstAnswer(c, update.FirstEvent, now)
 	}
 	released := roster.Load{QueuedTokens: pl.load.QueuedTokens}
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -12,32 +12,32 @@
 	"embertally.dev/core/target"
 )
 
-// maxBufferedBytes is how much of an answer is read before any of it is passed on, so that a
+// maxBufferedBytes is how much of a response is read before any of it is passed on, so that a
 // truncated one can be replaced by a retry.
 const maxBufferedBytes = 256 << 10
 
-// bufferedAnswer is the buffered start of an answer, or all of it.
-type bufferedAnswer struct {
+// bufferedResponse is the buffered start of a response, or all of it.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// passOnPlain passes on an answer that is not a stream.
-func (p *proxiedRequest) passOnPlain(c *choice, resp *target.Response, respMeta *ResponseMeta, sent time.Time) (outcome, *bufferedAnswer) {
+// passOnPlain passes on a response that is not a stream.
+func (p *proxiedRequest) passOnPlain(c *choice, resp *target.Response, respMeta *ResponseMeta, sent time.Time) (outcome, *bufferedResponse) {
 	body, err := readAll(nil, io.LimitReader(resp, maxBufferedBytes))
 	if err != nil {
 		return p.classifyReadError(c, err), nil
 	}
-	answer := &bufferedAnswer{resp.Status, resp.Header, body}
+	answer := &bufferedResponse{resp.Status, resp.Header, body}
 	good := resp.Status < http.StatusInternalServerError
 	if (resp.Status/100 == 2 && !respMeta.Signed) || respMeta.Encoded {
 		resp.Discard()
-		p.recordAnswer(c, false)
+		p.recordResponse(c, false)
 		p.note("the answer is not signed")
 		return outcomeIncomplete, nil
 	}
-	p.recordAnswer(c, good)
+	p.recordResponse(c, good)
 	if good {
 		p.recordSuccess(c)
 	}
@@ -53,8 +53,8 @@
 	return p.passOnRest(answer, resp), nil
 }
 
-// passOnRest passes on an answer that is too large to be buffered completely.
-func (p *proxiedRequest) passOnRest(answer *bufferedAnswer, resp *target.Response) outcome {
+// passOnRest passes on a response that is too large to be buffered completely.
+func (p *proxiedRequest) passOnRest(answer *bufferedResponse, resp *target.Response) outcome {
 	answer.writeHeader(p, resp.Length)
 	if _, err := p.w.Write(answer.body); err != nil {
 		return outcomeCallerGone
@@ -66,11 +66,11 @@
 	return outcomeDone
 }
 
-// classifyReadError records an answer that ended early and returns the outcome.
+// classifyReadError records a response that ended early and returns the outcome.
 func (p *proxiedRequest) classifyReadError(c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
 	now := time.Now()
-	p.recordAnswer(c, false)
+	p.recordResponse(c, false)
 	switch {
 	case callerGone(p.r.Context()):
 		return outcomeCallerGone
@@ -82,7 +82,7 @@
 }
 
 // writeHeader passes on the status and header. A negative length sets no Content-Length.
-func (a *bufferedAnswer) writeHeader(p *proxiedRequest, length int64) {
+func (a *bufferedResponse) writeHeader(p *proxiedRequest, length int64) {
 	h := p.w.Header()
 	for name, values := range a.header {
 		if !entry.HopHeader(name) && name != "Content-Length" {
@@ -99,8 +99,8 @@
 	p.w.WriteHeader(a.status)
 }
 
-// write passes on the complete answer.
-func (a *bufferedAnswer) write(p *proxiedRequest) {
+// write passes on the complete response.
+func (a *bufferedResponse) write(p *proxiedRequest) {
 	if p.r.Method == http.MethodHead {
 		// The length is that of the body that a GET would return.
 		length, err := strconv.ParseInt(a.header.Get("Content-Length"), 10, 64)
--- a/core/relay/ratelimit_test.go
+++ b/core/relay/ratelimit_test.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/roster"
 )
 
-// limitHeader returns the header line that names a rate limit.
+// limitHeader returns the header line that states a rate limit.
 func limitHeader(perSecond float64) string {
 	return "Limit: " + strconv.FormatFloat(perSecond, 'g', -1, 64) + "\r\n"
 }
@@ -28,7 +28,7 @@
 			r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
 			r.target("b", "plain", always(respond(200, "x")))
 			for range 40 {
-				r.g.Expect(r.ask(http.MethodPost, path, "x").status).To(gomega.Equal(200))
+				r.g.Expect(r.send(http.MethodPost, path, "x").status).To(gomega.Equal(200))
 			}
 			received := 0
 			for _, s := range r.received() {
@@ -56,9 +56,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.target("a", "plain", always(respond(200, "x", limitHeader(tc.perSecond))))
-			r.g.Expect(r.ask(http.MethodPost, "/again/", "x").status).To(gomega.Equal(200))
+			r.g.Expect(r.send(http.MethodPost, "/again/", "x").status).To(gomega.Equal(200))
 			start := time.Now()
-			got := r.ask(http.MethodPost, "/again/", "x")
+			got := r.send(http.MethodPost, "/again/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
 				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond), "it waited for the permit")
@@ -88,7 +88,7 @@
 func TestUnusedPermitIsReturned(t *testing.T) {
 	r := newRig(t, nil)
 	unreachable := r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
-	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
+	r.g.Expect(r.send(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
 	r.relay.options.Pool.CloseIdle(r.roster.Target("a").Entry().Address)
 	unreachable.l.Close()
 	target := r.roster.Target("a")
@@ -110,7 +110,7 @@
 	return permit
 }
 
-// The query tells the owner the rate limits that the sender knows. The owner takes the permits of
+// The query contains the rate limits that the sender has recorded. The owner takes the permits of
 // its workers; without a permit the sender does not send there.
 func TestOwnerTakesPermits(t *testing.T) {
 	const daemons = 24
@@ -123,7 +123,7 @@
 		reported[id] = roster.RateLimitUpdate{Active: true, PerSecond: 0.1, Seq: 1}
 	}
 	h.rigs[sender].roster.MergeRateLimits(reported)
-	h.g.Expect(h.ask(sender, "context").status).To(gomega.Equal(http.StatusOK))
+	h.g.Expect(h.send(sender, "context").status).To(gomega.Equal(http.StatusOK))
 	informed := 0
 	for i, f := range h.fleets {
 		if f.View().Cell() == cell && len(h.rigs[i].roster.RateLimitedTargets()) == len(workers) {
@@ -141,7 +141,7 @@
 		}
 	}
 	h.g.Eventually(func() int {
-		h.ask(sender, "context")
+		h.send(sender, "context")
 		n := 0
 		for _, s := range h.rigs[0].received() {
 			if strings.Contains(strings.Join(workers, " "), s.target) {
@@ -164,7 +164,7 @@
 
 // A daemon that does not use the rate-limited target gets a permit from one that does.
 func TestDaemonWithoutPermitsQueriesPermitHolders(t *testing.T) {
-	h := newFleetRig(t, 6, 1, always(limitedStreamAnswer(20)))
+	h := newFleetRig(t, 6, 1, always(limitedStreamResponse(20)))
 	reported := map[string]roster.RateLimitUpdate{h.workers[0]: {Active: true, PerSecond: 20, Seq: 1}}
 	for i, r := range h.rigs {
 		view := h.fleets[i].View
@@ -178,12 +178,12 @@
 		r.relay.options.RankedDaemons = func(*roster.Target, int) []string { return []string{"entry-00", "entry-01"} }
 		r.roster.MergeRateLimits(reported)
 	}
-	h.g.Eventually(func() int { return h.ask(5, "context").status }, waitTimeout, pollInterval).Should(gomega.Equal(http.StatusOK))
+	h.g.Eventually(func() int { return h.send(5, "context").status }, waitTimeout, pollInterval).Should(gomega.Equal(http.StatusOK))
 	h.g.Expect(h.rigs[5].roster.RateLimitedTargets()).To(gomega.HaveLen(1))
 	h.g.Expect(h.rigs[5].roster.RateLimitedTargets()[0].Sends).To(gomega.BeFalse())
 }
 
-// An answer that is not signed may come from any target, so it does not end a rate limit.
+// A response that is not signed may come from any target, so it does not end a rate limit.
 func TestUnsignedAnswerKeepsRateLimit(t *testing.T) {
 	r := newRig(t, nil)
 	unsigned := func(w *bufio.Writer, req *http.Request) error {
@@ -192,24 +192,24 @@
 	}
 	r.target("a", "plain", inSequence(respond(200, "x", limitHeader(20)), unsigned, respond(200, "x")))
 	for _, want := range []int{1, 1, 0} {
-		r.ask(http.MethodPost, "/once/", "x")
+		r.send(http.MethodPost, "/once/", "x")
 		r.g.Expect(r.roster.RateLimitedTargets()).To(gomega.HaveLen(want))
 	}
 }
 
-// limitedStreamAnswer returns a stream whose header names a rate limit.
-func limitedStreamAnswer(perSecond float64) handler {
+// limitedStreamResponse returns a stream whose header states a rate limit.
+func limitedStreamResponse(perSecond float64) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\n%sTransfer-Encoding: chunked\r\n\r\nf\r\nid: 1\ndata: a\n\n\r\n0\r\n\r\n", r.Header.Get("Id"), limitHeader(perSecond))
 		return nil
 	}
 }
 
-// Contexts are owned by two cells, and all workers name a rate limit. It must hold for local
+// Contexts are owned by two cells, and all workers state a rate limit. It must hold for local
 // choices, owners' choices and permits of other daemons together.
 func TestRateLimitHoldsAcrossCells(t *testing.T) {
 	const perSecond, convergence, duration, window = 3, time.Second, 6 * time.Second, 4 * time.Second
-	h := newFleetRig(t, 24, 4, always(limitedStreamAnswer(perSecond)))
+	h := newFleetRig(t, 24, 4, always(limitedStreamResponse(perSecond)))
 	for i, r := range h.rigs {
 		f := h.fleets[i]
 		// As View.Place, which needs a list of boxes that these daemons do not have.
@@ -225,7 +225,7 @@
 	for i := range h.rigs {
 		wg.Go(func() {
 			for n := 0; time.Since(start) < duration; n++ {
-				h.ask(i, fmt.Sprintf("c%d", n%7))
+				h.send(i, fmt.Sprintf("c%d", n%7))
 			}
 		})
 	}
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -46,7 +46,7 @@
 				r.roster.Put(e)
 			}
 			for range 6 {
-				got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
+				got := r.send("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 				if len(tc.to) == 0 {
 					r.g.Expect(got.status).To(gomega.Equal(503), "refused at once, not executed")
 				}
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,5 +1,5 @@
 // Package relay forwards callers' requests to targets. It matches a request to a route, sends it to
-// a target of the route's service, and passes the target's answer on complete and unchanged.
+// a target of the route's service, and passes the target's response on complete and unchanged.
 //
 // It must not know the names of the headers used with callers and targets (see Dialect), where the
 // routing table comes from, or how a target's cost is computed (package route).
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -58,7 +58,7 @@
 			if tc.second != nil {
 				r.target("t2", "plain", tc.second)
 			}
-			a := r.ask(http.MethodPost, tc.path, "hello")
+			a := r.send(http.MethodPost, tc.path, "hello")
 			if tc.status != 0 {
 				r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			}
@@ -81,7 +81,7 @@
 	r := newRig(t, nil)
 	r.target("t1", "plain", always(hangUp))
 	r.target("t2", "plain", always(hangUp))
-	a := r.ask(http.MethodPost, "/once/a", "x")
+	a := r.send(http.MethodPost, "/once/a", "x")
 	r.g.Expect(a.status).To(gomega.Equal(http.StatusBadGateway))
 	r.g.Expect(a.header.Get("Come-Back")).To(gomega.BeEmpty())
 	r.g.Expect(r.received()).To(gomega.HaveLen(1))
@@ -107,7 +107,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.stale = tc.stale
-			a := r.ask(http.MethodPost, tc.path, "x", tc.headers...)
+			a := r.send(http.MethodPost, tc.path, "x", tc.headers...)
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"notRun"`))
 			r.g.Expect(a.header.Get("Come-Back") != "").To(gomega.Equal(tc.status == 503))
@@ -121,13 +121,13 @@
 	r := newRig(t, nil)
 	r.target("t1", "plain", always(respond(200, "ok")))
 	r.configOverdue = time.Second
-	a := r.ask(http.MethodPost, "/once/", "x")
+	a := r.send(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(503))
 	r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"notRun"`))
 	r.g.Expect(a.header.Get("Come-Back")).NotTo(gomega.BeEmpty())
 	r.g.Expect(r.received()).To(gomega.BeEmpty())
 	r.configOverdue = 0
-	r.g.Expect(r.ask(http.MethodPost, "/once/", "y").status).To(gomega.Equal(200))
+	r.g.Expect(r.send(http.MethodPost, "/once/", "y").status).To(gomega.Equal(200))
 }
 
 // The Retry-After is when the cause is expected to have ended, within a third of the caller's time.
@@ -157,7 +157,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			tc.make(r)
-			a := r.ask(http.MethodPost, "/once/", "x", "Deadline", tc.deadline)
+			a := r.send(http.MethodPost, "/once/", "x", "Deadline", tc.deadline)
 			r.g.Expect(a.status).To(gomega.Equal(http.StatusServiceUnavailable))
 			after, err := time.ParseDuration(a.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -172,7 +172,7 @@
 	r := newRig(t, nil)
 	t.Cleanup(func() { close(release) })
 	r.target("t1", "plain", always(func(*bufio.Writer, *http.Request) error { <-release; return nil }))
-	a := r.ask(http.MethodPost, "/short/", "x")
+	a := r.send(http.MethodPost, "/short/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(http.StatusGatewayTimeout))
 	r.g.Expect(a.body).To(gomega.ContainSubstring(`"ran":"unknown"`))
 }
@@ -181,7 +181,7 @@
 	r := newRig(t, nil)
 	f := r.target("t1", "plain", always(respond(200, "yes")))
 	r.roster.Put(roster.Entry{ID: "t1", Service: "plain", Address: f.l.Addr().String(), ShuttingDown: true})
-	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(http.StatusServiceUnavailable))
+	r.g.Expect(r.send(http.MethodPost, "/once/", "x").status).To(gomega.Equal(http.StatusServiceUnavailable))
 	r.g.Expect(r.received()).To(gomega.BeEmpty())
 }
 
@@ -220,7 +220,7 @@
 				r.target("t2", "llm", tc.second)
 				r.roster.Target("t2").AddLoad(roster.Load{Running: 3})
 			}
-			a := r.ask(http.MethodPost, tc.path, "x", "Model", "m")
+			a := r.send(http.MethodPost, tc.path, "x", "Model", "m")
 			r.g.Expect(a.body).To(gomega.Equal(tc.body))
 			r.g.Expect(a.err != nil).To(gomega.Equal(tc.truncated))
 			r.g.Expect(a.header.Get("Seal")).To(gomega.Equal("s-t1"))
@@ -265,7 +265,7 @@
 	r.target("t1", "plain", always(respond(500, "bad")))
 	r.target("t2", "plain", always(respond(500, "bad")))
 	for range 10 {
-		r.ask(http.MethodPost, "/again/", "x")
+		r.send(http.MethodPost, "/again/", "x")
 	}
 	r.g.Expect(r.received()).To(gomega.HaveLen(13))
 }
@@ -301,7 +301,7 @@
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, "shared")
 			r.desired = tc.desired
-			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "shared:5000 own:10")
+			r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "shared:5000 own:10")
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
 			r.g.Expect(r.received()[0].header.Get("Salt")).To(gomega.Equal(salt))
@@ -316,11 +316,11 @@
 		return cache.SegmentChange{SegmentName: cache.SegmentName{Salt: salt, ID: id}, Tokens: tokens}
 	}
 	tests := []struct {
-		name   string
-		stored []cache.SegmentChange
-		segments  string
-		copy   string
-		keep   string
+		name     string
+		stored   []cache.SegmentChange
+		segments string
+		copy     string
+		keep     string
 	}{
 		{"both in the store", []cache.SegmentChange{segment("first", 60), segment("text", 5000)}, "first:60 text:5000 own:10", "store:1,store:1,", ""},
 		{"the small one is not in the store", []cache.SegmentChange{segment("text", 5000)}, "first:60 text:5000 own:10", "", "store:1,,"},
@@ -333,7 +333,7 @@
 			r := newRig(t, fakeStores{tc.stored})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, tc.stored[0].ID)
-			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
+			r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
 			r.g.Expect(r.received()[0].header.Get("Keep")).To(gomega.Equal(tc.keep))
@@ -381,7 +381,7 @@
 			t2 := r.target("t2", "llm", always(stream(true)))
 			r.roster.Target("t2").AddLoad(roster.Load{Running: 100})
 			tc.make(r)
-			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
+			r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			want := strings.Replace(tc.want, "t2", t2.l.Addr().String(), 1)
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(want))
@@ -413,7 +413,7 @@
 			now := time.Now()
 			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "t1", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 5000}}}, now)
 			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "t1", Salt: salt, Unshared: tc.used}, now)
-			r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
+			r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
 		})
@@ -423,8 +423,8 @@
 func TestIsolatedOrganisationsHaveTheirOwnSalt(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
-	r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10")
-	r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10", "Key", "walled")
+	r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10")
+	r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10", "Key", "walled")
 	s := r.received()
 	r.g.Expect(s[0].header.Get("Salt")).To(gomega.Equal("v1/m/"))
 	r.g.Expect(s[1].header.Get("Salt")).To(gomega.Equal("v1/m/walled"))
@@ -434,10 +434,10 @@
 	r := newRig(t, nil)
 	r.target("t1", "plain", always(respond(200, "yes")))
 	r.relay.CloseConnections()
-	a := r.ask(http.MethodPost, "/once/", "x")
+	a := r.send(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(200))
 	r.relay.RefuseRequests()
-	a = r.ask(http.MethodPost, "/once/", "x")
+	a = r.send(http.MethodPost, "/once/", "x")
 	r.g.Expect(a.status).To(gomega.Equal(503))
 	r.g.Expect(r.received()).To(gomega.HaveLen(1))
 }
@@ -446,7 +446,7 @@
 	r := newRig(t, nil)
 	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 	r.desired, r.minWeights = 2, 2
-	a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m")
+	a := r.send(http.MethodPost, "/stream/", "x", "Model", "m")
 	r.g.Expect(a.status).To(gomega.Equal(http.StatusServiceUnavailable))
 	r.g.Expect(a.body).To(gomega.ContainSubstring("notRun"))
 	r.g.Expect(r.received()).To(gomega.BeEmpty())
@@ -454,10 +454,10 @@
 
 func TestLongPromptsWaitForMemory(t *testing.T) {
 	tests := []struct {
-		name   string
-		occupied   int
-		segments  string
-		status int
+		name     string
+		occupied int
+		segments string
+		status   int
 	}{
 		{"free memory", 1 << 19, "a:3000 b:10", 200},
 		{"reserved memory", 1 << 20, "a:3000 b:10", 503},
@@ -471,7 +471,7 @@
 			r.relay.options.EnginePrior.PerThousandOwn = time.Millisecond / 10
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("t1").AddLoad(roster.Load{Running: 1, OccupiedTokens: tc.occupied})
-			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
+			a := r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			r.g.Expect(a.header.Get("Come-Back") != "").To(gomega.Equal(tc.status == 503))
 		})
@@ -482,9 +482,9 @@
 // worker.
 func TestPromptsArePublishedAtOnce(t *testing.T) {
 	tests := []struct {
-		name  string
+		name     string
 		segments string
-		want  []int
+		want     []int
 	}{
 		{"long prompt", "a:3000 b:10", []int{3010}},
 		{"short prompt", "a:300 b:10", []int{310}},
@@ -496,7 +496,7 @@
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			var published []int
 			r.relay.options.PublishState = func() { published = append(published, r.roster.Target("t1").LocalLoad().OccupiedTokens) }
-			r.g.Expect(r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments).status).To(gomega.Equal(http.StatusOK))
+			r.g.Expect(r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments).status).To(gomega.Equal(http.StatusOK))
 			r.g.Expect(published).To(gomega.Equal(tc.want))
 		})
 	}
@@ -520,7 +520,7 @@
 			r.target("mine", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.target("other", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			tc.make(r.roster.Target("mine"))
-			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
+			a := r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			r.g.Expect(r.received()).To(gomega.HaveLen(tc.attempts))
 		})
@@ -532,7 +532,7 @@
 	large := strings.Repeat("x", maxBufferedBytes+1000)
 	r.target("t1", "plain", always(respond(500, large)))
 	r.target("t2", "plain", always(respond(500, large)))
-	a := r.ask(http.MethodPost, "/again/", "x")
+	a := r.send(http.MethodPost, "/again/", "x")
 	r.g.Expect(a.err).NotTo(gomega.HaveOccurred())
 	r.g.Expect(a.status).To(gomega.Equal(500))
 	r.g.Expect(len(a.body)).To(gomega.Equal(len(large)))
@@ -560,7 +560,7 @@
 		r.roster.Put(roster.Entry{ID: "other-" + strconv.Itoa(i), Service: "llm", Address: "127.0.0.1:1", Slots: 4, Weights: map[string]int64{"m": 1}})
 	}
 	for range callers {
-		a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:1000")
+		a := r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:1000")
 		r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
 	}
 }
@@ -572,10 +572,10 @@
 	salt := cache.SegmentSalt{Model: "m", Version: 1}.String()
 	name := cache.SegmentName{Salt: salt, ID: "text"}
 	tests := []struct {
-		name   string
-		behind time.Duration
-		segments  string
-		copy   string
+		name     string
+		behind   time.Duration
+		segments string
+		copy     string
 	}{
 		{"an idle link", 0, "text:400 own:80", "store:1,"},
 		{"behind long copies", 950 * time.Millisecond, "text:400 own:80", ""},
@@ -591,7 +591,7 @@
 			if tc.behind > 0 {
 				r.relay.options.Links.Begin("store:1", "else", tc.behind, time.Now())
 			}
-			a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
+			a := r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
 			r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 			r.g.Expect(r.received()[0].header.Get("Copy")).To(gomega.Equal(tc.copy))
@@ -619,7 +619,7 @@
 			r.target("busy", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("busy").AddLoad(roster.Load{Running: 1, QueuedTokens: 20000, OccupiedTokens: 20000})
 			for range 5 {
-				a := r.ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
+				a := r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 				r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
 			}
 			received := 0
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -57,11 +57,11 @@
 	attempts, executions int
 	// lastTarget is the target of the last attempt.
 	lastTarget *roster.Target
-	// headerSent is set once the header of an answer has been passed on.
+	// headerSent is set once the header of a response has been passed on.
 	headerSent bool
 	// lastEventID is the ID of the last stream event that the caller has received.
 	lastEventID string
-	// firstAt is when the first event or the header of an answer was passed on; zero before that.
+	// firstAt is when the first event or the header of a response was passed on; zero before that.
 	firstAt time.Time
 	// skipped lists targets that the last choice skipped for their self-reported state, with the
 	// reasons.
@@ -79,7 +79,7 @@
 	notes []string
 }
 
-// deadlineMargin is how long after the deadline a target's own final answer is still accepted. The
+// deadlineMargin is how long after the deadline a target's own final response is still accepted. The
 // caller contract allows half a second.
 const deadlineMargin = 60 * time.Millisecond
 
@@ -91,7 +91,7 @@
 	p.lastEventID = p.meta.LastEventID
 	ctx, cancel := context.WithDeadline(p.r.Context(), p.deadline.Add(deadlineMargin))
 	defer cancel()
-	var failed *bufferedAnswer
+	var failed *bufferedResponse
 	unreachable := 0
 	for {
 		c, reason := p.waitForChoice(ctx)
@@ -119,7 +119,7 @@
 			if unreachable++; unreachable >= maxUnreachable {
 				return p.giveUp(failed, "no target can be reached")
 			}
-		case outcomeRefused, outcomeIncomplete, outcomeFailed:
+		case outcomeRejected, outcomeIncomplete, outcomeFailed:
 			if !p.mayRetry(out) {
 				return p.giveUp(failed, "it may not be sent again")
 			}
@@ -221,7 +221,7 @@
 	switch {
 	case time.Until(p.deadline) < minAttemptTime:
 		return false
-	case out != outcomeRefused && !p.route.MayRepeat():
+	case out != outcomeRejected && !p.route.MayRepeat():
 		return false
 	case p.executions >= p.route.Attempts:
 		return false
@@ -239,9 +239,9 @@
 	return true
 }
 
-// giveUp ends a request that got no answer worth passing on. failed is the kept answer of a failed
+// giveUp ends a request that got no response worth passing on. failed is the kept response of a failed
 // attempt, or nil.
-func (p *proxiedRequest) giveUp(failed *bufferedAnswer, reason string) *entry.Refusal {
+func (p *proxiedRequest) giveUp(failed *bufferedResponse, reason string) *entry.Refusal {
 	p.noteSkipped()
 	p.note("given up: %s", reason)
 	switch {
@@ -255,7 +255,7 @@
 		if refusal := p.refuseBlocked(); refusal != nil {
 			return refusal
 		}
-		// A block that has been lifted since the choice leaves no refusal.
+		// A block that has been lifted since the choice causes no refusal.
 		if endsAtKnownTime(reason) {
 			return p.refuseUntil(entry.CodeNoTarget, "no target takes the request now: "+reason, p.expectedWait)
 		}
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -29,19 +29,19 @@
 type testDialect struct{}
 
 func (testDialect) ParseRequest(h http.Header) (RequestMeta, error) {
-	ask := RequestMeta{AttemptID: h.Get("Id"), APIKey: h.Get("Key"), Model: h.Get("Model"), LastEventID: h.Get("After")}
+	meta := RequestMeta{AttemptID: h.Get("Id"), APIKey: h.Get("Key"), Model: h.Get("Model"), LastEventID: h.Get("After")}
 	ms, err := strconv.Atoi(h.Get("Deadline"))
 	if h.Get("Deadline") != "" && err != nil {
-		return ask, err
+		return meta, err
 	}
-	ask.Timeout = time.Duration(ms) * time.Millisecond
+	meta.Timeout = time.Duration(ms) * time.Millisecond
 	for _, f := range strings.Fields(h.Get("Parts")) {
 		id, n, _ := strings.Cut(f, ":")
 		tokens, _ := strconv.Atoi(n)
-		ask.Segments = append(ask.Segments, cache.Segment{ID: id, Tokens: tokens})
-		ask.PromptTokens += tokens
+		meta.Segments = append(meta.Segments, cache.Segment{ID: id, Tokens: tokens})
+		meta.PromptTokens += tokens
 	}
-	return ask, nil
+	return meta, nil
 }
 
 func (testDialect) WriteAttempt(h http.Header, s *AttemptMeta) {
@@ -85,10 +85,10 @@
 	at     time.Time
 }
 
-// handler answers one request on a connection of a target; an error closes the connection.
+// handler responds to one request on a connection of a target; an error closes the connection.
 type handler func(w *bufio.Writer, r *http.Request) error
 
-// fakeTarget is a target whose answers a test defines.
+// fakeTarget is a target whose responses a test defines.
 type fakeTarget struct {
 	id     string
 	rig    *rig
@@ -141,7 +141,7 @@
 	g          *gomega.WithT
 	relay      *Relay
 	roster     *roster.Roster
-	storeIndex       *cache.StoreIndexes
+	storeIndex *cache.StoreIndexes
 	log        *event.Log
 	front      *httptest.Server
 	desired    int64
@@ -167,7 +167,7 @@
 	return append([]receivedRequest(nil), r.requests...)
 }
 
-// fakeStores is a watcher of KV-cache stores that hold the given segments.
+// fakeStores is a client of KV-cache stores that hold the given segments.
 type fakeStores struct{ segments []cache.SegmentChange }
 
 func (n fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.SegmentEvents, error) {
@@ -193,11 +193,11 @@
 	{Name: "short", Host: "h", Prefix: "/short/", Kind: table.Once, Timeout: 150 * time.Millisecond, Attempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
 }
 
-// Priors and prices, the latter as in the default settings.
+// Priors and costs, the latter as in the default settings.
 var (
 	enginePrior = learn.Prior{Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond, MemoryPressure: 300 * time.Millisecond, QueuedPerSlot: time.Second, LogStdDev: 0.5, Observations: 5}
 	callPrior   = learn.Prior{Fixed: 40 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5, Observations: 5}
-	testCosts  = route.CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
+	testCosts   = route.CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
 )
 
 func newRig(t *testing.T, stores cache.StoreClient) *rig {
@@ -236,7 +236,7 @@
 	return f
 }
 
-// always answers every request in the same way.
+// always responds to every request in the same way.
 func always(h handler) func(int) handler { return func(int) handler { return h } }
 
 // inSequence uses one handler after the other, and the last one from then on.
@@ -244,7 +244,7 @@
 	return func(n int) handler { return hs[min(n, len(hs)-1)] }
 }
 
-// respond returns a complete answer with a body and extra header lines.
+// respond returns a handler that sends a complete response with a body and extra header lines.
 func respond(status int, body string, extra ...string) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 %d X\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n%s\r\n%s",
@@ -253,16 +253,16 @@
 	}
 }
 
-// refuse answers that the request was not executed.
+// refuse responds that the request was not executed.
 func refuse(w *bufio.Writer, _ *http.Request) error {
 	fmt.Fprint(w, "HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	return nil
 }
 
-// hangUp closes the connection without an answer.
+// hangUp closes the connection without a response.
 func hangUp(*bufio.Writer, *http.Request) error { return io.ErrClosedPipe }
 
-// stream answers with the given chunks. If whole is not set, the connection is closed after them.
+// stream responds with the given chunks. If whole is not set, the connection is closed after them.
 func stream(whole bool, chunks ...string) handler {
 	return func(w *bufio.Writer, r *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s-%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -287,8 +287,8 @@
 	err    error
 }
 
-// ask sends a request as a caller. headers are alternating names and values.
-func (r *rig) ask(method, path, body string, headers ...string) callerAnswer {
+// send sends a request as a caller. headers are alternating names and values.
+func (r *rig) send(method, path, body string, headers ...string) callerAnswer {
 	req, err := http.NewRequest(method, r.front.URL+path, strings.NewReader(body))
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	req.Host = "h"
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -171,7 +171,7 @@
 }
 
 // copyWorthwhile reports whether copying a segment costs less than the risk that the worker does
-// not have it cached. Engines copy what they are told to, even what they have cached.
+// not have it cached. Engines copy what a request lists, even what they have cached.
 func (p *proxiedRequest) copyWorthwhile(src *source, segment *sharedSegment) bool {
 	costs := &p.relay.options.Costs
 	gain := (1 - src.cachedChance) * src.chance * costs.RecomputePerToken * float64(segment.Tokens)
@@ -263,7 +263,7 @@
 }
 
 // learnCopies learns the speed of the links that segments were copied over from the time to the
-// first event. Where the prompt waited for its prefill as long as for its copies, this tells
+// first event. Where the prompt waited for its prefill as long as for its copies, this shows
 // little.
 func (p *proxiedRequest) learnCopies(c *choice, took time.Duration, now time.Time) {
 	if c.plan.copyCount == 0 || p.relay.options.Disabled.LinkSpeeds {
--- a/core/relay/selfreport.go
+++ b/core/relay/selfreport.go
@@ -2,8 +2,8 @@
 
 import "embertally.dev/core/roster"
 
-// recordSelfReport records the self-reported state in the header of a target's answer. It is called
-// for every answer to a caller's request before any of it is passed on.
+// recordSelfReport records the self-reported state in the header of a target's response. It is called
+// for every response to a caller's request before any of it is passed on.
 func (p *proxiedRequest) recordSelfReport(c *choice, misdirected bool, respMeta *ResponseMeta) {
 	if !p.isFromTarget(c, misdirected, respMeta) {
 		return
@@ -35,9 +35,9 @@
 	}
 }
 
-// isFromTarget reports whether an answer comes from the target that was asked. An answer to another
-// request may come from any target. A misdirected request was answered by the target that has the
-// address now, unless it names this one.
+// isFromTarget reports whether a response comes from the target that the request was sent to.
+// A response to another request may come from any target. One that reports a misdirected request
+// comes from the target that has the address now, unless it names this one.
 func (p *proxiedRequest) isFromTarget(c *choice, misdirected bool, respMeta *ResponseMeta) bool {
 	if misdirected {
 		return respMeta.Target == c.target.Entry().Name
--- a/core/relay/selfreport_test.go
+++ b/core/relay/selfreport_test.go
@@ -14,7 +14,7 @@
 	"embertally.dev/core/roster"
 )
 
-// respondHead answers with the given header lines and no body.
+// respondHead responds with the given header lines and no body.
 func respondHead(status int, head string) handler {
 	return func(w *bufio.Writer, _ *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 %d X\r\nSeal: s\r\nContent-Length: 0\r\n%s\r\n", status, head)
@@ -28,7 +28,8 @@
 	return shuttingDown
 }
 
-// A self-reported state counts only if the answer comes from the target that was asked.
+// A self-reported state counts only if the response comes from the target that the
+// request was sent to.
 func TestSelfReportsAreAttributed(t *testing.T) {
 	tests := []struct {
 		name, path string
@@ -66,13 +67,13 @@
 				service = "llm"
 			}
 			r.target("a", service, always(tc.answer))
-			r.ask(http.MethodPost, tc.path, "x", "Model", "m", "Parts", "p:100")
+			r.send(http.MethodPost, tc.path, "x", "Model", "m", "Parts", "p:100")
 			r.g.Expect(r.shuttingDown("a")).To(gomega.Equal(tc.want))
 		})
 	}
 }
 
-// A request waits for a connection while another answer reports that the target is shutting down.
+// A request waits for a connection while another response reports that the target is shutting down.
 // It must not be sent there.
 func TestQueuedRequestIsNotSentToTargetShuttingDown(t *testing.T) {
 	r := newRig(t, nil)
@@ -84,7 +85,7 @@
 	}))
 	r.relay.options.Pool.SetMaxConns(r.roster.Target("a").Entry().Address, 1)
 	first := make(chan callerAnswer)
-	go func() { first <- r.ask(http.MethodPost, "/once/", "x") }()
+	go func() { first <- r.send(http.MethodPost, "/once/", "x") }()
 	<-arrived
 	// The target is chosen before the report arrives, as in a race for the last connection.
 	p := &proxiedRequest{relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second), tried: map[string]int{}}
@@ -115,7 +116,7 @@
 	}
 	before := len(h.rigs[0].received())
 	for range 4 {
-		h.g.Expect(h.ask(sender, "context").status).To(gomega.Equal(200))
+		h.g.Expect(h.send(sender, "context").status).To(gomega.Equal(200))
 	}
 	for _, s := range h.rigs[0].received()[before:] {
 		h.g.Expect(s.target).To(gomega.Equal(workers[0]))
@@ -147,7 +148,7 @@
 			start := time.Now()
 			// The route has a latency objective of ten seconds, so that a busy box does not change
 			// the result.
-			got := r.ask(http.MethodPost, "/again/", "x")
+			got := r.send(http.MethodPost, "/again/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
 				return
@@ -188,7 +189,7 @@
 	r.roster.RecordRejection("t-0", roster.Pushback{Duration: time.Minute})
 	var wg sync.WaitGroup
 	for range callers {
-		wg.Go(func() { r.ask(http.MethodPost, "/once/", "x") })
+		wg.Go(func() { r.send(http.MethodPost, "/once/", "x") })
 	}
 	wg.Wait()
 	mu.Lock()
@@ -209,16 +210,16 @@
 	r.target("c", "plain", always(respond(200, "x")))
 	r.roster.RecordShutdown("a", roster.ByAnswer)
 	r.roster.RecordRejection("b", roster.Pushback{Duration: time.Minute})
-	r.g.Expect(r.ask(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
+	r.g.Expect(r.send(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
 	r.g.Eventually(func() string { return r.lastLogLine(event.RequestDone) }, waitTimeout, pollInterval).Should(gomega.ContainSubstring("skipped: a leaves, b rests"))
 }
 
-// The answer to one daemon reaches its whole cell within some heartbeats.
+// A report in the response to one daemon reaches its whole cell within some heartbeats.
 func TestShutdownReportReachesWholeCell(t *testing.T) {
 	const daemons = 24
 	h := newFleetRig(t, daemons, 8, always(respondHead(200, "Id: try-1\r\nLeaves: 1\r\n")))
 	// Without a shared segment, so that no owner is queried.
-	h.rigs[0].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
+	h.rigs[0].send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
 	received := h.rigs[0].received()
 	h.g.Expect(received).NotTo(gomega.BeEmpty())
 	cell := h.fleets[0].View().Cell()
--- a/core/relay/sharded_test.go
+++ b/core/relay/sharded_test.go
@@ -35,7 +35,7 @@
 	const context = "c1"
 	owner := h.fleets[0].View().KeyCell(fleet.Key(context))
 	for i := range daemons {
-		got := h.ask(i, context)
+		got := h.send(i, context)
 		h.g.Expect(got.status).To(gomega.Equal(http.StatusOK), "daemon %d: %s", i, got.body)
 		h.waitIdle()
 	}
@@ -54,7 +54,7 @@
 		if f.View().Cell() != emptyCell {
 			continue
 		}
-		got := h.rigs[i].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
+		got := h.rigs[i].send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
 		h.g.Expect(got.status).To(gomega.Equal(http.StatusOK), "daemon %d: %s", i, got.body)
 	}
 }
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -8,8 +8,9 @@
 
 // targetShare holds those of a service's targets that this daemon uses.
 type targetShare struct {
-	// all are the targets of the service, and basis identifies the partition; see Options.ShardVersion.
-	all   []*roster.Target
+	// all are the targets of the service, and shardVersion identifies the partition; see
+	// Options.ShardVersion.
+	all          []*roster.Target
 	shardVersion any
 	// own are the targets that this daemon uses, and fraction the fraction of all that these serve.
 	own      []*roster.Target
@@ -23,8 +24,8 @@
 	services map[string]*targetShare // guarded by sharesMu
 }
 
-// get returns the share of a service. It is computed again only if the targets or the basis have
-// changed.
+// get returns the share of a service. It is computed again only if the targets or the
+// partition have changed.
 func (s *shareCache) get(service string, all []*roster.Target, o *Options) *targetShare {
 	var shardVersion any
 	if o.ShardVersion != nil {
--- a/core/relay/stats.go
+++ b/core/relay/stats.go
@@ -22,10 +22,10 @@
 	Opened *metrics.Counter
 	// Blocked counts refusals of requests that crash targets.
 	Blocked *metrics.Counter
-	// ReportedShutdown counts answers in which a target reports that it is shutting down, Pushbacks
-	// refusals that ask for pushback.
+	// ReportedShutdown counts responses in which a target reports that it is shutting down,
+	// Pushbacks rejections with a pushback.
 	ReportedShutdown, Pushbacks *metrics.Counter
-	// ReportedRateLimit counts answers in which a target names a rate limit, RateLimitedAttempts
+	// ReportedRateLimit counts responses in which a target states a rate limit, RateLimitedAttempts
 	// the attempts at targets that have one.
 	ReportedRateLimit, RateLimitedAttempts *metrics.Counter
 }
--- a/core/relay/stream.go
+++ b/core/relay/stream.go
@@ -53,12 +53,12 @@
 	}
 }
 
-// passOnStream passes on the events of an answer. If the stream breaks, another worker may resume
+// passOnStream passes on the events of a response. If the stream breaks, another worker may resume
 // the request after the last event that the caller has received.
 func (p *proxiedRequest) passOnStream(c *choice, resp *target.Response, respMeta *ResponseMeta, sent time.Time, onFirst func()) outcome {
 	if !respMeta.Signed || respMeta.Encoded {
 		resp.Discard()
-		p.recordAnswer(c, false)
+		p.recordResponse(c, false)
 		return outcomeIncomplete
 	}
 	r := bufio.NewReaderSize(resp, 2<<10)
@@ -72,7 +72,7 @@
 		}
 		if n == 0 {
 			onFirst()
-			p.recordAnswer(c, true)
+			p.recordResponse(c, true)
 			p.recordFirstAnswer(c, sent)
 		}
 		if !isNewerEvent(ev.id, p.lastEventID) {
@@ -105,7 +105,7 @@
 		return errors.WithStack(err)
 	}
 	if !p.headerSent {
-		(&bufferedAnswer{resp.Status, resp.Header, nil}).writeHeader(p, -1)
+		(&bufferedResponse{resp.Status, resp.Header, nil}).writeHeader(p, -1)
 		p.firstAt = time.Now()
 		p.relay.options.Stats.FirstSeconds.Update(p.firstAt.Sub(p.start).Seconds())
 	}
@@ -124,9 +124,9 @@
 	if p.headerSent {
 		return outcomeDone
 	}
-	// A complete answer without events.
-	(&bufferedAnswer{resp.Status, resp.Header, nil}).writeHeader(p, -1)
-	p.recordAnswer(c, true)
+	// A complete response without events.
+	(&bufferedResponse{resp.Status, resp.Header, nil}).writeHeader(p, -1)
+	p.recordResponse(c, true)
 	return outcomeDone
 }
 
@@ -137,7 +137,7 @@
 		return outcomeCallerGone
 	}
 	now := time.Now()
-	p.recordAnswer(c, false)
+	p.recordResponse(c, false)
 	if !now.Before(p.deadline) {
 		return outcomeTimedOut
 	}
--- a/core/relay/suspend_test.go
+++ b/core/relay/suspend_test.go
@@ -12,7 +12,7 @@
 	"embertally.dev/core/clock"
 )
 
-// The box is suspended while a target runs a request whose answer then breaks off. The second
+// The box is suspended while a target runs a request whose response then breaks off. The second
 // target must be given only what is left of the caller's time.
 func TestRetryAfterSystemSuspendGetsRemainingTime(t *testing.T) {
 	const slept = time.Second
@@ -29,7 +29,7 @@
 			return respond(200, "ok")
 		})
 	}
-	g := r.ask(http.MethodPost, "/again/", "x", "Deadline", "1800")
+	g := r.send(http.MethodPost, "/again/", "x", "Deadline", "1800")
 	r.g.Expect(g.status).To(gomega.Equal(200))
 	sends := r.received()
 	r.g.Expect(sends).To(gomega.HaveLen(2))
--- a/core/relay/versions_test.go
+++ b/core/relay/versions_test.go
@@ -48,7 +48,7 @@
 			}
 			refused := 0
 			for range requests {
-				if r.ask(http.MethodPost, "/once/x", "x").status != http.StatusOK {
+				if r.send(http.MethodPost, "/once/x", "x").status != http.StatusOK {
 					refused++
 				}
 			}
--- a/core/relay/warmup_test.go
+++ b/core/relay/warmup_test.go
@@ -41,7 +41,7 @@
 	out := map[int]int{}
 	for range n {
 		wg.Go(func() {
-			got := r.ask("POST", path, "b", headers...)
+			got := r.send("POST", path, "b", headers...)
 			mu.Lock()
 			defer mu.Unlock()
 			out[got.status]++
@@ -85,7 +85,7 @@
 	r.relay.options.Rank = func(string, bool) (int, int) { return 2, 79 }
 	r.target("cold", "plain", always(respond(200, "x")))
 	r.warmUp("cold")
-	r.g.Expect(r.ask("POST", "/short/x", "b", "Deadline", "100").status).To(gomega.Equal(503))
+	r.g.Expect(r.send("POST", "/short/x", "b", "Deadline", "100").status).To(gomega.Equal(503))
 	r.g.Expect(r.receivedBy("cold")).To(gomega.BeZero())
 }
 
@@ -115,7 +115,7 @@
 			for _, d := range tc.evacuated {
 				r.roster.Evacuate(d, true, start.Add(-time.Second))
 			}
-			got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
+			got := r.send("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 			r.g.Expect(got.status).To(gomega.Equal(tc.want))
 			if tc.to != "" {
 				r.g.Expect(r.receivedBy(tc.to)).To(gomega.Equal(1))
@@ -152,7 +152,7 @@
 	for _, id := range []string{"w1", "w2", "w3"} {
 		r.roster.Target(id).AddLoad(roster.Load{Running: 2, QueuedTokens: 500, OccupiedTokens: 500})
 	}
-	got := r.ask("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
+	got := r.send("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
 	r.g.Expect(got.status).To(gomega.Equal(200))
 	r.g.Expect(got.body).To(gomega.ContainSubstring("id: 2"))
 	r.g.Expect(r.receivedBy("w0")).To(gomega.Equal(1))
--- a/core/roster/domains_test.go
+++ b/core/roster/domains_test.go
@@ -20,7 +20,7 @@
 		after     time.Duration
 		evacuated bool
 		duration  time.Duration
-		warmingUp      bool
+		warmingUp bool
 	}{
 		{"none", nil, 0, false, 0, false},
 		{"active", []bool{true}, 5 * time.Second, true, 5 * time.Second, false},
--- a/core/roster/external_test.go
+++ b/core/roster/external_test.go
@@ -17,7 +17,7 @@
 		steps func(r *Roster) *Target
 		// listed is whether it is among the targets of its service.
 		listed bool
-		reason   UnavailabilityReason
+		reason UnavailabilityReason
 	}{
 		{"sent by another daemon", func(r *Roster) *Target { return r.AddExternal(incarnationEntry("a@1000", 1000)) }, false, Available},
 		{"sent twice", func(r *Roster) *Target {
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -37,9 +37,9 @@
 	pushbackLogInterval = time.Second
 )
 
-// extend prolongs the pushback by a request for d, and reports whether a new pushback starts and a
-// log line is due. Of two requests the one that ends later applies: a target that asked for three
-// seconds does not want requests after one because it told another request so.
+// extend prolongs the pushback by a rejection with the duration d, and reports whether a new pushback starts and a
+// log line is due. Of two pushbacks the one that ends later applies: a target that sent
+// three seconds does not want requests after one second because a second rejection says so.
 func (p *pushback) extend(d time.Duration, now clock.Time) bool {
 	starts := !now.Before(p.until)
 	if until := now.Add(min(d, MaxPushback)); until.After(p.until) {
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,5 +1,5 @@
 // Package roster keeps the targets of a site: which are listed, what each reports about itself, how
-// much work this daemon and the others have in flight at each, and which of them fail to answer.
+// much work this daemon and the others have in flight at each, and which of them fail to respond.
 //
 // It must not know how a target is chosen or how the list is stored on the platform.
 package roster
@@ -148,8 +148,8 @@
 
 const (
 	// lapsedEntryTime is how long after an outage of the list an entry that lapsed meanwhile may
-	// take to return. The users' specification says about two seconds, and that a target still
-	// missing then has been removed.
+	// take to return. The users' specification states about two seconds, and that a target
+	// still missing then has been removed.
 	lapsedEntryTime = 2 * time.Second
 	// minLapseOutage is the shortest outage in which entries lapse.
 	minLapseOutage = 1500 * time.Millisecond
@@ -220,7 +220,7 @@
 	}
 }
 
-// RecordReplaced records that another incarnation answers in place of the given one: the target has
+// RecordReplaced records that another incarnation responds in place of the given one: the target has
 // restarted, but the list does not show it yet. Until it does, the target gets no requests.
 func (r *Roster) RecordReplaced(id string) {
 	r.rosterMu.Lock()
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -42,10 +42,10 @@
 
 func TestEntriesLapsedInAnOutageMayReturn(t *testing.T) {
 	tests := []struct {
-		name    string
-		outage  time.Duration
+		name         string
+		outage       time.Duration
 		shuttingDown bool
-		retained    bool
+		retained     bool
 	}{
 		{"after an outage", 4 * time.Second, false, true},
 		{"after a short outage", 100 * time.Millisecond, false, false},
--- a/core/roster/selfreport.go
+++ b/core/roster/selfreport.go
@@ -28,7 +28,7 @@
 	// arrived.
 	since clock.Time
 	// pushback is the pushback for this daemon. It is not sent to other daemons: how much a target
-	// accepts from one of them says little about the next.
+	// accepts from one of them is no measure for the next.
 	pushback pushback
 	// limit is the rate limit for all daemons together.
 	limit limitState
@@ -116,7 +116,7 @@
 
 // Pushback is the pushback that came with a rejection.
 type Pushback struct {
-	// Duration is how long the target wants no requests; 0 if it did not say.
+	// Duration is how long the target wants no requests; 0 if it did not state one.
 	Duration time.Duration
 	// Invalid is an unreadable value, or "".
 	Invalid string
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -11,7 +11,7 @@
 	"embertally.dev/core/learn"
 )
 
-// prices returns the cost model of the tests.
+// costs returns the cost model of the tests.
 func costs() *CostModel {
 	return &CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -29,7 +29,7 @@
 		name    string
 		change  func(r *Request)
 		workers []Worker
-		stored    []StoredContext
+		stored  []StoredContext
 		want    string
 		imports int
 		verdict Verdict
--- a/core/route/utility.go
+++ b/core/route/utility.go
@@ -84,9 +84,9 @@
 	// Lapsed reports that the target's registration has lapsed, so that it may have
 	// been removed.
 	Lapsed bool
-	// FailureShare is the share of the target's answers that are failures, 0 to 1.
+	// FailureShare is the share of the target's responses that are failures, 0 to 1.
 	FailureShare float64
-	// Slowdown is the target's speed factor: its time to the first answer divided by that
+	// Slowdown is the target's time to the first answer divided by that
 	// expected of its service. Above 1 the target is slower.
 	Slowdown float64
 }
@@ -175,7 +175,7 @@
 	return j
 }
 
-// headBytes is the approximate size of the headers of a request and its answer.
+// headBytes is the approximate size of the headers of a request and its response.
 const headBytes = 1500
 
 // bytesPerMegabyte converts sizes in bytes to the unit of CostModel.CrossDomainPerMiB.
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -28,7 +28,7 @@
 	appliedTimeout = 500 * time.Millisecond
 	// appliedRestTimeout bounds the time for the other chunks of one response.
 	appliedRestTimeout = 5 * time.Second
-	// maxLeaving bounds the incarnations that one response names.
+	// maxShuttingDown bounds the incarnations that one response names.
 	maxShuttingDown = 1024
 )
 
--- a/core/spread/relays.go
+++ b/core/spread/relays.go
@@ -19,7 +19,7 @@
 	staleAfter       = 1800 * time.Millisecond
 	standbysPerRound = 2
 	// watchersPerCell is how many daemons of a cell in a large fleet watch the store or, where
-	// there are watch relays, request changes from one of these; each call of the store is priced.
+	// there are watch relays, request changes from one of these; each call of the store is billed.
 	// Where both are lost, the other daemons do so as well.
 	watchersPerCell = 2
 	// minCellsForRelays is the number of cells from which only watch relays watch the store, one of
@@ -32,7 +32,7 @@
 	backoffFirst = time.Second
 	backoffMax   = 8 * time.Second
 	// watchWaitSmall and watchWaitLarge are how long the store holds a watch request for changes.
-	// An empty response confirms that there were none, at the price of a call. Data from relays is
+	// An empty response confirms that there were none, at the cost of a call. Data from relays is
 	// older by its way through the fleet, some 0.3 s, and data older than 2.2 s allows no copies.
 	watchWaitSmall = 1500 * time.Millisecond
 	watchWaitLarge = time.Second
@@ -69,7 +69,7 @@
 
 // IsStandby reports whether this daemon watches the store because those ranked before it do not
 // provide its changes. If all daemons did so at once, they would achieve nothing while the store is
-// down, at the price of each call.
+// down, at the cost of a call each.
 func (s *WatchCacheSync) IsStandby() bool {
 	view := s.fleet.View()
 	if len(view.Peers()) < smallFleet || !s.watchCache.Known() {
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// When two daemons of each of 25 cells watched the store, they made thousands of priced calls in a
+// When two daemons of each of 25 cells watched the store, they made thousands of billed calls in a
 // day.
 func TestOneDaemonOfEachDomainWatchesTheStore(t *testing.T) {
 	const daemons, domains = 48, 3
--- a/core/spread/shards_test.go
+++ b/core/spread/shards_test.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/spread"
 )
 
-// pagedStore returns keys in pages, each of them a priced call.
+// pagedStore returns keys in pages, each of them a billed call.
 type pagedStore struct {
 	*billedStore
 	page int
@@ -120,7 +120,7 @@
 	}
 }
 
-// Each page is a priced call: a daemon that finds that others watch the store must not read more
+// Each page is a billed call: a daemon that finds that others watch the store must not read more
 // pages than it takes to find out.
 func TestStartingDaemonsReadTheOutlineOnly(t *testing.T) {
 	const daemons, domains, large, page = 48, 3, 3000, 100
@@ -222,7 +222,7 @@
 	}
 }
 
-// If all daemons read a large value from the store, each change costs a priced call of each of
+// If all daemons read a large value from the store, each change costs a billed call of each of
 // them.
 func TestFewDaemonsReadALargeValueFromTheStore(t *testing.T) {
 	const daemons, domains = 48, 3
--- a/core/spread/storecalls_test.go
+++ b/core/spread/storecalls_test.go
@@ -13,7 +13,7 @@
 	"embertally.dev/core/plat"
 )
 
-// pricedStore is a store that counts its calls. A watch is a series of calls, each answered after
+// billedStore is a store that counts its calls. A watch is a series of calls, each answered after
 // watchTime at the latest.
 type billedStore struct {
 	*memkv.KV
@@ -141,7 +141,7 @@
 	return out
 }
 
-// Each call of the platform's store is priced: daemons that start together must not all watch it
+// Each call of the platform's store is billed: daemons that start together must not all watch it
 // until they have received each other's heartbeats.
 func TestDaemonsThatStartTogetherDoNotAllWatchTheStore(t *testing.T) {
 	const daemons, cells = 40, 4
@@ -161,7 +161,7 @@
 	}
 }
 
-// Calls that the store refuses are priced too, and where a few daemons get no answer the others get
+// Calls that the store refuses are billed too, and where a few daemons get no answer the others get
 // none either.
 func TestAFleetSendsFewRequestsToAStoreThatIsDown(t *testing.T) {
 	const daemons, outage = 40, 5 * time.Second
--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -21,13 +21,13 @@
 const kindStoreIndex wire.Kind = "spread.shelf"
 
 // StoreIndexes keeps the index of what KV-cache stores hold. A store admits a few watchers at a time,
-// and each request is priced. In a larger fleet only a few daemons of the whole fleet may send
+// and each request is billed. In a larger fleet only a few daemons of the whole fleet may send
 // requests to a store; one of each cell sends its requests to the first of these, and publishes the
 // changes to the others of its cell in heartbeats.
 type StoreIndexes struct {
 	direct cache.StoreClient
 	fleet  *fleet.Fleet
-	// kept holds the contents that peers are served from. It is set by Serve.
+	// indexes holds the contents that peers are served from. It is set by Serve.
 	indexes *cache.StoreIndexes
 	// ranks holds which daemons may send requests to each store, for the latest view.
 	ranks atomic.Pointer[storeRanks]
@@ -51,7 +51,7 @@
 	}
 }
 
-// Serve makes this daemon respond to requests of peers from kept. It must be called before the fleet
+// Serve makes this daemon respond to requests of peers from indexes. It must be called before the fleet
 // runs.
 func (s *StoreIndexes) Serve(indexes *cache.StoreIndexes) {
 	s.indexes = indexes
@@ -113,7 +113,7 @@
 }
 
 // Events returns the changes of a store since a position; the response may wait for one as long as
-// hold.
+// wait.
 func (s *StoreIndexes) Events(ctx context.Context, address string, since int64, wait time.Duration) (cache.SegmentEvents, error) {
 	return s.try(ctx, address, func(source indexSource) (cache.SegmentEvents, error) {
 		switch {
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -83,9 +83,9 @@
 
 // indexMember is one daemon of a fleet with an index of a store.
 type indexMember struct {
-	name string
+	name    string
 	indexes *cache.StoreIndexes
-	stop context.CancelFunc
+	stop    context.CancelFunc
 }
 
 // indexFleet runs a fleet that keeps an index of a store.
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -137,7 +137,7 @@
 	// daemons, due to the latency of the heartbeats and responses that report them.
 	freshnessSlack = 100 * time.Millisecond
 	// batchTimeSmall and batchTimeLarge are how long successive changes are batched in small and large
-	// fleets: each response of a watch is a priced call, and targets change their entries all the
+	// fleets: each response of a watch is a billed call, and targets change their entries all the
 	// time. The users' bounds on a configuration change are 2 s on small fleets and 3 s on large
 	// ones.
 	batchTimeSmall = 150 * time.Millisecond
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -45,7 +45,7 @@
 	watchCache *plat.Mirror
 	cacheSync  *spread.WatchCacheSync
 	applied    *spread.AppliedValues
-	// leaving holds the incarnations that the member reports as shutting down.
+	// shuttingDown holds the incarnations that the member reports as shutting down.
 	shuttingDown atomic.Pointer[[]string]
 	// seen holds the keys of the changes that the watch cache reported, in their order.
 	seenMu sync.Mutex
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -107,7 +107,7 @@
 	Load   Load               `json:"load"`
 }
 
-// PollEvents waits for the time gather, and returns the cache events after seq together with the load.
+// PollEvents waits for batchTime, and returns the cache events after seq together with the load.
 // Polling is cheap mainly because one call returns both, and many events at once.
 func (e *Engine) PollEvents(ctx context.Context, seq uint64, batchTime time.Duration) (EventBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, batchTime+callTimeout)
