--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -239,8 +239,8 @@
 	}
 }
 
-// ReplaceWorkerBlocks replaces everything recorded about a worker by the chains whose last blocks are
-// tips.
+// ReplaceWorkerBlocks replaces everything recorded about a worker by the chains whose last blocks
+// are tips.
 func (x *Index) ReplaceWorkerBlocks(worker string, tips []BlockRef) {
 	x.ForgetWorker(worker)
 	x.indexMu.Lock()
--- a/core/cache/storeindex.go
+++ b/core/cache/storeindex.go
@@ -10,7 +10,8 @@
 	"embertally.dev/core/clock"
 )
 
-// storeIndex is the index of one store's contents. All fields are guarded by StoreIndexes.indexesMu.
+// storeIndex is the index of one store's contents. All fields are guarded by
+// StoreIndexes.indexesMu.
 type storeIndex struct {
 	info StoreInfo
 	stop context.CancelFunc
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -39,8 +39,8 @@
 	Client *http.Client
 	// LoadInterval is the interval at which a worker's load is read.
 	LoadInterval time.Duration
-	// IncarnationReplaced, if set, is called with the name of a worker incarnation when a report shows
-	// that another one has replaced it. It must not block.
+	// IncarnationReplaced, if set, is called with the name of a worker incarnation when a report
+	// shows that another one has replaced it. It must not block.
 	IncarnationReplaced func(incarnation string)
 }
 
--- a/core/learn/retention.go
+++ b/core/learn/retention.go
@@ -58,8 +58,8 @@
 	retentionHalfLife = 30 * time.Second
 )
 
-// priorChance returns the probability that a segment at a depth is cached, by the prior.
-func priorChance(depth float64) float64 {
+// priorProbability returns the probability that a segment at a depth is cached, by the prior.
+func priorProbability(depth float64) float64 {
 	return 1 / (1 + math.Exp((depth-priorDepth)/priorWidth))
 }
 
@@ -70,7 +70,7 @@
 		return 0
 	}
 	depth = max(depth, 0)
-	prior := priorChance(depth)
+	prior := priorProbability(depth)
 	r.retentionMu.Lock()
 	defer r.retentionMu.Unlock()
 	buckets := r.cached[service]
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -77,8 +77,8 @@
 // errSlow ends the wait for a slow target if another one may be faster.
 var errSlow = errors.New("the target is too slow")
 
-// retryAdvantage is by how much the chance of an on-time answer must be higher at another target
-// before a slow one is abandoned: the second attempt takes a slot there.
+// retryAdvantage is by how much the probability of an on-time answer must be higher at another
+// target before a slow one is abandoned: the second attempt takes a slot there.
 const retryAdvantage = 0.1
 
 // waitBudget bounds the wait for a response while another target may still respond on time.
@@ -162,7 +162,7 @@
 	switch {
 	case respMeta.AttemptID != "" && respMeta.AttemptID != p.meta.AttemptID, respMeta.AttemptID == "" && !respMeta.NotExecuted && !misdirected:
 		p.relay.options.Stats.MismatchedAnswers.Inc()
-		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the answer is for request "+strconv.Quote(respMeta.AttemptID))
+		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the response is for request "+strconv.Quote(respMeta.AttemptID))
 		resp.Discard()
 		p.attempts++
 		p.executions++
--- a/core/relay/dialect.go
+++ b/core/relay/dialect.go
@@ -40,8 +40,8 @@
 	WeightVersion int64
 	// Priority is the request's priority; 0 is the most urgent.
 	Priority int
-	// CopyFrom holds, for each segment, the address of the KV-cache store or worker to copy it from, or
-	// "".
+	// CopyFrom holds, for each segment, the address of the KV-cache store or worker to copy it
+	// from, or "".
 	CopyFrom []string
 	// CopyDeadline is the time on the targets' clock after which copies must be discarded; 0 for
 	// never.
--- a/core/relay/feedback.go
+++ b/core/relay/feedback.go
@@ -149,7 +149,7 @@
 func (p *proxiedRequest) learnRetention(c *choice, took time.Duration, now time.Time) {
 	deepest, tokens := 0.0, 0
 	for i, src := range c.plan.sources {
-		if src.cachedChance == 0 {
+		if src.cachedProbability == 0 {
 			break
 		}
 		// If a segment was evicted, those after it are prefilled as well.
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -13,7 +13,8 @@
 	outcomeUnavailable
 	// outcomeRejected: the target reports that it did not execute the request.
 	outcomeRejected
-	// outcomeIncomplete: there is no response or a truncated one; the request may have been executed.
+	// outcomeIncomplete: there is no response or a truncated one; the request may have been
+	// executed.
 	outcomeIncomplete
 	// outcomeFailed: the target responded with an error, and the request may be retried
 	// elsewhere; the response is kept.
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -27,8 +27,8 @@
 	kindPlacementUpdate wire.Kind = "relay.placed"
 )
 
-// ContextOwners queries the owners of contexts in other cells, and decides as an owner for this daemon's
-// own cell.
+// ContextOwners queries the owners of contexts in other cells, and decides as an owner for this
+// daemon's own cell.
 //
 // In a large fleet each cell uses a share of the workers and knows which contexts these have
 // cached. If each prompt were decided in the cell that its caller happens to reach, only one in as
@@ -76,8 +76,8 @@
 	expiryInterval = time.Second
 )
 
-// NewContextOwners makes a relay query the owners of contexts. It must be called before the fleet runs and
-// the relay serves.
+// NewContextOwners makes a relay query the owners of contexts. It must be called before the fleet
+// runs and the relay serves.
 func NewContextOwners(rl *Relay, f *fleet.Fleet) *ContextOwners {
 	h := &ContextOwners{
 		relay: rl, fleet: f, timeout: ownerTimeout, placements: map[string]*ownedPlacement{},
@@ -141,10 +141,10 @@
 	PrefillTokens, QueuedTokens           int
 	Occupancy, QueueRatio, MemoryPressure float64
 	// The candidate's state and what is expected of it; see route.Candidate and route.Evaluation.
-	CachedTokens, CopiedTokens, Running, HeldTokens int
-	Expected, Baseline                              time.Duration
-	OnTimeChance, ServedChance, Gain, Utility       float64
-	OnlyCandidate                                   bool
+	CachedTokens, CopiedTokens, Running, HeldTokens     int
+	Expected, Baseline                                  time.Duration
+	OnTimeProbability, ServedProbability, Gain, Utility float64
+	OnlyCandidate                                       bool
 	// PermitHeld is set if the responder took a permit for the request, for a target with a rate
 	// limit.
 	PermitHeld bool
@@ -179,7 +179,7 @@
 		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.WeightVersion, CopyFrom: c.attemptMeta.CopyFrom, CopyDeadline: c.attemptMeta.CopyDeadline, StoreTo: c.attemptMeta.StoreTo,
 		PrefillTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Occupancy: f.Utilisation, QueueRatio: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
 		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens, Running: candidate.Running, HeldTokens: candidate.OccupiedTokens,
-		Expected: evaluation.Expected, Baseline: c.baseline, OnTimeChance: evaluation.WithinObjective, ServedChance: evaluation.BeforeDeadline, Gain: evaluation.CallerUtility, Utility: evaluation.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
+		Expected: evaluation.Expected, Baseline: c.baseline, OnTimeProbability: evaluation.WithinObjective, ServedProbability: evaluation.BeforeDeadline, Gain: evaluation.CallerUtility, Utility: evaluation.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
 		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Started, Slots: e.Slots}, ListAge: age,
 	}
 }
@@ -190,7 +190,7 @@
 		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Permit{Taken: r.PermitHeld, Remote: true},
 		attemptMeta: AttemptMeta{Target: r.Target, WeightVersion: r.WeightVersion, CopyFrom: r.CopyFrom, CopyDeadline: r.CopyDeadline, StoreTo: r.StoreTo},
 		load:        roster.Load{Running: 1, QueuedTokens: r.PrefillTokens, OccupiedTokens: tokens},
-		evaluation:  route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeChance, BeforeDeadline: r.ServedChance, CallerUtility: r.Gain, NetUtility: r.Utility},
+		evaluation:  route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeProbability, BeforeDeadline: r.ServedProbability, CallerUtility: r.Gain, NetUtility: r.Utility},
 		factors:     learn.Factors{OwnTokens: r.PrefillTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Occupancy, QueuedPerSlot: r.QueueRatio, MemoryPressure: r.MemoryPressure},
 		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.HeldTokens, QueuedTokens: r.QueuedTokens},
 	}
@@ -304,7 +304,8 @@
 // that time.
 const splitLoss = 0.01
 
-// worthQuerying reports whether prefilling the shared segments takes long enough to justify a query.
+// worthQuerying reports whether prefilling the shared segments takes long enough to justify a
+// query.
 func (p *proxiedRequest) worthQuerying(now time.Time) bool {
 	e := p.estimate(now)
 	return e.Time(learn.Factors{OwnTokens: p.sharedTokens()})-e.Time(learn.Factors{}) >= minPrefillTime
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -34,7 +34,7 @@
 	if (resp.Status/100 == 2 && !respMeta.Signed) || respMeta.Encoded {
 		resp.Discard()
 		p.recordResponse(c, false)
-		p.note("the answer is not signed")
+		p.note("the response is not signed")
 		return outcomeIncomplete, nil
 	}
 	p.recordResponse(c, good)
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -36,10 +36,11 @@
 	WorkerCaches *cache.WorkerCaches
 	// Links is the learned speed and load of the links of stores and workers.
 	Links *learn.Links
-	// Retention is the learned chance that a segment is still in a worker's KV cache.
+	// Retention is the learned probability that a segment is still in a worker's KV cache.
 	Retention *learn.Retention
 	// FirstAnswerTimes and TargetStats are statistics of the targets' responses. EnginePrior and
-	// CallPrior are the priors of the time to a first answer, for model workers and for plain calls.
+	// CallPrior are the priors of the time to a first answer, for model workers and for plain
+	// calls.
 	FirstAnswerTimes       *learn.Times
 	TargetStats            *learn.Targets
 	EnginePrior, CallPrior learn.Prior
@@ -61,30 +62,30 @@
 	Regions map[string]string
 	// DesiredWeights returns the desired version of a model's weights.
 	DesiredWeights func(model string) int64
-	// WeightsOutdated reports whether a version of the weights was superseded so long ago that no request
-	// may start on it.
+	// WeightsOutdated reports whether a version of the weights was superseded so long ago that no
+	// request may start on it.
 	WeightsOutdated func(model string, version int64) bool
 	// ViewAge returns the age of this daemon's view of the coordination store.
 	ViewAge func() time.Duration
 	// StoreDown reports whether the coordination store is known to be unreachable. Nil means never.
 	StoreDown func() bool
-	// ConfigCurrent reports whether this daemon's configuration is known to be current. Only then may it
-	// answer that a route or key does not exist.
+	// ConfigCurrent reports whether this daemon's configuration is known to be current. Only then
+	// may it answer that a route or key does not exist.
 	ConfigCurrent func() bool
-	// ConfigOverdue returns how long a newer configuration has been known to exist without having arrived.
-	// It is 0 while the applied one may still be used. Nil means always 0.
+	// ConfigOverdue returns how long a newer configuration has been known to exist without having
+	// arrived. It is 0 while the applied one may still be used. Nil means always 0.
 	ConfigOverdue func() time.Duration
 	// MayCopy reports whether segments may be copied from KV-cache stores: the daemon's view of the
 	// desired weights is recent enough.
 	MayCopy func() bool
-	// PublishState is called when the load of a target or its reported state has changed, to publish that
-	// to the other daemons at once. It must be set.
+	// PublishState is called when the load of a target or its reported state has changed, to
+	// publish that to the other daemons at once. It must be set.
 	PublishState func()
-	// OwnTargets returns those of the given workers that this daemon uses. A large fleet partitions its
-	// workers, so that a daemon knows the load of the ones that it uses.
+	// OwnTargets returns those of the given workers that this daemon uses. A large fleet partitions
+	// its workers, so that a daemon knows the load of the ones that it uses.
 	OwnTargets func(names []string) []string
-	// ShardVersion returns a value that stays equal as long as OwnTargets uses the same partition. Nil
-	// means that its results must not be cached.
+	// ShardVersion returns a value that stays equal as long as OwnTargets uses the same partition.
+	// Nil means that its results must not be cached.
 	ShardVersion func() any
 	// Sharded reports whether the targets of a service are sharded by cell, so that this daemon may
 	// list only those of its own cell. Nil means never.
@@ -101,8 +102,8 @@
 	// RankedDaemons returns the n best-ranked other daemons among those that Rank counts. Nil means
 	// none.
 	RankedDaemons func(t *roster.Target, n int) []string
-	// All daemons together send a target that is warming up at most WarmUpFactor times the rate that
-	// its service configures, plus WarmUpExtra requests per second.
+	// All daemons together send a target that is warming up at most WarmUpFactor times the rate
+	// that its service configures, plus WarmUpExtra requests per second.
 	WarmUpFactor, WarmUpExtra float64
 	// RetryShare, RetryExtra and RetryWindow bound the retries of all daemons together: within
 	// RetryWindow, RetryShare for each request, plus RetryExtra.
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -79,8 +79,8 @@
 	notes []string
 }
 
-// deadlineMargin is how long after the deadline a target's own final response is still accepted. The
-// caller contract allows half a second.
+// deadlineMargin is how long after the deadline a target's own final response is still accepted.
+// The caller contract allows half a second.
 const deadlineMargin = 60 * time.Millisecond
 
 // run sends the request until it is answered, or returns the refusal.
@@ -186,9 +186,9 @@
 	}
 }
 
-// minOnTimeChance is the chance of an answer within the latency objective below which a request
-// stops waiting for a target.
-const minOnTimeChance = 0.5
+// minOnTimeProbability is the probability of an answer within the latency objective below which a
+// request stops waiting for a target.
+const minOnTimeProbability = 0.5
 
 // likelyOnTime reports whether the answer is likely to meet the latency objective if a target takes
 // the request after a delay.
@@ -196,7 +196,7 @@
 	now := time.Now().Add(delay)
 	e := p.estimate(now)
 	expected := e.Time(learn.Factors{OwnTokens: p.meta.PromptTokens - p.sharedTokens()})
-	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeChance
+	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeProbability
 }
 
 // Bounds on the attempts of one request.
@@ -239,8 +239,8 @@
 	return true
 }
 
-// giveUp ends a request that got no response worth passing on. failed is the kept response of a failed
-// attempt, or nil.
+// giveUp ends a request that got no response worth passing on. failed is the kept response of a
+// failed attempt, or nil.
 func (p *proxiedRequest) giveUp(failed *bufferedResponse, reason string) *entry.Refusal {
 	p.noteSkipped()
 	p.note("given up: %s", reason)
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -43,9 +43,9 @@
 // holder is a worker that is expected to have a segment cached.
 type holder struct {
 	target *roster.Target
-	// depth is how much of its cache the worker has used since, and chance how likely the segment
-	// is still there.
-	depth, chance float64
+	// depth is how much of its cache the worker has used since, and probability how likely the
+	// segment is still there.
+	depth, probability float64
 }
 
 // findSegments looks up the shared segments for a version of the weights.
@@ -76,15 +76,15 @@
 
 // source is where a worker gets a segment from.
 type source struct {
-	// cachedChance is the chance that the worker has the segment cached, and depth how much of its
-	// cache it has used since.
-	cachedChance, depth float64
+	// cachedProbability is the probability that the worker has the segment cached, and depth how
+	// much of its cache it has used since.
+	cachedProbability, depth float64
 	// stored is set if a KV-cache store holds the segment.
 	stored bool
-	// address is the store or worker to copy the segment from, or "", and chance how likely the
-	// segment is still there.
-	address string
-	chance  float64
+	// address is the store or worker to copy the segment from, or "", and probability how likely
+	// the segment is still there.
+	address     string
+	probability float64
 	// copyTime is the learned time of the copy, and queueTime how long it first waits for the link.
 	copyTime, queueTime time.Duration
 	// deadline is when the copy must be discarded, on the targets' clock; 0 for copies from
@@ -100,18 +100,18 @@
 	best := source{stored: len(segment.stores) > 0}
 	destination := p.relay.options.Links.State(t.entry.Address, now)
 	for _, stored := range segment.stores {
-		p.considerSource(&best, destination, segment, source{address: stored.Address, chance: 1, copyTime: stored.TransferTime(t.entry.Domain), deadline: stored.Until}, now)
+		p.considerSource(&best, destination, segment, source{address: stored.Address, probability: 1, copyTime: stored.TransferTime(t.entry.Domain), deadline: stored.Until}, now)
 	}
 	for _, h := range segment.holders {
 		if h.target == t.target {
-			best.cachedChance, best.depth = h.chance, h.depth
+			best.cachedProbability, best.depth = h.probability, h.depth
 			continue
 		}
 		if h.target.Health(now).Suspect || p.relay.options.Disabled.WorkerCopies {
 			continue
 		}
 		took := workerCopyLatency + table.LinkTime(segment.Tokens*svc.Engine.TokenBytes, svc.Engine.LinkBits)
-		p.considerSource(&best, destination, segment, source{address: h.target.Entry().Address, chance: h.chance, copyTime: took}, now)
+		p.considerSource(&best, destination, segment, source{address: h.target.Entry().Address, probability: h.probability, copyTime: took}, now)
 	}
 	return best
 }
@@ -125,13 +125,13 @@
 	if best.address != "" && p.copyCost(&candidate, segment) >= p.copyCost(best, segment) {
 		return
 	}
-	best.address, best.chance, best.copyTime, best.queueTime, best.deadline = candidate.address, candidate.chance, candidate.copyTime, candidate.queueTime, candidate.deadline
+	best.address, best.probability, best.copyTime, best.queueTime, best.deadline = candidate.address, candidate.probability, candidate.copyTime, candidate.queueTime, candidate.deadline
 }
 
 // copyCost returns the cost of a copy if the answer waits for nothing else.
 func (p *proxiedRequest) copyCost(src *source, segment *sharedSegment) float64 {
 	costs := &p.relay.options.Costs
-	cost := (1 - src.chance) * costs.RecomputePerToken * float64(segment.Tokens)
+	cost := (1 - src.probability) * costs.RecomputePerToken * float64(segment.Tokens)
 	if p.route.Aim > 0 {
 		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
 	}
@@ -174,33 +174,33 @@
 // not have it cached. Engines copy what a request lists, even what they have cached.
 func (p *proxiedRequest) copyWorthwhile(src *source, segment *sharedSegment) bool {
 	costs := &p.relay.options.Costs
-	gain := (1 - src.cachedChance) * src.chance * costs.RecomputePerToken * float64(segment.Tokens)
+	gain := (1 - src.cachedProbability) * src.probability * costs.RecomputePerToken * float64(segment.Tokens)
 	cost := costs.CopyPerToken * float64(segment.Tokens)
 	if p.route.Aim > 0 {
 		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
 	}
-	return src.cachedChance == 0 || (gain > cost && !p.relay.options.Disabled.SpareCopies)
+	return src.cachedProbability == 0 || (gain > cost && !p.relay.options.Disabled.SpareCopies)
 }
 
-// applyTo sets a candidate's copy time, and how many of its tokens are expected to be cached, copied
-// and prefilled again.
+// applyTo sets a candidate's copy time, and how many of its tokens are expected to be cached,
+// copied and prefilled again.
 func (pl *segmentPlan) applyTo(c *route.Candidate, segments []sharedSegment) {
 	c.CopyTime = pl.copyTime
-	prefixChance, cached, copied, recomputed := 1.0, 0.0, 0.0, 0.0
+	prefixProbability, cached, copied, recomputed := 1.0, 0.0, 0.0, 0.0
 	for i, segment := range segments {
 		src, tokens := &pl.sources[i], float64(segment.Tokens)
 		// Segments after one that is prefilled are prefilled as well.
-		cachedChance, availableChance := prefixChance*src.cachedChance, prefixChance*src.cachedChance
+		cachedProbability, availableProbability := prefixProbability*src.cachedProbability, prefixProbability*src.cachedProbability
 		if i < pl.copyCount {
-			availableChance += (prefixChance - cachedChance) * src.chance
+			availableProbability += (prefixProbability - cachedProbability) * src.probability
 		}
-		cached += cachedChance * tokens
-		copied += (availableChance - cachedChance) * tokens
+		cached += cachedProbability * tokens
+		copied += (availableProbability - cachedProbability) * tokens
 		if segment.prefilledRecently || src.address != "" {
 			// A segment that can be copied was prefilled for some daemon's request.
-			recomputed += (1 - availableChance) * tokens
+			recomputed += (1 - availableProbability) * tokens
 		}
-		prefixChance = availableChance
+		prefixProbability = availableProbability
 	}
 	c.CachedTokens, c.CopiedTokens, c.RecomputedTokens = int(cached), int(copied), int(recomputed)
 }
--- a/core/relay/selfreport.go
+++ b/core/relay/selfreport.go
@@ -2,8 +2,8 @@
 
 import "embertally.dev/core/roster"
 
-// recordSelfReport records the self-reported state in the header of a target's response. It is called
-// for every response to a caller's request before any of it is passed on.
+// recordSelfReport records the self-reported state in the header of a target's response. It is
+// called for every response to a caller's request before any of it is passed on.
 func (p *proxiedRequest) recordSelfReport(c *choice, misdirected bool, respMeta *ResponseMeta) {
 	if !p.isFromTarget(c, misdirected, respMeta) {
 		return
@@ -19,12 +19,12 @@
 	}
 	if respMeta.Pushback > 0 || respMeta.BadPushback != "" {
 		p.relay.options.Stats.Pushbacks.Inc()
-		p.note("%s asks for pushback of %s%s", c.target.ID(), respMeta.Pushback, respMeta.BadPushback)
+		p.note("%s sent a pushback of %s%s", c.target.ID(), respMeta.Pushback, respMeta.BadPushback)
 		p.relay.options.Roster.RecordRejection(c.target.ID(), roster.Pushback{Duration: respMeta.Pushback, Invalid: respMeta.BadPushback})
 	}
 	if l := respMeta.RateLimit; l.Stated || l.Invalid != "" {
 		p.relay.options.Stats.ReportedRateLimit.Inc()
-		p.note("%s names a rate limit of %g per second%s", c.target.ID(), l.PerSecond, l.Invalid)
+		p.note("%s states a rate limit of %g per second%s", c.target.ID(), l.PerSecond, l.Invalid)
 	}
 	if p.relay.options.Roster.RecordLimit(c.target.ID(), respMeta.RateLimit, c.sentAt, respMeta.Signed && !respMeta.NotExecuted) {
 		// Until other daemons receive this they send at the previous rate.
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -34,9 +34,9 @@
 // String returns the reason as it appears in log lines.
 func (s UnavailabilityReason) String() string { return reasonNames[s] }
 
-// Availability is an immutable snapshot of the availability of all targets. Every way of sending consults
-// it when it chooses a target, and then Admit once a connection is open, so that a reason found by
-// one of them applies to all.
+// Availability is an immutable snapshot of the availability of all targets. Every way of sending
+// consults it when it chooses a target, and then Admit once a connection is open, so that a reason
+// found by one of them applies to all.
 type Availability struct {
 	at           time.Time
 	updating     map[string]bool
@@ -73,9 +73,9 @@
 	return a
 }
 
-// Reason returns why a target is unavailable, and for how much longer if that is known: what is left
-// of its pushback, the time until this daemon has a permit, or, as an estimate for an evacuation,
-// as long again as it has lasted.
+// Reason returns why a target is unavailable, and for how much longer if that is known: the
+// remaining time of its pushback, the time until this daemon has a permit, or, as an estimate for
+// an evacuation, as long again as it has lasted.
 func (a *Availability) Reason(t *Target) (UnavailabilityReason, time.Duration) {
 	return a.reason(t, a.updating[t.id], a.selfStatuses[t.id])
 }
@@ -106,13 +106,13 @@
 // RateLimited reports whether a target has a rate limit.
 func (a *Availability) RateLimited(t *Target) bool { return a.selfStatuses[t.id].limited }
 
-// Admit returns Available if a request may be sent to a target now, and counts it. It is called last,
-// once a connection is open: since the target was chosen, it may have reported to another request that it
-// is shutting down, under pushback or rate-limited. A request with a permit has already been
-// counted against the rate limit.
+// Admit returns Available if a request may be sent to a target now, and counts it. It is called
+// last, once a connection is open: since the target was chosen, it may have reported to another
+// request that it is shutting down, under pushback or rate-limited. A request with a permit has
+// already been counted against the rate limit.
 //
-// It looks at one target only, because an Availability allocates two maps, which is too much for each
-// request.
+// It looks at one target only, because an Availability allocates two maps, which is too much for
+// each request.
 func (r *Roster) Admit(t *Target, permit Permit) UnavailabilityReason {
 	now := time.Now()
 	r.rosterMu.Lock()
@@ -167,8 +167,8 @@
 	return ByList, t.Entry().ShuttingDown
 }
 
-// SelfUnavailable returns the targets of a service that are unavailable because they reported shutting down
-// or pushback.
+// SelfUnavailable returns the targets of a service that are unavailable because they reported
+// shutting down or pushback.
 func (r *Roster) SelfUnavailable(service string) []string {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/external.go
+++ b/core/roster/external.go
@@ -3,8 +3,8 @@
 import "time"
 
 // externalTargets are targets that this daemon's list does not contain. Another daemon, whose list
-// contains them, chose each of them for an attempt and sent its entry along. The zero value is
-// empty.
+// contains them, chose each of them for an attempt and sent its entry with the choice. The zero
+// value is empty.
 type externalTargets struct {
 	byID map[string]*externalTarget
 	// lastSweep is when unused ones were last removed.
@@ -68,8 +68,8 @@
 	return len(r.targets), len(r.external.byID)
 }
 
-// AddExternal returns the target of an entry that another daemon sent. If this daemon's list contains the
-// incarnation, the listed target is returned and the entry is ignored.
+// AddExternal returns the target of an entry that another daemon sent. If this daemon's list
+// contains the incarnation, the listed target is returned and the entry is ignored.
 func (r *Roster) AddExternal(e Entry) *Target {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/heartbeat.go
+++ b/core/roster/heartbeat.go
@@ -6,8 +6,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// HeartbeatPart is the roster's part of heartbeats: it sends other daemons what this one learns first about
-// targets, and receives the same from them.
+// HeartbeatPart is the roster's part of heartbeats: it sends other daemons what this one learns
+// first about targets, and receives the same from them.
 type HeartbeatPart struct{ *Roster }
 
 // heartbeatBody is the roster's part of a heartbeat.
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -23,23 +23,24 @@
 const (
 	// MaxPushback is the longest pushback that is honoured: the longest time that the users'
 	// specification names for anything (a lease of the coordination store). A longer one could
-	// exclude a target for good because of one wrong digit; after this time one request finds out.
+	// exclude a target for good because of one wrong digit; after this time one request is tried.
 	MaxPushback = 10 * time.Minute
 	// rampStep is the interval between the first attempts after a pushback, until one is accepted:
 	// the time for a new connection and a response header on a busy target. Without it all queued
 	// requests would go there at once, and a target that was about to recover would reject them
 	// again.
 	rampStep = 100 * time.Millisecond
-	// rampSteps is the number of such attempts before the target counts as any other.
+	// rampSteps is the number of such attempts, after which the target is treated as any other.
 	rampSteps = 10
 	// pushbackLogInterval is the minimum time between log lines about the pushback of one target. A
 	// target that rejects everything would otherwise cause a line for each request.
 	pushbackLogInterval = time.Second
 )
 
-// extend prolongs the pushback by a rejection with the duration d, and reports whether a new pushback starts and a
-// log line is due. Of two pushbacks the one that ends later applies: a target that sent
-// three seconds does not want requests after one second because a second rejection says so.
+// extend records a rejection with a pushback of d, and reports whether a new
+// pushback starts and a log line is due. Of two pushbacks the one that ends later applies: a target
+// that sent three seconds does not want requests after one second because a second rejection says
+// so.
 func (p *pushback) extend(d time.Duration, now clock.Time) bool {
 	starts := !now.Before(p.until)
 	if until := now.Add(min(d, MaxPushback)); until.After(p.until) {
@@ -64,7 +65,7 @@
 	return max(0, p.until.Add(time.Duration(p.rampAttempts)*rampStep).Sub(now))
 }
 
-// rampDone reports whether the target counts as any other.
+// rampDone reports whether the target is treated as any other.
 func (p *pushback) rampDone(now clock.Time) bool {
 	return p.until.IsZero() || now.Sub(p.until) >= rampSteps*rampStep
 }
@@ -89,21 +90,21 @@
 	return logged
 }
 
-// PushbackList holds the pushback of targets by name, for callers without a Roster. The zero value is
-// ready to use.
+// PushbackList holds the pushback of targets by name, for callers without a Roster. The zero value
+// is ready to use.
 type PushbackList struct {
 	pushbacksMu sync.Mutex
 	byName      map[string]*incarnationPushback // guarded by pushbacksMu
 }
 
-// namedPushback is the pushback of one incarnation of a target.
+// incarnationPushback is the pushback of one incarnation of a target.
 type incarnationPushback struct {
 	incarnation string // "" if unknown
 	pushback
 }
 
-// RecordRejection records that an incarnation of a target rejected a request with a pushback of d. It
-// reports whether a log line is due for that.
+// RecordRejection records that an incarnation of a target rejected a request with a pushback of d.
+// It reports whether a log line is due for that.
 func (r *PushbackList) RecordRejection(name, incarnation string, d time.Duration) bool {
 	if d <= 0 {
 		return false
@@ -121,8 +122,8 @@
 	return p.extend(d, clock.Now())
 }
 
-// RecordAccepted records that a target accepted a request. It reports whether that ended a ramp and a log
-// line is due for it.
+// RecordAccepted records that a target accepted a request. It reports whether that ended a ramp and
+// a log line is due for it.
 func (r *PushbackList) RecordAccepted(name string) bool {
 	r.pushbacksMu.Lock()
 	defer r.pushbacksMu.Unlock()
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -45,12 +45,12 @@
 type limitState struct {
 	active    bool
 	perSecond float64
-	// seq orders the changes of all daemons: each change gets a number one above the highest that
-	// its daemon has seen.
+	// seq orders the changes of all daemons: each change gets the highest number that its daemon
+	// has seen, plus 1.
 	seq uint64
 	// changed is when this daemon received the last change, or a peer last sent it a limit that has
 	// ended. lastStated is when it last received a response that states the rate. A response to a
-	// request sent before them is not newer.
+	// request that was sent before either of them does not supersede the limit.
 	changed, lastStated clock.Time
 	// lastLogged is when the last log line about the limit was written.
 	lastLogged clock.Time
@@ -123,8 +123,8 @@
 // Permit is a permit to send one request to a target. The zero value belongs to a request whose
 // target had no rate limit when it was chosen.
 type Permit struct {
-	// Taken means that a permit was taken. Remote means that another daemon chose the target, and so
-	// decided about the permit.
+	// Taken means that a permit was taken. Remote means that another daemon chose the target, and
+	// so decided about the permit.
 	Taken, Remote bool
 	// seq is the limit's seq when the permit was taken here; 0 if it was taken elsewhere.
 	seq uint64
--- a/core/roster/restored.go
+++ b/core/roster/restored.go
@@ -14,8 +14,8 @@
 // once its entry changes or has stayed for staleEntryTime.
 
 // staleEntryTime is how long an entry of a removed incarnation is not accepted. It is longer than a
-// target continues to serve after its shutdown was announced, and than the platform keeps an entry
-// that nobody renews.
+// target continues to serve after its shutdown was announced, and longer than the platform keeps
+// an entry that nobody renews.
 const staleEntryTime = 10 * time.Second
 
 // removedIncarnation is an incarnation that is no longer listed.
@@ -61,8 +61,8 @@
 	}
 }
 
-// RecordMissing records that a list restored from an older copy lacks a target. The target is kept for as
-// long as its entry may take to be written again, unless it is shutting down.
+// RecordMissing records that a list restored from an older copy lacks a target. The target is kept
+// for as long as its entry may take to be written again, unless it is shutting down.
 func (r *Roster) RecordMissing(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// RecordReplaced records that another incarnation responds in place of the given one: the target has
-// restarted, but the list does not show it yet. Until it does, the target gets no requests.
+// RecordReplaced records that another incarnation responds in place of the given one: the target
+// has restarted, but the list does not show it yet. Until it does, the target gets no requests.
 func (r *Roster) RecordReplaced(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -233,7 +233,7 @@
 	next, exists := r.outOfOrder[name]
 	r.remove(t)
 	r.replaced[name] = id
-	r.log.Emit(event.TargetSuspect, event.Ref{Target: id}, "another incarnation of it answers")
+	r.log.Emit(event.TargetSuspect, event.Ref{Target: id}, "another incarnation of it responds")
 	if exists {
 		r.add(next)
 	}
@@ -265,8 +265,8 @@
 	time.AfterFunc(duration, func() { r.removeLapsed(t.id) })
 }
 
-// RemoveUnusable records that a name's entry is unusable, as another writer may leave it. Unlike with a
-// missing entry, the target is removed at once.
+// RemoveUnusable records that a name's entry is unusable, as another writer may leave it. Unlike
+// with a missing entry, the target is removed at once.
 func (r *Roster) RemoveUnusable(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -276,8 +276,8 @@
 	}
 }
 
-// MakeExternal records that this daemon's list no longer contains a target, which other daemons may still
-// list. The target becomes an external one.
+// MakeExternal records that this daemon's list no longer contains a target, which other daemons may
+// still list. The target becomes an external one.
 func (r *Roster) MakeExternal(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -332,8 +332,8 @@
 // arrive in bursts. It is called with rosterMu held.
 func (r *Roster) invalidateLists() { r.byService.Store(nil) }
 
-// ByService returns the targets of a service, including those that are shutting down, ordered by ID. The
-// list must not be changed; the same one is returned until the targets change.
+// ByService returns the targets of a service, including those that are shutting down, ordered by
+// ID. The list must not be changed; the same one is returned until the targets change.
 func (r *Roster) ByService(service string) []*Target {
 	if byService := r.byService.Load(); byService != nil {
 		return (*byService)[service]
--- a/core/roster/selfreport.go
+++ b/core/roster/selfreport.go
@@ -37,8 +37,8 @@
 }
 
 // selfReportTTL is how long an incarnation's report is kept after its entry disappeared, in case
-// the entry returns. It is longer than any observed outage of the list (20 s) and than a target
-// continues to serve after its shutdown was announced.
+// the entry returns. It is longer than any observed outage of the list (20 s), and longer than a
+// target continues to serve after its shutdown was announced.
 const selfReportTTL = time.Hour
 
 // selfReportOf returns an incarnation's report for modification, and creates it if needed. It is
@@ -59,8 +59,8 @@
 	return report
 }
 
-// RecordShutdown records that an incarnation reported that it is shutting down, and the source of the
-// report. It returns whether this is new.
+// RecordShutdown records that an incarnation reported that it is shutting down, and the source of
+// the report. It returns whether this is new.
 func (r *Roster) RecordShutdown(id string, source Source) bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -102,12 +102,12 @@
 	return out
 }
 
-// shutdownRecallTime is how far back RecentShutdowns reaches. It is longer than the time whose writes
-// are lost when a coordination store is restored from a copy.
+// shutdownRecallTime is how far back RecentShutdowns reaches. It is longer than the time whose
+// writes are lost when a coordination store is restored from a copy.
 const shutdownRecallTime = time.Minute
 
-// RecentShutdowns returns the incarnations that recently reported shutting down, whether still listed
-// or not.
+// RecentShutdowns returns the incarnations that recently reported shutting down, whether still
+// listed or not.
 func (r *Roster) RecentShutdowns() []string {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -148,8 +148,8 @@
 	r.log.Emit(event.TargetUnreadable, event.Ref{Target: id}, text)
 }
 
-// RecordAccepted records that an incarnation accepted a request. This ends the ramp after a pushback, but not
-// the pushback itself.
+// RecordAccepted records that an incarnation accepted a request. This ends the ramp after a
+// pushback, but not the pushback itself.
 func (r *Roster) RecordAccepted(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -158,8 +158,8 @@
 	}
 }
 
-// SelfReportCounts returns how many listed targets reported shutting down in a response or through a
-// peer, and how many are under pushback.
+// SelfReportCounts returns how many listed targets reported shutting down in a response or through
+// a peer, and how many are under pushback.
 func (r *Roster) SelfReportCounts() (shuttingDown, underPushback int) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/updates.go
+++ b/core/roster/updates.go
@@ -6,8 +6,8 @@
 	"embertally.dev/core/event"
 )
 
-// BeginUpdate records that a target has a weight update pending until a deadline, so that it gets no new
-// work. Other daemons are notified of it until EndUpdate.
+// BeginUpdate records that a target has a weight update pending until a deadline, so that it gets
+// no new work. Other daemons are notified of it until EndUpdate.
 func (r *Roster) BeginUpdate(id string, until time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -17,7 +17,7 @@
 }
 
 // setPeerUpdating replaces the targets for which a peer reports a pending weight update, each with
-// the milliseconds left. It is called with rosterMu held.
+// the milliseconds remaining. It is called with rosterMu held.
 func (r *Roster) setPeerUpdating(peer string, millis map[string]int64, now time.Time) {
 	delete(r.peerUpdating, peer)
 	if len(millis) == 0 {
@@ -84,8 +84,8 @@
 	}
 }
 
-// RecordReloading records that a target rejects work while it changes its weights. Other daemons are
-// notified. Unlike BeginUpdate, it does not count as a weight update that this daemon recorded.
+// RecordReloading records that a target rejects work while it changes its weights. Other daemons
+// are notified. Unlike BeginUpdate, it does not count as a weight update that this daemon recorded.
 func (r *Roster) RecordReloading(id string, until time.Time) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/route/pick.go
+++ b/core/route/pick.go
@@ -10,32 +10,32 @@
 // Pick returns the index of the best candidate and its evaluation, or -1 if there are
 // no candidates. Candidates whose CallerUtility is not above 0 are selected only if
 // that holds for all. random is in [0, 1).
-func Pick(a *PickRequest, list []Candidate, e *learn.Estimate, p *CostModel, random float64) (int, Evaluation) {
+func Pick(req *PickRequest, list []Candidate, e *learn.Estimate, m *CostModel, random float64) (int, Evaluation) {
 	if len(list) == 0 {
 		return -1, Evaluation{}
 	}
 	evaluated := make([]Evaluation, len(list))
 	best := 0
 	for i := range list {
-		evaluated[i] = Evaluate(a, &list[i], e, p)
+		evaluated[i] = Evaluate(req, &list[i], e, m)
 		if better(&evaluated[i], &evaluated[best]) {
 			best = i
 		}
 	}
-	threshold := evaluated[best].NetUtility - tieMargin*p.Utility(a.Tokens)
+	threshold := evaluated[best].NetUtility - tieMargin*m.Utility(req.Tokens)
 	ties := 0
-	for _, j := range evaluated {
-		if j.NetUtility >= threshold && (j.CallerUtility > 0 || evaluated[best].CallerUtility <= 0) {
+	for _, ev := range evaluated {
+		if ev.NetUtility >= threshold && (ev.CallerUtility > 0 || evaluated[best].CallerUtility <= 0) {
 			ties++
 		}
 	}
 	skip := int(random * float64(ties))
-	for i, j := range evaluated {
-		if j.NetUtility < threshold || (j.CallerUtility <= 0 && evaluated[best].CallerUtility > 0) {
+	for i, ev := range evaluated {
+		if ev.NetUtility < threshold || (ev.CallerUtility <= 0 && evaluated[best].CallerUtility > 0) {
 			continue
 		}
 		if skip == 0 {
-			return i, j
+			return i, ev
 		}
 		skip--
 	}
--- a/core/route/place.go
+++ b/core/route/place.go
@@ -52,13 +52,13 @@
 	// cached.
 	CachedBlocks int
 	// QueuedTokens is the projected number of tokens to prefill before this
-	// request: the reported queue, corrected by what was sent since.
+	// request: the reported queue, corrected by the requests sent since.
 	QueuedTokens int
 	// FreeBlocks is the number of blocks that fit into the worker's memory beside the
 	// requests that this daemon sent it and that have no first token yet; zero
 	// means unknown.
 	FreeBlocks int
-	// Running is the number of answers being generated.
+	// Running is the number of responses being generated.
 	Running int
 	// PrefillPerSecond is the prefill speed in tokens per second.
 	PrefillPerSecond float64
@@ -135,7 +135,7 @@
 // maxReported bounds the options that a decision reports.
 const maxReported = 5
 
-// slowdownPerRunning is the share by which each running answer slows a prefill.
+// slowdownPerRunning is the share by which each running response slows a prefill.
 const slowdownPerRunning = 0.02
 
 // Place selects a worker and an import for a request.
@@ -202,8 +202,8 @@
 }
 
 // setCost sets the total cost of an option.
-func (o *Option) setCost(p CostWeights) {
-	o.Cost = p.FirstToken*o.Expected.Seconds() + p.SecondsPerToken*float64(o.Recomputed) + p.SecondsPerByte*float64(o.LinkBytes)
+func (o *Option) setCost(w CostWeights) {
+	o.Cost = w.FirstToken*o.Expected.Seconds() + w.SecondsPerToken*float64(o.Recomputed) + w.SecondsPerByte*float64(o.LinkBytes)
 }
 
 // appendVariants appends to out the options for one worker that differ in what is
@@ -216,18 +216,18 @@
 	if p == RoundRobin || p == LeastTokens || p == StickyHash {
 		return out
 	}
-	for _, k := range stored {
-		if k.Blocks <= w.CachedBlocks {
+	for _, c := range stored {
+		if c.Blocks <= w.CachedBlocks {
 			continue
 		}
-		all := Import{Store: k.Store, From: w.CachedBlocks, To: k.Blocks}
-		out = append(out, option(r, w, all, k))
+		all := Import{Store: c.Store, From: w.CachedBlocks, To: c.Blocks}
+		out = append(out, option(r, w, all, c))
 		if p == AlwaysImport || p == MostCached {
 			return append(out[:0], out[1])
 		}
-		if n := blocksWhileQueued(recompute.Queue, k); n > 0 && n < all.Blocks() {
-			partial := Import{Store: k.Store, From: w.CachedBlocks, To: w.CachedBlocks + n}
-			out = append(out, option(r, w, partial, k))
+		if n := blocksWhileQueued(recompute.Queue, c); n > 0 && n < all.Blocks() {
+			partial := Import{Store: c.Store, From: w.CachedBlocks, To: w.CachedBlocks + n}
+			out = append(out, option(r, w, partial, c))
 		}
 	}
 	return out
@@ -235,25 +235,25 @@
 
 // blocksWhileQueued returns the number of blocks that can be read from a store
 // while the request is queued at the worker.
-func blocksWhileQueued(queue time.Duration, k StoredContext) int {
-	if k.BlockBytes == 0 {
+func blocksWhileQueued(queue time.Duration, c StoredContext) int {
+	if c.BlockBytes == 0 {
 		return 0
 	}
-	bytes := (queue-k.Latency).Seconds()*k.LinkBytesPerSecond - float64(k.BacklogBytes)
-	return int(bytes / float64(k.BlockBytes))
+	bytes := (queue-c.Latency).Seconds()*c.LinkBytesPerSecond - float64(c.BacklogBytes)
+	return int(bytes / float64(c.BlockBytes))
 }
 
 // option estimates the times of serving a request on a worker after an import. Its
 // cost is not set.
-func option(r Request, w Worker, im Import, k StoredContext) Option {
+func option(r Request, w Worker, im Import, c StoredContext) Option {
 	speed := w.PrefillPerSecond / (1 + slowdownPerRunning*float64(w.Running))
 	o := Option{Worker: w.Name, Import: im}
 	o.Queue = seconds(float64(w.QueuedTokens) / speed)
 	cached := w.CachedBlocks
 	evicted := w.FreeBlocks != 0 && w.FreeBlocks < r.Blocks
 	if im.Blocks() > 0 {
-		o.LinkBytes = int64(im.Blocks()) * k.BlockBytes
-		o.Transfer = k.Latency + seconds(float64(k.BacklogBytes+o.LinkBytes)/k.LinkBytesPerSecond)
+		o.LinkBytes = int64(im.Blocks()) * c.BlockBytes
+		o.Transfer = c.Latency + seconds(float64(c.BacklogBytes+o.LinkBytes)/c.LinkBytesPerSecond)
 		cached = im.To
 	}
 	if evicted {
--- a/core/route/retry_budget.go
+++ b/core/route/retry_budget.go
@@ -26,45 +26,45 @@
 type retryBucket struct{ requests, retries int }
 
 // advance moves to the bucket of now and clears the buckets that it enters.
-func (a *RetryBudget) advance(now time.Duration) {
-	bucket := int64(now / (a.Window / windowBuckets))
-	if bucket-a.current > int64(len(a.buckets)) {
-		a.buckets = [windowBuckets + 1]retryBucket{}
-		a.current = bucket
+func (r *RetryBudget) advance(now time.Duration) {
+	bucket := int64(now / (r.Window / windowBuckets))
+	if bucket-r.current > int64(len(r.buckets)) {
+		r.buckets = [windowBuckets + 1]retryBucket{}
+		r.current = bucket
 	}
-	for ; a.current < bucket; a.current++ {
-		a.buckets[(a.current+1)%int64(len(a.buckets))] = retryBucket{}
+	for ; r.current < bucket; r.current++ {
+		r.buckets[(r.current+1)%int64(len(r.buckets))] = retryBucket{}
 	}
 }
 
 // currentBucket returns the bucket being filled.
-func (a *RetryBudget) currentBucket() *retryBucket {
-	return &a.buckets[a.current%int64(len(a.buckets))]
+func (r *RetryBudget) currentBucket() *retryBucket {
+	return &r.buckets[r.current%int64(len(r.buckets))]
 }
 
 // RecordRequest records a request.
-func (a *RetryBudget) RecordRequest(now time.Duration) {
-	if a.Window <= 0 {
+func (r *RetryBudget) RecordRequest(now time.Duration) {
+	if r.Window <= 0 {
 		return
 	}
-	a.advance(now)
-	a.currentBucket().requests++
+	r.advance(now)
+	r.currentBucket().requests++
 }
 
 // TryRetry reports whether a retry is allowed, and records it if so.
-func (a *RetryBudget) TryRetry(now time.Duration) bool {
-	if a.Window <= 0 {
+func (r *RetryBudget) TryRetry(now time.Duration) bool {
+	if r.Window <= 0 {
 		return false
 	}
-	a.advance(now)
+	r.advance(now)
 	requests, retries := 0, 0
-	for _, b := range a.buckets {
+	for _, b := range r.buckets {
 		requests += b.requests
 		retries += b.retries
 	}
-	if float64(retries+1) > a.RetriesPerRequest*float64(requests)+a.ExtraRetries {
+	if float64(retries+1) > r.RetriesPerRequest*float64(requests)+r.ExtraRetries {
 		return false
 	}
-	a.currentBucket().retries++
+	r.currentBucket().retries++
 	return true
 }
--- a/core/route/retry_throttle.go
+++ b/core/route/retry_throttle.go
@@ -3,7 +3,7 @@
 // RetryThrottle throttles retries to a share of the requests, so that retries do not
 // amplify an overload. The zero value allows retryBurst retries.
 type RetryThrottle struct {
-	// spent is incremented by 1 with each retry and decremented by retryShare with
+	// used is incremented by 1 with each retry and decremented by retryShare with
 	// each request, down to 0; a retry is allowed while it is below retryBurst.
 	used float64
 }
@@ -16,14 +16,14 @@
 )
 
 // RecordRequest records a request.
-func (b *RetryThrottle) RecordRequest() { b.used = max(0, b.used-retryShare) }
+func (t *RetryThrottle) RecordRequest() { t.used = max(0, t.used-retryShare) }
 
 // TryRetry reports whether a retry is allowed, and records it if so.
-func (b *RetryThrottle) TryRetry() bool {
-	if b.used >= retryBurst {
+func (t *RetryThrottle) TryRetry() bool {
+	if t.used >= retryBurst {
 		return false
 	}
-	b.used++
+	t.used++
 	return true
 }
 
--- a/core/route/utility.go
+++ b/core/route/utility.go
@@ -33,7 +33,7 @@
 
 // Utility returns the utility of an answer within its latency objective to a prompt of
 // some tokens; plain calls have 0 tokens.
-func (p *CostModel) Utility(tokens int) float64 { return 1 + p.UtilityPerToken*float64(tokens) }
+func (m *CostModel) Utility(tokens int) float64 { return 1 + m.UtilityPerToken*float64(tokens) }
 
 // PickRequest describes a request to Pick.
 type PickRequest struct {
@@ -92,14 +92,14 @@
 }
 
 // Factors returns the inputs of the time to the first answer at a candidate.
-func (c *Candidate) Factors(a *PickRequest) learn.Factors {
+func (c *Candidate) Factors(req *PickRequest) learn.Factors {
 	slots := float64(max(1, c.Slots))
 	f := learn.Factors{
-		OwnTokens: max(0, a.Tokens-c.CachedTokens-c.CopiedTokens), QueuedTokens: c.QueuedTokens,
+		OwnTokens: max(0, req.Tokens-c.CachedTokens-c.CopiedTokens), QueuedTokens: c.QueuedTokens,
 		Utilisation: min(1, float64(c.Running)/slots), QueuedPerSlot: max(0, float64(c.Running+1)/slots-1),
 	}
 	if c.MemoryTokens > 0 {
-		f.MemoryPressure = memoryPressure(c, a.Tokens)
+		f.MemoryPressure = memoryPressure(c, req.Tokens)
 	}
 	return f
 }
@@ -115,8 +115,8 @@
 )
 
 // memoryPressure returns the probability that a target's memory is full when a
-// request's turn comes; above 1 the requests do not fit. As in a queue with c servers
-// of utilisation s, it grows with s to the power of c. The memory is divided into
+// request's turn comes; above 1 the requests do not fit. As in a queue with n servers
+// of utilisation u, it grows with u to the power of n. The memory is divided into
 // slots of the size of the requests that occupy it.
 func memoryPressure(c *Candidate, tokens int) float64 {
 	if c.OccupiedTokens <= 0 {
@@ -145,8 +145,8 @@
 }
 
 // Evaluate estimates the time and the utility of serving a request at a candidate.
-func Evaluate(a *PickRequest, c *Candidate, e *learn.Estimate, p *CostModel) Evaluation {
-	f := c.Factors(a)
+func Evaluate(req *PickRequest, c *Candidate, e *learn.Estimate, m *CostModel) Evaluation {
+	f := c.Factors(req)
 	queueing, service := e.Components(f)
 	slowdown := max(c.Slowdown, 0)
 	if slowdown == 0 {
@@ -154,45 +154,45 @@
 	}
 	wait := time.Duration(slowdown * float64(queueing))
 	work := time.Duration(slowdown * float64(service))
-	j := Evaluation{Expected: max(wait, c.CopyTime) + work, WithinObjective: 1}
-	expected := max(j.Expected, time.Microsecond).Seconds()
-	if a.Objective > 0 {
-		j.WithinObjective = e.Chance((a.Objective - a.Elapsed).Seconds() / expected)
+	ev := Evaluation{Expected: max(wait, c.CopyTime) + work, WithinObjective: 1}
+	expected := max(ev.Expected, time.Microsecond).Seconds()
+	if req.Objective > 0 {
+		ev.WithinObjective = e.Chance((req.Objective - req.Elapsed).Seconds() / expected)
 	}
-	j.BeforeDeadline = max(j.WithinObjective, e.Chance(a.Remaining.Seconds()/expected))
-	utility := p.Utility(a.Tokens)
-	j.CallerUtility = utility * (1 - c.FailureShare) * (p.PastObjectiveShare*j.BeforeDeadline + (1-p.PastObjectiveShare)*j.WithinObjective)
+	ev.BeforeDeadline = max(ev.WithinObjective, e.Chance(req.Remaining.Seconds()/expected))
+	utility := m.Utility(req.Tokens)
+	ev.CallerUtility = utility * (1 - c.FailureShare) * (m.PastObjectiveShare*ev.BeforeDeadline + (1-m.PastObjectiveShare)*ev.WithinObjective)
 	// Tokens that do not fit into memory evict cached segments of later requests.
-	j.CallerUtility -= p.RecomputePerToken * f.MemoryPressure * float64(a.Tokens)
-	if a.Objective > 0 {
+	ev.CallerUtility -= m.RecomputePerToken * f.MemoryPressure * float64(req.Tokens)
+	if req.Objective > 0 {
 		// Other requests wait for its work as well, as long as there is a queue.
-		j.CallerUtility -= a.UtilityRate * (1 - p.PastObjectiveShare) * work.Seconds() * wait.Seconds() / a.Objective.Seconds()
+		ev.CallerUtility -= req.UtilityRate * (1 - m.PastObjectiveShare) * work.Seconds() * wait.Seconds() / req.Objective.Seconds()
 	}
-	j.NetUtility = j.CallerUtility - servingCost(a, c, p, utility)
-	if a.Objective > 0 {
-		j.NetUtility -= utility * p.DelayPenalty * expected / a.Objective.Seconds()
+	ev.NetUtility = ev.CallerUtility - servingCost(req, c, m, utility)
+	if req.Objective > 0 {
+		ev.NetUtility -= utility * m.DelayPenalty * expected / req.Objective.Seconds()
 	}
-	return j
+	return ev
 }
 
 // headBytes is the approximate size of the headers of a request and its response.
 const headBytes = 1500
 
-// bytesPerMegabyte converts sizes in bytes to the unit of CostModel.CrossDomainPerMiB.
-const bytesPerMegabyte = 1 << 20
+// bytesPerMiB converts sizes in bytes to the unit of CostModel.CrossDomainPerMiB.
+const bytesPerMiB = 1 << 20
 
 // servingCost returns the cost of serving a request at a candidate that does not
 // depend on its load.
-func servingCost(a *PickRequest, c *Candidate, p *CostModel, utility float64) float64 {
-	cost := p.RecomputePerToken*float64(c.RecomputedTokens) + p.CopyPerToken*float64(c.CopiedTokens)
+func servingCost(req *PickRequest, c *Candidate, m *CostModel, utility float64) float64 {
+	cost := m.RecomputePerToken*float64(c.RecomputedTokens) + m.CopyPerToken*float64(c.CopiedTokens)
 	if c.OldWeights {
-		cost += p.OldWeightsPenalty * utility
+		cost += m.OldWeightsPenalty * utility
 	}
 	if c.CrossDomain {
-		cost += p.CrossDomainPerMiB * float64(a.Bytes+headBytes) / bytesPerMegabyte
+		cost += m.CrossDomainPerMiB * float64(req.Bytes+headBytes) / bytesPerMiB
 	}
 	if c.NoConnection {
-		cost += p.NewConnectionCost
+		cost += m.NewConnectionCost
 	}
 	if c.Lapsed {
 		// A target that may have been removed is the last choice.
--- a/core/route/warmup.go
+++ b/core/route/warmup.go
@@ -9,20 +9,20 @@
 
 // WarmupShare returns the number of requests per second that one daemon may send to a target
 // that is warming up. maxRate is the target's warm-up rate: what it may get per second from
-// all daemons together. index is this daemon's position among the daemons that may send to
+// all daemons together. rank is this daemon's rank, from 0, among the daemons that may send to
 // the target. Daemons don't coordinate: each computes its share from the list of boxes, and
 // unused shares are not redistributed.
 //
 // It guards against the overload of workers that return at the same time: in a failure domain
 // of 28 workers each sustains 26 requests per second in its first three seconds, and without
 // a limit the idle ones would get most of the 1,225 that arrive.
-func WarmupShare(maxRate float64, daemons, index int) int {
+func WarmupShare(maxRate float64, daemons, rank int) int {
 	if daemons <= 0 {
 		return 0
 	}
 	n := int(maxRate / ConcurrentViews)
 	share := n / daemons
-	if index < n%daemons {
+	if rank < n%daemons {
 		share++
 	}
 	return share
@@ -41,17 +41,17 @@
 const warmupWindow = 1050 * time.Millisecond
 
 // Allows reports whether another attempt is allowed if at most share are per second.
-func (p *WarmupLimiter) Allows(share int, now time.Time) bool {
-	for len(p.sent) > 0 && now.Sub(p.sent[0]) >= warmupWindow {
-		p.sent = p.sent[1:]
+func (l *WarmupLimiter) Allows(share int, now time.Time) bool {
+	for len(l.sent) > 0 && now.Sub(l.sent[0]) >= warmupWindow {
+		l.sent = l.sent[1:]
 	}
-	return len(p.sent) < share
+	return len(l.sent) < share
 }
 
 // RecordAttempt records an attempt.
-func (p *WarmupLimiter) RecordAttempt(now time.Time) { p.sent = append(p.sent, now) }
+func (l *WarmupLimiter) RecordAttempt(now time.Time) { l.sent = append(l.sent, now) }
 
 // Idle reports whether there was no attempt within the window.
-func (p *WarmupLimiter) Idle(now time.Time) bool {
-	return len(p.sent) == 0 || now.Sub(p.sent[len(p.sent)-1]) >= warmupWindow
+func (l *WarmupLimiter) Idle(now time.Time) bool {
+	return len(l.sent) == 0 || now.Sub(l.sent[len(l.sent)-1]) >= warmupWindow
 }
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -32,17 +32,17 @@
 	maxShuttingDown = 1024
 )
 
-// AppliedValues holds the applied values that operators have written, by key of the coordination store.
-// After the store was restored from an older copy, daemons that have only read the copy get the
-// values that it lacks from peers, and which targets are shutting down.
+// AppliedValues holds the applied values that operators have written, by key of the coordination
+// store. After the store was restored from an older copy, daemons that have only read the copy get
+// the values that it lacks from peers, and which targets are shutting down.
 type AppliedValues struct {
 	watchCache *plat.Mirror
 	fleet      *fleet.Fleet
 	transfers  *transfers
 	log        *event.Log
-	// ShuttingDown, if set, returns the incarnations of targets that recently reported that they are
-	// shutting down; OnShuttingDown is called with those that a peer names. Both are set before the
-	// fleet runs.
+	// ShuttingDown, if set, returns the incarnations of targets that recently reported that they
+	// are shutting down; OnShuttingDown is called with those that a peer names. Both are set before
+	// the fleet runs.
 	ShuttingDown   func() []string
 	OnShuttingDown func(incarnation string)
 
--- a/core/spread/relays.go
+++ b/core/spread/relays.go
@@ -144,8 +144,8 @@
 	return r
 }
 
-// WatchingDaemons returns the daemons that watch the store by rank, for this daemon's cell or, where there are
-// watch relays, for the fleet.
+// WatchingDaemons returns the daemons that watch the store by rank, for this daemon's cell or,
+// where there are watch relays, for the fleet.
 func (s *WatchCacheSync) WatchingDaemons() []string {
 	view := s.fleet.View()
 	if view.Cells() < minCellsForRelays {
--- a/core/spread/shards.go
+++ b/core/spread/shards.go
@@ -227,8 +227,8 @@
 	return shardVersion{s.fleet.View(), s.watchCache.Shard()}
 }
 
-// InOwnCell reports whether a target of a sharded service belongs to this daemon's cell. While the cache
-// itself holds a shard, all its targets do, so that a change of shards leaves no gap.
+// InOwnCell reports whether a target of a sharded service belongs to this daemon's cell. While the
+// cache itself holds a shard, all its targets do, so that a change of shards leaves no gap.
 func (s *WatchCacheSync) InOwnCell(name, domain string) bool {
 	return s.watchCache.Shard() != "" || s.fleet.View().Shard().Holds(name, domain)
 }
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -1,7 +1,7 @@
 // Package spread owns how configuration and the targets' entries reach every daemon: which
-// configuration sequence each peer has applied and so which daemons lack a change, which daemons watch
-// the coordination store, and how the others copy its changes from peers. It also owns what cells
-// share about targets: the contents of KV-cache stores and running weight updates.
+// configuration sequence each peer has applied and so which daemons lack a change, which daemons
+// watch the coordination store, and how the others copy its changes from peers. It also owns what
+// cells share about targets: the contents of KV-cache stores and running weight updates.
 //
 // It must not know what the configuration says.
 package spread
@@ -309,8 +309,8 @@
 	return out
 }
 
-// laggingCells returns the names of the other cells that have not published seq or a later sequence.
-// Where the store does not answer, it returns all of them.
+// laggingCells returns the names of the other cells that have not published seq or a later
+// sequence. Where the store does not answer, it returns all of them.
 func (s *ConfigReplicator) laggingCells(ctx context.Context, view *fleet.View, seq uint64) []string {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
@@ -341,11 +341,12 @@
 	return 0
 }
 
-// pollInterval is the time between two reads of the other cells' sequences while AwaitApplied waits.
+// pollInterval is the time between two reads of the other cells' sequences while AwaitApplied
+// waits.
 const pollInterval = 200 * time.Millisecond
 
-// AwaitApplied waits until every daemon and cell has applied seq, or ctx ends. It returns those that have
-// not.
+// AwaitApplied waits until every daemon and cell has applied seq, or ctx ends. It returns those
+// that have not.
 func (s *ConfigReplicator) AwaitApplied(ctx context.Context, seq uint64) []string {
 	for {
 		stateChanged := s.stateChangedChan()
--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -20,10 +20,10 @@
 
 const kindStoreIndex wire.Kind = "spread.shelf"
 
-// StoreIndexes keeps the index of what KV-cache stores hold. A store admits a few watchers at a time,
-// and each request is billed. In a larger fleet only a few daemons of the whole fleet may send
-// requests to a store; one of each cell sends its requests to the first of these, and publishes the
-// changes to the others of its cell in heartbeats.
+// StoreIndexes keeps the index of what KV-cache stores hold. A store admits a few watchers at a
+// time, and each request is billed. In a larger fleet only a few daemons of the whole fleet may
+// send requests to a store; one of each cell sends its requests to the first of these, and
+// publishes the changes to the others of its cell in heartbeats.
 type StoreIndexes struct {
 	direct cache.StoreClient
 	fleet  *fleet.Fleet
@@ -42,8 +42,8 @@
 	published, publishing map[string]publishedState
 }
 
-// NewStoreIndexes returns StoreIndexes that watch stores by way of direct. Serve must be called before it
-// is used.
+// NewStoreIndexes returns StoreIndexes that watch stores by way of direct. Serve must be called
+// before it is used.
 func NewStoreIndexes(direct cache.StoreClient, f *fleet.Fleet) *StoreIndexes {
 	return &StoreIndexes{
 		direct: direct, fleet: f, published: map[string]publishedState{}, publishing: map[string]publishedState{},
@@ -51,8 +51,8 @@
 	}
 }
 
-// Serve makes this daemon respond to requests of peers from indexes. It must be called before the fleet
-// runs.
+// Serve makes this daemon respond to requests of peers from indexes. It must be called before the
+// fleet runs.
 func (s *StoreIndexes) Serve(indexes *cache.StoreIndexes) {
 	s.indexes = indexes
 	s.fleet.Mux().Register(kindStoreIndex, wire.Handle(s.handleIndex))
@@ -88,8 +88,8 @@
 type indexResponse struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
-	// Epoch changes when the store restarts, which invalidates positions. Next is the position after
-	// Segments. Gap is set if changes before Segments are lost.
+	// Epoch changes when the store restarts, which invalidates positions. Next is the position
+	// after Segments. Gap is set if changes before Segments are lost.
 	Epoch    int64
 	Next     int64
 	Gap      bool
--- a/core/spread/storeindex_rank.go
+++ b/core/spread/storeindex_rank.go
@@ -77,8 +77,8 @@
 	return r
 }
 
-// AssignmentRank returns how many daemons come before this one for assignments at a store: in a large fleet
-// those that send requests to it come first.
+// AssignmentRank returns how many daemons come before this one for assignments at a store: in a
+// large fleet those that send requests to it come first.
 func (s *StoreIndexes) AssignmentRank(address string) int {
 	view := s.fleet.View()
 	watching := 0
--- a/core/spread/updates.go
+++ b/core/spread/updates.go
@@ -21,8 +21,8 @@
 	maxRemoteHold = 2 * time.Second
 )
 
-// WeightUpdateNotifier notifies the cell that uses a worker when a weight update of the worker is about to start,
-// while it runs, and when it has completed.
+// WeightUpdateNotifier notifies the cell that uses a worker when a weight update of the worker is
+// about to start, while it runs, and when it has completed.
 //
 // Heartbeats reach only the cell of the daemon that gives the order. Without a notice each daemon
 // of the worker's own cell would learn of the update only when the worker refuses a request.
@@ -54,8 +54,8 @@
 	Remaining time.Duration
 }
 
-// UpdateStarted notifies the worker's cell that a weight update is about to start or still runs, and takes
-// about the time remaining.
+// UpdateStarted notifies the worker's cell that a weight update is about to start or still runs,
+// and takes about the time remaining.
 func (s *WeightUpdateNotifier) UpdateStarted(t *roster.Target, model string, remaining time.Duration) {
 	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Remaining: remaining})
 }
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -21,8 +21,8 @@
 
 const kindChanges wire.Kind = "spread.mirror"
 
-// WatchCacheSync keeps this daemon's watch cache current while the coordination store does not answer it
-// or other daemons watch the store for it: it requests the changes from a peer.
+// WatchCacheSync keeps this daemon's watch cache current while the coordination store does not
+// answer it or other daemons watch the store for it: it requests the changes from a peer.
 type WatchCacheSync struct {
 	// started is when this daemon started.
 	started    clock.Time
@@ -37,8 +37,8 @@
 	// daemon's requests that a peer did not answer.
 	bytesSent, requestsFailed atomic.Int64
 
-	// EntryParser, if set, parses a pair as a target's entry; it returns false where the pair is none. It
-	// is set before Run.
+	// EntryParser, if set, parses a pair as a target's entry; it returns false where the pair is
+	// none. It is set before Run.
 	EntryParser func(plat.Pair) (Entry, bool)
 	entries     entryIndex
 
@@ -125,8 +125,8 @@
 	// shard before a request goes to a watch relay: the peers will soon change their shard as well.
 	maxShardMismatches = 20
 	// isolatedAfter is the cache age from which a daemon without a fresher peer in its cell
-	// requests changes from a watch relay. Only the daemons that do so for their cell start earlier:
-	// if all did, each relay would have twelve times as many clients just when it is slow.
+	// requests changes from a watch relay. Only the daemons that do so for their cell start
+	// earlier: if all did, each relay would have twelve times as many clients just when it is slow.
 	isolatedAfter = 3 * staleAfter
 	// maxResponseBytes bounds the keys and values of one response, so that its time limit fits its
 	// size: 38 ms on a link of 10 Mbit/s, 0.5 s where 11 peers request at once.
@@ -136,10 +136,10 @@
 	// freshnessSlack is by how much the times of one answer of the store may differ between
 	// daemons, due to the latency of the heartbeats and responses that report them.
 	freshnessSlack = 100 * time.Millisecond
-	// batchTimeSmall and batchTimeLarge are how long successive changes are batched in small and large
-	// fleets: each response of a watch is a billed call, and targets change their entries all the
-	// time. The users' bounds on a configuration change are 2 s on small fleets and 3 s on large
-	// ones.
+	// batchTimeSmall and batchTimeLarge are how long successive changes are batched in small and
+	// large fleets: each response of a watch is a billed call, and targets change their entries all
+	// the time. The users' bounds on a configuration change are 2 s on small fleets and 3 s on
+	// large ones.
 	batchTimeSmall = 150 * time.Millisecond
 	batchTimeLarge = 500 * time.Millisecond
 	// For startupPeriod after its start a daemon batches changes for batchTimeStartup: boxes that
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Bounds of waits: shortWait for what takes milliseconds, longWait for transfers over a slow link. The race
-// detector on a busy machine takes a hundred times as long.
+// Bounds of waits: shortWait for what takes milliseconds, longWait for transfers over a slow link.
+// The race detector on a busy machine takes a hundred times as long.
 const (
 	shortWait    = "60s"
 	longWait     = "120s"
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -19,11 +19,11 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MaxIdle, if positive, is the longest time that a reused connection may have been idle, so that
-	// the request does not go out on one that the target is about to close.
+	// MaxIdle, if positive, is the longest time that a reused connection may have been idle, so
+	// that the request does not go out on one that the target is about to close.
 	MaxIdle time.Duration
-	// BeforeWrite, if set, is called when a connection is open and nothing has been written yet. If it
-	// returns an error, nothing is written and the error is the cause of Send's.
+	// BeforeWrite, if set, is called when a connection is open and nothing has been written yet. If
+	// it returns an error, nothing is written and the error is the cause of Send's.
 	BeforeWrite func() error
 }
 
