--- a/core/relay/admit.go
+++ b/core/relay/admit.go
@@ -14,7 +14,7 @@
 	"embertally.dev/core/table"
 )
 
-// Times of refusals.
+// Retry-After times of refusals, and default limits.
 const (
 	// minRetryAfter is the least Retry-After, about the time of a new connection and a decision.
 	minRetryAfter = 100 * time.Millisecond
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -239,8 +239,8 @@
 // written.
 func (p *proxiedRequest) availabilityCheck(c *choice) func() error {
 	return func() error {
-		if stop := p.relay.options.Roster.Admit(c.target, c.permit); stop != roster.Available {
-			return &unavailableError{stop}
+		if reason := p.relay.options.Roster.Admit(c.target, c.permit); reason != roster.Available {
+			return &unavailableError{reason}
 		}
 		return nil
 	}
--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -87,8 +87,9 @@
 	return own, reason
 }
 
-// chooseLocal chooses among the targets whose load this daemon knows. It counts the load before the
-// next request is decided: concurrent requests would otherwise all choose the same idle target.
+// chooseLocal chooses among the targets whose load this daemon has recorded. It counts the load
+// before the next request is decided: concurrent requests would otherwise all choose the same idle
+// target.
 func (p *proxiedRequest) chooseLocal(svc *table.Service, now time.Time) (*choice, string) {
 	p.relay.chooseMu.Lock()
 	defer p.relay.chooseMu.Unlock()
@@ -108,8 +109,8 @@
 		candidates[i] = alternatives[i].candidate
 	}
 	input, estimate := p.routeInput(len(targets), share, now), p.estimate(now)
-	spot := route.PlacementInput{ContextHash: p.contextHash(), Turn: p.relay.choiceCount.Add(1), Random: randomFraction()}
-	index, evaluation := route.PickWith(p.placement(svc), &input, candidates, estimate, &p.relay.options.Costs, spot)
+	placementInput := route.PlacementInput{ContextHash: p.contextHash(), Turn: p.relay.choiceCount.Add(1), Random: randomFraction()}
+	index, evaluation := route.PickWith(p.placement(svc), &input, candidates, estimate, &p.relay.options.Costs, placementInput)
 	if index < 0 {
 		return nil, reason
 	}
@@ -130,8 +131,8 @@
 
 // alternatives returns the ways to serve a request. For each target these are copying the segments
 // that can be copied and, where the placement weighs costs, prefilling everything that the target
-// does not hold: a copy queued on a slow link makes a short prompt late whose prefill takes
-// milliseconds.
+// has not cached: a short prompt whose prefill takes milliseconds would miss its latency objective
+// while it waits for a copy queued on a slow link.
 func (p *proxiedRequest) alternatives(svc *table.Service, targets []eligibleTarget, now time.Time) []alternative {
 	out := make([]alternative, 0, 2*len(targets))
 	segmentsOf := map[int64][]sharedSegment{}
@@ -177,8 +178,8 @@
 	return fleet.Key(segments[len(segments)-1].ID)
 }
 
-// routeInput returns what a decision among some targets needs to know of the request. share is the
-// fraction of the service's targets that they were taken from.
+// routeInput returns the inputs that a decision among some targets takes from the request. share is
+// the fraction of the service's targets that they were taken from.
 func (p *proxiedRequest) routeInput(targets int, share float64, now time.Time) route.PickRequest {
 	out := route.PickRequest{
 		Tokens: p.meta.PromptTokens, Bytes: p.bodyBytes, Objective: p.route.Aim, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
@@ -190,7 +191,8 @@
 	return out
 }
 
-// candidate returns what a decision needs to know of a target, except for the shared segments.
+// candidate returns the inputs that a decision takes from a target, except for those of the shared
+// segments.
 func (p *proxiedRequest) candidate(svc *table.Service, t eligibleTarget) route.Candidate {
 	disabled := &p.relay.options.Disabled
 	c := route.Candidate{
--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -57,7 +57,7 @@
 func (p *proxiedRequest) eligibleTargets(svc *table.Service, list []*roster.Target, shared bool, now time.Time) ([]eligibleTarget, string) {
 	var out []eligibleTarget
 	availability, reloading := p.relay.options.Roster.Availability(now), p.relay.options.Roster.Reloading(now)
-	var rejected unavailability
+	var unavailable unavailability
 	list = p.applyRollout(list)
 	for _, t := range list {
 		if p.tried[t.ID()] > 0 {
@@ -65,51 +65,51 @@
 		}
 		candidate := eligibleTarget{target: t, entry: t.Entry(), health: t.Health(now), load: t.Load()}
 		if !p.domainAllowed(candidate.entry.Domain) {
-			rejected.outsideRegions++
+			unavailable.outsideRegions++
 			continue
 		}
 		if !p.versions.Allows(candidate.entry.Version) {
-			rejected.excludedVersions++
+			unavailable.excludedVersions++
 			continue
 		}
-		stop, duration := availability.Reason(t)
-		if stop == roster.Available && !shared && availability.RateLimited(t) {
+		reason, duration := availability.Reason(t)
+		if reason == roster.Available && !shared && availability.RateLimited(t) {
 			// Its rate limit is divided among other daemons.
-			stop = roster.RateLimited
+			reason = roster.RateLimited
 		}
-		if stop != roster.Available {
-			rejected.count(t.ID(), stop, duration)
-			if stop == roster.RateLimited {
-				rejected.rateLimitedTarget = t
+		if reason != roster.Available {
+			unavailable.count(t.ID(), reason, duration)
+			if reason == roster.RateLimited {
+				unavailable.rateLimitedTarget = t
 			}
 			continue
 		}
 		p.limitConnections(svc, candidate.entry.Address, false)
 		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) || p.relay.options.Pool.FreeCapacity(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
-			rejected.full++
+			unavailable.full++
 			continue
 		}
 		candidate.weightVersion = candidate.entry.Weights[p.meta.Model]
 		if svc.Engine != nil && reloading[t.ID()] && candidate.weightVersion < p.relay.options.DesiredWeights(p.meta.Model) {
-			rejected.full++
+			unavailable.full++
 			continue
 		}
 		candidate.state = p.relay.options.TargetStats.State(t.ID(), p.service, now)
 		if svc.Engine != nil && p.relay.options.WeightsOutdated(p.meta.Model, candidate.weightVersion) {
-			rejected.outdated++
+			unavailable.outdated++
 			continue
 		}
 		out = append(out, candidate)
 	}
 	out = p.preferVersion(out)
-	reason := rejected.reason()
-	p.skipped, p.rateLimited = rejected.skipped, rejected.rateLimitedTarget
+	reason := unavailable.reason()
+	p.skipped, p.rateLimited = unavailable.skipped, unavailable.rateLimitedTarget
 	switch {
 	case len(out) > 0:
 	case reason == allEvacuated:
-		p.expectedWait = rejected.evacuationAge
+		p.expectedWait = unavailable.evacuationAge
 	case endsAtKnownTime(reason):
-		p.expectedWait = rejected.untilAvailable
+		p.expectedWait = unavailable.untilAvailable
 	}
 	return out, reason
 }
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -23,7 +23,7 @@
 	outcomeCallerGone
 	// outcomeTimedOut: the deadline has passed.
 	outcomeTimedOut
-	// outcomeTruncated: part of the response was passed on and it cannot be completed.
+	// outcomeTruncated: part of the response was passed on, and the rest cannot be.
 	outcomeTruncated
 )
 
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -79,14 +79,14 @@
 // NewContextOwners makes a relay query the owners of contexts. It must be called before the fleet
 // runs and the relay serves.
 func NewContextOwners(rl *Relay, f *fleet.Fleet) *ContextOwners {
-	h := &ContextOwners{
+	co := &ContextOwners{
 		relay: rl, fleet: f, timeout: ownerTimeout, placements: map[string]*ownedPlacement{},
 		backoff: wait.Backoff[string]{First: backoffFirst, Most: backoffMax},
 	}
-	rl.owners = h
-	f.Mux().Register(kindPlace, wire.Handle(h.handlePlace))
-	f.Mux().Register(kindPlacementUpdate, wire.Handle(h.handleUpdate))
-	return h
+	rl.owners = co
+	f.Mux().Register(kindPlace, wire.Handle(co.handlePlace))
+	f.Mux().Register(kindPlacementUpdate, wire.Handle(co.handleUpdate))
+	return co
 }
 
 // placementRequest requests that another daemon choose a target for a request.
@@ -107,9 +107,9 @@
 	// Elapsed and Remaining are the times since the request arrived and until its deadline.
 	Elapsed, Remaining time.Duration
 	// Excluded are the targets of earlier attempts, and those that are unavailable to the sender by
-	// their self-reported state: the owner may not know that and would choose them again.
+	// their self-reported state: the owner may not have received that and would choose them again.
 	Excluded []string
-	// RateLimits are the rate limits of the service's targets as the sender knows them.
+	// RateLimits are the rate limits of the service's targets that the sender has recorded.
 	RateLimits map[string]roster.RateLimitUpdate
 	// NeedsPermit is set if the sender has no permit for the service's targets. Then a choice is
 	// useful even among targets that the sender uses itself.
@@ -138,13 +138,13 @@
 	CopyDeadline  time.Duration
 	StoreTo       []string
 	// The factors of the expected time; see learn.Factors.
-	PrefillTokens, QueuedTokens           int
-	Occupancy, QueueRatio, MemoryPressure float64
+	OwnTokens, QueuedTokens                    int
+	Utilisation, QueuedPerSlot, MemoryPressure float64
 	// The candidate's state and what is expected of it; see route.Candidate and route.Evaluation.
-	CachedTokens, CopiedTokens, Running, HeldTokens     int
-	Expected, Baseline                                  time.Duration
-	OnTimeProbability, ServedProbability, Gain, Utility float64
-	OnlyCandidate                                       bool
+	CachedTokens, CopiedTokens, Running, OccupiedTokens        int
+	Expected, Baseline                                         time.Duration
+	WithinObjective, BeforeDeadline, CallerUtility, NetUtility float64
+	OnlyCandidate                                              bool
 	// PermitHeld is set if the responder took a permit for the request, for a target with a rate
 	// limit.
 	PermitHeld bool
@@ -177,9 +177,9 @@
 	f, candidate, evaluation, e := &c.factors, &c.candidate, &c.evaluation, c.target.Entry()
 	return &placementResponse{
 		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.WeightVersion, CopyFrom: c.attemptMeta.CopyFrom, CopyDeadline: c.attemptMeta.CopyDeadline, StoreTo: c.attemptMeta.StoreTo,
-		PrefillTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Occupancy: f.Utilisation, QueueRatio: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
-		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens, Running: candidate.Running, HeldTokens: candidate.OccupiedTokens,
-		Expected: evaluation.Expected, Baseline: c.baseline, OnTimeProbability: evaluation.WithinObjective, ServedProbability: evaluation.BeforeDeadline, Gain: evaluation.CallerUtility, Utility: evaluation.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
+		OwnTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Utilisation: f.Utilisation, QueuedPerSlot: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
+		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens, Running: candidate.Running, OccupiedTokens: candidate.OccupiedTokens,
+		Expected: evaluation.Expected, Baseline: c.baseline, WithinObjective: evaluation.WithinObjective, BeforeDeadline: evaluation.BeforeDeadline, CallerUtility: evaluation.CallerUtility, NetUtility: evaluation.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
 		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Started, Slots: e.Slots}, ListAge: age,
 	}
 }
@@ -189,10 +189,10 @@
 	return &choice{
 		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Permit{Taken: r.PermitHeld, Remote: true},
 		attemptMeta: AttemptMeta{Target: r.Target, WeightVersion: r.WeightVersion, CopyFrom: r.CopyFrom, CopyDeadline: r.CopyDeadline, StoreTo: r.StoreTo},
-		load:        roster.Load{Running: 1, QueuedTokens: r.PrefillTokens, OccupiedTokens: tokens},
-		evaluation:  route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeProbability, BeforeDeadline: r.ServedProbability, CallerUtility: r.Gain, NetUtility: r.Utility},
-		factors:     learn.Factors{OwnTokens: r.PrefillTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Occupancy, QueuedPerSlot: r.QueueRatio, MemoryPressure: r.MemoryPressure},
-		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.HeldTokens, QueuedTokens: r.QueuedTokens},
+		load:        roster.Load{Running: 1, QueuedTokens: r.OwnTokens, OccupiedTokens: tokens},
+		evaluation:  route.Evaluation{Expected: r.Expected, WithinObjective: r.WithinObjective, BeforeDeadline: r.BeforeDeadline, CallerUtility: r.CallerUtility, NetUtility: r.NetUtility},
+		factors:     learn.Factors{OwnTokens: r.OwnTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Utilisation, QueuedPerSlot: r.QueuedPerSlot, MemoryPressure: r.MemoryPressure},
+		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.OccupiedTokens, QueuedTokens: r.QueuedTokens},
 	}
 }
 
@@ -218,11 +218,11 @@
 // and its choice is better than the local one, or else nil.
 func (p *proxiedRequest) chooseByOwner(ctx context.Context, svc *table.Service, local *choice) *choice {
 	now := time.Now()
-	h := p.relay.owners
-	if h == nil || svc.Engine == nil || p.relay.options.Disabled.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
+	co := p.relay.owners
+	if co == nil || svc.Engine == nil || p.relay.options.Disabled.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
 		return nil
 	}
-	peers := h.ownersOf(p.service, p.contextHash(), now)
+	peers := co.ownersOf(p.service, p.contextHash(), now)
 	if len(peers) == 0 {
 		return nil
 	}
@@ -237,14 +237,14 @@
 // has no target for it, or nil.
 func (p *proxiedRequest) chooseInOtherCell(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
-	h := p.relay.owners
-	if h == nil || now.Sub(p.cellsQueried) < ownerQueryInterval {
+	co := p.relay.owners
+	if co == nil || now.Sub(p.cellsQueried) < ownerQueryInterval {
 		return nil
 	}
 	p.cellsQueried = now
-	view := h.fleet.View()
+	view := co.fleet.View()
 	for _, cell := range view.NextCells() {
-		peers := h.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
+		peers := co.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
 		if c := p.chooseByPeers(ctx, svc, peers, now); c != nil {
 			return c
 		}
@@ -256,12 +256,12 @@
 // rate-limited here, or nil.
 func (p *proxiedRequest) chooseByPermit(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
-	h := p.relay.owners
-	if h == nil || p.relay.options.RankedDaemons == nil || p.rateLimited == nil || now.Sub(p.permitQueried) < ownerQueryInterval {
+	co := p.relay.owners
+	if co == nil || p.relay.options.RankedDaemons == nil || p.rateLimited == nil || now.Sub(p.permitQueried) < ownerQueryInterval {
 		return nil
 	}
 	p.permitQueried = now
-	peers := h.responsive(p.relay.options.RankedDaemons(p.rateLimited, p.relay.options.Roster.Senders(p.rateLimited)), now)
+	peers := co.responsive(p.relay.options.RankedDaemons(p.rateLimited, p.relay.options.Roster.Senders(p.rateLimited)), now)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), maxOwnerQueries)] {
 		if c := p.chooseByPeers(ctx, svc, []string{peer}, now); c != nil {
@@ -274,11 +274,11 @@
 // chooseByPeers returns the choice of the first of some daemons that responds, or nil if that has
 // none. The daemons belong to one cell.
 func (p *proxiedRequest) chooseByPeers(ctx context.Context, svc *table.Service, peers []string, now time.Time) *choice {
-	h := p.relay.owners
+	co := p.relay.owners
 	p.ownerQueried = now
 	request := p.newPlacementRequest(now)
 	for _, peer := range peers {
-		response, err := h.query(ctx, peer, request)
+		response, err := co.query(ctx, peer, request)
 		switch {
 		case errors.Is(err, wire.ErrRemote):
 			// It has no target for the request now.
@@ -361,49 +361,49 @@
 // ownersOf returns the daemons to query for a context, best first, or none if this daemon's own
 // cell is its owner. A daemon always queries the same daemons of a cell, so that it needs only one
 // link per cell.
-func (h *ContextOwners) ownersOf(service string, contextHash uint64, now time.Time) []string {
-	view := h.fleet.View()
+func (co *ContextOwners) ownersOf(service string, contextHash uint64, now time.Time) []string {
+	view := co.fleet.View()
 	if view.Cells() <= 1 {
 		return nil
 	}
-	cell := h.ownerCell(view, service, contextHash)
+	cell := co.ownerCell(view, service, contextHash)
 	if cell == view.Cell() {
 		return nil
 	}
-	return h.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
+	return co.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
 }
 
 // ownerCell returns the cell that owns a context. Each cell has about the same number of targets of
 // a sharded service; of other services, it has targets in proportion to its daemons.
-func (h *ContextOwners) ownerCell(view *fleet.View, service string, contextHash uint64) int {
-	if h.relay.sharded(service) {
+func (co *ContextOwners) ownerCell(view *fleet.View, service string, contextHash uint64) int {
+	if co.relay.sharded(service) {
 		return view.KeyCell(contextHash)
 	}
 	return view.WeighedCell(contextHash)
 }
 
 // responsive returns those of some daemons that are not in backoff.
-func (h *ContextOwners) responsive(names []string, now time.Time) []string {
-	return slices.DeleteFunc(names, func(name string) bool { return !h.backoff.Open(name, now) })
+func (co *ContextOwners) responsive(names []string, now time.Time) []string {
+	return slices.DeleteFunc(names, func(name string) bool { return !co.backoff.Open(name, now) })
 }
 
 // query queries one daemon.
-func (h *ContextOwners) query(ctx context.Context, peer string, request *placementRequest) (*placementResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.timeout)
+func (co *ContextOwners) query(ctx context.Context, peer string, request *placementRequest) (*placementResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, co.timeout)
 	defer cancel()
 	var response placementResponse
-	err := h.fleet.Call(ctx, peer, kindPlace, request, &response)
+	err := co.fleet.Call(ctx, peer, kindPlace, request, &response)
 	if err != nil && !errors.Is(err, wire.ErrRemote) {
-		h.backoff.Failed(peer, time.Now())
+		co.backoff.Failed(peer, time.Now())
 		return nil, err
 	}
-	h.backoff.Worked(peer)
+	co.backoff.Worked(peer)
 	return &response, err
 }
 
 // newPlacementName returns a new name for a choice, unique in the fleet.
-func (h *ContextOwners) newPlacementName() string {
-	return h.fleet.View().Self() + "/" + strconv.FormatInt(h.relay.start.UnixNano(), 36) + "/" + strconv.FormatInt(h.sequence.Add(1), 36)
+func (co *ContextOwners) newPlacementName() string {
+	return co.fleet.View().Self() + "/" + strconv.FormatInt(co.relay.start.UnixNano(), 36) + "/" + strconv.FormatInt(co.sequence.Add(1), 36)
 }
 
 // ownerReport collects and sends the updates for a choice to the daemon that made it. A nil report
@@ -413,7 +413,7 @@
 	peer, name string
 	request    *placementRequest
 	response   *placementResponse
-	// bad, noAnswer, reloading and shuttingDown are sent with the final update.
+	// bad, noResponse, reloading and shuttingDown are sent with the final update.
 	bad, noResponse, reloading, shuttingDown bool
 }
 
--- a/core/relay/placements.go
+++ b/core/relay/placements.go
@@ -25,12 +25,12 @@
 var errCannotPlace = errors.New("this daemon cannot place the request")
 
 // handlePlace chooses a target for another daemon's request.
-func (h *ContextOwners) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
-	p, svc := h.requestOf(request)
-	if svc == nil || (svc.Engine == nil && !h.relay.sharded(request.Service) && !request.NeedsPermit) {
+func (co *ContextOwners) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
+	p, svc := co.requestOf(request)
+	if svc == nil || (svc.Engine == nil && !co.relay.sharded(request.Service) && !request.NeedsPermit) {
 		return nil, errors.WithStack(errCannotPlace)
 	}
-	h.relay.options.Roster.MergeRateLimits(request.RateLimits)
+	co.relay.options.Roster.MergeRateLimits(request.RateLimits)
 	for {
 		c, reason := p.chooseLocal(svc, time.Now())
 		// The other daemon reports if it uses the choice.
@@ -39,19 +39,19 @@
 			return nil, errors.Wrap(errCannotPlace, reason)
 		}
 		if p.acquire(c, time.Now()) {
-			return newPlacementResponse(c, h.relay.options.ViewAge()), nil
+			return newPlacementResponse(c, co.relay.options.ViewAge()), nil
 		}
 	}
 }
 
 // requestOf returns another daemon's request in the form that decisions use.
-func (h *ContextOwners) requestOf(request *placementRequest) (*proxiedRequest, *table.Service) {
-	now, t := time.Now(), h.relay.Table()
+func (co *ContextOwners) requestOf(request *placementRequest) (*proxiedRequest, *table.Service) {
+	now, t := time.Now(), co.relay.Table()
 	if t == nil {
 		return nil, nil
 	}
 	p := &proxiedRequest{
-		relay: h.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining), table: t, service: request.Service, tried: map[string]int{},
+		relay: co.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining), table: t, service: request.Service, tried: map[string]int{},
 		meta: RequestMeta{Model: request.Model, PromptTokens: request.PromptTokens}, route: &table.Route{Name: request.Route, Aim: request.LatencyObjective}, bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true, regions: request.Regions, versions: request.Versions,
 	}
 	if request.IsolatedOrganisation != "" {
@@ -67,23 +67,23 @@
 }
 
 // handleUpdate processes an update on a choice.
-func (h *ContextOwners) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
+func (co *ContextOwners) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
 	now := time.Now()
-	h.placementsMu.Lock()
-	defer h.placementsMu.Unlock()
-	pl := h.placements[update.Name]
+	co.placementsMu.Lock()
+	defer co.placementsMu.Unlock()
+	pl := co.placements[update.Name]
 	if update.Request != nil && update.Response != nil {
 		if pl == nil {
-			h.addPlacement(update, now)
+			co.addPlacement(update, now)
 		} else {
 			// The report of its end arrived first.
-			delete(h.placements, update.Name)
+			delete(co.placements, update.Name)
 		}
 		return struct{}{}, nil
 	}
 	if pl == nil {
 		if update.Ended {
-			h.placements[update.Name] = &ownedPlacement{deadline: now.Add(expiryInterval)}
+			co.placements[update.Name] = &ownedPlacement{deadline: now.Add(expiryInterval)}
 		}
 		return struct{}{}, nil
 	}
@@ -91,15 +91,15 @@
 		pl.apply(update, now)
 	}
 	if update.Ended {
-		delete(h.placements, update.Name)
+		delete(co.placements, update.Name)
 	}
 	return struct{}{}, nil
 }
 
 // addPlacement counts the load of a choice that is used. It is called with placementsMu held.
-func (h *ContextOwners) addPlacement(update *placementUpdate, now time.Time) {
-	t := h.relay.options.Roster.Target(update.Response.Target)
-	p, svc := h.requestOf(update.Request)
+func (co *ContextOwners) addPlacement(update *placementUpdate, now time.Time) {
+	t := co.relay.options.Roster.Target(update.Response.Target)
+	p, svc := co.requestOf(update.Request)
 	if t == nil || svc == nil || svc.Engine == nil {
 		return
 	}
@@ -111,8 +111,8 @@
 	}
 	p.recordUse(c, now)
 	t.AddLoad(c.load)
-	h.placements[update.Name] = &ownedPlacement{request: p, choice: c, load: c.load, deadline: p.deadline}
-	h.relay.options.PublishState()
+	co.placements[update.Name] = &ownedPlacement{request: p, choice: c, load: c.load, deadline: p.deadline}
+	co.relay.options.PublishState()
 }
 
 // apply records the result of the choice and releases its load.
@@ -150,18 +150,18 @@
 }
 
 // Run removes placements whose end was not reported, until ctx ends.
-func (h *ContextOwners) Run(ctx context.Context) {
-	wait.Every(ctx, expiryInterval, func() { h.removeExpired(time.Now()) })
+func (co *ContextOwners) Run(ctx context.Context) {
+	wait.Every(ctx, expiryInterval, func() { co.removeExpired(time.Now()) })
 }
 
 // removeExpired removes placements whose end was not reported.
-func (h *ContextOwners) removeExpired(now time.Time) {
-	h.placementsMu.Lock()
-	defer h.placementsMu.Unlock()
-	for name, pl := range h.placements {
+func (co *ContextOwners) removeExpired(now time.Time) {
+	co.placementsMu.Lock()
+	defer co.placementsMu.Unlock()
+	for name, pl := range co.placements {
 		if now.After(pl.deadline.Add(expiryInterval)) {
 			pl.releaseLoad(pl.load)
-			delete(h.placements, name)
+			delete(co.placements, name)
 		}
 	}
 }
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -201,9 +201,9 @@
 
 // Bounds on the attempts of one request.
 const (
-	// maxRefusals is how many targets may refuse a request before it is given up: more attempts
+	// maxRejections is how many targets may reject a request before it is given up: more attempts
 	// would only add to an overload.
-	maxRefusals = 2
+	maxRejections = 2
 	// maxUnreachable is how many attempts may fail before the request is sent.
 	maxUnreachable = 4
 	// minAttemptTime is the least remaining time for an attempt: with less, a target would only
@@ -225,7 +225,7 @@
 		return false
 	case p.executions >= p.route.Attempts:
 		return false
-	case p.attempts-p.executions > maxRefusals, p.relay.options.Disabled.Retries:
+	case p.attempts-p.executions > maxRejections, p.relay.options.Disabled.Retries:
 		return false
 	case out == outcomeIncomplete && p.relay.options.Poison.Ends(p.digest) >= maxCrashes:
 		p.note("not retried: the request may crash targets")
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -28,7 +28,7 @@
 	return n
 }
 
-// sharedSegment is what is known of a shared segment for one version of the weights.
+// sharedSegment is a shared segment, and where it is cached for one version of the weights.
 type sharedSegment struct {
 	cache.Segment
 	name cache.SegmentName
@@ -263,7 +263,7 @@
 }
 
 // learnCopies learns the speed of the links that segments were copied over from the time to the
-// first event. Where the prompt waited for its prefill as long as for its copies, this shows
+// first event. Where the prompt waited for its prefill as long as for its copies, that time shows
 // little.
 func (p *proxiedRequest) learnCopies(c *choice, took time.Duration, now time.Time) {
 	if c.plan.copyCount == 0 || p.relay.options.Disabled.LinkSpeeds {
--- a/core/relay/warmup.go
+++ b/core/relay/warmup.go
@@ -67,8 +67,8 @@
 }
 
 // acquire counts a choice under the warm-up limit of its target and takes a permit if the target
-// has a rate limit. It reports whether the choice may be sent: another request may have taken the
-// last place since.
+// has a rate limit. It reports whether the choice may be sent: another request may have used up
+// either since.
 func (p *proxiedRequest) acquire(c *choice, now time.Time) bool {
 	if c.report != nil {
 		// The daemon that made the choice has done this.
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -34,9 +34,9 @@
 // String returns the reason as it appears in log lines.
 func (s UnavailabilityReason) String() string { return reasonNames[s] }
 
-// Availability is an immutable snapshot of the availability of all targets. Every way of sending
-// consults it when it chooses a target, and then Admit once a connection is open, so that a reason
-// found by one of them applies to all.
+// Availability is an immutable snapshot of the availability of all targets. Whatever sends
+// requests consults it to choose a target, and then Admit once a connection is open, so that a
+// reason recorded for one request applies to all.
 type Availability struct {
 	at           time.Time
 	updating     map[string]bool
@@ -75,7 +75,7 @@
 
 // Reason returns why a target is unavailable, and for how much longer if that is known: the
 // remaining time of its pushback, the time until this daemon has a permit, or, as an estimate for
-// an evacuation, as long again as it has lasted.
+// an evacuation, the time that it has lasted so far.
 func (a *Availability) Reason(t *Target) (UnavailabilityReason, time.Duration) {
 	return a.reason(t, a.updating[t.id], a.selfStatuses[t.id])
 }
--- a/core/roster/restored.go
+++ b/core/roster/restored.go
@@ -43,7 +43,7 @@
 		return false
 	}
 	if old, sameName := r.stale[e.Name]; sameName && old.ID == e.ID && plat.Era(old.Revision) == plat.Era(e.Revision) {
-		// The entry has changed since the list was restored, unless it is the same one again.
+		// Unless it is the same entry again, it has changed since the list was restored.
 		return old.Revision == e.Revision
 	}
 	r.stale[e.Name] = e
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -79,8 +79,8 @@
 
 	busy busyTargets
 
-	// Rank, if set, returns this daemon's rank for a target (the number of daemons before it) and
-	// the number of daemons that may choose the target. It is set before use, and called with
+	// Rank, if set, returns this daemon's rank for a target, from 0, and the number of daemons that
+	// may choose the target. It is set before use, and called with
 	// rosterMu held.
 	Rank func(t *Target) (rank, daemons int)
 	// Removed, if set, is called for each incarnation that is removed, and is passed whether it was
--- a/core/roster/target.go
+++ b/core/roster/target.go
@@ -148,7 +148,7 @@
 const (
 	// suspectTime is how long a target is passed over after a request without a response. It
 	// doubles with each consecutive failure up to maxSuspectTime, so that a target that recovers is
-	// tried within the recovery times that users require.
+	// tried within the recovery times that the users' specification requires.
 	suspectTime    = 250 * time.Millisecond
 	maxSuspectTime = 2 * time.Second
 )
--- a/core/route/warmup.go
+++ b/core/route/warmup.go
@@ -4,7 +4,7 @@
 
 // ConcurrentViews is the number of different views of the fleet's membership that daemons
 // may have at the same time without exceeding a target's warm-up rate together: the view
-// before a box is lost or the network is partitioned, and the view after.
+// before a box is lost or the network is partitioned, and the view after that.
 const ConcurrentViews = 2
 
 // WarmupShare returns the number of requests per second that one daemon may send to a target
