--- a/core/cache/cache_test.go
+++ b/core/cache/cache_test.go
@@ -84,7 +84,7 @@
 	g.Expect(x.Find(7, chainOf(10, 0)).Workers).To(gomega.ConsistOf(WorkerBlocks{"w", 5}, WorkerBlocks{"v", 5}))
 }
 
-func TestIndexLose(t *testing.T) {
+func TestIndexRemoveWorkerBlocks(t *testing.T) {
 	tests := []struct {
 		name  string
 		block BlockRef
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -160,7 +160,7 @@
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 }
 
-func TestRoomChoosesStoreWithFreeCapacity(t *testing.T) {
+func TestChooseStoreWithFreeCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
 	k := newFollowing(t, s, 100, 1000)
@@ -176,7 +176,7 @@
 	g.Expect(choose(10)()).To(gomega.BeEmpty())
 }
 
-func TestSaltVersionParsesPartSalt(t *testing.T) {
+func TestSaltVersionParsesSegmentSalt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	model, version, ok := SaltVersion(SegmentSalt{Model: "m", Version: 12, Wall: "org"}.String())
 	g.Expect([]any{model, version, ok}).To(gomega.Equal([]any{"m", int64(12), true}))
--- a/core/learn/retention_test.go
+++ b/core/learn/retention_test.go
@@ -62,10 +62,10 @@
 		var r Retention
 		now := time.Now()
 		for range rapid.IntRange(0, 100).Draw(t, "observations") {
-			r.Observe("s", rapid.Float64Range(-1, 3).Draw(t, "depth"), rapid.Bool().Draw(t, "kept"), now)
+			r.Observe("s", rapid.Float64Range(-1, 3).Draw(t, "depth"), rapid.Bool().Draw(t, "cached"), now)
 			now = now.Add(time.Duration(rapid.IntRange(-1000, 5000).Draw(t, "pause")) * time.Millisecond)
 		}
-		c := r.Chance("s", rapid.Float64Range(-1, 3).Draw(t, "asked"), now)
+		c := r.Chance("s", rapid.Float64Range(-1, 3).Draw(t, "queried depth"), now)
 		if !(c >= 0 && c <= 1) {
 			t.Fatalf("chance %v", c)
 		}
--- a/core/learn/targets_test.go
+++ b/core/learn/targets_test.go
@@ -45,7 +45,7 @@
 	g.Expect(l.State("a", "s", now).FailureShare).To(gomega.BeNumerically("~", l.State("b", "s", now).FailureShare, 0.1))
 }
 
-func TestOneSlowAnswerHardlyChangesPace(t *testing.T) {
+func TestOneSlowAnswerHardlyChangesSlowdown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Targets
 	now := time.Now()
--- a/core/learn/times_test.go
+++ b/core/learn/times_test.go
@@ -31,8 +31,8 @@
 	g.Expect(e.Chance(math.Exp(0.5))).To(gomega.BeNumerically("~", 0.84, 0.05))
 }
 
-// The speed of a target is learned from 150 answers whatever the prior is, although every
-// tenth answer takes three times as long for another reason.
+// The speed of a target is learned from 150 responses whatever the prior is, although every
+// tenth response takes three times as long for another reason.
 func TestSpeedsAreLearned(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -92,7 +92,7 @@
 		for range rapid.IntRange(0, 60).Draw(t, "observations") {
 			f := Factors{
 				OwnTokens: rapid.IntRange(0, 1<<24).Draw(t, "own"), QueuedTokens: rapid.IntRange(0, 1<<26).Draw(t, "before"),
-				Utilisation: rapid.Float64Range(0, 1).Draw(t, "beside"), QueuedPerSlot: rapid.Float64Range(0, 50).Draw(t, "waiting"), MemoryPressure: rapid.Float64Range(0, 2).Draw(t, "crowd"),
+				Utilisation: rapid.Float64Range(0, 1).Draw(t, "utilisation"), QueuedPerSlot: rapid.Float64Range(0, 50).Draw(t, "queued per slot"), MemoryPressure: rapid.Float64Range(0, 2).Draw(t, "crowd"),
 			}
 			took := time.Duration(rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "took"))
 			// The clock may stand still or go back.
@@ -126,10 +126,10 @@
 	g.Expect(l.Estimate("k", prior(), now).Count()).To(gomega.BeZero())
 }
 
-func TestPatienceEndsWhenAnotherTargetIsMoreLikely(t *testing.T) {
+func TestWaitBudgetEndsWhenAnotherTargetIsMoreLikely(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, now := NewTimes(), time.Now()
-	// One answer in twenty takes five times as long.
+	// One response in twenty takes five times as long.
 	for i := range 400 {
 		took := 30 * time.Millisecond
 		if i%20 == 0 {
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -42,8 +42,8 @@
 	}{
 		{"complete", "/once/a?b=c", always(respond(200, "yes")), nil, 200, "yes", 1},
 		{"error of a non-repeatable request is passed on", "/once/a", always(respond(500, "bad")), nil, 500, "bad", 1},
-		{"all targets refuse", "/once/a", always(refuse), always(refuse), 503, "notRun", 2},
-		{"refused request is served by the other", "/once/a", inSequence(refuse), always(respond(200, "yes")), 200, "yes", 0},
+		{"all targets reject", "/once/a", always(reject), always(reject), 503, "notRun", 2},
+		{"rejected request is served by the other", "/once/a", inSequence(reject), always(respond(200, "yes")), 200, "yes", 0},
 		{"non-repeatable without answer is unknown", "/once/a", always(hangUp), always(respond(200, "yes")), 0, "", 1},
 		{"repeatable without answer is retried", "/again/a", inSequence(hangUp, respond(200, "yes")), always(respond(200, "yes")), 200, "yes", 0},
 		{"error of a repeatable request is retried", "/again/a", always(respond(500, "bad")), always(respond(500, "bad")), 500, "bad", 2},
@@ -599,8 +599,8 @@
 	}
 }
 
-// A worker that is changing its weights refuses requests. The daemon that gave the order publishes
-// it only in its own cell; other cells must learn it from the first refusal, not from each.
+// A worker that is changing its weights rejects requests. The daemon that gave the order publishes
+// it only in its own cell; other cells must learn it from the first rejection, not from each.
 func TestReloadingWorkerIsSkipped(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -615,7 +615,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.desired = tc.desired
-			r.target("changing", "llm", always(refuse))
+			r.target("changing", "llm", always(reject))
 			r.target("busy", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.roster.Target("busy").AddLoad(roster.Load{Running: 1, QueuedTokens: 20000, OccupiedTokens: 20000})
 			for range 5 {
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -253,8 +253,8 @@
 	}
 }
 
-// refuse responds that the request was not executed.
-func refuse(w *bufio.Writer, _ *http.Request) error {
+// reject responds that the request was not executed.
+func reject(w *bufio.Writer, _ *http.Request) error {
 	fmt.Fprint(w, "HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	return nil
 }
--- a/core/roster/availability_test.go
+++ b/core/roster/availability_test.go
@@ -71,7 +71,7 @@
 }
 
 // Daemons that start on an older list are notified of incarnations that it lists again.
-func TestLeavingRunsIncludesRemovedIncarnations(t *testing.T) {
+func TestRecentShutdownsIncludeRemovedIncarnations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	for _, id := range []string{"a", "b", "c"} {
--- a/core/roster/bench_test.go
+++ b/core/roster/bench_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// BenchmarkGate checks the availability of the 110 targets of a cell for one choice; 10 of them
+// BenchmarkAvailability checks the availability of the 110 targets of a cell for one choice; 10 of them
 // reported shutting down or pushback.
-func BenchmarkGate(b *testing.B) {
+func BenchmarkAvailability(b *testing.B) {
 	r := New(&event.Log{}, nil)
 	for i := range 110 {
 		id := strconv.Itoa(i)
@@ -70,8 +70,8 @@
 	}
 }
 
-// BenchmarkGateLimits does the same with 10 rate-limited targets.
-func BenchmarkGateLimits(b *testing.B) {
+// BenchmarkAvailabilityRateLimits does the same with 10 rate-limited targets.
+func BenchmarkAvailabilityRateLimits(b *testing.B) {
 	r := New(&event.Log{}, nil)
 	r.Rank = func(*Target) (int, int) { return 3, 12 }
 	for i := range 110 {
--- a/core/roster/pushback_test.go
+++ b/core/roster/pushback_test.go
@@ -114,7 +114,7 @@
 }
 
 // An incarnation that is known to differ from the one that sent the pushback gets requests.
-func TestRestListPerIncarnation(t *testing.T) {
+func TestPushbackListPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	current := func(incarnation string) func(string) string { return func(string) string { return incarnation } }
 	var r PushbackList
--- a/core/roster/ratelimit_test.go
+++ b/core/roster/ratelimit_test.go
@@ -113,9 +113,9 @@
 func TestRateLimitFollowsResponses(t *testing.T) {
 	type response struct {
 		limit RateLimit
-		// early means that the request was sent before the first response arrived, and refused that
+		// early means that the request was sent before the first response arrived, and rejected that
 		// the target rejected it.
-		early, refused bool
+		early, rejected bool
 	}
 	tests := []struct {
 		name      string
@@ -125,8 +125,8 @@
 		{"never stated", []response{{}}, -1},
 		{"stated", []response{{limit: statedRate(5)}}, 5},
 		{"no longer stated", []response{{limit: statedRate(5)}, {}}, -1},
-		{"no longer stated in a rejection", []response{{limit: statedRate(5)}, {refused: true}}, 5},
-		{"stated in a rejection", []response{{limit: statedRate(5), refused: true}}, 5},
+		{"no longer stated in a rejection", []response{{limit: statedRate(5)}, {rejected: true}}, 5},
+		{"stated in a rejection", []response{{limit: statedRate(5), rejected: true}}, 5},
 		{"not stated in the response to an older request", []response{{limit: statedRate(5)}, {early: true}}, 5},
 		{"another rate", []response{{limit: statedRate(5)}, {limit: statedRate(7)}}, 7},
 		{"a higher rate in the response to an older request", []response{{limit: statedRate(5)}, {limit: statedRate(7), early: true}}, 5},
@@ -147,7 +147,7 @@
 					sent = clock.Now()
 				}
 				clock.Suspend(time.Millisecond)
-				r.RecordLimit("a@1000", a.limit, sent, !a.refused)
+				r.RecordLimit("a@1000", a.limit, sent, !a.rejected)
 			}
 			if tc.want < 0 {
 				g.Expect(r.RateLimitedTargets()).To(gomega.BeEmpty())
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -84,7 +84,7 @@
 // A request that is going to miss its objective anyway costs other callers more than its
 // own caller gains, so that its CallerUtility is not positive. The operator's serving
 // costs never make it negative.
-func TestGainExcludesServingCosts(t *testing.T) {
+func TestCallerUtilityExcludesServingCosts(t *testing.T) {
 	long := PickRequest{Tokens: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second, UtilityRate: 60}
 	tests := []struct {
 		name      string
@@ -110,14 +110,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := PickRequest{
 			Tokens: rapid.IntRange(0, 40000).Draw(t, "tokens"), Objective: time.Duration(rapid.IntRange(0, 2000).Draw(t, "aim")) * time.Millisecond,
-			Elapsed:   time.Duration(rapid.IntRange(0, 3000).Draw(t, "spent")) * time.Millisecond,
+			Elapsed:   time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond,
 			Remaining: time.Duration(rapid.IntRange(-100, 10000).Draw(t, "left")) * time.Millisecond, UtilityRate: rapid.Float64Range(0, 100).Draw(t, "rate"),
 		}
 		c := Candidate{
 			Running: rapid.IntRange(0, 60).Draw(t, "running"), Slots: rapid.IntRange(0, 20).Draw(t, "slots"), QueuedTokens: rapid.IntRange(0, 90000).Draw(t, "unread"),
-			OccupiedTokens: rapid.IntRange(0, 150000).Draw(t, "held"), MemoryTokens: rapid.IntRange(0, 100000).Draw(t, "memory"), CachedTokens: rapid.IntRange(0, 40000).Draw(t, "kept"),
+			OccupiedTokens: rapid.IntRange(0, 150000).Draw(t, "occupied"), MemoryTokens: rapid.IntRange(0, 100000).Draw(t, "memory"), CachedTokens: rapid.IntRange(0, 40000).Draw(t, "kept"),
 			RecomputedTokens: rapid.IntRange(0, 40000).Draw(t, "again"), CopyTime: time.Duration(rapid.IntRange(0, 2000).Draw(t, "copy")) * time.Millisecond,
-			FailureShare: rapid.Float64Range(0, 1).Draw(t, "faults"), Slowdown: rapid.Float64Range(0, 8).Draw(t, "pace"),
+			FailureShare: rapid.Float64Range(0, 1).Draw(t, "failure share"), Slowdown: rapid.Float64Range(0, 8).Draw(t, "slowdown"),
 		}
 		e := engines()
 		j := Evaluate(&a, &c, e, costs())
--- a/core/route/retry_budget_test.go
+++ b/core/route/retry_budget_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestAllowanceWindowSlides(t *testing.T) {
+func TestRetryBudgetWindowSlides(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a := &RetryBudget{RetriesPerRequest: 0.2, ExtraRetries: 1, Window: 10 * time.Second}
 	g.Expect(a.TryRetry(0)).To(gomega.BeTrue())
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -102,17 +102,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := request()
 		r.Deadline = time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond
-		r.Random = rapid.Float64Range(0, 0.999).Draw(t, "chance")
+		r.Random = rapid.Float64Range(0, 0.999).Draw(t, "random")
 		r.Weights = CostWeights{
 			FirstToken: rapid.Float64Range(0, 2).Draw(t, "first"), SecondsPerToken: rapid.Float64Range(0, 0.01).Draw(t, "token"),
 			SecondsPerByte: rapid.Float64Range(0, 1e-8).Draw(t, "byte"),
 		}
 		var workers []Worker
 		for i := range rapid.IntRange(1, 6).Draw(t, "workers") {
-			w := worker(fmt.Sprint(i), rapid.IntRange(0, 100).Draw(t, "held"), rapid.IntRange(0, 50000).Draw(t, "queued"))
+			w := worker(fmt.Sprint(i), rapid.IntRange(0, 100).Draw(t, "cached"), rapid.IntRange(0, 50000).Draw(t, "queued"))
 			workers = append(workers, w)
 		}
-		k := stored(rapid.IntRange(0, 100).Draw(t, "kept"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
+		k := stored(rapid.IntRange(0, 100).Draw(t, "stored"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
 		d := Place(LowestCost, r, workers, k)
 		im := d.Chosen.Import
 		if im.Blocks() < 0 || (im.Blocks() > 0 && im.To > k[0].Blocks) {
@@ -167,7 +167,7 @@
 	g.Expect(retries).To(gomega.BeNumerically(">=", 10000*retryShare-1))
 }
 
-func TestVersionFollowsReadyWorkers(t *testing.T) {
+func TestUseDesiredVersionFollowsReadyWorkers(t *testing.T) {
 	tests := []struct {
 		fraction     float64
 		ready, total int
--- a/core/route/warmup_test.go
+++ b/core/route/warmup_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestColdShareStaysWithinMaxRate(t *testing.T) {
+func TestWarmupShareStaysWithinMaxRate(t *testing.T) {
 	tests := []struct {
 		name    string
 		maxRate float64
@@ -27,8 +27,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			sum := 0
-			for index := range tc.daemons {
-				sum += WarmupShare(tc.maxRate, tc.daemons, index)
+			for rank := range tc.daemons {
+				sum += WarmupShare(tc.maxRate, tc.daemons, rank)
 			}
 			g.Expect(sum).To(gomega.Equal(tc.sum))
 			g.Expect(WarmupShare(tc.maxRate, tc.daemons, 0)).To(gomega.Equal(tc.first))
@@ -39,23 +39,23 @@
 
 // Half of the daemons do not yet know that the other half has been lost or added: the sum
 // of what each sends by its own list of boxes stays within the maximum rate.
-func TestColdShareWithTwoMembershipViews(t *testing.T) {
+func TestWarmupShareWithTwoMembershipViews(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const maxRate = 26
 	for _, daemons := range []int{1, 4, 8, 16, 79, 385} {
 		sum := 0
-		for index := range daemons {
-			sum += WarmupShare(maxRate, daemons, index)
+		for rank := range daemons {
+			sum += WarmupShare(maxRate, daemons, rank)
 		}
 		listed := max(1, daemons/2)
-		for index := range listed {
-			sum += WarmupShare(maxRate, listed, index)
+		for rank := range listed {
+			sum += WarmupShare(maxRate, listed, rank)
 		}
 		g.Expect(sum).To(gomega.BeNumerically("<=", maxRate), "%d daemons", daemons)
 	}
 }
 
-func TestPaceLimitsOverASlidingWindow(t *testing.T) {
+func TestWarmupLimiterLimitsOverASlidingWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var p WarmupLimiter
 	start := time.Unix(1000, 0)
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -87,8 +87,9 @@
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Values   transfer
-	// Leaving are the incarnations of targets that recently reported that they are shutting down.
-	Leaving []string
+	// ShuttingDown are the incarnations of targets that recently reported that they are shutting
+	// down.
+	ShuttingDown []string
 }
 
 // errNotReady is returned while a peer has only its own copy of the store.
@@ -151,7 +152,7 @@
 	}
 	out := &appliedResponse{}
 	if n.ShuttingDown != nil {
-		out.Leaving = firstN(n.ShuttingDown(), maxShuttingDown)
+		out.ShuttingDown = firstN(n.ShuttingDown(), maxShuttingDown)
 	}
 	if len(newer) == 0 {
 		return out, nil
@@ -256,7 +257,7 @@
 		return nil, err
 	}
 	if p.OnShuttingDown != nil {
-		for _, incarnation := range firstN(got.Leaving, maxShuttingDown) {
+		for _, incarnation := range firstN(got.ShuttingDown, maxShuttingDown) {
 			p.OnShuttingDown(incarnation)
 		}
 	}
--- a/core/spread/applied_test.go
+++ b/core/spread/applied_test.go
@@ -139,9 +139,9 @@
 func TestInvalidMessagesYieldNoAppliedValue(t *testing.T) {
 	type appliedResponse struct {
 		//lint:ignore U1000 read by the codec: frames are arrays
-		_msgpack struct{} `msgpack:",as_array"`
-		Values   transfer
-		Leaving  []string
+		_msgpack     struct{} `msgpack:",as_array"`
+		Values       transfer
+		ShuttingDown []string
 	}
 	junk := []byte("junk that is no compressed value")
 	tests := []struct {
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/spread"
 )
 
-// busyStore is a KV-cache store that admits a number of watchers at a time and refuses any more.
+// busyStore is a KV-cache store that admits a number of watchers at a time and rejects any more.
 type busyStore struct {
 	watchers int
 
@@ -26,14 +26,14 @@
 	changed   chan struct{}
 	watching  int // guarded by storeMu
 	requested int // guarded by storeMu
-	refused   int // guarded by storeMu
+	rejected   int // guarded by storeMu
 }
 
 func (s *busyStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.SegmentEvents, error) {
 	s.storeMu.Lock()
 	s.requested++
 	if s.watching == s.watchers {
-		s.refused++
+		s.rejected++
 		s.storeMu.Unlock()
 		return cache.SegmentEvents{}, errRefused
 	}
@@ -74,11 +74,11 @@
 	return len(s.segments)
 }
 
-// counts returns how many requests were received and how many of them refused.
-func (s *busyStore) counts() (requested, refused int) {
+// counts returns how many requests were received and how many of them rejected.
+func (s *busyStore) counts() (requested, rejected int) {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	return s.requested, s.refused
+	return s.requested, s.rejected
 }
 
 // indexMember is one daemon of a fleet with an index of a store.
@@ -125,7 +125,7 @@
 	}
 }
 
-// If each of six cells sent requests on its own, a store that admits four watchers would refuse
+// If each of six cells sent requests on its own, a store that admits four watchers would reject
 // some of them, and there would be no minute in which all daemons have a current index.
 func TestAFleetOfManyCellsNeverExceedsAStoresWatchers(t *testing.T) {
 	const daemons, address = 72, "10.0.0.1:1"
@@ -138,8 +138,8 @@
 		segments := store.save()
 		g.Eventually(upToDate(members, address, segments), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	}
-	_, refused := store.counts()
-	g.Expect(refused).To(gomega.BeZero())
+	_, rejected := store.counts()
+	g.Expect(rejected).To(gomega.BeZero())
 }
 
 // Daemons that watch a store may be lost; others of the fleet must take their place.
@@ -165,6 +165,6 @@
 	}
 	segments = store.save()
 	g.Eventually(upToDate(rest, address, segments), shortWait, pollInterval).Should(gomega.Equal(len(rest)))
-	_, refused := store.counts()
-	g.Expect(refused).To(gomega.BeZero())
+	_, rejected := store.counts()
+	g.Expect(rejected).To(gomega.BeZero())
 }
--- a/core/spread/storeindex_publish.go
+++ b/core/spread/storeindex_publish.go
@@ -22,7 +22,7 @@
 	maxInboxChanges = 2000
 )
 
-// publishedPoint is the position up to which a store's changes were published to peers.
+// publishedState is the position up to which a store's changes were published to peers.
 type publishedState struct {
 	epoch, next int64
 	freshAt     clock.Time
@@ -133,7 +133,7 @@
 		Epoch: u.Epoch, Next: u.Next, Changes: changesOf(u.Segments),
 		Clock: time.Duration(u.ClockMillis) * time.Millisecond, Age: reportedAge(u.AgeMillis),
 	}}
-	if old := b.updates[u.Address]; old != nil && old.joins(next) {
+	if old := b.updates[u.Address]; old != nil && old.continuedBy(next) {
 		next.from, next.events.Changes = old.from, append(old.events.Changes, next.events.Changes...)
 	}
 	b.updates[u.Address] = next
@@ -143,8 +143,9 @@
 	}
 }
 
-// joins reports whether next continues a without missing changes and the two may be merged.
-func (u *receivedUpdate) joins(next *receivedUpdate) bool {
+// continuedBy reports whether next follows u without missing changes, so that the two may be
+// merged.
+func (u *receivedUpdate) continuedBy(next *receivedUpdate) bool {
 	return u.events.Epoch == next.events.Epoch && u.from <= next.from && next.from <= u.events.Next &&
 		u.events.Next <= next.events.Next && len(u.events.Changes) < maxInboxChanges
 }
--- a/core/spread/updates.go
+++ b/core/spread/updates.go
@@ -25,7 +25,7 @@
 // about to start, while it runs, and when it has completed.
 //
 // Heartbeats reach only the cell of the daemon that gives the order. Without a notice each daemon
-// of the worker's own cell would learn of the update only when the worker refuses a request.
+// of the worker's own cell would learn of the update only when the worker rejects a request.
 type WeightUpdateNotifier struct {
 	fleet  *fleet.Fleet
 	roster *roster.Roster
@@ -100,7 +100,7 @@
 func (s noticeSender) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
-	// A daemon that misses the notice is refused by the worker, as it would be without one.
+	// A daemon that misses the notice gets rejections from the worker, as it would without one.
 	_ = s.fleet.Notify(ctx, s.peer, kindWeightUpdate, s.notice)
 }
 
