--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -26,7 +26,7 @@
 	changed   chan struct{}
 	watching  int // guarded by storeMu
 	requested int // guarded by storeMu
-	rejected   int // guarded by storeMu
+	rejected  int // guarded by storeMu
 }
 
 func (s *busyStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.SegmentEvents, error) {
