--- a/core/home/home.go
+++ b/core/home/home.go
@@ -60,7 +60,7 @@
 	configured    sync.Once
 	configuredAt  time.Time
 	cachedTargets atomic.Pointer[cellTargets]
-	warm          atomic.Bool // set once WarmedUp has returned true
+	warmedUp      atomic.Bool // set once WarmedUp has returned true
 	stats         Stats
 	// storeMu guards downUntil.
 	storeMu   sync.Mutex
@@ -193,7 +193,7 @@
 	_ = h.o.Fleet.Notify(ctx, owner, kindDone, d)
 }
 
-var errNotWarm = errors.New("the daemon has not received the load of all workers yet")
+var errNotWarmedUp = errors.New("the daemon has not received the load of all workers yet")
 
 // place decides about a request whose context is owned here.
 func (h *Owner) place(ctx context.Context, _ string, req *PlacementRequest) (PlacementResult, error) {
@@ -202,7 +202,7 @@
 		return PlacementResult{}, errors.New("prompt has too many blocks")
 	case !h.WarmedUp():
 		// The sender tries the next daemon, which may have the load of the workers.
-		return PlacementResult{}, errNotWarm
+		return PlacementResult{}, errNotWarmedUp
 	}
 	snap, view, now := h.o.Conf.Snapshot(), h.o.Fleet.View(), time.Now()
 	root, shorts := req.Root(), cache.Shorts(req.Chain)
@@ -217,7 +217,7 @@
 	if d.Verdict != route.Placed {
 		return ans, nil
 	}
-	ans.Boot = h.loads.boot(ans.Worker)
+	ans.Boot = h.loads.incarnation(ans.Worker)
 	h.stats.Placed.Add(1)
 	h.loads.addPending(d.Chosen.Worker, pendingRequest{
 		request: req.Request, tokens: d.Chosen.Recomputed, blocks: len(req.Chain), priority: req.Priority, at: now,
@@ -406,7 +406,7 @@
 // WarmedUp reports whether the load of enough workers is known to place requests: every usable
 // worker has reported, or warmupLimit has passed.
 func (h *Owner) WarmedUp() bool {
-	if h.warm.Load() {
+	if h.warmedUp.Load() {
 		return true
 	}
 	if !h.o.Conf.Loaded() {
@@ -423,7 +423,7 @@
 			}
 		}
 	}
-	h.warm.Store(true)
+	h.warmedUp.Store(true)
 	return true
 }
 
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -199,7 +199,7 @@
 	h := New(Options{Placement: route.LowestCost, Conf: store, Fleet: f, Log: &event.Log{}})
 	req := &PlacementRequest{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
 	_, err := h.Place(context.Background(), f.View(), req)
-	g.Expect(err).To(gomega.MatchError(errNotWarm))
+	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
 	h.loads.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}, Speed: 8000}, time.Now())
 	ans, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -214,6 +214,6 @@
 		Placement: route.LowestCost, Conf: conf.NewStore(&event.Log{}), Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
 	})
 	_, err := h.place(context.Background(), "peer", &PlacementRequest{Chain: []cache.Hash{{1}}})
-	g.Expect(err).To(gomega.MatchError(errNotWarm))
+	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
 	g.Expect(h.WarmedUp()).To(gomega.BeFalse())
 }
--- a/core/home/loads.go
+++ b/core/home/loads.go
@@ -69,10 +69,10 @@
 		return false
 	}
 	if w.Holds == nil {
-		w.Holds, w.Boot = previous.Holds, previous.Boot
+		w.Holds, w.Incarnation = previous.Holds, previous.Incarnation
 	}
-	if recorded && previous.Boot != w.Boot && l.onReplaced != nil {
-		l.onReplaced(incarnationName(w.Worker, previous.Boot))
+	if recorded && previous.Incarnation != w.Incarnation && l.onReplaced != nil {
+		l.onReplaced(incarnationName(w.Worker, previous.Incarnation))
 	}
 	if !recorded {
 		l.forget(now)
@@ -119,7 +119,7 @@
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	l.followed[w.Worker] = true
-	if !slices.Equal(previous.Holds, w.Holds) || previous.Boot != w.Boot {
+	if !slices.Equal(previous.Holds, w.Holds) || previous.Incarnation != w.Incarnation {
 		l.newWeights[w.Worker] = true
 	}
 	if !sameLoad(previous.workerLoad, w) || now.Sub(l.lastSent[w.Worker]) > resendInterval {
@@ -133,7 +133,7 @@
 // sameLoad reports whether two reports have the same content apart from their age.
 func sameLoad(a, b workerLoad) bool {
 	return slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Holds, b.Holds) && a.Running == b.Running &&
-		a.Boot == b.Boot && a.Free == b.Free && a.Total == b.Total && a.Speed == b.Speed && a.Loading == b.Loading
+		a.Incarnation == b.Incarnation && a.Free == b.Free && a.Total == b.Total && a.Speed == b.Speed && a.Loading == b.Loading
 }
 
 // unfollow records that a worker is no longer followed here.
@@ -154,11 +154,11 @@
 	l.pending[worker] = append(l.pending[worker], p)
 }
 
-// boot returns the identifier of the worker's incarnation, or "" if there is no report.
-func (l *loads) boot(worker string) string {
+// incarnation returns the identifier of the worker's incarnation, or "" if there is no report.
+func (l *loads) incarnation(worker string) string {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
-	return l.reports[worker].Boot
+	return l.reports[worker].Incarnation
 }
 
 // removePending records that a worker has begun to respond to a request, or failed it.
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -72,16 +72,16 @@
 // Incarnation returns the name of a worker's incarnation, or "" if this daemon has no report of
 // it.
 func (h *Owner) Incarnation(worker string) string {
-	boot := h.loads.boot(worker)
-	if boot == "" {
+	incarnation := h.loads.incarnation(worker)
+	if incarnation == "" {
 		return ""
 	}
-	return incarnationName(worker, boot)
+	return incarnationName(worker, incarnation)
 }
 
 // incarnationName returns the name of one incarnation of a worker, which may restart under
 // the same worker name.
-func incarnationName(worker, boot string) string { return worker + "@" + boot }
+func incarnationName(worker, incarnation string) string { return worker + "@" + incarnation }
 
 // Outcome reports the outcome of a request to the context owner.
 type Outcome struct {
@@ -147,8 +147,8 @@
 	Holds []string
 	// AgeMillis is the age of the report when it was sent.
 	AgeMillis int
-	// Boot identifies the worker's incarnation. It is sent with Holds.
-	Boot string
+	// Incarnation identifies the worker's incarnation. It is sent with Holds.
+	Incarnation string
 }
 
 // linkState is the state of a link, sent by its scheduler to the daemons of its cell.
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -79,46 +79,46 @@
 }
 
 // Read reads the body. It returns io.EOF only when the response is complete.
-func (in *Response) Read(b []byte) (int, error) {
-	n, err := in.body.Read(b)
+func (resp *Response) Read(b []byte) (int, error) {
+	n, err := resp.body.Read(b)
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		in.complete = true
+		resp.complete = true
 	default:
-		in.failed = true
+		resp.failed = true
 	}
 	return n, err
 }
 
 // Close ends the exchange. The connection is kept only if the response and the request are complete
 // and nothing else has arrived.
-func (in *Response) Close() {
-	alive := in.stopCancel()
-	conn := in.conn
-	in.conn = nil
+func (resp *Response) Close() {
+	alive := resp.stopCancel()
+	conn := resp.conn
+	resp.conn = nil
 	if conn == nil {
 		return
 	}
-	if !alive || !in.reusable() || conn.r.Buffered() > 0 || conn.isDead() {
+	if !alive || !resp.reusable() || conn.r.Buffered() > 0 || conn.isDead() {
 		conn.pool.drop(conn)
 		return
 	}
-	conn.pool.put(conn, in.Header.Get("Keep-Alive"))
+	conn.pool.put(conn, resp.Header.Get("Keep-Alive"))
 }
 
 // Discard makes Close discard the connection.
-func (in *Response) Discard() { in.failed = true }
+func (resp *Response) Discard() { resp.failed = true }
 
 // reusable reports whether the response and the request are complete.
-func (in *Response) reusable() bool {
-	if in.failed || !in.complete || in.Header.Get("Connection") == "close" {
+func (resp *Response) reusable() bool {
+	if resp.failed || !resp.complete || resp.Header.Get("Connection") == "close" {
 		return false
 	}
 	t := time.NewTimer(writeWait)
 	defer t.Stop()
 	select {
-	case err := <-in.written:
+	case err := <-resp.written:
 		return err == nil
 	case <-t.C:
 		// The target responded before it had read the request.
@@ -127,18 +127,18 @@
 }
 
 // readHead reads the status and header of the response, and skips interim responses.
-func (in *Response) readHead(method string) error {
+func (resp *Response) readHead(method string) error {
 	for {
-		resp, err := http.ReadResponse(in.conn.r, &http.Request{Method: method})
+		parsed, err := http.ReadResponse(resp.conn.r, &http.Request{Method: method})
 		if err != nil {
 			return errors.WithStack(err)
 		}
-		if resp.StatusCode < http.StatusOK {
+		if parsed.StatusCode < http.StatusOK {
 			continue
 		}
-		in.Status, in.Header, in.Length, in.body = resp.StatusCode, resp.Header, resp.ContentLength, resp.Body
-		if resp.Close {
-			in.Header.Set("Connection", "close")
+		resp.Status, resp.Header, resp.Length, resp.body = parsed.StatusCode, parsed.Header, parsed.ContentLength, parsed.Body
+		if parsed.Close {
+			resp.Header.Set("Connection", "close")
 		}
 		return nil
 	}
