--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -186,7 +186,7 @@
 }
 
 // Peers list a daemon that has just started before it has the load of the workers. It must
-// not answer that there is no worker.
+// not respond that there is no worker.
 func TestNewDaemonDoesNotPlaceRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := fleet.New(fleet.Options{Name: "me", Log: &event.Log{}})
--- a/core/learn/links.go
+++ b/core/learn/links.go
@@ -75,7 +75,7 @@
 	// maxSlowdownWeight bounds the total weight of the samples, so that a link which
 	// has recovered is soon recognised.
 	maxSlowdownWeight = 6
-	// maxSlowdown bounds the slowdown of one sample, and its inverse.
+	// maxLinkSlowdown bounds the slowdown of one sample, and its inverse.
 	maxLinkSlowdown = 16
 	// maxBusy bounds how far into the future a link is assumed to be busy.
 	maxBusy = 5 * time.Second
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -119,14 +119,14 @@
 	delete(n.values, key)
 }
 
-// MarkReady makes this daemon answer peers' requests.
+// MarkReady makes this daemon respond to peers' requests.
 func (n *AppliedValues) MarkReady() {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	n.ready = true
 }
 
-// Ready reports whether this daemon answers peers' requests.
+// Ready reports whether this daemon responds to peers' requests.
 func (n *AppliedValues) Ready() bool {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
--- a/core/spread/freshest_test.go
+++ b/core/spread/freshest_test.go
@@ -20,7 +20,7 @@
 	answered := clock.Now()
 	tests := []struct {
 		name string
-		// reported is the time at which the store had answered each peer, according to its
+		// reported is the time at which the store had responded to each peer, according to its
 		// heartbeats.
 		reported map[string]clock.Time
 		want     string
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -142,7 +142,7 @@
 	allHold(g, members, "first")
 	g.Eventually(func() bool { taken, _ := store.quiet(); return !taken.IsZero() }, shortWait, pollInterval).Should(gomega.BeTrue())
 	store.setDown(true)
-	// Requests that the store already holds are still answered.
+	// Requests that the store already holds still get a response.
 	g.Eventually(func() bool { _, quiet := store.quiet(); return quiet }, shortWait, pollInterval).Should(gomega.BeTrue())
 	last, _ := store.quiet()
 	for start := time.Now(); time.Since(start) < outage; {
--- a/core/spread/restore_test.go
+++ b/core/spread/restore_test.go
@@ -10,9 +10,9 @@
 	"embertally.dev/core/plat"
 )
 
-// Daemons that the store does not answer learn of a restored store from one that it answers: which
-// values were written since, which the copy lacks, and that a large value has other content at the
-// same revision number.
+// Daemons that the store does not respond to learn of a restored store from one that it responds
+// to: which values were written since, which the copy lacks, and that a large value has other
+// content at the same revision number.
 func TestDaemonsThatTheStoreDoesNotAnswerLearnOfARestore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store := &memkv.KV{}
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -310,7 +310,7 @@
 }
 
 // laggingCells returns the names of the other cells that have not published seq or a later
-// sequence. Where the store does not answer, it returns all of them.
+// sequence. Where the store does not respond, it returns all of them.
 func (s *ConfigReplicator) laggingCells(ctx context.Context, view *fleet.View, seq uint64) []string {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
--- a/core/spread/storecalls_test.go
+++ b/core/spread/storecalls_test.go
@@ -13,15 +13,15 @@
 	"embertally.dev/core/plat"
 )
 
-// billedStore is a store that counts its calls. A watch is a series of calls, each answered after
-// watchTime at the latest.
+// billedStore is a store that counts its calls. A watch is a series of calls, each with a response
+// after watchTime at the latest.
 type billedStore struct {
 	*memkv.KV
 
 	countMu  sync.Mutex
 	calls    int // guarded by countMu
 	watching int // guarded by countMu
-	// answering counts the requests whose answers daemons have not taken yet; taken is when one
+	// answering counts the requests whose responses daemons have not taken yet; taken is when one
 	// last did. Guarded by countMu.
 	answering int
 	taken     clock.Time
@@ -39,7 +39,7 @@
 // watchTime is how long the store holds a request for changes.
 const watchTime = 1500 * time.Millisecond
 
-// call counts one call, and reports whether it is answered.
+// call counts one call, and reports whether it gets a response.
 func (s *billedStore) call() bool {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
@@ -75,7 +75,7 @@
 	return ctx.Err()
 }
 
-// answer counts a request until its answer is taken.
+// response counts a request until its response is taken.
 func (s *billedStore) response(take func() error) error {
 	s.countMu.Lock()
 	s.answering++
@@ -88,7 +88,7 @@
 	return err
 }
 
-// quiet returns when the last answer was taken, and whether none is pending.
+// quiet returns when the last response was taken, and whether none is pending.
 func (s *billedStore) quiet() (clock.Time, bool) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
@@ -161,8 +161,8 @@
 	}
 }
 
-// Calls that the store refuses are billed too, and where a few daemons get no answer the others get
-// none either.
+// Calls that the store rejects are billed too, and where a few daemons get no response the others
+// get none either.
 func TestAFleetSendsFewRequestsToAStoreThatIsDown(t *testing.T) {
 	const daemons, outage = 40, 5 * time.Second
 	g := gomega.NewWithT(t)
--- a/core/spread/values.go
+++ b/core/spread/values.go
@@ -188,7 +188,7 @@
 }
 
 // fetch gets a value from a peer where it is small enough, else from the store, and where the store
-// does not answer from a peer after all.
+// does not respond from a peer after all.
 func (v *largeValues) fetch(ctx context.Context, want plat.Pair) bool {
 	peers := v.candidatePeers()
 	got, tooLarge := v.fetchFromPeers(ctx, peers, want, maxPeerBytes)
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -22,7 +22,7 @@
 const kindChanges wire.Kind = "spread.mirror"
 
 // WatchCacheSync keeps this daemon's watch cache current while the coordination store does not
-// answer it or other daemons watch the store for it: it requests the changes from a peer.
+// respond to it or other daemons watch the store for it: it requests the changes from a peer.
 type WatchCacheSync struct {
 	// started is when this daemon started.
 	started    clock.Time
@@ -34,7 +34,7 @@
 	// peer's cache holds another shard than the one requested.
 	shardMismatches atomic.Int64
 	// bytesSent counts the bytes of values that were sent to peers; requestsFailed counts this
-	// daemon's requests that a peer did not answer.
+	// daemon's requests that a peer did not respond to.
 	bytesSent, requestsFailed atomic.Int64
 
 	// EntryParser, if set, parses a pair as a target's entry; it returns false where the pair is
@@ -43,7 +43,7 @@
 	entries     entryIndex
 
 	relays atomic.Pointer[relaySet]
-	// relayBackoff holds the watch relays that did not answer, or whose cache was stale.
+	// relayBackoff holds the watch relays that did not respond, or whose cache was stale.
 	relayBackoff wait.Backoff[string]
 
 	peersMu sync.Mutex
@@ -113,7 +113,7 @@
 // Times and bounds of requesting changes from peers.
 const (
 	// storeSilentAfter is how long the store may be silent before changes are requested from a
-	// peer: watches answer every 1.5 s.
+	// peer: watches respond every 1.5 s.
 	storeSilentAfter = 1800 * time.Millisecond
 	// requestInterval is the time between two requests.
 	requestInterval = 100 * time.Millisecond
@@ -133,7 +133,7 @@
 	maxResponseBytes = 48 << 10
 	// maxAgeMillis bounds the ages that peers report; an older copy counts as this old.
 	maxAgeMillis = 3600 * 1000
-	// freshnessSlack is by how much the times of one answer of the store may differ between
+	// freshnessSlack is by how much the times of one response of the store may differ between
 	// daemons, due to the latency of the heartbeats and responses that report them.
 	freshnessSlack = 100 * time.Millisecond
 	// batchTimeSmall and batchTimeLarge are how long successive changes are batched in small and
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// cell runs a sender, which the store answers, and others that it does not answer. They reach the
-// sender at the address that reach returns for the sender's own one.
+// cell runs a sender, which the store responds to, and others that it does not respond to. They
+// reach the sender at the address that reach returns for the sender's own one.
 func cell(t *testing.T, store *memkv.KV, others int, reach func(address string) string) (*member, []*member) {
 	t.Helper()
 	seeds, listeners := seedsAndListeners(t, others+1)
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -292,7 +292,7 @@
 const (
 	// maxErrorText bounds the bytes read of an error's text.
 	maxErrorText = 512
-	// maxReply bounds the size of a response that is read completely.
+	// maxResponse bounds the size of a response that is read completely.
 	maxResponse = 64 << 20
 )
 
