--- a/core/spread/values.go
+++ b/core/spread/values.go
@@ -187,8 +187,8 @@
 	return got
 }
 
-// fetch gets a value from a peer where it is small enough, else from the store, and where the store
-// does not respond from a peer after all.
+// fetch gets a value from a peer if it is small enough, else from the store, and if the store does
+// not respond, from a peer after all.
 func (v *largeValues) fetch(ctx context.Context, want plat.Pair) bool {
 	peers := v.candidatePeers()
 	got, tooLarge := v.fetchFromPeers(ctx, peers, want, maxPeerBytes)
--- a/core/spread/values_test.go
+++ b/core/spread/values_test.go
@@ -207,8 +207,8 @@
 
 func (freshHeartbeat) Receive(string, []byte) {}
 
-// A daemon that starts while the store does not respond it reads everything from a peer; the size
-// of this has no limit either.
+// A daemon that starts while the store does not respond to it reads everything from a peer; the
+// size of this has no limit either.
 func TestAFullCopyIsSentOverASlowLink(t *testing.T) {
 	const rate, targets = 256 << 10, 2000
 	g := gomega.NewWithT(t)
