--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -23,7 +23,7 @@
 type ContextState struct {
 	// Recorded is set if the context is in the index.
 	Recorded bool
-	// Workers and Keepings list the workers and stores that hold blocks of the chain.
+	// Workers and Stores list the workers and stores that hold blocks of the chain.
 	Workers []WorkerBlocks
 	Stores  []StoreBlocks
 	// StoresQueried is set if the stores have been queried for the context.
@@ -239,8 +239,8 @@
 	}
 }
 
-// ReplaceWorkerBlocks replaces everything recorded about a worker by the chains whose last blocks are
-// tips.
+// ReplaceWorkerBlocks replaces everything recorded about a worker by the chains whose last blocks
+// are tips.
 func (x *Index) ReplaceWorkerBlocks(worker string, tips []BlockRef) {
 	x.ForgetWorker(worker)
 	x.indexMu.Lock()
--- a/core/cache/storeindex.go
+++ b/core/cache/storeindex.go
@@ -10,7 +10,8 @@
 	"embertally.dev/core/clock"
 )
 
-// storeIndex is the index of one store's contents. All fields are guarded by Kept.indexesMu.
+// storeIndex is the index of one store's contents. All fields are guarded by
+// StoreIndexes.indexesMu.
 type storeIndex struct {
 	info StoreInfo
 	stop context.CancelFunc
@@ -29,7 +30,7 @@
 	// forwarded it; storeClock is the time it reported.
 	reportedAt clock.Time
 	storeClock time.Duration
-	// changed is closed and replaced when the store reports or stops answering.
+	// changed is closed and replaced when the store reports or stops responding.
 	changed chan struct{}
 	// down is set if the last query failed.
 	down bool
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -15,20 +15,20 @@
 )
 
 // StoreIndexes tracks which prompt segments the KV-cache stores hold, from their events. The zero
-// value is not usable; see NewKept.
+// value is not usable; see NewStoreIndexes.
 //
 // Lock order: indexesMu is never held together with another lock of this package.
 type StoreIndexes struct {
-	watcher StoreClient
-	log     *event.Log
+	client StoreClient
+	log    *event.Log
 
 	indexesMu sync.Mutex
 	indexes   map[string]*storeIndex // by address; guarded by indexesMu
 }
 
-// NewStoreIndexes returns a Kept that follows no stores until Set is called.
-func NewStoreIndexes(watcher StoreClient, log *event.Log) *StoreIndexes {
-	return &StoreIndexes{watcher: watcher, log: log, indexes: map[string]*storeIndex{}}
+// NewStoreIndexes returns StoreIndexes that follow no stores until Set is called.
+func NewStoreIndexes(client StoreClient, log *event.Log) *StoreIndexes {
+	return &StoreIndexes{client: client, log: log, indexes: map[string]*storeIndex{}}
 }
 
 // Set starts following the given stores and stops following all others. Following ends with
@@ -81,7 +81,7 @@
 	return ix.eventsSince(since, all, now), true
 }
 
-// Changed returns a channel that is closed when the store next reports or stops answering, or
+// Changed returns a channel that is closed when the store next reports or stops responding, or
 // nil if the store is not followed.
 func (s *StoreIndexes) Changed(address string) <-chan struct{} {
 	s.indexesMu.Lock()
@@ -202,7 +202,7 @@
 
 // Free frees segments of a store that were seen in the given epoch.
 func (s *StoreIndexes) Free(ctx context.Context, address string, epoch int64, segments []SegmentName) error {
-	if err := s.watcher.Free(ctx, address, epoch, segments); err != nil {
+	if err := s.client.Free(ctx, address, epoch, segments); err != nil {
 		return errors.Wrap(err, address)
 	}
 	s.indexesMu.Lock()
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -13,7 +13,7 @@
 	"embertally.dev/core/event"
 )
 
-// fakeStore is a Watcher that returns the events and contents that a test sets.
+// fakeStore is a StoreClient that returns the events and contents that a test sets.
 type fakeStore struct {
 	mu       sync.Mutex
 	epoch    int64
@@ -83,7 +83,7 @@
 	return SegmentChange{SegmentName: SegmentName{Salt: "v1/m/", ID: id}, Tokens: tokens}
 }
 
-// newFollowing returns a Kept that follows stores with the given capacities, at the
+// newFollowing returns StoreIndexes that follow stores with the given capacities, at the
 // addresses "a", "b" and so on.
 func newFollowing(t *testing.T, s *fakeStore, capacities ...int) *StoreIndexes {
 	k := NewStoreIndexes(s, &event.Log{})
@@ -114,12 +114,12 @@
 	g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
 	g.Expect(found(k, "1")()).To(gomega.BeFalse())
 	g.Expect(k.Tokens()).To(gomega.Equal(50))
-	places := k.Find(SegmentName{"v1/m/", "2"}, clock.Now())
-	g.Expect(places).To(gomega.HaveLen(1))
-	place := places[0]
-	g.Expect(place.TransferTime("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
-	g.Expect(place.TransferTime("d")).To(gomega.Equal(50 * time.Microsecond))
-	g.Expect(place.Until).To(gomega.BeNumerically(">", time.Hour))
+	list := k.Find(SegmentName{"v1/m/", "2"}, clock.Now())
+	g.Expect(list).To(gomega.HaveLen(1))
+	stored := list[0]
+	g.Expect(stored.TransferTime("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
+	g.Expect(stored.TransferTime("d")).To(gomega.Equal(50 * time.Microsecond))
+	g.Expect(stored.Until).To(gomega.BeNumerically(">", time.Hour))
 }
 
 func TestGapOrNewEpochResyncs(t *testing.T) {
@@ -160,7 +160,7 @@
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
 }
 
-func TestRoomChoosesStoreWithFreeCapacity(t *testing.T) {
+func TestChooseStoreWithFreeCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
 	k := newFollowing(t, s, 100, 1000)
@@ -176,7 +176,7 @@
 	g.Expect(choose(10)()).To(gomega.BeEmpty())
 }
 
-func TestSaltVersionParsesPartSalt(t *testing.T) {
+func TestSaltVersionParsesSegmentSalt(t *testing.T) {
 	g := gomega.NewWithT(t)
 	model, version, ok := SaltVersion(SegmentSalt{Model: "m", Version: 12, Wall: "org"}.String())
 	g.Expect([]any{model, version, ok}).To(gomega.Equal([]any{"m", int64(12), true}))
--- a/core/cache/workercaches.go
+++ b/core/cache/workercaches.go
@@ -60,7 +60,7 @@
 }
 
 const (
-	// defaultReadWindow is the value of Where.ReadLife if none is set.
+	// defaultReadWindow is the value of WorkerCaches.ReadWindow if none is set.
 	defaultReadWindow = 20 * time.Second
 	// staleCheckInterval is the time between removals of stale entries.
 	staleCheckInterval = 5 * time.Second
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -27,7 +27,7 @@
 	"embertally.dev/core/wire"
 )
 
-// Options configures a Home.
+// Options configures an Owner.
 type Options struct {
 	// Domain is this daemon's failure domain.
 	Domain    string
@@ -39,8 +39,8 @@
 	Client *http.Client
 	// LoadInterval is the interval at which a worker's load is read.
 	LoadInterval time.Duration
-	// IncarnationReplaced, if set, is called with the name of a worker incarnation when a report shows
-	// that another one has replaced it. It must not block.
+	// IncarnationReplaced, if set, is called with the name of a worker incarnation when a report
+	// shows that another one has replaced it. It must not block.
 	IncarnationReplaced func(incarnation string)
 }
 
@@ -60,7 +60,7 @@
 	configured    sync.Once
 	configuredAt  time.Time
 	cachedTargets atomic.Pointer[cellTargets]
-	warm          atomic.Bool // set once Warm has returned true
+	warmedUp      atomic.Bool // set once WarmedUp has returned true
 	stats         Stats
 	// storeMu guards downUntil.
 	storeMu   sync.Mutex
@@ -79,10 +79,10 @@
 // maxExports bounds the export queue.
 const maxExports = 256
 
-// New returns a Home and registers its messages with the fleet.
+// New returns an Owner and registers its messages with the fleet.
 func New(o Options) *Owner {
 	h := &Owner{o: o, loads: loads{onReplaced: o.IncarnationReplaced}, exports: make(chan export, maxExports), downUntil: map[string]time.Time{}}
-	h.assignments.home = h
+	h.assignments.owner = h
 	m := o.Fleet.Mux()
 	m.Register(kindPlace, wire.Handle(h.place))
 	m.Register(kindDone, wire.Handle(h.done))
@@ -193,7 +193,7 @@
 	_ = h.o.Fleet.Notify(ctx, owner, kindDone, d)
 }
 
-var errNotWarm = errors.New("the daemon has not received the load of all workers yet")
+var errNotWarmedUp = errors.New("the daemon has not received the load of all workers yet")
 
 // place decides about a request whose context is owned here.
 func (h *Owner) place(ctx context.Context, _ string, req *PlacementRequest) (PlacementResult, error) {
@@ -202,14 +202,14 @@
 		return PlacementResult{}, errors.New("prompt has too many blocks")
 	case !h.WarmedUp():
 		// The sender tries the next daemon, which may have the load of the workers.
-		return PlacementResult{}, errNotWarm
+		return PlacementResult{}, errNotWarmedUp
 	}
 	snap, view, now := h.o.Conf.Snapshot(), h.o.Fleet.View(), time.Now()
 	root, shorts := req.Root(), cache.Shorts(req.Chain)
-	pos := h.index.Find(root.Short(), shorts)
-	found := h.queryStores(ctx, snap, view, req, root, &pos)
-	workers, blockBytes := h.candidates(snap, view, req, pos, now)
-	d := route.Place(h.o.Placement, h.request(req, root), workers, h.importSources(snap, pos, blockBytes))
+	state := h.index.Find(root.Short(), shorts)
+	found := h.queryStores(ctx, snap, view, req, root, &state)
+	workers, blockBytes := h.candidates(snap, view, req, state, now)
+	d := route.Place(h.o.Placement, h.request(req, root), workers, h.importSources(snap, state, blockBytes))
 	ans := PlacementResult{
 		Verdict: d.Verdict, Worker: d.Chosen.Worker, Expected: d.Chosen.Expected,
 		RetryAfter: d.RetryAfter, Options: d.Cheapest, Owner: view.Self(),
@@ -217,7 +217,7 @@
 	if d.Verdict != route.Placed {
 		return ans, nil
 	}
-	ans.Boot = h.loads.boot(ans.Worker)
+	ans.Boot = h.loads.incarnation(ans.Worker)
 	h.stats.Placed.Add(1)
 	h.loads.addPending(d.Chosen.Worker, pendingRequest{
 		request: req.Request, tokens: d.Chosen.Recomputed, blocks: len(req.Chain), priority: req.Priority, at: now,
@@ -256,7 +256,7 @@
 
 // candidates returns the workers that may serve the request, and the size of a block in
 // bytes.
-func (h *Owner) candidates(snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, pos cache.ContextState, now time.Time) ([]route.Worker, int64) {
+func (h *Owner) candidates(snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, state cache.ContextState, now time.Time) ([]route.Worker, int64) {
 	var out []route.Worker
 	blockBytes := int64(0)
 	weights := WeightsName(req.Salt)
@@ -273,7 +273,7 @@
 		if w.PrefillPerSecond == 0 {
 			w.PrefillPerSecond = t.Prefill()
 		}
-		for _, held := range pos.Workers {
+		for _, held := range state.Workers {
 			if held.Worker == name {
 				w.CachedBlocks = held.Blocks
 			}
@@ -325,8 +325,8 @@
 		if !ok {
 			continue
 		}
-		for _, held := range load.Holds {
-			if v, ok := versionOf(held, model); ok && !slices.Contains(out, v) {
+		for _, weights := range load.Holds {
+			if v, ok := versionOf(weights, model); ok && !slices.Contains(out, v) {
 				out = append(out, v)
 			}
 		}
@@ -336,11 +336,11 @@
 
 // versionOf returns the version in the name of loaded weights. It returns false if they are
 // of another model or have an adapter.
-func versionOf(held, model string) (string, bool) {
-	if len(held) <= len(model) || held[:len(model)] != model || held[len(model)] != '@' {
+func versionOf(weights, model string) (string, bool) {
+	if len(weights) <= len(model) || weights[:len(model)] != model || weights[len(model)] != '@' {
 		return "", false
 	}
-	v := held[len(model)+1:]
+	v := weights[len(model)+1:]
 	for _, c := range v {
 		if c == '+' {
 			return "", false
@@ -406,7 +406,7 @@
 // WarmedUp reports whether the load of enough workers is known to place requests: every usable
 // worker has reported, or warmupLimit has passed.
 func (h *Owner) WarmedUp() bool {
-	if h.warm.Load() {
+	if h.warmedUp.Load() {
 		return true
 	}
 	if !h.o.Conf.Loaded() {
@@ -423,7 +423,7 @@
 			}
 		}
 	}
-	h.warm.Store(true)
+	h.warmedUp.Store(true)
 	return true
 }
 
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -153,8 +153,8 @@
 
 func TestVersionOf(t *testing.T) {
 	tests := []struct {
-		held, model, want string
-		ok                bool
+		weights, model, want string
+		ok                   bool
 	}{
 		{"m@v1", "m", "v1", true},
 		{"m@v1+a", "m", "", false},
@@ -162,8 +162,8 @@
 		{"m", "m", "", false},
 	}
 	for _, tc := range tests {
-		got, ok := versionOf(tc.held, tc.model)
-		gomega.NewWithT(t).Expect([]any{got, ok}).To(gomega.Equal([]any{tc.want, tc.ok}), tc.held)
+		got, ok := versionOf(tc.weights, tc.model)
+		gomega.NewWithT(t).Expect([]any{got, ok}).To(gomega.Equal([]any{tc.want, tc.ok}), tc.weights)
 	}
 }
 
@@ -186,7 +186,7 @@
 }
 
 // Peers list a daemon that has just started before it has the load of the workers. It must
-// not answer that there is no worker.
+// not respond that there is no worker.
 func TestNewDaemonDoesNotPlaceRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := fleet.New(fleet.Options{Name: "me", Log: &event.Log{}})
@@ -199,7 +199,7 @@
 	h := New(Options{Placement: route.LowestCost, Conf: store, Fleet: f, Log: &event.Log{}})
 	req := &PlacementRequest{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
 	_, err := h.Place(context.Background(), f.View(), req)
-	g.Expect(err).To(gomega.MatchError(errNotWarm))
+	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
 	h.loads.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}, Speed: 8000}, time.Now())
 	ans, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -214,6 +214,6 @@
 		Placement: route.LowestCost, Conf: conf.NewStore(&event.Log{}), Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
 	})
 	_, err := h.place(context.Background(), "peer", &PlacementRequest{Chain: []cache.Hash{{1}}})
-	g.Expect(err).To(gomega.MatchError(errNotWarm))
+	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
 	g.Expect(h.WarmedUp()).To(gomega.BeFalse())
 }
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -28,7 +28,7 @@
 // targetModel holds the observations of one target.
 type targetModel struct {
 	// logSlowdown is the mean of the logarithm of observed over expected times, and
-	// failures the share of failed answers.
+	// failures the share of failed responses.
 	logSlowdown, failures Mean
 	// updatedAt is the time of the last observation.
 	updatedAt time.Time
@@ -57,15 +57,15 @@
 	// maxTargetWeight bounds the total weight of the observations.
 	targetPriorWeight = 2
 	maxTargetWeight   = 20
-	// serviceHalfLife is the half-life of the weight of an answer in the share of
+	// serviceHalfLife is the half-life of the weight of a response in the share of
 	// failures of a whole service.
 	serviceHalfLife = 20 * time.Second
 	// priorFailures is the share of failures that is expected of a service by the
-	// prior, which counts as failuresPriorWeight answers.
+	// prior, which counts as failuresPriorWeight responses.
 	priorFailures       = 0.02
 	failuresPriorWeight = 10
-	// maxSpeedFactor bounds the speed factor of one observation, and its inverse.
-	maxSpeedFactor = 8
+	// maxTargetSlowdown bounds the slowdown of one observation, and its inverse.
+	maxTargetSlowdown = 8
 	// targetExpiry is the time after which a target without observations is removed.
 	targetExpiry = time.Minute
 	// maxReportCount bounds each count in a peer's report of a target.
@@ -74,10 +74,10 @@
 
 // TargetState is the estimated state of a target.
 type TargetState struct {
-	// Slowdown is the target's speed factor: its time to the first answer divided by that
+	// Slowdown is the target's time to the first answer divided by that
 	// expected of its service. Above 1 the target is slower.
 	Slowdown float64
-	// FailureShare is the share of the target's answers that are failures, 0 to 1.
+	// FailureShare is the share of the target's responses that are failures, 0 to 1.
 	FailureShare float64
 }
 
@@ -106,7 +106,7 @@
 	if !(ratio > 0) || !finite(ratio) {
 		return
 	}
-	logRatio := math.Log(min(max(ratio, 1.0/maxSpeedFactor), maxSpeedFactor))
+	logRatio := math.Log(min(max(ratio, 1.0/maxTargetSlowdown), maxTargetSlowdown))
 	t.observe(id, targetReport{Service: service, Times: 1, LogSlowdown: float32(logRatio)}, now)
 }
 
@@ -179,7 +179,7 @@
 
 // valid reports whether a peer's report is within the possible ranges.
 func (r *targetReport) valid() bool {
-	limit := math.Log(maxSpeedFactor) * float64(r.Times) * 1.01
+	limit := math.Log(maxTargetSlowdown) * float64(r.Times) * 1.01
 	return r.Times >= 0 && r.Times <= maxReportCount && r.Answers >= 0 && r.Answers <= maxReportCount &&
 		r.Failures >= 0 && r.Failures <= r.Answers && math.Abs(float64(r.LogSlowdown)) <= limit
 }
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -49,8 +49,8 @@
 type Prior struct {
 	// Fixed is the time at an idle target without the prefill.
 	Fixed time.Duration
-	// PerThousandOwn and PerThousandQueued are the times to prefill a thousand tokens of the request and of
-	// the requests before it.
+	// PerThousandOwn and PerThousandQueued are the times to prefill a thousand tokens of the
+	// request and of the requests before it.
 	PerThousandOwn, PerThousandQueued time.Duration
 	// Utilisation is the time added if the target runs as many requests as it can, and
 	// QueuedPerSlot the time added for each multiple of that number in its queue.
@@ -101,7 +101,7 @@
 }
 
 // Components returns the two components of the expected time: that before the request's turn,
-// by Before, Waiting and Crowd, and that from its turn to the first answer.
+// by QueuedTokens, QueuedPerSlot and MemoryPressure, and that from its turn to the first answer.
 func (e *Estimate) Components(f Factors) (queueing, service time.Duration) {
 	service = e.Time(Factors{OwnTokens: f.OwnTokens, Utilisation: f.Utilisation})
 	return e.Time(f) - service, service
@@ -374,7 +374,7 @@
 	return out
 }
 
-// priorRatios is the number of ratios that the prior's Spread counts for.
+// priorRatios is the number of ratios that the prior's LogStdDev counts for.
 const priorRatios = 12
 
 // Rejected returns the number of observations that were out of range.
--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -33,7 +33,7 @@
 // ownEligibleTargets returns the eligible targets among those that this daemon uses, and the
 // fraction of the service's targets that it uses. If those are full, the request waits or is
 // refused, since this daemon does not know the load of other workers. It falls back to all targets
-// only if none of its own answers.
+// only if none of its own responds.
 func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
 	all := p.relay.options.Roster.ByService(p.service)
 	sharded := p.relay.sharded(p.service)
@@ -44,7 +44,7 @@
 	share := p.relay.shares.get(p.service, all, &p.relay.options)
 	own, reason = p.eligibleTargets(svc, share.own, true, now)
 	if sharded || len(own) > 0 || reason == allFull || endsAtKnownTime(reason) {
-		// If all of its own are under pushback, what they turned away would overload the others.
+		// If all of its own are under pushback, what they rejected would overload the others.
 		// Sharded targets outside the cell are chosen by other cells.
 		return own, share.fraction, reason
 	}
@@ -57,7 +57,7 @@
 func (p *proxiedRequest) eligibleTargets(svc *table.Service, list []*roster.Target, shared bool, now time.Time) ([]eligibleTarget, string) {
 	var out []eligibleTarget
 	availability, reloading := p.relay.options.Roster.Availability(now), p.relay.options.Roster.Reloading(now)
-	var rejected unavailability
+	var unavailable unavailability
 	list = p.applyRollout(list)
 	for _, t := range list {
 		if p.tried[t.ID()] > 0 {
@@ -65,51 +65,51 @@
 		}
 		candidate := eligibleTarget{target: t, entry: t.Entry(), health: t.Health(now), load: t.Load()}
 		if !p.domainAllowed(candidate.entry.Domain) {
-			rejected.outsideRegions++
+			unavailable.outsideRegions++
 			continue
 		}
 		if !p.versions.Allows(candidate.entry.Version) {
-			rejected.excludedVersions++
+			unavailable.excludedVersions++
 			continue
 		}
-		stop, duration := availability.Reason(t)
-		if stop == roster.Available && !shared && availability.RateLimited(t) {
+		reason, duration := availability.Reason(t)
+		if reason == roster.Available && !shared && availability.RateLimited(t) {
 			// Its rate limit is divided among other daemons.
-			stop = roster.RateLimited
+			reason = roster.RateLimited
 		}
-		if stop != roster.Available {
-			rejected.count(t.ID(), stop, duration)
-			if stop == roster.RateLimited {
-				rejected.rateLimitedTarget = t
+		if reason != roster.Available {
+			unavailable.count(t.ID(), reason, duration)
+			if reason == roster.RateLimited {
+				unavailable.rateLimitedTarget = t
 			}
 			continue
 		}
 		p.limitConnections(svc, candidate.entry.Address, false)
 		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) || p.relay.options.Pool.FreeCapacity(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
-			rejected.full++
+			unavailable.full++
 			continue
 		}
 		candidate.weightVersion = candidate.entry.Weights[p.meta.Model]
 		if svc.Engine != nil && reloading[t.ID()] && candidate.weightVersion < p.relay.options.DesiredWeights(p.meta.Model) {
-			rejected.full++
+			unavailable.full++
 			continue
 		}
 		candidate.state = p.relay.options.TargetStats.State(t.ID(), p.service, now)
 		if svc.Engine != nil && p.relay.options.WeightsOutdated(p.meta.Model, candidate.weightVersion) {
-			rejected.outdated++
+			unavailable.outdated++
 			continue
 		}
 		out = append(out, candidate)
 	}
 	out = p.preferVersion(out)
-	reason := rejected.reason()
-	p.skipped, p.rateLimited = rejected.skipped, rejected.rateLimitedTarget
+	reason := unavailable.reason()
+	p.skipped, p.rateLimited = unavailable.skipped, unavailable.rateLimitedTarget
 	switch {
 	case len(out) > 0:
 	case reason == allEvacuated:
-		p.expectedWait = rejected.evacuationAge
+		p.expectedWait = unavailable.evacuationAge
 	case endsAtKnownTime(reason):
-		p.expectedWait = rejected.untilAvailable
+		p.expectedWait = unavailable.untilAvailable
 	}
 	return out, reason
 }
@@ -119,11 +119,10 @@
 	// allFull: targets are available, but have no free capacity.
 	allFull      = "all targets are full"
 	allEvacuated = "all failure domains of the service are evacuated"
-	// allUnderPushback: each target asked this daemon for pushback. It is known when the first
+	// allUnderPushback: each target is under pushback for this daemon. It is known when the first
 	// pushback ends.
 	allUnderPushback = "all targets rest"
-	// allRateLimited: as allUnderPushback, but some targets named a rate limit and are
-	// rate-limited.
+	// allRateLimited: as allUnderPushback, but some targets are rate-limited.
 	allRateLimited = "all targets rest or are over the limits that they named"
 )
 
@@ -149,7 +148,7 @@
 const maxSkippedNoted = 4
 
 // count counts a target that is unavailable to this daemon. duration is what is known of how long
-// that lasts; see roster.Gate.Stop.
+// that lasts; see roster.Availability.Reason.
 func (u *unavailability) count(id string, reason roster.UnavailabilityReason, duration time.Duration) {
 	if (reason == roster.ShuttingDown || reason == roster.UnderPushback || reason == roster.RateLimited) && len(u.skipped) < maxSkippedNoted {
 		u.skipped = append(u.skipped, id+" "+reason.String())
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -27,8 +27,8 @@
 	kindPlacementUpdate wire.Kind = "relay.placed"
 )
 
-// ContextOwners queries the owners of contexts in other cells, and decides as an owner for this daemon's
-// own cell.
+// ContextOwners queries the owners of contexts in other cells, and decides as an owner for this
+// daemon's own cell.
 //
 // In a large fleet each cell uses a share of the workers and knows which contexts these have
 // cached. If each prompt were decided in the cell that its caller happens to reach, only one in as
@@ -38,7 +38,7 @@
 type ContextOwners struct {
 	relay *Relay
 	fleet *fleet.Fleet
-	// backoff holds the daemons that did not answer lately.
+	// backoff holds the daemons that did not respond lately.
 	backoff wait.Backoff[string]
 	// sequence numbers the names of placements.
 	sequence atomic.Int64
@@ -63,7 +63,7 @@
 	ownerQueryInterval = 60 * time.Millisecond
 	// maxOwnerQueries is how many daemons of a cell are queried, one after the other.
 	maxOwnerQueries = 2
-	// backoffFirst and backoffMax bound how long a daemon that did not answer is not queried.
+	// backoffFirst and backoffMax bound how long a daemon that did not respond is not queried.
 	backoffFirst = 300 * time.Millisecond
 	backoffMax   = 5 * time.Second
 	// maxExternalListAge is how old another cell's target list may be for this daemon to send by
@@ -76,20 +76,20 @@
 	expiryInterval = time.Second
 )
 
-// NewContextOwners makes a relay query the owners of contexts. It must be called before the fleet runs and
-// the relay serves.
+// NewContextOwners makes a relay query the owners of contexts. It must be called before the fleet
+// runs and the relay serves.
 func NewContextOwners(rl *Relay, f *fleet.Fleet) *ContextOwners {
-	h := &ContextOwners{
+	co := &ContextOwners{
 		relay: rl, fleet: f, timeout: ownerTimeout, placements: map[string]*ownedPlacement{},
 		backoff: wait.Backoff[string]{First: backoffFirst, Most: backoffMax},
 	}
-	rl.owners = h
-	f.Mux().Register(kindPlace, wire.Handle(h.handlePlace))
-	f.Mux().Register(kindPlacementUpdate, wire.Handle(h.handleUpdate))
-	return h
+	rl.owners = co
+	f.Mux().Register(kindPlace, wire.Handle(co.handlePlace))
+	f.Mux().Register(kindPlacementUpdate, wire.Handle(co.handleUpdate))
+	return co
 }
 
-// placementRequest asks another daemon to choose a target for a request.
+// placementRequest requests that another daemon choose a target for a request.
 type placementRequest struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
@@ -107,9 +107,9 @@
 	// Elapsed and Remaining are the times since the request arrived and until its deadline.
 	Elapsed, Remaining time.Duration
 	// Excluded are the targets of earlier attempts, and those that are unavailable to the sender by
-	// their self-reported state: the owner may not know that and would choose them again.
+	// their self-reported state: the owner may not have received that and would choose them again.
 	Excluded []string
-	// RateLimits are the rate limits of the service's targets as the sender knows them.
+	// RateLimits are the rate limits of the service's targets that the sender has recorded.
 	RateLimits map[string]roster.RateLimitUpdate
 	// NeedsPermit is set if the sender has no permit for the service's targets. Then a choice is
 	// useful even among targets that the sender uses itself.
@@ -138,13 +138,13 @@
 	CopyDeadline  time.Duration
 	StoreTo       []string
 	// The factors of the expected time; see learn.Factors.
-	PrefillTokens, QueuedTokens           int
-	Occupancy, QueueRatio, MemoryPressure float64
-	// The candidate's state and what is expected of it; see route.Candidate and route.Judgement.
-	CachedTokens, CopiedTokens, Running, HeldTokens int
-	Expected, Baseline                              time.Duration
-	OnTimeChance, ServedChance, Gain, Utility       float64
-	OnlyCandidate                                   bool
+	OwnTokens, QueuedTokens                    int
+	Utilisation, QueuedPerSlot, MemoryPressure float64
+	// The candidate's state and what is expected of it; see route.Candidate and route.Evaluation.
+	CachedTokens, CopiedTokens, Running, OccupiedTokens        int
+	Expected, Baseline                                         time.Duration
+	WithinObjective, BeforeDeadline, CallerUtility, NetUtility float64
+	OnlyCandidate                                              bool
 	// PermitHeld is set if the responder took a permit for the request, for a target with a rate
 	// limit.
 	PermitHeld bool
@@ -174,12 +174,12 @@
 
 // newPlacementResponse returns a choice as it is sent to other daemons.
 func newPlacementResponse(c *choice, age time.Duration) *placementResponse {
-	f, candidate, judgement, e := &c.factors, &c.candidate, &c.judgement, c.target.Entry()
+	f, candidate, evaluation, e := &c.factors, &c.candidate, &c.evaluation, c.target.Entry()
 	return &placementResponse{
 		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.WeightVersion, CopyFrom: c.attemptMeta.CopyFrom, CopyDeadline: c.attemptMeta.CopyDeadline, StoreTo: c.attemptMeta.StoreTo,
-		PrefillTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Occupancy: f.Utilisation, QueueRatio: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
-		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens, Running: candidate.Running, HeldTokens: candidate.OccupiedTokens,
-		Expected: judgement.Expected, Baseline: c.baseline, OnTimeChance: judgement.WithinObjective, ServedChance: judgement.BeforeDeadline, Gain: judgement.CallerUtility, Utility: judgement.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
+		OwnTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Utilisation: f.Utilisation, QueuedPerSlot: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
+		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens, Running: candidate.Running, OccupiedTokens: candidate.OccupiedTokens,
+		Expected: evaluation.Expected, Baseline: c.baseline, WithinObjective: evaluation.WithinObjective, BeforeDeadline: evaluation.BeforeDeadline, CallerUtility: evaluation.CallerUtility, NetUtility: evaluation.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
 		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Started, Slots: e.Slots}, ListAge: age,
 	}
 }
@@ -189,10 +189,10 @@
 	return &choice{
 		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Permit{Taken: r.PermitHeld, Remote: true},
 		attemptMeta: AttemptMeta{Target: r.Target, WeightVersion: r.WeightVersion, CopyFrom: r.CopyFrom, CopyDeadline: r.CopyDeadline, StoreTo: r.StoreTo},
-		load:        roster.Load{Running: 1, QueuedTokens: r.PrefillTokens, OccupiedTokens: tokens},
-		judgement:   route.Evaluation{Expected: r.Expected, WithinObjective: r.OnTimeChance, BeforeDeadline: r.ServedChance, CallerUtility: r.Gain, NetUtility: r.Utility},
-		factors:     learn.Factors{OwnTokens: r.PrefillTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Occupancy, QueuedPerSlot: r.QueueRatio, MemoryPressure: r.MemoryPressure},
-		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.HeldTokens, QueuedTokens: r.QueuedTokens},
+		load:        roster.Load{Running: 1, QueuedTokens: r.OwnTokens, OccupiedTokens: tokens},
+		evaluation:  route.Evaluation{Expected: r.Expected, WithinObjective: r.WithinObjective, BeforeDeadline: r.BeforeDeadline, CallerUtility: r.CallerUtility, NetUtility: r.NetUtility},
+		factors:     learn.Factors{OwnTokens: r.OwnTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Utilisation, QueuedPerSlot: r.QueuedPerSlot, MemoryPressure: r.MemoryPressure},
+		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.OccupiedTokens, QueuedTokens: r.QueuedTokens},
 	}
 }
 
@@ -206,10 +206,10 @@
 	Response *placementResponse
 	// FirstEvent is the time from sending to the first event; 0 if there has been none yet.
 	FirstEvent time.Duration
-	// Ended is set once the attempt has ended, Bad if its answer was an error or was truncated,
-	// NoAnswer if there was none, and Reloading if the worker refused it and appears to be changing
-	// its weights.
-	Ended, Bad, NoAnswer, Reloading bool
+	// Ended is set once the attempt has ended, Bad if its response was an error or was
+	// truncated, NoResponse if there was none, and Reloading if the worker rejected it and appears
+	// to be changing its weights.
+	Ended, Bad, NoResponse, Reloading bool
 	// ShuttingDown is set if the worker reported that it is shutting down.
 	ShuttingDown bool
 }
@@ -218,16 +218,16 @@
 // and its choice is better than the local one, or else nil.
 func (p *proxiedRequest) chooseByOwner(ctx context.Context, svc *table.Service, local *choice) *choice {
 	now := time.Now()
-	h := p.relay.owners
-	if h == nil || svc.Engine == nil || p.relay.options.Disabled.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
+	co := p.relay.owners
+	if co == nil || svc.Engine == nil || p.relay.options.Disabled.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
 		return nil
 	}
-	peers := h.ownersOf(p.service, p.contextHash(), now)
+	peers := co.ownersOf(p.service, p.contextHash(), now)
 	if len(peers) == 0 {
 		return nil
 	}
 	c := p.chooseByPeers(ctx, svc, peers, now)
-	if c == nil || (local != nil && local.judgement.CallerUtility > 0 && local.judgement.NetUtility > c.judgement.NetUtility+p.splitCost()) {
+	if c == nil || (local != nil && local.evaluation.CallerUtility > 0 && local.evaluation.NetUtility > c.evaluation.NetUtility+p.splitCost()) {
 		return nil
 	}
 	return c
@@ -237,14 +237,14 @@
 // has no target for it, or nil.
 func (p *proxiedRequest) chooseInOtherCell(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
-	h := p.relay.owners
-	if h == nil || now.Sub(p.cellsQueried) < ownerQueryInterval {
+	co := p.relay.owners
+	if co == nil || now.Sub(p.cellsQueried) < ownerQueryInterval {
 		return nil
 	}
 	p.cellsQueried = now
-	view := h.fleet.View()
+	view := co.fleet.View()
 	for _, cell := range view.NextCells() {
-		peers := h.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
+		peers := co.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
 		if c := p.chooseByPeers(ctx, svc, peers, now); c != nil {
 			return c
 		}
@@ -256,12 +256,12 @@
 // rate-limited here, or nil.
 func (p *proxiedRequest) chooseByPermit(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
-	h := p.relay.owners
-	if h == nil || p.relay.options.RankedDaemons == nil || p.rateLimited == nil || now.Sub(p.permitQueried) < ownerQueryInterval {
+	co := p.relay.owners
+	if co == nil || p.relay.options.RankedDaemons == nil || p.rateLimited == nil || now.Sub(p.permitQueried) < ownerQueryInterval {
 		return nil
 	}
 	p.permitQueried = now
-	peers := h.responsive(p.relay.options.RankedDaemons(p.rateLimited, p.relay.options.Roster.Senders(p.rateLimited)), now)
+	peers := co.responsive(p.relay.options.RankedDaemons(p.rateLimited, p.relay.options.Roster.Senders(p.rateLimited)), now)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), maxOwnerQueries)] {
 		if c := p.chooseByPeers(ctx, svc, []string{peer}, now); c != nil {
@@ -271,14 +271,14 @@
 	return nil
 }
 
-// chooseByPeers returns the choice of the first of some daemons that answers, or nil if that has
+// chooseByPeers returns the choice of the first of some daemons that responds, or nil if that has
 // none. The daemons belong to one cell.
 func (p *proxiedRequest) chooseByPeers(ctx context.Context, svc *table.Service, peers []string, now time.Time) *choice {
-	h := p.relay.owners
+	co := p.relay.owners
 	p.ownerQueried = now
 	request := p.newPlacementRequest(now)
 	for _, peer := range peers {
-		response, err := h.query(ctx, peer, request)
+		response, err := co.query(ctx, peer, request)
 		switch {
 		case errors.Is(err, wire.ErrRemote):
 			// It has no target for the request now.
@@ -295,8 +295,8 @@
 // splitCost returns the cost of caching a context in two cells: for its next request it is copied,
 // over a connection that is not yet open.
 func (p *proxiedRequest) splitCost() float64 {
-	prices := &p.relay.options.Costs
-	return prices.NewConnectionCost + prices.CopyPerToken*float64(p.sharedTokens()) + splitLoss*prices.Utility(p.meta.PromptTokens)
+	costs := &p.relay.options.Costs
+	return costs.NewConnectionCost + costs.CopyPerToken*float64(p.sharedTokens()) + splitLoss*costs.Utility(p.meta.PromptTokens)
 }
 
 // splitLoss is the fraction of an answer's utility that is lost by the time of a copy: an answer
@@ -304,7 +304,8 @@
 // that time.
 const splitLoss = 0.01
 
-// worthQuerying reports whether prefilling the shared segments takes long enough to justify a query.
+// worthQuerying reports whether prefilling the shared segments takes long enough to justify a
+// query.
 func (p *proxiedRequest) worthQuerying(now time.Time) bool {
 	e := p.estimate(now)
 	return e.Time(learn.Factors{OwnTokens: p.sharedTokens()})-e.Time(learn.Factors{}) >= minPrefillTime
@@ -360,49 +361,49 @@
 // ownersOf returns the daemons to query for a context, best first, or none if this daemon's own
 // cell is its owner. A daemon always queries the same daemons of a cell, so that it needs only one
 // link per cell.
-func (h *ContextOwners) ownersOf(service string, contextHash uint64, now time.Time) []string {
-	view := h.fleet.View()
+func (co *ContextOwners) ownersOf(service string, contextHash uint64, now time.Time) []string {
+	view := co.fleet.View()
 	if view.Cells() <= 1 {
 		return nil
 	}
-	cell := h.ownerCell(view, service, contextHash)
+	cell := co.ownerCell(view, service, contextHash)
 	if cell == view.Cell() {
 		return nil
 	}
-	return h.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
+	return co.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
 }
 
 // ownerCell returns the cell that owns a context. Each cell has about the same number of targets of
 // a sharded service; of other services, it has targets in proportion to its daemons.
-func (h *ContextOwners) ownerCell(view *fleet.View, service string, contextHash uint64) int {
-	if h.relay.sharded(service) {
+func (co *ContextOwners) ownerCell(view *fleet.View, service string, contextHash uint64) int {
+	if co.relay.sharded(service) {
 		return view.KeyCell(contextHash)
 	}
 	return view.WeighedCell(contextHash)
 }
 
 // responsive returns those of some daemons that are not in backoff.
-func (h *ContextOwners) responsive(names []string, now time.Time) []string {
-	return slices.DeleteFunc(names, func(name string) bool { return !h.backoff.Open(name, now) })
+func (co *ContextOwners) responsive(names []string, now time.Time) []string {
+	return slices.DeleteFunc(names, func(name string) bool { return !co.backoff.Open(name, now) })
 }
 
 // query queries one daemon.
-func (h *ContextOwners) query(ctx context.Context, peer string, request *placementRequest) (*placementResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.timeout)
+func (co *ContextOwners) query(ctx context.Context, peer string, request *placementRequest) (*placementResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, co.timeout)
 	defer cancel()
 	var response placementResponse
-	err := h.fleet.Call(ctx, peer, kindPlace, request, &response)
+	err := co.fleet.Call(ctx, peer, kindPlace, request, &response)
 	if err != nil && !errors.Is(err, wire.ErrRemote) {
-		h.backoff.Failed(peer, time.Now())
+		co.backoff.Failed(peer, time.Now())
 		return nil, err
 	}
-	h.backoff.Worked(peer)
+	co.backoff.Worked(peer)
 	return &response, err
 }
 
 // newPlacementName returns a new name for a choice, unique in the fleet.
-func (h *ContextOwners) newPlacementName() string {
-	return h.fleet.View().Self() + "/" + strconv.FormatInt(h.relay.start.UnixNano(), 36) + "/" + strconv.FormatInt(h.sequence.Add(1), 36)
+func (co *ContextOwners) newPlacementName() string {
+	return co.fleet.View().Self() + "/" + strconv.FormatInt(co.relay.start.UnixNano(), 36) + "/" + strconv.FormatInt(co.sequence.Add(1), 36)
 }
 
 // ownerReport collects and sends the updates for a choice to the daemon that made it. A nil report
@@ -412,8 +413,8 @@
 	peer, name string
 	request    *placementRequest
 	response   *placementResponse
-	// bad, noAnswer, reloading and shuttingDown are sent with the final update.
-	bad, noAnswer, reloading, shuttingDown bool
+	// bad, noResponse, reloading and shuttingDown are sent with the final update.
+	bad, noResponse, reloading, shuttingDown bool
 }
 
 // send sends an update in the background. If it is lost, the placement expires at the owner.
@@ -432,17 +433,17 @@
 	o.send(&placementUpdate{FirstEvent: took})
 }
 
-// recordAnswer records whether an answer was good.
-func (o *ownerReport) recordAnswer(good bool) {
+// recordResponse records whether a response was good.
+func (o *ownerReport) recordResponse(good bool) {
 	if o != nil {
 		o.bad = o.bad || !good
 	}
 }
 
-// recordNoAnswer records that there was no answer.
-func (o *ownerReport) recordNoAnswer() {
+// recordNoResponse records that there was no response.
+func (o *ownerReport) recordNoResponse() {
 	if o != nil {
-		o.noAnswer = true
+		o.noResponse = true
 	}
 }
 
@@ -463,7 +464,7 @@
 // reportEnd reports that the attempt has ended.
 func (o *ownerReport) reportEnd() {
 	if o != nil {
-		o.send(&placementUpdate{Ended: true, Bad: o.bad, NoAnswer: o.noAnswer, Reloading: o.reloading, ShuttingDown: o.shuttingDown})
+		o.send(&placementUpdate{Ended: true, Bad: o.bad, NoResponse: o.noResponse, Reloading: o.reloading, ShuttingDown: o.shuttingDown})
 	}
 }
 
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,5 +1,5 @@
 // Package relay forwards callers' requests to targets. It matches a request to a route, sends it to
-// a target of the route's service, and passes the target's answer on complete and unchanged.
+// a target of the route's service, and passes the target's response on complete and unchanged.
 //
 // It must not know the names of the headers used with callers and targets (see Dialect), where the
 // routing table comes from, or how a target's cost is computed (package route).
@@ -30,15 +30,17 @@
 	Dialect Dialect
 	Roster  *roster.Roster
 	Pool    *target.Pool
-	// StoreIndex is the index of the segments in KV-cache stores, Where that of those cached by workers.
+	// StoreIndex is the index of the segments in KV-cache stores, WorkerCaches that of the segments
+	// cached by workers.
 	StoreIndex   *cache.StoreIndexes
 	WorkerCaches *cache.WorkerCaches
 	// Links is the learned speed and load of the links of stores and workers.
 	Links *learn.Links
-	// Retention is the learned chance that a segment is still in a worker's KV cache.
+	// Retention is the learned probability that a segment is still in a worker's KV cache.
 	Retention *learn.Retention
-	// FirstAnswerTimes and Targets are statistics of the targets' answers. Engines and Calls are the priors of
-	// the time to a first answer, for model workers and for plain calls.
+	// FirstAnswerTimes and TargetStats are statistics of the targets' responses. EnginePrior and
+	// CallPrior are the priors of the time to a first answer, for model workers and for plain
+	// calls.
 	FirstAnswerTimes       *learn.Times
 	TargetStats            *learn.Targets
 	EnginePrior, CallPrior learn.Prior
@@ -52,7 +54,7 @@
 	Poison *poison.Guard
 	// Canary restricts requests to the versions that a rollout allows. Nil restricts none.
 	Canary *canary.Guard
-	// Placement is the policy that chooses workers. The zero value means route.Returning.
+	// Placement is the policy that chooses workers. The zero value means route.LowestCost.
 	Placement route.Placement
 	// Domain is the failure domain of this daemon.
 	Domain string
@@ -60,30 +62,30 @@
 	Regions map[string]string
 	// DesiredWeights returns the desired version of a model's weights.
 	DesiredWeights func(model string) int64
-	// WeightsOutdated reports whether a version of the weights was superseded so long ago that no request
-	// may start on it.
+	// WeightsOutdated reports whether a version of the weights was superseded so long ago that no
+	// request may start on it.
 	WeightsOutdated func(model string, version int64) bool
 	// ViewAge returns the age of this daemon's view of the coordination store.
 	ViewAge func() time.Duration
 	// StoreDown reports whether the coordination store is known to be unreachable. Nil means never.
 	StoreDown func() bool
-	// ConfigCurrent reports whether this daemon's configuration is known to be current. Only then may it
-	// answer that a route or key does not exist.
+	// ConfigCurrent reports whether this daemon's configuration is known to be current. Only then
+	// may it answer that a route or key does not exist.
 	ConfigCurrent func() bool
-	// ConfigOverdue returns how long a newer configuration has been known to exist without having arrived.
-	// It is 0 while the applied one may still be used. Nil means always 0.
+	// ConfigOverdue returns how long a newer configuration has been known to exist without having
+	// arrived. It is 0 while the applied one may still be used. Nil means always 0.
 	ConfigOverdue func() time.Duration
 	// MayCopy reports whether segments may be copied from KV-cache stores: the daemon's view of the
 	// desired weights is recent enough.
 	MayCopy func() bool
-	// PublishState is called when the load of a target or its reported state has changed, to publish that
-	// to the other daemons at once. It must be set.
+	// PublishState is called when the load of a target or its reported state has changed, to
+	// publish that to the other daemons at once. It must be set.
 	PublishState func()
-	// OwnTargets returns those of the given workers that this daemon uses. A large fleet partitions its
-	// workers, so that a daemon knows the load of the ones that it uses.
+	// OwnTargets returns those of the given workers that this daemon uses. A large fleet partitions
+	// its workers, so that a daemon knows the load of the ones that it uses.
 	OwnTargets func(names []string) []string
-	// ShardVersion returns a value that stays equal as long as Share returns the same partition. Nil means
-	// that shares must not be cached.
+	// ShardVersion returns a value that stays equal as long as OwnTargets uses the same partition.
+	// Nil means that its results must not be cached.
 	ShardVersion func() any
 	// Sharded reports whether the targets of a service are sharded by cell, so that this daemon may
 	// list only those of its own cell. Nil means never.
@@ -96,12 +98,12 @@
 	DaemonCount func() int
 	// Rank returns this daemon's rank, from 0, among the daemons that may send to a target, and
 	// their number. They are the daemons of its cell, or of the whole fleet.
-	Rank func(target string, cell bool) (place, of int)
-	// RankedDaemons returns the n best-ranked other daemons among those that Place counts. Nil means
+	Rank func(target string, cell bool) (rank, of int)
+	// RankedDaemons returns the n best-ranked other daemons among those that Rank counts. Nil means
 	// none.
 	RankedDaemons func(t *roster.Target, n int) []string
-	// All daemons together send a target that is warming up at most WarmUpFactor times the rate that
-	// its service configures, plus WarmUpExtra requests per second.
+	// All daemons together send a target that is warming up at most WarmUpFactor times the rate
+	// that its service configures, plus WarmUpExtra requests per second.
 	WarmUpFactor, WarmUpExtra float64
 	// RetryShare, RetryExtra and RetryWindow bound the retries of all daemons together: within
 	// RetryWindow, RetryShare for each request, plus RetryExtra.
@@ -119,7 +121,7 @@
 	// start is the origin of the monotonic time used by retryBudgets.
 	start   time.Time
 	running atomic.Int64
-	// closeConnections is set by Close.
+	// closeConnections is set by CloseConnections.
 	closeConnections atomic.Bool
 	// refusing is set when a planned stop is about to end: new requests are refused.
 	refusing atomic.Bool
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -57,11 +57,11 @@
 	attempts, executions int
 	// lastTarget is the target of the last attempt.
 	lastTarget *roster.Target
-	// headerSent is set once the header of an answer has been passed on.
+	// headerSent is set once the header of a response has been passed on.
 	headerSent bool
 	// lastEventID is the ID of the last stream event that the caller has received.
 	lastEventID string
-	// firstAt is when the first event or the header of an answer was passed on; zero before that.
+	// firstAt is when the first event or the header of a response was passed on; zero before that.
 	firstAt time.Time
 	// skipped lists targets that the last choice skipped for their self-reported state, with the
 	// reasons.
@@ -79,8 +79,8 @@
 	notes []string
 }
 
-// deadlineMargin is how long after the deadline a target's own final answer is still accepted. The
-// caller contract allows half a second.
+// deadlineMargin is how long after the deadline a target's own final response is still accepted.
+// The caller contract allows half a second.
 const deadlineMargin = 60 * time.Millisecond
 
 // run sends the request until it is answered, or returns the refusal.
@@ -91,7 +91,7 @@
 	p.lastEventID = p.meta.LastEventID
 	ctx, cancel := context.WithDeadline(p.r.Context(), p.deadline.Add(deadlineMargin))
 	defer cancel()
-	var failed *bufferedAnswer
+	var failed *bufferedResponse
 	unreachable := 0
 	for {
 		c, reason := p.waitForChoice(ctx)
@@ -119,7 +119,7 @@
 			if unreachable++; unreachable >= maxUnreachable {
 				return p.giveUp(failed, "no target can be reached")
 			}
-		case outcomeRefused, outcomeIncomplete, outcomeFailed:
+		case outcomeRejected, outcomeIncomplete, outcomeFailed:
 			if !p.mayRetry(out) {
 				return p.giveUp(failed, "it may not be sent again")
 			}
@@ -158,9 +158,9 @@
 		}
 		c, reason := p.choose(ctx)
 		if c != nil {
-			p.expectedWait = c.judgement.Expected
+			p.expectedWait = c.evaluation.Expected
 		}
-		if c != nil && (c.judgement.CallerUtility > 0 || p.relay.options.Disabled.Refusals) {
+		if c != nil && (c.evaluation.CallerUtility > 0 || p.relay.options.Disabled.Refusals) {
 			if !p.acquire(c, time.Now()) {
 				c.releaseLoad()
 				continue
@@ -186,9 +186,9 @@
 	}
 }
 
-// minOnTimeChance is the chance of an answer within the latency objective below which a request
-// stops waiting for a target.
-const minOnTimeChance = 0.5
+// minOnTimeProbability is the probability of an answer within the latency objective below which a
+// request stops waiting for a target.
+const minOnTimeProbability = 0.5
 
 // likelyOnTime reports whether the answer is likely to meet the latency objective if a target takes
 // the request after a delay.
@@ -196,14 +196,14 @@
 	now := time.Now().Add(delay)
 	e := p.estimate(now)
 	expected := e.Time(learn.Factors{OwnTokens: p.meta.PromptTokens - p.sharedTokens()})
-	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeChance
+	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeProbability
 }
 
 // Bounds on the attempts of one request.
 const (
-	// maxRefusals is how many targets may refuse a request before it is given up: more attempts
+	// maxRejections is how many targets may reject a request before it is given up: more attempts
 	// would only add to an overload.
-	maxRefusals = 2
+	maxRejections = 2
 	// maxUnreachable is how many attempts may fail before the request is sent.
 	maxUnreachable = 4
 	// minAttemptTime is the least remaining time for an attempt: with less, a target would only
@@ -221,11 +221,11 @@
 	switch {
 	case time.Until(p.deadline) < minAttemptTime:
 		return false
-	case out != outcomeRefused && !p.route.MayRepeat():
+	case out != outcomeRejected && !p.route.MayRepeat():
 		return false
 	case p.executions >= p.route.Attempts:
 		return false
-	case p.attempts-p.executions > maxRefusals, p.relay.options.Disabled.Retries:
+	case p.attempts-p.executions > maxRejections, p.relay.options.Disabled.Retries:
 		return false
 	case out == outcomeIncomplete && p.relay.options.Poison.Ends(p.digest) >= maxCrashes:
 		p.note("not retried: the request may crash targets")
@@ -239,9 +239,9 @@
 	return true
 }
 
-// giveUp ends a request that got no answer worth passing on. failed is the kept answer of a failed
-// attempt, or nil.
-func (p *proxiedRequest) giveUp(failed *bufferedAnswer, reason string) *entry.Refusal {
+// giveUp ends a request that got no response worth passing on. failed is the kept response of a
+// failed attempt, or nil.
+func (p *proxiedRequest) giveUp(failed *bufferedResponse, reason string) *entry.Refusal {
 	p.noteSkipped()
 	p.note("given up: %s", reason)
 	switch {
@@ -255,7 +255,7 @@
 		if refusal := p.refuseBlocked(); refusal != nil {
 			return refusal
 		}
-		// A block that has been lifted since the choice leaves no refusal.
+		// A block that has been lifted since the choice causes no refusal.
 		if endsAtKnownTime(reason) {
 			return p.refuseUntil(entry.CodeNoTarget, "no target takes the request now: "+reason, p.expectedWait)
 		}
--- a/core/relay/sharded_test.go
+++ b/core/relay/sharded_test.go
@@ -35,7 +35,7 @@
 	const context = "c1"
 	owner := h.fleets[0].View().KeyCell(fleet.Key(context))
 	for i := range daemons {
-		got := h.ask(i, context)
+		got := h.send(i, context)
 		h.g.Expect(got.status).To(gomega.Equal(http.StatusOK), "daemon %d: %s", i, got.body)
 		h.waitIdle()
 	}
@@ -54,7 +54,7 @@
 		if f.View().Cell() != emptyCell {
 			continue
 		}
-		got := h.rigs[i].ask(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
+		got := h.rigs[i].send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "own:100")
 		h.g.Expect(got.status).To(gomega.Equal(http.StatusOK), "daemon %d: %s", i, got.body)
 	}
 }
@@ -64,7 +64,7 @@
 	tests := []struct {
 		name    string
 		age     time.Duration
-		divided bool
+		sharded bool
 		want    bool
 	}{
 		{"fresh", 100 * time.Millisecond, true, true},
@@ -75,7 +75,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.relay.owners = &ContextOwners{relay: r.relay, fleet: fleet.New(fleet.Options{Name: "me", Log: r.log})}
-			r.relay.options.Sharded = func(string) bool { return tc.divided }
+			r.relay.options.Sharded = func(string) bool { return tc.sharded }
 			r.relay.options.CellDaemonCount = func() int { return 1 }
 			p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}}
 			response := &placementResponse{Target: "w9@1", WeightVersion: 1, ListAge: tc.age, Entry: placementEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4}}
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -8,9 +8,10 @@
 
 // targetShare holds those of a service's targets that this daemon uses.
 type targetShare struct {
-	// all are the targets of the service, and basis identifies the partition; see Options.Basis.
-	all   []*roster.Target
-	basis any
+	// all are the targets of the service, and shardVersion identifies the partition; see
+	// Options.ShardVersion.
+	all          []*roster.Target
+	shardVersion any
 	// own are the targets that this daemon uses, and fraction the fraction of all that these serve.
 	own      []*roster.Target
 	fraction float64
@@ -23,16 +24,16 @@
 	services map[string]*targetShare // guarded by sharesMu
 }
 
-// get returns the share of a service. It is computed again only if the targets or the basis have
-// changed.
+// get returns the share of a service. It is computed again only if the targets or the
+// partition have changed.
 func (s *shareCache) get(service string, all []*roster.Target, o *Options) *targetShare {
-	var basis any
+	var shardVersion any
 	if o.ShardVersion != nil {
-		basis = o.ShardVersion()
+		shardVersion = o.ShardVersion()
 	}
 	s.sharesMu.Lock()
 	defer s.sharesMu.Unlock()
-	if cached := s.services[service]; cached != nil && basis != nil && cached.basis == basis && sameList(cached.all, all) {
+	if cached := s.services[service]; cached != nil && shardVersion != nil && cached.shardVersion == shardVersion && sameList(cached.all, all) {
 		return cached
 	}
 	var out *targetShare
@@ -41,7 +42,7 @@
 	} else {
 		out = computeShare(all, o)
 	}
-	out.basis = basis
+	out.shardVersion = shardVersion
 	if s.services == nil {
 		s.services = map[string]*targetShare{}
 	}
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -34,9 +34,9 @@
 // String returns the reason as it appears in log lines.
 func (s UnavailabilityReason) String() string { return reasonNames[s] }
 
-// Availability is an immutable snapshot of the availability of all targets. Every way of sending consults
-// it when it chooses a target, and then Enter once a connection is open, so that a reason found by
-// one of them applies to all.
+// Availability is an immutable snapshot of the availability of all targets. Whatever sends
+// requests consults it to choose a target, and then Admit once a connection is open, so that a
+// reason recorded for one request applies to all.
 type Availability struct {
 	at           time.Time
 	updating     map[string]bool
@@ -59,30 +59,30 @@
 func (r *Roster) Availability(now time.Time) *Availability {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	g := &Availability{at: now, updating: r.updatingNow(now), evacuations: *r.evacuations.Load()}
+	a := &Availability{at: now, updating: r.updatingNow(now), evacuations: *r.evacuations.Load()}
 	if len(r.selfReports) == 0 {
-		return g
+		return a
 	}
-	g.selfStatuses = make(map[string]selfStatus, len(r.selfReports))
+	a.selfStatuses = make(map[string]selfStatus, len(r.selfReports))
 	clockNow := clock.Now()
 	for id, report := range r.selfReports {
 		if status := r.selfStatusOf(id, report, clockNow); status != (selfStatus{}) {
-			g.selfStatuses[id] = status
+			a.selfStatuses[id] = status
 		}
 	}
-	return g
+	return a
 }
 
-// Reason returns why a target is unavailable, and for how much longer if that is known: what is left
-// of its pushback, the time until this daemon has a permit, or, as an estimate for an evacuation,
-// as long again as it has lasted.
-func (g *Availability) Reason(t *Target) (UnavailabilityReason, time.Duration) {
-	return g.reason(t, g.updating[t.id], g.selfStatuses[t.id])
+// Reason returns why a target is unavailable, and for how much longer if that is known: the
+// remaining time of its pushback, the time until this daemon has a permit, or, as an estimate for
+// an evacuation, the time that it has lasted so far.
+func (a *Availability) Reason(t *Target) (UnavailabilityReason, time.Duration) {
+	return a.reason(t, a.updating[t.id], a.selfStatuses[t.id])
 }
 
-// reason is Stop, given the status of the target.
-func (g *Availability) reason(t *Target, updating bool, self selfStatus) (UnavailabilityReason, time.Duration) {
-	health, entry := t.Health(g.at), t.Entry()
+// reason is Reason, given the status of the target.
+func (a *Availability) reason(t *Target, updating bool, self selfStatus) (UnavailabilityReason, time.Duration) {
+	health, entry := t.Health(a.at), t.Entry()
 	switch {
 	case health.Removed:
 		return Removed, 0
@@ -97,22 +97,22 @@
 	case health.Suspect:
 		return Suspect, 0
 	}
-	if duration, on := evacuated(g.evacuations, entry.Domain, g.at); on {
+	if duration, on := evacuated(a.evacuations, entry.Domain, a.at); on {
 		return Evacuated, duration
 	}
 	return Available, 0
 }
 
 // RateLimited reports whether a target has a rate limit.
-func (g *Availability) RateLimited(t *Target) bool { return g.selfStatuses[t.id].limited }
+func (a *Availability) RateLimited(t *Target) bool { return a.selfStatuses[t.id].limited }
 
-// Admit returns Open if a request may be sent to a target now, and counts it. It is called last,
-// once a connection is open: since the target was chosen, it may have told another request that it
-// is shutting down, under pushback or rate-limited. A request with a permit has already been
-// counted against the rate limit.
+// Admit returns Available if a request may be sent to a target now, and counts it. It is called
+// last, once a connection is open: since the target was chosen, it may have reported to another
+// request that it is shutting down, under pushback or rate-limited. A request with a permit has
+// already been counted against the rate limit.
 //
-// It looks at one target only, because a Gate allocates two maps, which is too much for each
-// request.
+// It looks at one target only, because an Availability allocates two maps, which is too much for
+// each request.
 func (r *Roster) Admit(t *Target, permit Permit) UnavailabilityReason {
 	now := time.Now()
 	r.rosterMu.Lock()
@@ -128,8 +128,8 @@
 	case permit.Remote && status.limited:
 		status.limitWait = max(status.limitWait, time.Nanosecond)
 	}
-	g := Availability{at: now, evacuations: *r.evacuations.Load()}
-	reason, _ := g.reason(t, r.isUpdating(t.id, now), status)
+	a := Availability{at: now, evacuations: *r.evacuations.Load()}
+	reason, _ := a.reason(t, r.isUpdating(t.id, now), status)
 	if reason == Available && report != nil {
 		report.pushback.take(clockNow)
 		if report.limit.active && !permit.Taken {
@@ -159,7 +159,7 @@
 	return r.shuttingDown(t)
 }
 
-// shuttingDown is Leaving with rosterMu held.
+// shuttingDown is ShuttingDown with rosterMu held.
 func (r *Roster) shuttingDown(t *Target) (Source, bool) {
 	if report := r.selfReports[t.id]; report != nil && report.shuttingDown {
 		return report.source, true
@@ -167,8 +167,8 @@
 	return ByList, t.Entry().ShuttingDown
 }
 
-// SelfUnavailable returns the targets of a service that are unavailable because they reported shutting down
-// or pushback.
+// SelfUnavailable returns the targets of a service that are unavailable because they reported
+// shutting down or pushback.
 func (r *Roster) SelfUnavailable(service string) []string {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/availability_test.go
+++ b/core/roster/availability_test.go
@@ -42,8 +42,8 @@
 			tc.steps(r)
 			target := r.Target(tc.use)
 			g.Expect(target).NotTo(gomega.BeNil())
-			stop, _ := r.Availability(time.Now()).Reason(target)
-			g.Expect(stop).To(gomega.Equal(tc.want), stop.String())
+			reason, _ := r.Availability(time.Now()).Reason(target)
+			g.Expect(reason).To(gomega.Equal(tc.want), reason.String())
 			g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(tc.want))
 			source, shuttingDown := r.ShuttingDown(target)
 			g.Expect(shuttingDown).To(gomega.Equal(tc.want == ShuttingDown))
@@ -71,7 +71,7 @@
 }
 
 // Daemons that start on an older list are notified of incarnations that it lists again.
-func TestLeavingRunsIncludesRemovedIncarnations(t *testing.T) {
+func TestRecentShutdownsIncludeRemovedIncarnations(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(&event.Log{}, nil)
 	for _, id := range []string{"a", "b", "c"} {
--- a/core/roster/bench_test.go
+++ b/core/roster/bench_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// BenchmarkGate checks the availability of the 110 targets of a cell for one choice; 10 of them
+// BenchmarkAvailability checks the availability of the 110 targets of a cell for one choice; 10 of them
 // reported shutting down or pushback.
-func BenchmarkGate(b *testing.B) {
+func BenchmarkAvailability(b *testing.B) {
 	r := New(&event.Log{}, nil)
 	for i := range 110 {
 		id := strconv.Itoa(i)
@@ -57,21 +57,21 @@
 	list := r.ByService("s")
 	b.ReportAllocs()
 	for b.Loop() {
-		gate := r.Availability(time.Now())
-		open := 0
+		availability := r.Availability(time.Now())
+		available := 0
 		for _, t := range list {
-			if stop, _ := gate.Reason(t); stop == Available {
-				open++
+			if reason, _ := availability.Reason(t); reason == Available {
+				available++
 			}
 		}
-		if open != 100 {
-			b.Fatal(open)
+		if available != 100 {
+			b.Fatal(available)
 		}
 	}
 }
 
-// BenchmarkGateLimits does the same with 10 rate-limited targets.
-func BenchmarkGateLimits(b *testing.B) {
+// BenchmarkAvailabilityRateLimits does the same with 10 rate-limited targets.
+func BenchmarkAvailabilityRateLimits(b *testing.B) {
 	r := New(&event.Log{}, nil)
 	r.Rank = func(*Target) (int, int) { return 3, 12 }
 	for i := range 110 {
@@ -84,9 +84,9 @@
 	list := r.ByService("s")
 	b.ReportAllocs()
 	for b.Loop() {
-		gate := r.Availability(time.Now())
+		availability := r.Availability(time.Now())
 		for _, t := range list {
-			gate.Reason(t)
+			availability.Reason(t)
 		}
 	}
 }
--- a/core/roster/pushback_test.go
+++ b/core/roster/pushback_test.go
@@ -86,8 +86,8 @@
 	r.RecordRejection("a@1000", Pushback{Duration: time.Minute})
 	g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(UnderPushback))
 	g.Expect(r.SelfUnavailable(target.Entry().Service)).To(gomega.Equal([]string{"a@1000"}))
-	stop, wait := r.Availability(time.Now()).Reason(target)
-	g.Expect(stop).To(gomega.Equal(UnderPushback))
+	reason, wait := r.Availability(time.Now()).Reason(target)
+	g.Expect(reason).To(gomega.Equal(UnderPushback))
 	g.Expect(wait).To(gomega.BeNumerically("~", time.Minute, 5*time.Second))
 	r.Put(incarnationEntry("a@1000", 1000))
 	g.Expect(r.Admit(r.Target("a@1000"), Permit{})).To(gomega.Equal(UnderPushback), "its entry shows ready")
@@ -114,7 +114,7 @@
 }
 
 // An incarnation that is known to differ from the one that sent the pushback gets requests.
-func TestRestListPerIncarnation(t *testing.T) {
+func TestPushbackListPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	current := func(incarnation string) func(string) string { return func(string) string { return incarnation } }
 	var r PushbackList
--- a/core/roster/ratelimit_test.go
+++ b/core/roster/ratelimit_test.go
@@ -113,9 +113,9 @@
 func TestRateLimitFollowsResponses(t *testing.T) {
 	type response struct {
 		limit RateLimit
-		// early means that the request was sent before the first response arrived, and refused that
+		// early means that the request was sent before the first response arrived, and rejected that
 		// the target rejected it.
-		early, refused bool
+		early, rejected bool
 	}
 	tests := []struct {
 		name      string
@@ -125,8 +125,8 @@
 		{"never stated", []response{{}}, -1},
 		{"stated", []response{{limit: statedRate(5)}}, 5},
 		{"no longer stated", []response{{limit: statedRate(5)}, {}}, -1},
-		{"no longer stated in a rejection", []response{{limit: statedRate(5)}, {refused: true}}, 5},
-		{"stated in a rejection", []response{{limit: statedRate(5), refused: true}}, 5},
+		{"no longer stated in a rejection", []response{{limit: statedRate(5)}, {rejected: true}}, 5},
+		{"stated in a rejection", []response{{limit: statedRate(5), rejected: true}}, 5},
 		{"not stated in the response to an older request", []response{{limit: statedRate(5)}, {early: true}}, 5},
 		{"another rate", []response{{limit: statedRate(5)}, {limit: statedRate(7)}}, 7},
 		{"a higher rate in the response to an older request", []response{{limit: statedRate(5)}, {limit: statedRate(7), early: true}}, 5},
@@ -147,7 +147,7 @@
 					sent = clock.Now()
 				}
 				clock.Suspend(time.Millisecond)
-				r.RecordLimit("a@1000", a.limit, sent, !a.refused)
+				r.RecordLimit("a@1000", a.limit, sent, !a.rejected)
 			}
 			if tc.want < 0 {
 				g.Expect(r.RateLimitedTargets()).To(gomega.BeEmpty())
@@ -169,8 +169,8 @@
 	g.Expect(permit).To(gomega.Equal(Permit{}), "there is no limit")
 	g.Expect(r.RecordLimit("a@1000", statedRate(2), clock.Now(), true)).To(gomega.BeTrue())
 	g.Expect(r.Admit(target, permit)).To(gomega.Equal(RateLimited), "it was stated after the target was chosen")
-	stop, wait := r.Availability(time.Now()).Reason(target)
-	g.Expect(stop).To(gomega.Equal(RateLimited))
+	reason, wait := r.Availability(time.Now()).Reason(target)
+	g.Expect(reason).To(gomega.Equal(RateLimited))
 	g.Expect(wait).To(gomega.BeNumerically("~", 500*time.Millisecond, 100*time.Millisecond))
 
 	clock.Suspend(500 * time.Millisecond)
--- a/core/roster/restored.go
+++ b/core/roster/restored.go
@@ -14,8 +14,8 @@
 // once its entry changes or has stayed for staleEntryTime.
 
 // staleEntryTime is how long an entry of a removed incarnation is not accepted. It is longer than a
-// target continues to serve after its shutdown was announced, and than the platform keeps an entry
-// that nobody renews.
+// target continues to serve after its shutdown was announced, and longer than the platform keeps
+// an entry that nobody renews.
 const staleEntryTime = 10 * time.Second
 
 // removedIncarnation is an incarnation that is no longer listed.
@@ -43,7 +43,7 @@
 		return false
 	}
 	if old, sameName := r.stale[e.Name]; sameName && old.ID == e.ID && plat.Era(old.Revision) == plat.Era(e.Revision) {
-		// The entry has changed since the list was restored, unless it is the same one again.
+		// Unless it is the same entry again, it has changed since the list was restored.
 		return old.Revision == e.Revision
 	}
 	r.stale[e.Name] = e
@@ -61,8 +61,8 @@
 	}
 }
 
-// RecordMissing records that a list restored from an older copy lacks a target. The target is kept for as
-// long as its entry may take to be written again, unless it is shutting down.
+// RecordMissing records that a list restored from an older copy lacks a target. The target is kept
+// for as long as its entry may take to be written again, unless it is shutting down.
 func (r *Roster) RecordMissing(name string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/selfreport.go
+++ b/core/roster/selfreport.go
@@ -11,7 +11,6 @@
 // Source is how it is known that a target is shutting down or what its rate limit is.
 type Source string
 
-// The possible sources.
 const (
 	ByList   Source = "list"
 	ByAnswer Source = "answer"
@@ -29,7 +28,7 @@
 	// arrived.
 	since clock.Time
 	// pushback is the pushback for this daemon. It is not sent to other daemons: how much a target
-	// accepts from one of them says little about the next.
+	// accepts from one of them is no measure for the next.
 	pushback pushback
 	// limit is the rate limit for all daemons together.
 	limit limitState
@@ -38,8 +37,8 @@
 }
 
 // selfReportTTL is how long an incarnation's report is kept after its entry disappeared, in case
-// the entry returns. It is longer than any observed outage of the list (20 s) and than a target
-// continues to serve after its shutdown was announced.
+// the entry returns. It is longer than any observed outage of the list (20 s), and longer than a
+// target continues to serve after its shutdown was announced.
 const selfReportTTL = time.Hour
 
 // selfReportOf returns an incarnation's report for modification, and creates it if needed. It is
@@ -60,15 +59,15 @@
 	return report
 }
 
-// RecordShutdown records that an incarnation reported that it is shutting down, and the source of the
-// report. It returns whether this is new.
+// RecordShutdown records that an incarnation reported that it is shutting down, and the source of
+// the report. It returns whether this is new.
 func (r *Roster) RecordShutdown(id string, source Source) bool {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
 	return r.recordShutdown(id, source)
 }
 
-// recordShutdown is Leaves with rosterMu held.
+// recordShutdown is RecordShutdown with rosterMu held.
 func (r *Roster) recordShutdown(id string, source Source) bool {
 	if report := r.selfReports[id]; report != nil && report.shuttingDown {
 		return false
@@ -103,12 +102,12 @@
 	return out
 }
 
-// shutdownRecallTime is how far back LeavingRuns reaches. It is longer than the time whose writes
-// are lost when a coordination store is restored from a copy.
+// shutdownRecallTime is how far back RecentShutdowns reaches. It is longer than the time whose
+// writes are lost when a coordination store is restored from a copy.
 const shutdownRecallTime = time.Minute
 
-// RecentShutdowns returns the incarnations that recently reported shutting down, whether still listed
-// or not.
+// RecentShutdowns returns the incarnations that recently reported shutting down, whether still
+// listed or not.
 func (r *Roster) RecentShutdowns() []string {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -117,7 +116,7 @@
 
 // Pushback is the pushback that came with a rejection.
 type Pushback struct {
-	// Duration is how long the target wants no requests; 0 if it did not say.
+	// Duration is how long the target wants no requests; 0 if it did not state one.
 	Duration time.Duration
 	// Invalid is an unreadable value, or "".
 	Invalid string
@@ -149,8 +148,8 @@
 	r.log.Emit(event.TargetUnreadable, event.Ref{Target: id}, text)
 }
 
-// RecordAccepted records that an incarnation accepted a request. This ends the ramp after a pushback, but not
-// the pushback itself.
+// RecordAccepted records that an incarnation accepted a request. This ends the ramp after a
+// pushback, but not the pushback itself.
 func (r *Roster) RecordAccepted(id string) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -159,8 +158,8 @@
 	}
 }
 
-// SelfReportCounts returns how many listed targets reported shutting down in a response or through a
-// peer, and how many are under pushback.
+// SelfReportCounts returns how many listed targets reported shutting down in a response or through
+// a peer, and how many are under pushback.
 func (r *Roster) SelfReportCounts() (shuttingDown, underPushback int) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/roster/target.go
+++ b/core/roster/target.go
@@ -112,13 +112,13 @@
 	t.removed = true
 }
 
-// AddLoad adds work that is sent to the target. End subtracts it when it has finished.
+// AddLoad adds work that is sent to the target. RemoveLoad subtracts it when it has finished.
 func (t *Target) AddLoad(l Load) {
 	t.adjustLoad(l, 1)
 	t.busy.add(t)
 }
 
-// RemoveLoad subtracts what Begin added.
+// RemoveLoad subtracts what AddLoad added.
 func (t *Target) RemoveLoad(l Load) { t.adjustLoad(l, -1) }
 
 // adjustLoad adds l to this daemon's work if sign is 1 and subtracts it if sign is -1.
@@ -148,7 +148,7 @@
 const (
 	// suspectTime is how long a target is passed over after a request without a response. It
 	// doubles with each consecutive failure up to maxSuspectTime, so that a target that recovers is
-	// tried within the recovery times that users require.
+	// tried within the recovery times that the users' specification requires.
 	suspectTime    = 250 * time.Millisecond
 	maxSuspectTime = 2 * time.Second
 )
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -11,8 +11,8 @@
 	"embertally.dev/core/learn"
 )
 
-// prices returns the cost model of the tests.
-func prices() *CostModel {
+// costs returns the cost model of the tests.
+func costs() *CostModel {
 	return &CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
 }
 
@@ -74,7 +74,7 @@
 				e = calls()
 			}
 			for _, random := range []float64{0, 0.5, 0.999} {
-				chosen, _ := Pick(&tc.request, tc.list, e, prices(), random)
+				chosen, _ := Pick(&tc.request, tc.list, e, costs(), random)
 				gomega.NewWithT(t).Expect(chosen).To(gomega.Equal(tc.want))
 			}
 		})
@@ -82,9 +82,9 @@
 }
 
 // A request that is going to miss its objective anyway costs other callers more than its
-// own caller gains, so that its Gain is not positive. The operator's serving costs never
-// make Gain negative.
-func TestGainExcludesServingCosts(t *testing.T) {
+// own caller gains, so that its CallerUtility is not positive. The operator's serving
+// costs never make it negative.
+func TestCallerUtilityExcludesServingCosts(t *testing.T) {
 	long := PickRequest{Tokens: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second, UtilityRate: 60}
 	tests := []struct {
 		name      string
@@ -99,28 +99,28 @@
 		{"always fails", Candidate{Slots: 16, MemoryTokens: 100000, FailureShare: 1}, false},
 	}
 	for _, tc := range tests {
-		j := Evaluate(&long, &tc.candidate, engines(), prices())
+		j := Evaluate(&long, &tc.candidate, engines(), costs())
 		gomega.NewWithT(t).Expect(j.CallerUtility > 0).To(gomega.Equal(tc.positive), "%s: %+v", tc.name, j)
 	}
 }
 
 // For any input, utilities are finite, probabilities are between 0 and 1, and a target that
-// is slower, more loaded or fails more often has no higher Worth.
+// is slower, more loaded or fails more often has no higher NetUtility.
 func TestEvaluateIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := PickRequest{
 			Tokens: rapid.IntRange(0, 40000).Draw(t, "tokens"), Objective: time.Duration(rapid.IntRange(0, 2000).Draw(t, "aim")) * time.Millisecond,
-			Elapsed:   time.Duration(rapid.IntRange(0, 3000).Draw(t, "spent")) * time.Millisecond,
+			Elapsed:   time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond,
 			Remaining: time.Duration(rapid.IntRange(-100, 10000).Draw(t, "left")) * time.Millisecond, UtilityRate: rapid.Float64Range(0, 100).Draw(t, "rate"),
 		}
 		c := Candidate{
 			Running: rapid.IntRange(0, 60).Draw(t, "running"), Slots: rapid.IntRange(0, 20).Draw(t, "slots"), QueuedTokens: rapid.IntRange(0, 90000).Draw(t, "unread"),
-			OccupiedTokens: rapid.IntRange(0, 150000).Draw(t, "held"), MemoryTokens: rapid.IntRange(0, 100000).Draw(t, "memory"), CachedTokens: rapid.IntRange(0, 40000).Draw(t, "kept"),
+			OccupiedTokens: rapid.IntRange(0, 150000).Draw(t, "occupied"), MemoryTokens: rapid.IntRange(0, 100000).Draw(t, "memory"), CachedTokens: rapid.IntRange(0, 40000).Draw(t, "kept"),
 			RecomputedTokens: rapid.IntRange(0, 40000).Draw(t, "again"), CopyTime: time.Duration(rapid.IntRange(0, 2000).Draw(t, "copy")) * time.Millisecond,
-			FailureShare: rapid.Float64Range(0, 1).Draw(t, "faults"), Slowdown: rapid.Float64Range(0, 8).Draw(t, "pace"),
+			FailureShare: rapid.Float64Range(0, 1).Draw(t, "failure share"), Slowdown: rapid.Float64Range(0, 8).Draw(t, "slowdown"),
 		}
 		e := engines()
-		j := Evaluate(&a, &c, e, prices())
+		j := Evaluate(&a, &c, e, costs())
 		if !(j.NetUtility <= 1e9 && j.NetUtility >= -1e9 && j.CallerUtility >= j.NetUtility && j.Expected >= 0) {
 			t.Fatalf("%+v", j)
 		}
@@ -135,7 +135,7 @@
 		} {
 			d := c
 			worse(&d)
-			if k := Evaluate(&a, &d, e, prices()); k.NetUtility > j.NetUtility+1e-9 {
+			if k := Evaluate(&a, &d, e, costs()); k.NetUtility > j.NetUtility+1e-9 {
 				t.Fatalf("%+v has a higher Worth than %+v: %+v, %+v", d, c, k, j)
 			}
 		}
@@ -149,7 +149,7 @@
 		list[i] = Candidate{Slots: 4}
 	}
 	for i := range list {
-		chosen, _ := Pick(&PickRequest{Objective: time.Second, Remaining: time.Second}, list, calls(), prices(), float64(i)/4+0.01)
+		chosen, _ := Pick(&PickRequest{Objective: time.Second, Remaining: time.Second}, list, calls(), costs(), float64(i)/4+0.01)
 		g.Expect(chosen).To(gomega.Equal(i))
 	}
 }
@@ -164,7 +164,7 @@
 			a, e := PickRequest{Tokens: 12000, Objective: time.Second, Remaining: 10 * time.Second, UtilityRate: 14}, engines()
 			b.ReportAllocs()
 			for b.Loop() {
-				Pick(&a, list, e, prices(), 0.3)
+				Pick(&a, list, e, costs(), 0.3)
 			}
 		})
 	}
--- a/core/route/placement.go
+++ b/core/route/placement.go
@@ -5,7 +5,7 @@
 // Placement names an algorithm that selects a worker.
 type Placement string
 
-// The placements. All but Returning are baselines for comparison.
+// The placements. All but LowestCost are baselines for comparison.
 const (
 	// LowestCost minimises the cost of queueing, import and recomputation.
 	LowestCost Placement = "returning"
@@ -41,14 +41,14 @@
 	ContextHash uint64
 	// Turn is a counter of choices. RoundRobin uses it.
 	Turn uint64
-	// Random is a random number in [0, 1). Returning uses it.
+	// Random is a random number in [0, 1). LowestCost uses it.
 	Random float64
 }
 
 // PickWith returns the index of the candidate that a placement selects and its
 // evaluation, or -1 if there are no candidates. Placements other than RoundRobin,
 // StickyHash and LeastTokens select as Pick does.
-func PickWith(p Placement, a *PickRequest, list []Candidate, e *learn.Estimate, prices *CostModel, s PlacementInput) (int, Evaluation) {
+func PickWith(p Placement, a *PickRequest, list []Candidate, e *learn.Estimate, costs *CostModel, s PlacementInput) (int, Evaluation) {
 	if len(list) == 0 {
 		return -1, Evaluation{}
 	}
@@ -65,7 +65,7 @@
 			}
 		}
 	default:
-		return Pick(a, list, e, prices, s.Random)
+		return Pick(a, list, e, costs, s.Random)
 	}
-	return chosen, Evaluate(a, &list[chosen], e, prices)
+	return chosen, Evaluate(a, &list[chosen], e, costs)
 }
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -28,21 +28,21 @@
 	appliedTimeout = 500 * time.Millisecond
 	// appliedRestTimeout bounds the time for the other chunks of one response.
 	appliedRestTimeout = 5 * time.Second
-	// maxLeaving bounds the incarnations that one response names.
-	maxLeaving = 1024
+	// maxShuttingDown bounds the incarnations that one response names.
+	maxShuttingDown = 1024
 )
 
-// AppliedValues holds the applied values that operators have written, by key of the coordination store.
-// After the store was restored from an older copy, daemons that have only read the copy get the
-// values that it lacks from peers, and which targets are shutting down.
+// AppliedValues holds the applied values that operators have written, by key of the coordination
+// store. After the store was restored from an older copy, daemons that have only read the copy get
+// the values that it lacks from peers, and which targets are shutting down.
 type AppliedValues struct {
 	watchCache *plat.Mirror
 	fleet      *fleet.Fleet
 	transfers  *transfers
 	log        *event.Log
-	// ShuttingDown, if set, returns the incarnations of targets that recently reported that they are
-	// shutting down; Leaves is called with those that a peer names. Both are set before the fleet
-	// runs.
+	// ShuttingDown, if set, returns the incarnations of targets that recently reported that they
+	// are shutting down; OnShuttingDown is called with those that a peer names. Both are set before
+	// the fleet runs.
 	ShuttingDown   func() []string
 	OnShuttingDown func(incarnation string)
 
@@ -87,14 +87,15 @@
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	Values   transfer
-	// Leaving are the incarnations of targets that recently reported that they are shutting down.
-	Leaving []string
+	// ShuttingDown are the incarnations of targets that recently reported that they are shutting
+	// down.
+	ShuttingDown []string
 }
 
 // errNotReady is returned while a peer has only its own copy of the store.
 var errNotReady = errors.New("this daemon has not requested the applied values from its peers yet")
 
-// NewAppliedValues returns an InForce and registers it with the fleet of m.
+// NewAppliedValues returns AppliedValues and registers them with the fleet of m.
 func NewAppliedValues(m *WatchCacheSync) *AppliedValues {
 	n := &AppliedValues{watchCache: m.watchCache, fleet: m.fleet, transfers: m.values.transfers, log: m.log, values: map[string]appliedValue{}}
 	n.fleet.Mux().Register(kindApplied, wire.Handle(n.handleApplied))
@@ -118,14 +119,14 @@
 	delete(n.values, key)
 }
 
-// MarkReady makes this daemon answer peers' requests.
+// MarkReady makes this daemon respond to peers' requests.
 func (n *AppliedValues) MarkReady() {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
 	n.ready = true
 }
 
-// Ready reports whether this daemon answers peers' requests.
+// Ready reports whether this daemon responds to peers' requests.
 func (n *AppliedValues) Ready() bool {
 	n.appliedMu.Lock()
 	defer n.appliedMu.Unlock()
@@ -151,7 +152,7 @@
 	}
 	out := &appliedResponse{}
 	if n.ShuttingDown != nil {
-		out.Leaving = firstN(n.ShuttingDown(), maxLeaving)
+		out.ShuttingDown = firstN(n.ShuttingDown(), maxShuttingDown)
 	}
 	if len(newer) == 0 {
 		return out, nil
@@ -256,7 +257,7 @@
 		return nil, err
 	}
 	if p.OnShuttingDown != nil {
-		for _, incarnation := range firstN(got.Leaving, maxLeaving) {
+		for _, incarnation := range firstN(got.ShuttingDown, maxShuttingDown) {
 			p.OnShuttingDown(incarnation)
 		}
 	}
--- a/core/spread/applied_test.go
+++ b/core/spread/applied_test.go
@@ -125,8 +125,8 @@
 func TestTargetsThatShutDownAreSent(t *testing.T) {
 	g, _, sender, requester := pair(t)
 	var received []string
-	sender.leaving.Store(&[]string{"i-1@1", "i-2@1"})
-	requester.applied.OnShuttingDown = func(run string) { received = append(received, run) }
+	sender.shuttingDown.Store(&[]string{"i-1@1", "i-2@1"})
+	requester.applied.OnShuttingDown = func(incarnation string) { received = append(received, incarnation) }
 	requester.pulled()
 	g.Expect(received).To(gomega.Equal([]string{"i-1@1", "i-2@1"}))
 	// They are sent as well where no value is newer.
@@ -139,9 +139,9 @@
 func TestInvalidMessagesYieldNoAppliedValue(t *testing.T) {
 	type appliedResponse struct {
 		//lint:ignore U1000 read by the codec: frames are arrays
-		_msgpack struct{} `msgpack:",as_array"`
-		Values   transfer
-		Leaving  []string
+		_msgpack     struct{} `msgpack:",as_array"`
+		Values       transfer
+		ShuttingDown []string
 	}
 	junk := []byte("junk that is no compressed value")
 	tests := []struct {
--- a/core/spread/relays.go
+++ b/core/spread/relays.go
@@ -19,7 +19,7 @@
 	staleAfter       = 1800 * time.Millisecond
 	standbysPerRound = 2
 	// watchersPerCell is how many daemons of a cell in a large fleet watch the store or, where
-	// there are watch relays, request changes from one of these; each call of the store is priced.
+	// there are watch relays, request changes from one of these; each call of the store is billed.
 	// Where both are lost, the other daemons do so as well.
 	watchersPerCell = 2
 	// minCellsForRelays is the number of cells from which only watch relays watch the store, one of
@@ -32,7 +32,7 @@
 	backoffFirst = time.Second
 	backoffMax   = 8 * time.Second
 	// watchWaitSmall and watchWaitLarge are how long the store holds a watch request for changes.
-	// An empty response confirms that there were none, at the price of a call. Data from relays is
+	// An empty response confirms that there were none, at the cost of a call. Data from relays is
 	// older by its way through the fleet, some 0.3 s, and data older than 2.2 s allows no copies.
 	watchWaitSmall = 1500 * time.Millisecond
 	watchWaitLarge = time.Second
@@ -69,7 +69,7 @@
 
 // IsStandby reports whether this daemon watches the store because those ranked before it do not
 // provide its changes. If all daemons did so at once, they would achieve nothing while the store is
-// down, at the price of each call.
+// down, at the cost of a call each.
 func (s *WatchCacheSync) IsStandby() bool {
 	view := s.fleet.View()
 	if len(view.Peers()) < smallFleet || !s.watchCache.Known() {
@@ -77,11 +77,11 @@
 	}
 	rounds := int(s.cacheAge() / staleAfter)
 	if view.Cells() >= minCellsForRelays {
-		place := fleet.Place(relayKey, view.Domains()[view.Domain()], view.Self())
-		return place > 0 && place <= rounds
+		rank := fleet.Place(relayKey, view.Domains()[view.Domain()], view.Self())
+		return rank > 0 && rank <= rounds
 	}
-	place := s.cellRank(view)
-	return place >= watchersPerCell && place < watchersPerCell+standbysPerRound*rounds
+	rank := s.cellRank(view)
+	return rank >= watchersPerCell && rank < watchersPerCell+standbysPerRound*rounds
 }
 
 // cellRank returns how many daemons of the cell rank before this one for watching the store.
@@ -129,13 +129,13 @@
 	if at := slices.Index(domainOrder, view.Domain()); at > 0 {
 		domainOrder = slices.Insert(slices.Delete(domainOrder, at, at+1), 0, view.Domain())
 	}
-	for place := range candidatesPerDomain {
+	for rank := range candidatesPerDomain {
 		for _, domain := range domainOrder {
 			first := fleet.RankFirst(relayKey, domains[domain], candidatesPerDomain)
-			if place < len(first) {
-				r.candidates = append(r.candidates, first[place])
+			if rank < len(first) {
+				r.candidates = append(r.candidates, first[rank])
 			}
-			if place == 0 {
+			if rank == 0 {
 				r.names = append(r.names, first[0])
 			}
 		}
@@ -144,8 +144,8 @@
 	return r
 }
 
-// WatchingDaemons returns the daemons that watch the store by rank, for this daemon's cell or, where there are
-// watch relays, for the fleet.
+// WatchingDaemons returns the daemons that watch the store by rank, for this daemon's cell or,
+// where there are watch relays, for the fleet.
 func (s *WatchCacheSync) WatchingDaemons() []string {
 	view := s.fleet.View()
 	if view.Cells() < minCellsForRelays {
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -94,12 +94,12 @@
 	}
 }
 
-// When two daemons of each of 25 cells watched the store, they made thousands of priced calls in a
+// When two daemons of each of 25 cells watched the store, they made thousands of billed calls in a
 // day.
 func TestOneDaemonOfEachDomainWatchesTheStore(t *testing.T) {
 	const daemons, domains = 48, 3
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
@@ -114,7 +114,7 @@
 func TestAFleetWithoutItsWatchRelaysReceivesChanges(t *testing.T) {
 	const daemons, domains = 48, 3
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
@@ -136,13 +136,13 @@
 func TestNoCacheIsTakenForYoungerThanItIs(t *testing.T) {
 	const daemons, domains, outage = 48, 3, 3 * time.Second
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
 	g.Eventually(func() bool { taken, _ := store.quiet(); return !taken.IsZero() }, shortWait, pollInterval).Should(gomega.BeTrue())
 	store.setDown(true)
-	// Requests that the store already holds are still answered.
+	// Requests that the store already holds still get a response.
 	g.Eventually(func() bool { _, quiet := store.quiet(); return quiet }, shortWait, pollInterval).Should(gomega.BeTrue())
 	last, _ := store.quiet()
 	for start := time.Now(); time.Since(start) < outage; {
--- a/core/spread/shards.go
+++ b/core/spread/shards.go
@@ -217,18 +217,18 @@
 	return slices.Contains(s.entries.sharded(view.Cells()), service)
 }
 
-// ShardVersion returns a comparable value that the results of Uses depend on: while it is equal, so are
-// they.
+// ShardVersion returns a comparable value that the results of InOwnCell depend on: while it is
+// equal, so are they.
 func (s *WatchCacheSync) ShardVersion() any {
-	type shardBasis struct {
+	type shardVersion struct {
 		view  *fleet.View
 		shard string
 	}
-	return shardBasis{s.fleet.View(), s.watchCache.Shard()}
+	return shardVersion{s.fleet.View(), s.watchCache.Shard()}
 }
 
-// InOwnCell reports whether a target of a sharded service belongs to this daemon's cell. While the cache
-// itself holds a shard, all its targets do, so that a change of shards leaves no gap.
+// InOwnCell reports whether a target of a sharded service belongs to this daemon's cell. While the
+// cache itself holds a shard, all its targets do, so that a change of shards leaves no gap.
 func (s *WatchCacheSync) InOwnCell(name, domain string) bool {
 	return s.watchCache.Shard() != "" || s.fleet.View().Shard().Holds(name, domain)
 }
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -1,7 +1,7 @@
 // Package spread owns how configuration and the targets' entries reach every daemon: which
-// configuration sequence each peer has applied and so which daemons lack a change, which daemons watch
-// the coordination store, and how the others copy its changes from peers. It also owns what cells
-// share about targets: the contents of KV-cache stores and running weight updates.
+// configuration sequence each peer has applied and so which daemons lack a change, which daemons
+// watch the coordination store, and how the others copy its changes from peers. It also owns what
+// cells share about targets: the contents of KV-cache stores and running weight updates.
 //
 // It must not know what the configuration says.
 package spread
@@ -51,7 +51,7 @@
 // AppliedPrefix is the key prefix under which each cell publishes the sequence that it has applied.
 const AppliedPrefix = "embertally/force/"
 
-// coordinationStore is the part of the coordination store's client that Spread uses.
+// coordinationStore is the part of the coordination store's client that ConfigReplicator uses.
 type coordinationStore interface {
 	Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error)
 	Commit(ctx context.Context, t plat.Txn) (plat.Outcome, error)
@@ -75,7 +75,7 @@
 	stateChanged chan struct{}
 }
 
-// New returns a Spread for store and attaches it to the fleet's heartbeats.
+// New returns a ConfigReplicator for store and attaches it to the fleet's heartbeats.
 func New(store *conf.Store, f *fleet.Fleet, kv coordinationStore) *ConfigReplicator {
 	s := &ConfigReplicator{
 		store: store, fleet: f, kv: kv, transfers: newTransfers(f, nil), wake: make(chan struct{}, 1),
@@ -309,8 +309,8 @@
 	return out
 }
 
-// laggingCells returns the names of the other cells that have not published seq or a later sequence.
-// Where the store does not answer, it returns all of them.
+// laggingCells returns the names of the other cells that have not published seq or a later
+// sequence. Where the store does not respond, it returns all of them.
 func (s *ConfigReplicator) laggingCells(ctx context.Context, view *fleet.View, seq uint64) []string {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
@@ -341,11 +341,12 @@
 	return 0
 }
 
-// pollInterval is the time between two reads of the other cells' sequences while Await waits.
+// pollInterval is the time between two reads of the other cells' sequences while AwaitApplied
+// waits.
 const pollInterval = 200 * time.Millisecond
 
-// AwaitApplied waits until every daemon and cell has applied seq, or ctx ends. It returns those that have
-// not.
+// AwaitApplied waits until every daemon and cell has applied seq, or ctx ends. It returns those
+// that have not.
 func (s *ConfigReplicator) AwaitApplied(ctx context.Context, seq uint64) []string {
 	for {
 		stateChanged := s.stateChangedChan()
--- a/core/spread/storecalls_test.go
+++ b/core/spread/storecalls_test.go
@@ -13,15 +13,15 @@
 	"embertally.dev/core/plat"
 )
 
-// pricedStore is a store that counts its calls. A watch is a series of calls, each answered after
-// watchTime at the latest.
-type pricedStore struct {
+// billedStore is a store that counts its calls. A watch is a series of calls, each with a response
+// after watchTime at the latest.
+type billedStore struct {
 	*memkv.KV
 
 	countMu  sync.Mutex
 	calls    int // guarded by countMu
 	watching int // guarded by countMu
-	// answering counts the requests whose answers daemons have not taken yet; taken is when one
+	// answering counts the requests whose responses daemons have not taken yet; taken is when one
 	// last did. Guarded by countMu.
 	answering int
 	taken     clock.Time
@@ -30,7 +30,7 @@
 }
 
 // rangeCalls returns how many times keys were read other than by watches.
-func (s *pricedStore) rangeCalls() int {
+func (s *billedStore) rangeCalls() int {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.ranges
@@ -39,15 +39,15 @@
 // watchTime is how long the store holds a request for changes.
 const watchTime = 1500 * time.Millisecond
 
-// call counts one call, and reports whether it is answered.
-func (s *pricedStore) call() bool {
+// call counts one call, and reports whether it gets a response.
+func (s *billedStore) call() bool {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	s.calls++
 	return !s.down
 }
 
-func (s *pricedStore) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
+func (s *billedStore) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
 	if !s.call() {
 		return nil, 0, errRefused
 	}
@@ -57,7 +57,7 @@
 	return s.KV.Range(ctx, span)
 }
 
-func (s *pricedStore) Watch(ctx context.Context, span plat.Span, from int64, f func([]plat.Change, int64) error) error {
+func (s *billedStore) Watch(ctx context.Context, span plat.Span, from int64, f func([]plat.Change, int64) error) error {
 	for ctx.Err() == nil {
 		if !s.call() {
 			return errRefused
@@ -75,8 +75,8 @@
 	return ctx.Err()
 }
 
-// answer counts a request until its answer is taken.
-func (s *pricedStore) response(take func() error) error {
+// response counts a request until its response is taken.
+func (s *billedStore) response(take func() error) error {
 	s.countMu.Lock()
 	s.answering++
 	s.countMu.Unlock()
@@ -88,15 +88,15 @@
 	return err
 }
 
-// quiet returns when the last answer was taken, and whether none is pending.
-func (s *pricedStore) quiet() (clock.Time, bool) {
+// quiet returns when the last response was taken, and whether none is pending.
+func (s *billedStore) quiet() (clock.Time, bool) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.taken, s.answering == 0
 }
 
 // wait returns the first changes from a revision on, or none after watchTime.
-func (s *pricedStore) wait(ctx context.Context, span plat.Span, from int64) (changes []plat.Change, revision int64) {
+func (s *billedStore) wait(ctx context.Context, span plat.Span, from int64) (changes []plat.Change, revision int64) {
 	ctx, cancel := context.WithTimeout(ctx, watchTime)
 	defer cancel()
 	s.count(1)
@@ -112,20 +112,20 @@
 	return changes, revision
 }
 
-func (s *pricedStore) count(by int) {
+func (s *billedStore) count(by int) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	s.watching += by
 }
 
-func (s *pricedStore) setDown(down bool) {
+func (s *billedStore) setDown(down bool) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	s.down = down
 }
 
 // stats returns how many calls there were and how many daemons watch.
-func (s *pricedStore) stats() (calls, watching int) {
+func (s *billedStore) stats() (calls, watching int) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
 	return s.calls, s.watching
@@ -141,12 +141,12 @@
 	return out
 }
 
-// Each call of the platform's store is priced: daemons that start together must not all watch it
+// Each call of the platform's store is billed: daemons that start together must not all watch it
 // until they have received each other's heartbeats.
 func TestDaemonsThatStartTogetherDoNotAllWatchTheStore(t *testing.T) {
 	const daemons, cells = 40, 4
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := startTogether(t, store, daemons)
 	for _, m := range members {
@@ -161,12 +161,12 @@
 	}
 }
 
-// Calls that the store refuses are priced too, and where a few daemons get no answer the others get
-// none either.
+// Calls that the store rejects are billed too, and where a few daemons get no response the others
+// get none either.
 func TestAFleetSendsFewRequestsToAStoreThatIsDown(t *testing.T) {
 	const daemons, outage = 40, 5 * time.Second
 	g := gomega.NewWithT(t)
-	store := &pricedStore{KV: &memkv.KV{}}
+	store := &billedStore{KV: &memkv.KV{}}
 	put(t, store.KV, "op/config", []byte("first"))
 	members := startTogether(t, store, daemons)
 	for _, m := range members {
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/spread"
 )
 
-// busyStore is a KV-cache store that admits a number of watchers at a time and refuses any more.
+// busyStore is a KV-cache store that admits a number of watchers at a time and rejects any more.
 type busyStore struct {
 	watchers int
 
@@ -26,14 +26,14 @@
 	changed   chan struct{}
 	watching  int // guarded by storeMu
 	requested int // guarded by storeMu
-	refused   int // guarded by storeMu
+	rejected  int // guarded by storeMu
 }
 
 func (s *busyStore) Events(ctx context.Context, _ string, since int64, wait time.Duration) (cache.SegmentEvents, error) {
 	s.storeMu.Lock()
 	s.requested++
 	if s.watching == s.watchers {
-		s.refused++
+		s.rejected++
 		s.storeMu.Unlock()
 		return cache.SegmentEvents{}, errRefused
 	}
@@ -74,18 +74,18 @@
 	return len(s.segments)
 }
 
-// counts returns how many requests were received and how many of them refused.
-func (s *busyStore) counts() (requested, refused int) {
+// counts returns how many requests were received and how many of them rejected.
+func (s *busyStore) counts() (requested, rejected int) {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	return s.requested, s.refused
+	return s.requested, s.rejected
 }
 
 // indexMember is one daemon of a fleet with an index of a store.
 type indexMember struct {
-	name string
-	kept *cache.StoreIndexes
-	stop context.CancelFunc
+	name    string
+	indexes *cache.StoreIndexes
+	stop    context.CancelFunc
 }
 
 // indexFleet runs a fleet that keeps an index of a store.
@@ -99,13 +99,13 @@
 			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
 		})
 		indexes := spread.NewStoreIndexes(store, f)
-		m := &indexMember{name: seed.Name, kept: cache.NewStoreIndexes(indexes, &event.Log{})}
-		indexes.Serve(m.kept)
+		m := &indexMember{name: seed.Name, indexes: cache.NewStoreIndexes(indexes, &event.Log{})}
+		indexes.Serve(m.indexes)
 		ctx, cancel := context.WithCancel(context.Background())
 		m.stop = cancel
 		t.Cleanup(cancel)
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
-		m.kept.Set(ctx, []cache.StoreInfo{info})
+		m.indexes.Set(ctx, []cache.StoreInfo{info})
 		out = append(out, m)
 	}
 	return out
@@ -117,7 +117,7 @@
 	return func() int {
 		n := 0
 		for _, m := range members {
-			if _, ok := m.kept.EventsSince(address, 0, false, clock.Now()); ok && m.kept.Tokens() == segments {
+			if _, ok := m.indexes.EventsSince(address, 0, false, clock.Now()); ok && m.indexes.Tokens() == segments {
 				n++
 			}
 		}
@@ -125,7 +125,7 @@
 	}
 }
 
-// If each of six cells sent requests on its own, a store that admits four watchers would refuse
+// If each of six cells sent requests on its own, a store that admits four watchers would reject
 // some of them, and there would be no minute in which all daemons have a current index.
 func TestAFleetOfManyCellsNeverExceedsAStoresWatchers(t *testing.T) {
 	const daemons, address = 72, "10.0.0.1:1"
@@ -138,8 +138,8 @@
 		segments := store.save()
 		g.Eventually(upToDate(members, address, segments), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	}
-	_, refused := store.counts()
-	g.Expect(refused).To(gomega.BeZero())
+	_, rejected := store.counts()
+	g.Expect(rejected).To(gomega.BeZero())
 }
 
 // Daemons that watch a store may be lost; others of the fleet must take their place.
@@ -165,6 +165,6 @@
 	}
 	segments = store.save()
 	g.Eventually(upToDate(rest, address, segments), shortWait, pollInterval).Should(gomega.Equal(len(rest)))
-	_, refused := store.counts()
-	g.Expect(refused).To(gomega.BeZero())
+	_, rejected := store.counts()
+	g.Expect(rejected).To(gomega.BeZero())
 }
--- a/core/spread/storeindex_rank.go
+++ b/core/spread/storeindex_rank.go
@@ -77,8 +77,8 @@
 	return r
 }
 
-// AssignmentRank returns how many daemons come before this one for assignments at a store: in a large fleet
-// those that send requests to it come first.
+// AssignmentRank returns how many daemons come before this one for assignments at a store: in a
+// large fleet those that send requests to it come first.
 func (s *StoreIndexes) AssignmentRank(address string) int {
 	view := s.fleet.View()
 	watching := 0
@@ -102,7 +102,7 @@
 
 // watchers returns how many watchers a store admits.
 func (s *StoreIndexes) watchers(address string) int {
-	if n := s.kept.MaxWatchers(address); n > 0 {
+	if n := s.indexes.MaxWatchers(address); n > 0 {
 		return n
 	}
 	return defaultWatchers
--- a/core/spread/updates.go
+++ b/core/spread/updates.go
@@ -21,11 +21,11 @@
 	maxRemoteHold = 2 * time.Second
 )
 
-// WeightUpdateNotifier notifies the cell that uses a worker when a weight update of the worker is about to start,
-// while it runs, and when it has completed.
+// WeightUpdateNotifier notifies the cell that uses a worker when a weight update of the worker is
+// about to start, while it runs, and when it has completed.
 //
 // Heartbeats reach only the cell of the daemon that gives the order. Without a notice each daemon
-// of the worker's own cell would learn of the update only when the worker refuses a request.
+// of the worker's own cell would learn of the update only when the worker rejects a request.
 type WeightUpdateNotifier struct {
 	fleet  *fleet.Fleet
 	roster *roster.Roster
@@ -34,7 +34,7 @@
 	Sharded func(service string) bool
 }
 
-// NewWeightUpdateNotifier returns a Swaps. It must be called before the fleet runs.
+// NewWeightUpdateNotifier returns a WeightUpdateNotifier. It must be called before the fleet runs.
 func NewWeightUpdateNotifier(f *fleet.Fleet, r *roster.Roster) *WeightUpdateNotifier {
 	s := &WeightUpdateNotifier{fleet: f, roster: r}
 	f.Mux().Register(kindWeightUpdate, wire.Handle(s.handleNotice))
@@ -54,8 +54,8 @@
 	Remaining time.Duration
 }
 
-// UpdateStarted notifies the worker's cell that a weight update is about to start or still runs, and takes
-// about the time remaining.
+// UpdateStarted notifies the worker's cell that a weight update is about to start or still runs,
+// and takes about the time remaining.
 func (s *WeightUpdateNotifier) UpdateStarted(t *roster.Target, model string, remaining time.Duration) {
 	s.notify(t, &updateNotice{Target: t.ID(), Model: model, Remaining: remaining})
 }
@@ -100,7 +100,7 @@
 func (s noticeSender) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
-	// A daemon that misses the notice is refused by the worker, as it would be without one.
+	// A daemon that misses the notice gets rejections from the worker, as it would without one.
 	_ = s.fleet.Notify(ctx, s.peer, kindWeightUpdate, s.notice)
 }
 
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -21,8 +21,8 @@
 
 const kindChanges wire.Kind = "spread.mirror"
 
-// WatchCacheSync keeps this daemon's watch cache current while the coordination store does not answer it
-// or other daemons watch the store for it: it requests the changes from a peer.
+// WatchCacheSync keeps this daemon's watch cache current while the coordination store does not
+// respond to it or other daemons watch the store for it: it requests the changes from a peer.
 type WatchCacheSync struct {
 	// started is when this daemon started.
 	started    clock.Time
@@ -34,16 +34,16 @@
 	// peer's cache holds another shard than the one requested.
 	shardMismatches atomic.Int64
 	// bytesSent counts the bytes of values that were sent to peers; requestsFailed counts this
-	// daemon's requests that a peer did not answer.
+	// daemon's requests that a peer did not respond to.
 	bytesSent, requestsFailed atomic.Int64
 
-	// EntryParser, if set, parses a pair as a target's entry; it returns false where the pair is none. It
-	// is set before Run.
+	// EntryParser, if set, parses a pair as a target's entry; it returns false where the pair is
+	// none. It is set before Run.
 	EntryParser func(plat.Pair) (Entry, bool)
 	entries     entryIndex
 
 	relays atomic.Pointer[relaySet]
-	// relayBackoff holds the watch relays that did not answer, or whose cache was stale.
+	// relayBackoff holds the watch relays that did not respond, or whose cache was stale.
 	relayBackoff wait.Backoff[string]
 
 	peersMu sync.Mutex
@@ -51,7 +51,7 @@
 	peerFresh map[string]clock.Time
 }
 
-// NewWatchCacheSync returns Mirrors for m and attaches it to the fleet's heartbeats.
+// NewWatchCacheSync returns a WatchCacheSync for m and attaches it to the fleet's heartbeats.
 func NewWatchCacheSync(m *plat.Mirror, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
 	s := &WatchCacheSync{started: clock.Now(), watchCache: m, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
 	s.relayBackoff.First, s.relayBackoff.Most = backoffFirst, backoffMax
@@ -113,7 +113,7 @@
 // Times and bounds of requesting changes from peers.
 const (
 	// storeSilentAfter is how long the store may be silent before changes are requested from a
-	// peer: watches answer every 1.5 s.
+	// peer: watches respond every 1.5 s.
 	storeSilentAfter = 1800 * time.Millisecond
 	// requestInterval is the time between two requests.
 	requestInterval = 100 * time.Millisecond
@@ -125,21 +125,21 @@
 	// shard before a request goes to a watch relay: the peers will soon change their shard as well.
 	maxShardMismatches = 20
 	// isolatedAfter is the cache age from which a daemon without a fresher peer in its cell
-	// requests changes from a watch relay. Only the daemons that do so for their cell start earlier:
-	// if all did, each relay would have twelve times as many clients just when it is slow.
+	// requests changes from a watch relay. Only the daemons that do so for their cell start
+	// earlier: if all did, each relay would have twelve times as many clients just when it is slow.
 	isolatedAfter = 3 * staleAfter
 	// maxResponseBytes bounds the keys and values of one response, so that its time limit fits its
 	// size: 38 ms on a link of 10 Mbit/s, 0.5 s where 11 peers request at once.
 	maxResponseBytes = 48 << 10
 	// maxAgeMillis bounds the ages that peers report; an older copy counts as this old.
 	maxAgeMillis = 3600 * 1000
-	// freshnessSlack is by how much the times of one answer of the store may differ between
+	// freshnessSlack is by how much the times of one response of the store may differ between
 	// daemons, due to the latency of the heartbeats and responses that report them.
 	freshnessSlack = 100 * time.Millisecond
-	// batchTimeSmall and batchTimeLarge are how long successive changes are batched in small and large
-	// fleets: each response of a watch is a priced call, and targets change their entries all the
-	// time. The users' bounds on a configuration change are 2 s on small fleets and 3 s on large
-	// ones.
+	// batchTimeSmall and batchTimeLarge are how long successive changes are batched in small and
+	// large fleets: each response of a watch is a billed call, and targets change their entries all
+	// the time. The users' bounds on a configuration change are 2 s on small fleets and 3 s on
+	// large ones.
 	batchTimeSmall = 150 * time.Millisecond
 	batchTimeLarge = 500 * time.Millisecond
 	// For startupPeriod after its start a daemon batches changes for batchTimeStartup: boxes that
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Bounds of waits: shortWait for what takes milliseconds, longWait for transfers over a slow link. The race
-// detector on a busy machine takes a hundred times as long.
+// Bounds of waits: shortWait for what takes milliseconds, longWait for transfers over a slow link.
+// The race detector on a busy machine takes a hundred times as long.
 const (
 	shortWait    = "60s"
 	longWait     = "120s"
@@ -45,8 +45,8 @@
 	watchCache *plat.Mirror
 	cacheSync  *spread.WatchCacheSync
 	applied    *spread.AppliedValues
-	// leaving holds the incarnations that the member reports as shutting down.
-	leaving atomic.Pointer[[]string]
+	// shuttingDown holds the incarnations that the member reports as shutting down.
+	shuttingDown atomic.Pointer[[]string]
 	// seen holds the keys of the changes that the watch cache reported, in their order.
 	seenMu sync.Mutex
 	seen   []string // guarded by seenMu
@@ -75,8 +75,8 @@
 	}
 }
 
-// cell runs a sender, which the store answers, and others that it does not answer. They reach the
-// sender at the address that reach returns for the sender's own one.
+// cell runs a sender, which the store responds to, and others that it does not respond to. They
+// reach the sender at the address that reach returns for the sender's own one.
 func cell(t *testing.T, store *memkv.KV, others int, reach func(address string) string) (*member, []*member) {
 	t.Helper()
 	seeds, listeners := seedsAndListeners(t, others+1)
@@ -116,8 +116,8 @@
 	m.watchCache.Observe(m.observe)
 	m.cacheSync = spread.NewWatchCacheSync(m.watchCache, m.fleet, &event.Log{})
 	m.applied = spread.NewAppliedValues(m.cacheSync)
-	m.leaving.Store(&[]string{})
-	m.applied.ShuttingDown = func() []string { return *m.leaving.Load() }
+	m.shuttingDown.Store(&[]string{})
+	m.applied.ShuttingDown = func() []string { return *m.shuttingDown.Load() }
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { m.fleet.Run(ctx, l) })
