--- a/core/roster/selfreport.go
+++ b/core/roster/selfreport.go
@@ -11,6 +11,7 @@
 // Source is how it is known that a target is shutting down or what its rate limit is.
 type Source string
 
+// The possible sources.
 const (
 	ByList   Source = "list"
 	ByAnswer Source = "answer"
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -12,7 +12,7 @@
 sites=()
 for site in "$@"; do sites+=("$(realpath "$site")"); done
 seeds=${SEEDS:-1 2 3} jobs=${JOBS:-4}
-mechanisms=${MECHANISMS:-all $(sed -n 's/.*yaml:"\([a-zA-Z]*\)".*/\1/p' core/relay/without.go)}
+mechanisms=${MECHANISMS:-all $(sed -n 's/.*yaml:"\([a-zA-Z]*\)".*/\1/p' core/relay/disabled.go)}
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 mkdir -p "$(dirname "$out")"
