--- a/core/admin/admin.go
+++ b/core/admin/admin.go
@@ -30,15 +30,15 @@
 	Home   *home.Owner
 	Poison *poison.Guard
 	Log    *event.Log
-	// Duties are the names of the assignments that the status shows.
-	Duties []string
-	// KeyHashes are the SHA-256 hashes of operators' keys from the settings. They
+	// Assignments are the names of the assignments that the status shows.
+	Assignments []string
+	// OperatorKeyHashes are the SHA-256 hashes of operators' keys from the settings. They
 	// give access also while the configuration has no operator.
-	KeyHashes []string
-	// Ready returns the reason why no requests are accepted, or "".
-	Ready func() string
-	// Running returns the number of callers' requests in progress.
-	Running func() int64
+	OperatorKeyHashes []string
+	// NotReadyReason returns the reason why no requests are accepted, or "".
+	NotReadyReason func() string
+	// RequestsRunning returns the number of callers' requests in progress.
+	RequestsRunning func() int64
 }
 
 // Server handles operators' requests.
@@ -92,7 +92,7 @@
 
 func (s *Server) isOperatorKey(key string) bool {
 	hash := conf.HashKey(key)
-	for _, h := range s.o.KeyHashes {
+	for _, h := range s.o.OperatorKeyHashes {
 		if subtle.ConstantTimeCompare([]byte(h), []byte(hash)) == 1 {
 			return true
 		}
--- a/core/admin/blocked.go
+++ b/core/admin/blocked.go
@@ -20,7 +20,7 @@
 
 // releaseBlocked unblocks a request in all daemons.
 func (s *Server) releaseBlocked(c echo.Context) error {
-	digest, ok := poison.Parse(c.Param("asks"))
+	digest, ok := poison.ParseDigest(c.Param("asks"))
 	if !ok {
 		return writeRejection(c, invalidField("asks", "must be a fingerprint, 32 hexadecimal digits"))
 	}
--- a/core/admin/status.go
+++ b/core/admin/status.go
@@ -33,7 +33,7 @@
 	if r == nil {
 		return writeRejection(c, &conf.Rejection{Code: conf.CodeNotFound, Text: "there is no targets/" + name})
 	}
-	s.o.Fleet.SetMark(name, body.Leaving)
+	s.o.Fleet.SetDrain(name, body.Leaving)
 	t := *r.Spec().(*conf.Target)
 	t.Drain = body.Leaving
 	raw, err := json.Marshal(&t)
@@ -105,7 +105,7 @@
 		Leases    []leaseStatus  `json:"leases"`
 		Links     []linkStatus   `json:"links"`
 	}{
-		Daemon: view.Self(), NotReady: s.o.Ready(), Running: s.o.Running(), Sequence: snap.Seq(),
+		Daemon: view.Self(), NotReady: s.o.NotReadyReason(), Running: s.o.RequestsRunning(), Sequence: snap.Seq(),
 		Status: statusFor(lagging), Cells: view.Cells(), Daemons: s.daemons(snap, view),
 	}
 	if at := s.o.Conf.Confirmed(); !at.IsZero() {
@@ -119,8 +119,8 @@
 			body.Links = append(body.Links, linkStatus{r.Name(), backlog, rate})
 		}
 	}
-	for _, name := range s.o.Duties {
-		body.Leases = append(body.Leases, leaseStatus{name, view.DutyOf(fleet.Key(name))})
+	for _, name := range s.o.Assignments {
+		body.Leases = append(body.Leases, leaseStatus{name, view.FleetAssignee(fleet.Key(name))})
 	}
 	return c.JSON(http.StatusOK, body)
 }
--- a/core/cache/segments.go
+++ b/core/cache/segments.go
@@ -19,13 +19,13 @@
 type SegmentSalt struct {
 	Model   string
 	Version int64
-	// Wall is the isolated organisation, or "" if the segment may be shared.
-	Wall string
+	// IsolatedOrganisation is the isolated organisation, or "" if the segment may be shared.
+	IsolatedOrganisation string
 }
 
 // String returns the salt in the form that engines and stores receive.
 func (s SegmentSalt) String() string {
-	return "v" + strconv.FormatInt(s.Version, 10) + "/" + s.Model + "/" + s.Wall
+	return "v" + strconv.FormatInt(s.Version, 10) + "/" + s.Model + "/" + s.IsolatedOrganisation
 }
 
 // SaltVersion parses the model and weight version from a salt that String returned.
@@ -79,14 +79,14 @@
 type StoreInfo struct {
 	Address string
 	Domain  string
-	// Room is the capacity in tokens.
-	Room int
+	// Capacity is the capacity in tokens.
+	Capacity int
 	// TokenTime is the transfer time of one token over the store's link.
 	TokenTime time.Duration
-	// First is the delay before the first byte of a transfer.
-	First time.Duration
-	// Watchers is how many daemons may follow the store at a time; 0 if not configured.
-	Watchers int
+	// FirstByteDelay is the delay before the first byte of a transfer.
+	FirstByteDelay time.Duration
+	// MaxWatchers is how many daemons may follow the store at a time; 0 if not configured.
+	MaxWatchers int
 }
 
 // transferTime returns how long a transfer to a worker in a failure domain takes. Links
@@ -96,5 +96,5 @@
 	if domain != "" && domain != s.Domain {
 		d *= 2
 	}
-	return d + s.First
+	return d + s.FirstByteDelay
 }
--- a/core/cache/storeindex.go
+++ b/core/cache/storeindex.go
@@ -141,7 +141,7 @@
 	d.WriteString(name.ID)
 	d.WriteString(ix.info.Address)
 	draw := float64(d.Sum64()%weightSteps+1) / (weightSteps + 1)
-	return -float64(ix.info.Room) / math.Log(draw)
+	return -float64(ix.info.Capacity) / math.Log(draw)
 }
 
 // weightSteps is the resolution of the hash draw.
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -108,7 +108,7 @@
 	s.indexesMu.Lock()
 	defer s.indexesMu.Unlock()
 	if ix := s.indexes[address]; ix != nil {
-		return ix.info.Watchers
+		return ix.info.MaxWatchers
 	}
 	return 0
 }
@@ -118,8 +118,8 @@
 	Address string
 	// Tokens is the number of tokens held.
 	Tokens int
-	// Until is the time on the targets' clock after which a transfer must be discarded.
-	Until time.Duration
+	// Deadline is the time on the targets' clock after which a transfer must be discarded.
+	Deadline time.Duration
 
 	info *StoreInfo
 }
@@ -141,7 +141,7 @@
 			continue
 		}
 		info := ix.info
-		out = append(out, StoredSegment{Address: info.Address, Tokens: tokens, Until: ix.storeClock + now.Sub(ix.reportedAt) + transferTimeout, info: &info})
+		out = append(out, StoredSegment{Address: info.Address, Tokens: tokens, Deadline: ix.storeClock + now.Sub(ix.reportedAt) + transferTimeout, info: &info})
 	}
 	return out
 }
@@ -157,7 +157,7 @@
 		if ix.segments[name] > 0 {
 			return ""
 		}
-		if !allowed(ix.info.Domain) || !ix.fresh(now) || float64(ix.usedTokens+tokens) > maxFill*float64(ix.info.Room) {
+		if !allowed(ix.info.Domain) || !ix.fresh(now) || float64(ix.usedTokens+tokens) > maxFill*float64(ix.info.Capacity) {
 			continue
 		}
 		score := ix.score(name)
--- a/core/cache/stores_bench_test.go
+++ b/core/cache/stores_bench_test.go
@@ -15,7 +15,7 @@
 	k := NewStoreIndexes(newFakeStore(), &event.Log{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	k.Set(ctx, []StoreInfo{{Address: "a", Room: 1 << 30}})
+	k.Set(ctx, []StoreInfo{{Address: "a", Capacity: 1 << 30}})
 	contents := SegmentEvents{Epoch: 1, Next: 1}
 	for i := range 13000 {
 		contents.Changes = append(contents.Changes, SegmentChange{SegmentName{Salt: "v1/m/", ID: fmt.Sprintf("%08x", i)}, 100})
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -91,7 +91,7 @@
 	t.Cleanup(cancel)
 	var infos []StoreInfo
 	for i, capacity := range capacities {
-		infos = append(infos, StoreInfo{Address: string(rune('a' + i)), Domain: "d", Room: capacity, TokenTime: time.Microsecond})
+		infos = append(infos, StoreInfo{Address: string(rune('a' + i)), Domain: "d", Capacity: capacity, TokenTime: time.Microsecond})
 	}
 	k.Set(ctx, infos)
 	return k
@@ -119,7 +119,7 @@
 	stored := list[0]
 	g.Expect(stored.TransferTime("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
 	g.Expect(stored.TransferTime("d")).To(gomega.Equal(50 * time.Microsecond))
-	g.Expect(stored.Until).To(gomega.BeNumerically(">", time.Hour))
+	g.Expect(stored.Deadline).To(gomega.BeNumerically(">", time.Hour))
 }
 
 func TestGapOrNewEpochResyncs(t *testing.T) {
@@ -178,13 +178,13 @@
 
 func TestSaltVersionParsesSegmentSalt(t *testing.T) {
 	g := gomega.NewWithT(t)
-	model, version, ok := SaltVersion(SegmentSalt{Model: "m", Version: 12, Wall: "org"}.String())
+	model, version, ok := SaltVersion(SegmentSalt{Model: "m", Version: 12, IsolatedOrganisation: "org"}.String())
 	g.Expect([]any{model, version, ok}).To(gomega.Equal([]any{"m", int64(12), true}))
 	for _, bad := range []string{"", "v1", "x1/m/", "vx/m/", "v1/m"} {
 		_, _, ok := SaltVersion(bad)
 		g.Expect(ok).To(gomega.BeFalse(), bad)
 	}
-	g.Expect(SegmentSalt{Model: "m", Version: 1}.String()).NotTo(gomega.Equal(SegmentSalt{Model: "m", Version: 1, Wall: "o"}.String()))
+	g.Expect(SegmentSalt{Model: "m", Version: 1}.String()).NotTo(gomega.Equal(SegmentSalt{Model: "m", Version: 1, IsolatedOrganisation: "o"}.String()))
 }
 
 func TestSweeperFreesSupersededSegmentsAfterDelay(t *testing.T) {
--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -39,8 +39,8 @@
 	RolledBack Phase = "rolledBack"
 )
 
-// Over reports whether the rollout is decided.
-func (p Phase) Over() bool { return p == Completed || p == RolledBack }
+// Decided reports whether the rollout is decided.
+func (p Phase) Decided() bool { return p == Completed || p == RolledBack }
 
 // rank orders the phases of one order.
 func (p Phase) rank() int {
@@ -62,17 +62,17 @@
 	// Blocked lists versions that get no requests whatever is ordered later: they were rolled back,
 	// or their order was replaced before it was decided.
 	Blocked []string `json:"blocked,omitempty"`
-	// Begun is when the order was first seen, in Unix milliseconds, for daemons that start during
+	// StartedMs is when the order was first seen, in Unix milliseconds, for daemons that start during
 	// the rollout.
-	Begun int64 `json:"begun"`
-	// Why is the reason for the decision.
-	Why string `json:"why,omitempty"`
+	StartedMs int64 `json:"begun"`
+	// Reason is the reason for the decision.
+	Reason string `json:"why,omitempty"`
 }
 
 // isFor reports whether the state belongs to an order. An order read from a store restored from an
 // older copy, or written there again, is the same one under another revision.
 func (st *State) isFor(o *Order) bool {
-	return st.Order == o.Revision || (st.Version == o.Version && plat.Era(st.Order) < plat.Era(o.Revision) && o.Revision != 0)
+	return st.Order == o.Revision || (st.Version == o.Version && plat.StoreIncarnation(st.Order) < plat.StoreIncarnation(o.Revision) && o.Revision != 0)
 }
 
 // olderThan reports whether the state precedes another one.
@@ -80,30 +80,30 @@
 	return st.Order < other.Order || (st.Order == other.Order && st.Phase.rank() < other.Phase.rank())
 }
 
-// Side states which versions of a service a request may go to. The zero value allows all.
-type Side struct {
-	// Prefer is the version to use if one of its targets is available; "" means none.
-	Prefer string `msgpack:"Prefer"`
-	// Not lists the versions that must not be used.
-	Not []string `msgpack:"Not"`
-	// Trial is the canary version if it is listed in Not. It is used all the same if no target of
+// VersionFilter states which versions of a service a request may go to. The zero value allows all.
+type VersionFilter struct {
+	// Preferred is the version to use if one of its targets is available; "" means none.
+	Preferred string `msgpack:"Prefer"`
+	// Excluded lists the versions that must not be used.
+	Excluded []string `msgpack:"Not"`
+	// Canary is the canary version if it is listed in Not. It is used all the same if no target of
 	// another version is listed, for example when operators order the version that all targets
 	// have.
-	Trial string `msgpack:"Trial"`
-	// Few is the share of the preferred version's targets to use, so that each of them gets as many
+	Canary string `msgpack:"Trial"`
+	// TargetShare is the share of the preferred version's targets to use, so that each of them gets as many
 	// requests as if the version had its full share; 0 means all.
-	Few float64 `msgpack:"Few"`
+	TargetShare float64 `msgpack:"Few"`
 }
 
 // Allows reports whether a request may go to a version.
-func (s *Side) Allows(version string) bool { return !slices.Contains(s.Not, version) }
+func (s *VersionFilter) Allows(version string) bool { return !slices.Contains(s.Excluded, version) }
 
-// Aside returns the versions allowed to a request that failed on the canary version.
-func (s Side) Aside() Side {
-	if s.Few == 0 {
+// WithoutCanary returns the versions allowed to a request that failed on the canary version.
+func (s VersionFilter) WithoutCanary() VersionFilter {
+	if s.TargetShare == 0 {
 		return s
 	}
-	return Side{Not: append(slices.Clone(s.Not), s.Prefer)}
+	return VersionFilter{Excluded: append(slices.Clone(s.Excluded), s.Preferred)}
 }
 
 // Sum holds the statistics of one version's answers to one kind of request.
--- a/core/canary/control.go
+++ b/core/canary/control.go
@@ -32,11 +32,11 @@
 type Options struct {
 	Guard *Guard
 	Fleet *fleet.Fleet
-	// Run identifies this incarnation of the daemon.
-	Run    string
-	Right  Leadership
-	Store  plat.Writer
-	Mirror *plat.Mirror
+	// Incarnation identifies this incarnation of the daemon.
+	Incarnation string
+	Leadership  Leadership
+	Store       plat.Writer
+	Mirror      *plat.WatchCache
 	// Holder returns the name of the daemon that holds the lease, or "".
 	Holder func() string
 	// Status returns the rollout status to publish to operators.
@@ -101,7 +101,7 @@
 
 // interval returns the pause until the next step.
 func (c *Controller) interval() time.Duration {
-	if c.o.Guard.Over() {
+	if c.o.Guard.AllDecided() {
 		return idleInterval
 	}
 	return reportInterval
@@ -117,11 +117,11 @@
 	switch holder := c.o.Holder(); holder {
 	case "":
 	case self:
-		c.storeReports(c.o.Run, reports)
+		c.storeReports(c.o.Incarnation, reports)
 	default:
-		c.sendReports(ctx, holder, &reportMessage{Incarnation: c.o.Run, Reports: reports})
+		c.sendReports(ctx, holder, &reportMessage{Incarnation: c.o.Incarnation, Reports: reports})
 	}
-	if c.o.Right.Held() {
+	if c.o.Leadership.Held() {
 		c.decide(ctx)
 	}
 }
@@ -189,7 +189,7 @@
 			continue
 		}
 		st := r.state
-		st.Phase, st.Why = next, why
+		st.Phase, st.Reason = next, why
 		if next == RolledBack {
 			st.Blocked = append(slices.Clone(st.Blocked), st.Version)
 		}
@@ -200,7 +200,7 @@
 // elapsed returns the time since the order. A daemon that started later uses the wall-clock time
 // that the first one stored.
 func (r *activeRollout) elapsed(now time.Time) time.Duration {
-	stored := now.Sub(time.UnixMilli(r.state.Begun))
+	stored := now.Sub(time.UnixMilli(r.state.StartedMs))
 	if stored > r.order.Lasts {
 		// A clock that jumped must not decide.
 		stored = 0
@@ -210,9 +210,9 @@
 
 // initialState returns the first state of an order.
 func initialState(r *activeRollout) State {
-	st := State{Order: r.order.Revision, Version: r.order.Version, Phase: Trying, Begun: time.Now().Add(-r.since).UnixMilli()}
+	st := State{Order: r.order.Revision, Version: r.order.Version, Phase: Trying, StartedMs: time.Now().Add(-r.since).UnixMilli()}
 	st.Blocked = slices.Clone(r.state.Blocked)
-	if r.state.Order != 0 && !r.state.Phase.Over() {
+	if r.state.Order != 0 && !r.state.Phase.Decided() {
 		st.Blocked = append(st.Blocked, r.state.Version)
 	}
 	st.Blocked = slices.DeleteFunc(st.Blocked, func(v string) bool { return v == st.Version })
@@ -222,7 +222,7 @@
 // writeState writes a state for all daemons and operators, if this daemon may still decide and no
 // other has.
 func (c *Controller) writeState(ctx context.Context, o *Order, st State) {
-	if _, allowed := c.o.Right.Act(); !allowed {
+	if _, allowed := c.o.Leadership.Act(); !allowed {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -239,8 +239,8 @@
 		Puts:     []plat.Put{{Key: key, Value: value}, c.o.Status(o.Service, st)},
 	})
 	text := string(st.Phase) + " to version " + st.Version
-	if st.Why != "" {
-		text += ": " + st.Why
+	if st.Reason != "" {
+		text += ": " + st.Reason
 	}
 	switch {
 	case err != nil:
@@ -259,7 +259,7 @@
 	if !isState {
 		return
 	}
-	if change.Restored {
+	if change.DeletedByRestore {
 		c.o.Guard.MarkUnstored(service)
 		return
 	}
--- a/core/canary/control_test.go
+++ b/core/canary/control_test.go
@@ -39,7 +39,7 @@
 // daemon is one daemon of a test.
 type daemon struct {
 	guard  *Guard
-	mirror *plat.Mirror
+	mirror *plat.WatchCache
 	stop   context.CancelFunc
 }
 
@@ -68,11 +68,11 @@
 	t.Cleanup(wg.Wait)
 	for i, seed := range seeds {
 		log := &event.Log{}
-		f := fleet.New(fleet.Options{Name: seed.Name, Incarnation: "1", Seeds: seeds, Heartbeat: 100 * time.Millisecond, Suspect: 10 * time.Second, Log: log})
-		guard := &Guard{Share: 0.1}
-		m := plat.NewMirror(tr.store, plat.Prefix(""), log)
+		f := fleet.New(fleet.Options{Name: seed.Name, Incarnation: "1", Seeds: seeds, HeartbeatInterval: 100 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: log})
+		guard := &Guard{CanaryShare: 0.1}
+		m := plat.NewWatchCache(tr.store, plat.Prefix(""), log)
 		c := NewController(Options{
-			Guard: guard, Fleet: f, Run: seed.Name + "/1", Right: fakeLeadership{&tr.holder, seed.Name}, Store: tr.store, Mirror: m,
+			Guard: guard, Fleet: f, Incarnation: seed.Name + "/1", Leadership: fakeLeadership{&tr.holder, seed.Name}, Store: tr.store, Mirror: m,
 			Holder: func() string { return *tr.holder.Load() },
 			Status: func(service string, st State) plat.Put {
 				return plat.Put{Key: "status/" + service, Value: []byte(string(st.Phase) + " " + st.Version)}
@@ -125,12 +125,12 @@
 		for _, d := range tr.daemons {
 			side := d.guard.Choose("s")
 			to := "v1"
-			if side.Prefer != "" {
-				to = side.Prefer
+			if side.Preferred != "" {
+				to = side.Preferred
 			}
-			d.guard.Begin("s", to)
-			d.guard.Answered("s", "r", to, !(bad && to == version))
-			d.guard.End("s", to)
+			d.guard.RequestStarted("s", to)
+			d.guard.RecordAnswer("s", "r", to, !(bad && to == version))
+			d.guard.RequestEnded("s", to)
 		}
 		wait.For(ctx, time.Millisecond)
 	}
@@ -167,8 +167,8 @@
 			cancel()
 			<-done
 			for _, d := range tr.daemons[1:] {
-				tr.g.Eventually(d.guard.Over, maxWait, pollInterval).Should(gomega.BeTrue())
-				tr.g.Expect(d.guard.Choose("s").Prefer == "v2").To(gomega.Equal(!tc.bad))
+				tr.g.Eventually(d.guard.AllDecided, maxWait, pollInterval).Should(gomega.BeTrue())
+				tr.g.Expect(d.guard.Choose("s").Preferred == "v2").To(gomega.Equal(!tc.bad))
 			}
 		})
 	}
@@ -225,7 +225,7 @@
 				before = tr.store.Copy()
 			}
 			for _, d := range tr.daemons {
-				tr.g.Eventually(d.guard.Over, maxWait, pollInterval).Should(gomega.BeTrue())
+				tr.g.Eventually(d.guard.AllDecided, maxWait, pollInterval).Should(gomega.BeTrue())
 			}
 			tr.store.Restore(before)
 			preferred := 0
@@ -233,11 +233,11 @@
 				settled := tr.status() == "rolledBack v2"
 				for _, d := range tr.daemons {
 					for range 100 {
-						if d.guard.Choose("s").Prefer == "v2" {
+						if d.guard.Choose("s").Preferred == "v2" {
 							preferred++
 						}
 					}
-					settled = settled && d.mirror.Era() == 1 && d.guard.Over()
+					settled = settled && d.mirror.StoreIncarnation() == 1 && d.guard.AllDecided()
 				}
 				return settled
 			}, maxWait, pollInterval).Should(gomega.BeTrue())
--- a/core/canary/evaluate.go
+++ b/core/canary/evaluate.go
@@ -114,7 +114,7 @@
 
 // Next returns the next phase and the reason; the same phase if nothing is to be done.
 func (r *Rollout) Next() (Phase, string) {
-	if r.Phase.Over() {
+	if r.Phase.Decided() {
 		return r.Phase, ""
 	}
 	if bad := r.Evidence.FailureReason(); bad != "" {
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -13,12 +13,12 @@
 // Guard restricts a daemon's requests to the versions that rollouts allow, and counts the answers.
 // The zero value has no rollouts. Its methods are safe for concurrent use.
 type Guard struct {
-	// Share is the share of a service's requests that a canary version may get from all daemons
+	// CanaryShare is the share of a service's requests that a canary version may get from all daemons
 	// together. It must be set before use.
-	Share float64
-	// Fresh, if set, reports whether this daemon's copy of the orders is current. Unless it is, no
+	CanaryShare float64
+	// OrdersCurrent, if set, reports whether this daemon's copy of the orders is current. Unless it is, no
 	// request goes to a canary version. It must be set before use.
-	Fresh func() bool
+	OrdersCurrent func() bool
 
 	guardMu  sync.Mutex
 	services map[string]*service // guarded by guardMu
@@ -53,7 +53,7 @@
 	if s.order.Revision == o.Revision {
 		return
 	}
-	if plat.Era(o.Revision) > plat.Era(s.order.Revision) && s.order.Revision != 0 && o.Version == s.order.Version && o.Lasts == s.order.Lasts {
+	if plat.StoreIncarnation(o.Revision) > plat.StoreIncarnation(s.order.Revision) && s.order.Revision != 0 && o.Version == s.order.Version && o.Lasts == s.order.Lasts {
 		// The same order, read from a store restored from an older copy.
 		s.order.Revision = o.Revision
 		return
@@ -127,47 +127,47 @@
 // replaced or withdrawn before it was decided.
 func (s *service) blocked() []string {
 	out := slices.Clone(s.state.Blocked)
-	if s.state.Order != 0 && !s.state.isFor(&s.order) && !s.state.Phase.Over() {
+	if s.state.Order != 0 && !s.state.isFor(&s.order) && !s.state.Phase.Decided() {
 		out = append(out, s.state.Version)
 	}
 	return slices.DeleteFunc(out, func(v string) bool { return v == s.order.Version })
 }
 
 // Choose counts a request and returns the versions it may go to.
-func (g *Guard) Choose(name string) Side {
+func (g *Guard) Choose(name string) VersionFilter {
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
 	s := g.services[name]
 	if s == nil {
-		return Side{}
+		return VersionFilter{}
 	}
-	side := Side{Not: s.blocked()}
+	side := VersionFilter{Excluded: s.blocked()}
 	if s.order.Revision == 0 {
 		return side
 	}
 	s.requests++
 	switch s.phase() {
 	case Moving, Completed:
-		side.Prefer = s.order.Version
+		side.Preferred = s.order.Version
 	case Trying:
-		share := usedShare * g.Share
-		if float64(s.canaryRequests+1) <= share*float64(s.requests) && (g.Fresh == nil || g.Fresh()) {
+		share := usedShare * g.CanaryShare
+		if float64(s.canaryRequests+1) <= share*float64(s.requests) && (g.OrdersCurrent == nil || g.OrdersCurrent()) {
 			s.canaryRequests++
-			side.Prefer, side.Few = s.order.Version, share
+			side.Preferred, side.TargetShare = s.order.Version, share
 			return side
 		}
-		side.Not, side.Trial = append(side.Not, s.order.Version), s.order.Version
+		side.Excluded, side.Canary = append(side.Excluded, s.order.Version), s.order.Version
 	case RolledBack:
-		side.Not = append(side.Not, s.order.Version)
+		side.Excluded = append(side.Excluded, s.order.Version)
 	}
 	return side
 }
 
-// Begin counts a request that is sent to a version.
-func (g *Guard) Begin(name, version string) { g.addRunning(name, version, 1) }
+// RequestStarted counts a request that is sent to a version.
+func (g *Guard) RequestStarted(name, version string) { g.addRunning(name, version, 1) }
 
-// End reverts what Begin counted.
-func (g *Guard) End(name, version string) { g.addRunning(name, version, -1) }
+// RequestEnded reverts what Begin counted.
+func (g *Guard) RequestEnded(name, version string) { g.addRunning(name, version, -1) }
 
 // addRunning changes the count of requests on versions other than the new one. Requests sent before
 // the order was received were not counted; the count stays at zero when they end.
@@ -179,8 +179,8 @@
 	}
 }
 
-// Answered counts a version's answer, and whether it was good.
-func (g *Guard) Answered(name, route, version string, good bool) {
+// RecordAnswer counts a version's answer, and whether it was good.
+func (g *Guard) RecordAnswer(name, route, version string, good bool) {
 	g.observe(name, route, version, func(s *Sum) {
 		s.Answers++
 		if !good {
@@ -189,8 +189,8 @@
 	})
 }
 
-// Timed records a time to the first answer, as its ratio to the expected time.
-func (g *Guard) Timed(name, route, version string, ratio float64) {
+// RecordTime records a time to the first answer, as its ratio to the expected time.
+func (g *Guard) RecordTime(name, route, version string, ratio float64) {
 	if !(ratio > 0) || math.IsInf(ratio, 0) {
 		return
 	}
@@ -207,7 +207,7 @@
 	g.guardMu.Lock()
 	defer g.guardMu.Unlock()
 	s := g.services[name]
-	if s == nil || s.phase().Over() {
+	if s == nil || s.phase().Decided() {
 		return
 	}
 	p := s.routes[route]
@@ -228,7 +228,7 @@
 	defer g.guardMu.Unlock()
 	var out []Report
 	for name, s := range g.services {
-		if s.phase().Over() {
+		if s.phase().Decided() {
 			continue
 		}
 		r := Report{Service: name, Order: s.order.Revision, Phase: s.phase(), RunningOnOld: s.runningOnOld, Routes: map[string]Pair{}}
@@ -254,7 +254,7 @@
 	defer g.guardMu.Unlock()
 	var out []activeRollout
 	for _, s := range g.services {
-		if !s.phase().Over() {
+		if !s.phase().Decided() {
 			out = append(out, activeRollout{s.order, s.state, clock.Since(s.receivedAt)})
 		}
 	}
@@ -264,5 +264,5 @@
 // Undecided returns the number of undecided rollouts.
 func (g *Guard) Undecided() int { return len(g.active()) }
 
-// Over reports whether every rollout is decided and the store holds the decisions.
-func (g *Guard) Over() bool { return g.Undecided() == 0 && len(g.unstored()) == 0 }
+// AllDecided reports whether every rollout is decided and the store holds the decisions.
+func (g *Guard) AllDecided() bool { return g.Undecided() == 0 && len(g.unstored()) == 0 }
--- a/core/canary/guard_test.go
+++ b/core/canary/guard_test.go
@@ -32,13 +32,13 @@
 			g := gomega.NewWithT(t)
 			canaryRequests, all := 0, 0
 			for range tc.daemons {
-				guard := &Guard{Share: 0.1, Fresh: func() bool { return !tc.stale }}
+				guard := &Guard{CanaryShare: 0.1, OrdersCurrent: func() bool { return !tc.stale }}
 				for i := range tc.requests {
 					if i == tc.orderAt {
 						guard.SetOrder(order("v2", 5))
 					}
 					all++
-					if side := guard.Choose("s"); side.Prefer == "v2" {
+					if side := guard.Choose("s"); side.Preferred == "v2" {
 						canaryRequests++
 					} else if i >= tc.orderAt {
 						g.Expect(side.Allows("v2")).To(gomega.BeFalse())
@@ -96,24 +96,24 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			guard := &Guard{Share: 0.1}
+			guard := &Guard{CanaryShare: 0.1}
 			tc.steps(guard)
 			side := guard.Choose("s")
-			g.Expect(side.Prefer).To(gomega.Equal(tc.prefer))
-			g.Expect(side.Not).To(gomega.HaveLen(len(tc.not)))
+			g.Expect(side.Preferred).To(gomega.Equal(tc.prefer))
+			g.Expect(side.Excluded).To(gomega.HaveLen(len(tc.not)))
 			for _, v := range tc.not {
 				g.Expect(side.Allows(v)).To(gomega.BeFalse(), v)
 			}
-			g.Expect(guard.Choose("other")).To(gomega.Equal(Side{}))
+			g.Expect(guard.Choose("other")).To(gomega.Equal(VersionFilter{}))
 		})
 	}
 }
 
 func TestARequestThatFailedOnACanaryVersionGoesToAnother(t *testing.T) {
 	g := gomega.NewWithT(t)
-	side := Side{Prefer: "v2", Few: 0.06}.Aside()
-	g.Expect(side.Prefer).To(gomega.BeEmpty())
+	side := VersionFilter{Preferred: "v2", TargetShare: 0.06}.WithoutCanary()
+	g.Expect(side.Preferred).To(gomega.BeEmpty())
 	g.Expect(side.Allows("v2")).To(gomega.BeFalse())
-	moving := Side{Prefer: "v2"}
-	g.Expect(moving.Aside()).To(gomega.Equal(moving))
+	moving := VersionFilter{Preferred: "v2"}
+	g.Expect(moving.WithoutCanary()).To(gomega.Equal(moving))
 }
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -153,8 +153,8 @@
 			g := gomega.NewWithT(t)
 			rnd := rand.New(rand.NewPCG(seed, 2))
 			kv := &memkv.KV{}
-			fates := []memkv.Fate{memkv.Answered, memkv.Answered, memkv.Answered, memkv.Lost, memkv.Dropped, memkv.Late}
-			kv.SetFate(func() memkv.Fate { return fates[rnd.IntN(len(fates))] })
+			fates := []memkv.Fault{memkv.NoFault, memkv.NoFault, memkv.NoFault, memkv.LostResponse, memkv.LostRequest, memkv.Delayed}
+			kv.SetFault(func() memkv.Fault { return fates[rnd.IntN(len(fates))] })
 			const daemons, writes = 3, 8
 			var wg sync.WaitGroup
 			var mu sync.Mutex
@@ -178,7 +178,7 @@
 				})
 			}
 			wg.Wait()
-			kv.SetFate(nil)
+			kv.SetFault(nil)
 			last := newDaemon(t, kv).store.Snapshot()
 			g.Expect(committed).NotTo(gomega.BeEmpty())
 			for seq, name := range committed {
@@ -275,7 +275,7 @@
 		key, want string
 		ok        bool
 	}{{"key one", "one", true}, {"key two", "two", true}, {"key three", "", false}, {"", "", false}, {HashKey("key one"), "", false}} {
-		org, ok := d.store.Snapshot().Caller(tc.key)
+		org, ok := d.store.Snapshot().OrganisationOfKey(tc.key)
 		g.Expect(ok).To(gomega.Equal(tc.ok), tc.key)
 		g.Expect(org).To(gomega.Equal(tc.want))
 	}
--- a/core/conf/kinds.go
+++ b/core/conf/kinds.go
@@ -188,14 +188,16 @@
 }
 func (d *Deployment) refs() []ref { return nil }
 
-// Roots returns RootBlocks or its default.
-func (d *Deployment) Roots() int { return orDefault(d.RootBlocks, defaultRootBlocks) }
+// RootBlocksOrDefault returns RootBlocks or its default.
+func (d *Deployment) RootBlocksOrDefault() int { return orDefault(d.RootBlocks, defaultRootBlocks) }
 
-// ExportFrom returns MinExportBlocks or its default.
-func (d *Deployment) ExportFrom() int { return orDefault(d.MinExportBlocks, defaultMinExportBlocks) }
+// MinExportBlocksOrDefault returns MinExportBlocks or its default.
+func (d *Deployment) MinExportBlocksOrDefault() int {
+	return orDefault(d.MinExportBlocks, defaultMinExportBlocks)
+}
 
-// Loads returns MaxLoads or its default.
-func (d *Deployment) Loads() int { return orDefault(d.MaxLoads, defaultMaxLoads) }
+// MaxLoadsOrDefault returns MaxLoads or its default.
+func (d *Deployment) MaxLoadsOrDefault() int { return orDefault(d.MaxLoads, defaultMaxLoads) }
 
 func orDefault(v, def int) int {
 	if v == 0 {
@@ -329,16 +331,16 @@
 	return out
 }
 
-// Prefill returns PrefillTokensPerSecond or its default.
-func (t *Target) Prefill() float64 {
+// PrefillSpeed returns PrefillTokensPerSecond or its default.
+func (t *Target) PrefillSpeed() float64 {
 	if t.PrefillTokensPerSecond == 0 {
 		return defaultPrefillSpeed
 	}
 	return t.PrefillTokensPerSecond
 }
 
-// Link returns LinkBytesPerSecond or its default.
-func (t *Target) Link() float64 {
+// LinkCapacity returns LinkBytesPerSecond or its default.
+func (t *Target) LinkCapacity() float64 {
 	if t.LinkBytesPerSecond == 0 {
 		return defaultLinkCapacity
 	}
@@ -372,13 +374,13 @@
 	Deadline Duration `json:"deadline,omitzero"`
 	// MaxQueue limits the requests of the policy that wait for a first token in
 	// one daemon. Zero means the default, 256.
-	MaxQueue int     `json:"maxQueue,omitempty"`
-	Weights  Weights `json:"weights,omitzero"`
+	MaxQueue int         `json:"maxQueue,omitempty"`
+	Weights  CostWeights `json:"weights,omitzero"`
 }
 
-// Weights are the coefficients of the cost model that compares placements. Costs
+// CostWeights are the coefficients of the cost model that compares placements. Costs
 // are in seconds of time to first token, so that they can be added up.
-type Weights struct {
+type CostWeights struct {
 	// FirstToken is the factor of the expected time to first token. Zero means 1.
 	FirstToken float64 `json:"firstToken,omitempty"`
 	// RecomputedSeconds is the cost of 1,000 recomputed prompt tokens.
@@ -423,11 +425,11 @@
 	return out
 }
 
-// Queue returns MaxQueue or its default.
-func (p *Policy) Queue() int { return orDefault(p.MaxQueue, DefaultMaxQueue) }
+// MaxQueueOrDefault returns MaxQueue or its default.
+func (p *Policy) MaxQueueOrDefault() int { return orDefault(p.MaxQueue, DefaultMaxQueue) }
 
-// Allows reports whether the policy permits the target.
-func (p *Policy) Allows(target string) bool {
+// AllowsTarget reports whether the policy permits the target.
+func (p *Policy) AllowsTarget(target string) bool {
 	for _, t := range p.Targets {
 		if t == target {
 			return true
--- a/core/conf/snap.go
+++ b/core/conf/snap.go
@@ -113,8 +113,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Caller returns the organisation that a caller's key belongs to, if any.
-func (s *Snapshot) Caller(key string) (organisation string, ok bool) {
+// OrganisationOfKey returns the organisation that a caller's key belongs to, if any.
+func (s *Snapshot) OrganisationOfKey(key string) (organisation string, ok bool) {
 	organisation, ok = s.orgByKeyHash[HashKey(key)]
 	return organisation, ok
 }
--- a/core/conf/write.go
+++ b/core/conf/write.go
@@ -98,7 +98,7 @@
 		}
 		change.WriteID = id
 		committed, err := w.tryCommit(ctx, snap, &change)
-		outcomeUnknown = outcomeUnknown || errors.Is(err, plat.ErrUnknown)
+		outcomeUnknown = outcomeUnknown || errors.Is(err, plat.ErrOutcomeUnknown)
 		switch {
 		case err == nil && committed:
 			w.applyCommitted(change)
--- a/core/entry/prompt.go
+++ b/core/entry/prompt.go
@@ -119,7 +119,7 @@
 	}
 	// The host is left out: it differs between boxes.
 	req := c.Request()
-	q.digest = poison.Of(&poison.Request{Organisation: q.organisation, Method: req.Method, URI: req.RequestURI, Body: raw})
+	q.digest = poison.DigestOf(&poison.Request{Organisation: q.organisation, Method: req.Method, URI: req.RequestURI, Body: raw})
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -227,7 +227,7 @@
 	salt.WeightVersion = p.chooseVersion(salt)
 	w := p.policy.Weights
 	p.placement = home.PlacementRequest{
-		Request: p.q.id, Deployment: name, Salt: salt, RootBlocks: p.deployment.Roots(),
+		Request: p.q.id, Deployment: name, Salt: salt, RootBlocks: p.deployment.RootBlocksOrDefault(),
 		Chain: cache.Chain(salt.Seed(), p.prompt), Tokens: cache.Tokens(len(p.prompt)),
 		Priority: p.policy.Priority, Targets: p.policy.Targets,
 		Costs: route.CostWeights{
@@ -252,7 +252,7 @@
 	if ready == total {
 		return salt.WeightVersion
 	}
-	head := p.prompt[:min(len(p.prompt), p.deployment.Roots()*cache.BlockBytes)]
+	head := p.prompt[:min(len(p.prompt), p.deployment.RootBlocksOrDefault()*cache.BlockBytes)]
 	const scale = 1 << 20
 	fraction := float64(fleet.Key(salt.Organisation+"/"+head)%scale) / scale
 	if route.UseDesiredVersion(fraction, ready, total) {
@@ -271,7 +271,7 @@
 	s := p.s
 	s.limitMu.Lock()
 	defer s.limitMu.Unlock()
-	if s.waiting[p.policyName] >= p.policy.Queue() {
+	if s.waiting[p.policyName] >= p.policy.MaxQueueOrDefault() {
 		return refuse(http.StatusTooManyRequests, CodeQueueFull, NotRun, "too many requests of the policy wait here").after(queueFullRetryAfter)
 	}
 	s.waiting[p.policyName]++
@@ -339,7 +339,7 @@
 	if !on {
 		return nil
 	}
-	return refuse(http.StatusServiceUnavailable, CodeEndsTargets, NotRun, "engines end of this prompt; it is given to none").after(left)
+	return refuse(http.StatusServiceUnavailable, CodeCrashesTargets, NotRun, "engines end of this prompt; it is given to none").after(left)
 }
 
 const (
@@ -356,7 +356,7 @@
 	if tried >= crashLimit {
 		time.Sleep(crashReportWait)
 	}
-	return p.s.o.Poison.Ends(p.q.digest) >= crashLimit
+	return p.s.o.Poison.Crashes(p.q.digest) >= crashLimit
 }
 
 // switchVersion resolves the request again and reports whether it now uses another weight version.
@@ -381,7 +381,7 @@
 	if p.tokens == 0 || !p.body.Stream {
 		return r
 	}
-	p.s.stats.Broken.Add(1)
+	p.s.stats.StreamsBroken.Add(1)
 	broken := refuse(0, CodeStreamBroken, Unknown, "the answer could not be continued: "+r.Message)
 	p.s.o.Log.Emit(event.StreamBroken, p.ref(), r.Error())
 	p.out.event(broken.asEvent(p.q.id))
@@ -452,7 +452,7 @@
 func (p *promptRequest) reportAttempt(prefilled, failed bool) {
 	d := &home.Outcome{
 		Request: p.q.id, Salt: p.placement.Salt, RootBlocks: p.placement.RootBlocks, Chain: p.placement.Chain, Worker: p.decision.Worker,
-		Prefilled: prefilled, ExportFrom: p.deployment.ExportFrom(), Failed: failed,
+		Prefilled: prefilled, ExportFrom: p.deployment.MinExportBlocksOrDefault(), Failed: failed,
 	}
 	go attemptReport{p.s.o.Home, p.q.view, p.decision.Owner, d}.send()
 }
@@ -479,7 +479,7 @@
 	if t == nil {
 		return errors.New("chosen worker is not in the configuration of this daemon")
 	}
-	a := &attempt{promptRequest: p, target: t, engine: target.NewEngine(t.URL, p.s.o.Engines), id: fmt.Sprintf("%s-%d", p.q.id, len(p.placement.Exclude))}
+	a := &attempt{promptRequest: p, target: t, engine: target.NewEngine(t.URL, p.s.o.EngineClient), id: fmt.Sprintf("%s-%d", p.q.id, len(p.placement.Exclude))}
 	if !p.s.pushbacks.Take(p.decision.Worker) {
 		p.reportAttempt(false, false)
 		return errors.New("chosen worker is under pushback")
@@ -502,7 +502,7 @@
 // complete accounts for a complete answer and sends its end to the caller.
 func (p *promptRequest) complete() *Refusal {
 	p.s.recordAccepted(p.q, p.decision.Worker)
-	p.s.o.Poison.Good(p.q.digest, p.q.organisation, p.decision.Incarnation())
+	p.s.o.Poison.RecordSuccess(p.q.digest, p.q.organisation, p.decision.Incarnation())
 	p.usage.CompletionTokens = p.tokens
 	p.usage.TotalTokens = p.usage.PromptTokens + p.tokens
 	st := &p.s.stats
--- a/core/entry/refusal.go
+++ b/core/entry/refusal.go
@@ -49,7 +49,7 @@
 	CodeAlreadyRan          Code = "alreadyRan"
 	CodeAnswerTooLarge      Code = "answerTooLarge"
 	CodeTimeout             Code = "timeLimitReached"
-	CodeEndsTargets         Code = "requestEndsTargets"
+	CodeCrashesTargets      Code = "requestEndsTargets"
 )
 
 // Refusal is the error response to a request.
--- a/core/entry/relay.go
+++ b/core/entry/relay.go
@@ -72,7 +72,7 @@
 	a.recordFailure(ctx, err)
 	for n := 0; n < maxResumes && a.resumable(ctx, err); n++ {
 		time.Sleep(resumePause)
-		a.s.stats.Resumed.Add(1)
+		a.s.stats.StreamsResumed.Add(1)
 		a.s.o.Log.Emit(event.StreamResumed, a.ref(), "after token "+strconv.Itoa(a.promptRequest.tokens)+": "+err.Error())
 		before := a.tokens
 		err = a.streamOnce(ctx, a.resume)
@@ -92,10 +92,10 @@
 	case err == nil, ctx.Err() != nil, target.Status(err) != 0:
 	case errors.Is(err, errCallerGone), errors.Is(err, errWrongResponse), errors.Is(err, errStalled):
 	case errors.Is(err, syscall.ECONNREFUSED):
-		guard.Refused(incarnation, err)
+		guard.RecordDialError(incarnation, err)
 	case a.q.view.Usable(a.decision.Worker, a.target):
 		if u, parsed := url.Parse(a.target.URL); parsed == nil {
-			guard.Lost(a.q.digest, a.q.organisation, incarnation, u.Host)
+			guard.RecordLostConnection(a.q.digest, a.q.organisation, incarnation, u.Host)
 		}
 	}
 }
--- a/core/entry/server.go
+++ b/core/entry/server.go
@@ -35,16 +35,16 @@
 	// Poison blocks prompts that crash engines; nil blocks none.
 	Poison *poison.Guard
 	Log    *event.Log
-	// Engines is the client for engines, Calls the client for repeatable calls of plain services, and
-	// Single the client for calls that may not be repeated.
-	Engines, Calls, Single *http.Client
-	// MaxBody bounds the body of a request, in bytes.
-	MaxBody int64
-	// MaxRunning bounds the running requests of one organisation in this daemon, unless the
+	// EngineClient is the client for engines, RepeatableClient the client for repeatable calls of plain services, and
+	// OnceClient the client for calls that may not be repeated.
+	EngineClient, RepeatableClient, OnceClient *http.Client
+	// MaxBodyBytes bounds the body of a request, in bytes.
+	MaxBodyBytes int64
+	// MaxRunningPerOrganisation bounds the running requests of one organisation in this daemon, unless the
 	// organisation has a bound of its own.
-	MaxRunning int
-	// Ready returns the reason why the daemon accepts no requests, or "" if it is ready.
-	Ready func() string
+	MaxRunningPerOrganisation int
+	// NotReadyReason returns the reason why the daemon accepts no requests, or "" if it is ready.
+	NotReadyReason func() string
 }
 
 // Server handles callers' requests.
@@ -69,9 +69,9 @@
 // Stats holds a server's counters since its start. Resumed and Broken count streams; Calls and
 // CallsUnknown count calls of plain services, CallsUnknown those with an unknown outcome.
 type Stats struct {
-	Requests, Done, Refused, Retried, Resumed, Broken, CallerGone atomic.Int64
-	Calls, CallsUnknown                                           atomic.Int64
-	Tokens, CachedTokens, PromptTokens, RelayedBytes              atomic.Int64
+	Requests, Completed, Refused, Retried, StreamsResumed, StreamsBroken, CallersDisconnected atomic.Int64
+	Calls, CallsUnknown                                                                       atomic.Int64
+	Tokens, CachedTokens, PromptTokens, RelayedBytes                                          atomic.Int64
 }
 
 // New returns a server for callers.
@@ -107,7 +107,7 @@
 	view         *fleet.View
 	start        time.Time
 	// digest is the request digest of a prompt, by which crashes are counted.
-	digest poison.Fingerprint
+	digest poison.Digest
 }
 
 func (q *request) ref(target string) event.Ref {
@@ -134,7 +134,7 @@
 		if r := s.callRecovering(f, c, q); r != nil {
 			return s.writeRefusal(c, q, r)
 		}
-		s.stats.Done.Add(1)
+		s.stats.Completed.Add(1)
 		return nil
 	}
 }
@@ -157,7 +157,7 @@
 
 // admit identifies the caller's organisation by its key and reserves a slot for the request.
 func (s *Server) admit(c echo.Context, q *request) *Refusal {
-	if why := s.o.Ready(); why != "" {
+	if why := s.o.NotReadyReason(); why != "" {
 		c.Response().Header().Set("Connection", "close")
 		return refuse(http.StatusServiceUnavailable, CodeNotReady, NotRun, why).after(notReadyRetryAfter)
 	}
@@ -165,7 +165,7 @@
 	if !ok {
 		return refuse(http.StatusUnauthorized, CodeBadKey, NotRun, "the header Authorization must be \"Bearer\" and a key")
 	}
-	q.organisation, ok = q.snap.Caller(key)
+	q.organisation, ok = q.snap.OrganisationOfKey(key)
 	if !ok {
 		return refuse(http.StatusUnauthorized, CodeBadKey, NotRun, "the key belongs to no organisation")
 	}
@@ -174,7 +174,7 @@
 
 // reserveSlot counts the request against the bound of its organisation.
 func (s *Server) reserveSlot(q *request) *Refusal {
-	limit := s.o.MaxRunning
+	limit := s.o.MaxRunningPerOrganisation
 	if o := q.snap.Organisation(q.organisation); o != nil && o.MaxRunning > 0 {
 		limit = o.MaxRunning
 	}
@@ -220,7 +220,7 @@
 	if err := rc.SetReadDeadline(time.Now().Add(bodyTimeout)); err == nil {
 		defer rc.SetReadDeadline(time.Time{})
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, s.o.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, s.o.MaxBodyBytes))
 	if isTooLarge(err) {
 		return nil, refuse(http.StatusRequestEntityTooLarge, CodeTooLarge, NotRun, "the body is larger than this daemon takes")
 	}
@@ -255,6 +255,6 @@
 
 // callerGone records that the caller closed its connection.
 func (s *Server) callerGone(q *request) {
-	s.stats.CallerGone.Add(1)
+	s.stats.CallersDisconnected.Add(1)
 	s.o.Log.Emit(event.CallerGone, q.ref(""), "")
 }
--- a/core/entry/service.go
+++ b/core/entry/service.go
@@ -271,11 +271,11 @@
 	k.countUnknown(result)
 	switch result {
 	case notSent:
-		a.NotRun()
+		a.Release()
 	case resultUnknown:
-		a.Unknown()
+		a.RecordUnknown()
 	case answered:
-		a.Ran(once.Outcome{Status: got.status, ContentType: got.header.Get("Content-Type"), Body: got.body})
+		a.RecordOutcome(once.Outcome{Status: got.status, ContentType: got.header.Get("Content-Type"), Body: got.body})
 	}
 	return got, r
 }
@@ -313,7 +313,7 @@
 
 // replay returns the recorded answer of an earlier call.
 func replay(o once.Outcome) (*answer, *Refusal) {
-	if o.Cut {
+	if o.BodyOmitted {
 		text := fmt.Sprintf("the call ran with status %d; its answer was too large to be kept", o.Status)
 		return nil, refuse(http.StatusConflict, CodeAlreadyRan, DidRun, text)
 	}
@@ -348,7 +348,7 @@
 	var out []string
 	for _, r := range k.q.snap.List(conf.KindTarget) {
 		t := r.Spec().(*conf.Target)
-		if k.serves(t) && k.policy.Allows(r.Name()) &&
+		if k.serves(t) && k.policy.AllowsTarget(r.Name()) &&
 			view.Usable(r.Name(), t) && !slices.Contains(exclude, r.Name()) && !slices.Contains(pushedBack, r.Name()) {
 			out = append(out, r.Name())
 		}
@@ -387,7 +387,7 @@
 			tried = append(tried, name)
 			continue
 		}
-		ans, sent, err := k.send(ctx, k.s.o.Single, name)
+		ans, sent, err := k.send(ctx, k.s.o.OnceClient, name)
 		k.s.calls.done(name, err != nil, time.Now())
 		if err == nil {
 			return ans, answered, nil
@@ -417,7 +417,7 @@
 			tried = append(tried, name)
 			continue
 		}
-		ans, _, err := k.send(ctx, k.s.o.Calls, name)
+		ans, _, err := k.send(ctx, k.s.o.RepeatableClient, name)
 		k.s.calls.done(name, err != nil, time.Now())
 		if err == nil && !isTransient(ans.status) {
 			return ans, nil
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -56,7 +56,7 @@
 	process string
 	out     *logrus.Logger
 	// limiter limits the rate of log lines; nil means no limit.
-	limiter *Pace
+	limiter *LineLimiter
 
 	ringMu sync.Mutex
 	// ring holds the latest events; the event with sequence s is at index
@@ -91,12 +91,12 @@
 	return &Log{process: process, out: out}
 }
 
-// SetPace limits the rate of log lines. It must be called before the first event.
-func (l *Log) SetPace(p *Pace) { l.limiter = p }
+// SetLineLimiter limits the rate of log lines. It must be called before the first event.
+func (l *Log) SetLineLimiter(p *LineLimiter) { l.limiter = p }
 
-// SetRate changes how many lines of one code are written per second; 0 means no
+// SetLineRate changes how many lines of one code are written per second; 0 means no
 // limit.
-func (l *Log) SetRate(perSecond int) { l.limiter.setRate(perSecond) }
+func (l *Log) SetLineRate(perSecond int) { l.limiter.setRate(perSecond) }
 
 // SetLevel changes the minimum level of the lines that are written.
 func (l *Log) SetLevel(minLevel Level) {
--- a/core/event/limiter.go
+++ b/core/event/limiter.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Pace limits the rate of log lines of each event code, so that the size of the log
+// LineLimiter limits the rate of log lines of each event code, so that the size of the log
 // stays bounded under load. Warnings and errors have a higher limit. The zero value
 // sets no limit.
-type Pace struct {
-	// PerSecond is how many lines of one code are written per second; 0 means no
+type LineLimiter struct {
+	// LinesPerSecond is how many lines of one code are written per second; 0 means no
 	// limit. It is set before the first event and guarded by limiterMu afterwards.
-	PerSecond int
+	LinesPerSecond int
 
 	limiterMu sync.Mutex
 	second    int64        // Unix time that counts refers to; guarded by limiterMu
@@ -22,13 +22,13 @@
 }
 
 // setRate changes PerSecond; it has no effect on a nil p.
-func (p *Pace) setRate(perSecond int) {
+func (p *LineLimiter) setRate(perSecond int) {
 	if p == nil {
 		return
 	}
 	p.limiterMu.Lock()
 	defer p.limiterMu.Unlock()
-	p.PerSecond = perSecond
+	p.LinesPerSecond = perSecond
 }
 
 // urgentFactor multiplies PerSecond for warnings and errors.
@@ -36,13 +36,13 @@
 
 // allow reports whether a line may be written, and how many lines of its code were
 // omitted since the last one written.
-func (p *Pace) allow(code Code, level Level, now time.Time) (bool, int) {
+func (p *LineLimiter) allow(code Code, level Level, now time.Time) (bool, int) {
 	if p == nil {
 		return true, 0
 	}
 	p.limiterMu.Lock()
 	defer p.limiterMu.Unlock()
-	if p.PerSecond == 0 {
+	if p.LinesPerSecond == 0 {
 		return true, 0
 	}
 	if second := now.Unix(); second != p.second || p.counts == nil {
@@ -51,7 +51,7 @@
 	if p.skipped == nil {
 		p.skipped = map[Code]int{}
 	}
-	limit := p.PerSecond
+	limit := p.LinesPerSecond
 	if level == Warning || level == Error {
 		limit *= urgentFactor
 	}
--- a/core/event/lines_test.go
+++ b/core/event/lines_test.go
@@ -31,7 +31,7 @@
 
 func TestLineRateIsLimitedByCode(t *testing.T) {
 	g := gomega.NewWithT(t)
-	limiter := &Pace{PerSecond: 2}
+	limiter := &LineLimiter{LinesPerSecond: 2}
 	now := time.Unix(100, 0)
 	allowed := 0
 	for range 50 {
@@ -53,7 +53,7 @@
 	limiter.setRate(0)
 	ok, _ = limiter.allow(RequestDone, Info, now)
 	g.Expect(ok).To(gomega.BeTrue())
-	ok, _ = (*Pace)(nil).allow(RequestDone, Info, now)
+	ok, _ = (*LineLimiter)(nil).allow(RequestDone, Info, now)
 	g.Expect(ok).To(gomega.BeTrue())
 }
 
--- a/core/fleet/boxes.go
+++ b/core/fleet/boxes.go
@@ -26,7 +26,7 @@
 			r.opts.Log.Emit(event.BoxListFailed, event.Ref{}, err.Error())
 		}
 		failing = err != nil
-		t := time.NewTimer(r.opts.BoxPause)
+		t := time.NewTimer(r.opts.BoxPollInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
--- a/core/fleet/cells.go
+++ b/core/fleet/cells.go
@@ -137,8 +137,8 @@
 	Domains []string
 }
 
-// Holds reports whether a target falls to the cell.
-func (p *Shard) Holds(name, domain string) bool {
+// Contains reports whether a target falls to the cell.
+func (p *Shard) Contains(name, domain string) bool {
 	if p.Domain != "" && domain == p.Domain {
 		return cellOf(Key(name), p.Cells) == p.Cell
 	}
@@ -181,16 +181,16 @@
 	return v.plan.of(name, domain)
 }
 
-// Label returns the name of this daemon's cell; it stays the same when other cells are added or
+// CellLabel returns the name of this daemon's cell; it stays the same when other cells are added or
 // removed.
-func (v *View) Label() string { return v.label(v.cell) }
+func (v *View) CellLabel() string { return v.label(v.cell) }
 
 // nextKeyPrefix, followed by a cell's label, is the key that ranks the cells to try after it.
 const nextKeyPrefix = "next/"
 
-// NextCells returns the cells to request a placement from where this one has no usable target:
+// FallbackCells returns the cells to request a placement from where this one has no usable target:
 // one of its own failure domain, if there is one, and one elsewhere.
-func (v *View) NextCells() []int {
+func (v *View) FallbackCells() []int {
 	first, count := 0, v.cells
 	if v.plan != nil {
 		first, count = v.plan.rangeOf(v.domain)
--- a/core/fleet/cells_test.go
+++ b/core/fleet/cells_test.go
@@ -107,7 +107,7 @@
 			for i := range 300 {
 				name, domain := fmt.Sprint("target ", i), tc.targets[i%len(tc.targets)]
 				for cell, s := range shards {
-					g.Expect(s.Holds(name, domain)).To(gomega.Equal(cell == view.TargetCell(name, domain)), "%s in %s, cell %d", name, domain, cell)
+					g.Expect(s.Contains(name, domain)).To(gomega.Equal(cell == view.TargetCell(name, domain)), "%s in %s, cell %d", name, domain, cell)
 				}
 			}
 		})
@@ -127,7 +127,7 @@
 		if name(before, before.TargetCell(target, domain)) != name(after, after.TargetCell(target, domain)) {
 			moved++
 		}
-		if key := Key(fmt.Sprint("context ", i)); name(before, before.WeighedCell(key)) != name(after, after.WeighedCell(key)) {
+		if key := Key(fmt.Sprint("context ", i)); name(before, before.WeightedCell(key)) != name(after, after.WeightedCell(key)) {
 			contexts++
 		}
 	}
--- a/core/fleet/drain.go
+++ b/core/fleet/drain.go
@@ -13,9 +13,9 @@
 // ignored.
 const maxDrainOrders = 4096
 
-// SetMark applies an operator's drain order to a target and sends it to peers. drain is false to
+// SetDrain applies an operator's drain order to a target and sends it to peers. drain is false to
 // cancel the drain.
-func (f *Fleet) SetMark(target string, drain bool) {
+func (f *Fleet) SetDrain(target string, drain bool) {
 	order := DrainOrder{Drain: drain, Stamp: time.Now().UnixNano()}
 	f.fleetMu.Lock()
 	if old := f.drainOrders[target]; order.Stamp <= old.Stamp {
@@ -23,7 +23,7 @@
 	}
 	f.fleetMu.Unlock()
 	f.merge(map[string]DrainOrder{target: order})
-	f.Kick()
+	f.TriggerHeartbeat()
 }
 
 // merge stores the orders that are newer than the recorded ones and reports whether there were
@@ -76,6 +76,6 @@
 	}
 	f := (*Fleet)(p)
 	if f.merge(orders) {
-		f.Kick()
+		f.TriggerHeartbeat()
 	}
 }
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -38,12 +38,12 @@
 	// Seeds are the peers named in the settings. They are used until the box list has been read,
 	// and afterwards where the list names them or their heartbeats arrive.
 	Seeds []Peer
-	// Heartbeat is the interval between heartbeats.
-	Heartbeat time.Duration
-	// Suspect is how long a peer may be silent before it counts as lost.
-	Suspect time.Duration
-	// BoxPause is the interval between reads of the box list.
-	BoxPause time.Duration
+	// HeartbeatInterval is the interval between heartbeats.
+	HeartbeatInterval time.Duration
+	// SuspectAfter is how long a peer may be silent before it counts as lost.
+	SuspectAfter time.Duration
+	// BoxPollInterval is the interval between reads of the box list.
+	BoxPollInterval time.Duration
 	// Boxes reads the box list; if nil, peers are those of Seeds and of received heartbeats.
 	Boxes BoxLister
 	// TLS returns the client-side configuration; nil for connections without TLS.
@@ -100,15 +100,15 @@
 // Attach adds a part, identified by name, to the heartbeats. It must be called before Run.
 func (f *Fleet) Attach(name string, p Part) { f.parts = append(f.parts, namedPart{name, p}) }
 
-// OnWake registers g to be called after this process was stopped or suspended for longer than
+// OnResume registers g to be called after this process was stopped or suspended for longer than
 // Options.Suspect. It must be called before Run.
-func (f *Fleet) OnWake(g func(gap time.Duration)) { f.onResume = append(f.onResume, g) }
+func (f *Fleet) OnResume(g func(gap time.Duration)) { f.onResume = append(f.onResume, g) }
 
 // View returns the current view of the fleet.
 func (f *Fleet) View() *View { return f.view.Load() }
 
-// Kick triggers heartbeats ahead of schedule, when their content has changed.
-func (f *Fleet) Kick() {
+// TriggerHeartbeat triggers heartbeats ahead of schedule, when their content has changed.
+func (f *Fleet) TriggerHeartbeat() {
 	select {
 	case f.trigger <- struct{}{}:
 	default:
@@ -121,11 +121,11 @@
 	f.draining = true
 	f.fleetMu.Unlock()
 	f.rebuild()
-	f.Kick()
+	f.TriggerHeartbeat()
 }
 
-// Contact returns when a heartbeat of a peer or the box list was last received.
-func (f *Fleet) Contact() clock.Time {
+// LastContact returns when a heartbeat of a peer or the box list was last received.
+func (f *Fleet) LastContact() clock.Time {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
 	return f.lastContact
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -134,8 +134,8 @@
 	var out []member
 	for i, name := range names(n) {
 		f := New(Options{
-			Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: 50 * time.Millisecond,
-			Suspect: time.Second, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: 50 * time.Millisecond,
+			SuspectAfter: time.Second, Log: &event.Log{},
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
@@ -150,7 +150,7 @@
 func TestFleetFindsLosesAndDrainsDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ms := start(t, 4)
-	eligible := func(i int) func() []string { return func() []string { return ms[i].View().OnDuty() } }
+	eligible := func(i int) func() []string { return func() []string { return ms[i].View().Eligible() } }
 	for i := range ms {
 		g.Eventually(eligible(i), "20s", "20ms").Should(gomega.HaveLen(4))
 	}
@@ -167,12 +167,12 @@
 func TestDrainOrderReachesAll(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ms := start(t, 3)
-	g.Eventually(func() []string { return ms[0].View().OnDuty() }, "20s", "20ms").Should(gomega.HaveLen(3))
-	ms[0].SetMark("engine", true)
+	g.Eventually(func() []string { return ms[0].View().Eligible() }, "20s", "20ms").Should(gomega.HaveLen(3))
+	ms[0].SetDrain("engine", true)
 	for _, m := range ms {
 		g.Eventually(func() bool { return m.View().Usable("engine", &conf.Target{}) }, "20s", "20ms").Should(gomega.BeFalse())
 	}
-	ms[1].SetMark("engine", false)
+	ms[1].SetDrain("engine", false)
 	for _, m := range ms {
 		g.Eventually(func() bool { return m.View().Usable("engine", &conf.Target{}) }, "20s", "20ms").Should(gomega.BeTrue())
 	}
@@ -200,9 +200,9 @@
 // monotonic clock do not advance meanwhile.
 func TestSuspendCallsOnWake(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := New(Options{Name: "a", Incarnation: "a-1", Heartbeat: 10 * time.Millisecond, Suspect: 10 * time.Second, Log: &event.Log{}})
+	f := New(Options{Name: "a", Incarnation: "a-1", HeartbeatInterval: 10 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: &event.Log{}})
 	woke := make(chan time.Duration, 1)
-	f.OnWake(func(gap time.Duration) {
+	f.OnResume(func(gap time.Duration) {
 		select {
 		case woke <- gap:
 		default:
--- a/core/fleet/heartbeat.go
+++ b/core/fleet/heartbeat.go
@@ -82,7 +82,7 @@
 // loop sends heartbeats and detects lost peers until ctx ends.
 func (f *Fleet) loop(ctx context.Context) {
 	last := clock.Now()
-	t := time.NewTimer(f.opts.Heartbeat)
+	t := time.NewTimer(f.opts.HeartbeatInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -93,7 +93,7 @@
 			time.Sleep(batchDelay)
 		}
 		t.Reset(f.interval())
-		if gap := clock.Since(last); gap > f.opts.Suspect {
+		if gap := clock.Since(last); gap > f.opts.SuspectAfter {
 			f.resumed(gap)
 		}
 		last = clock.Now()
@@ -120,11 +120,11 @@
 	view := f.View()
 	switch {
 	case view.cells < largeFleetCells:
-		return f.opts.Heartbeat
+		return f.opts.HeartbeatInterval
 	case view.plan != nil && len(view.plan.domains) > 0:
-		return max(f.opts.Heartbeat, f.opts.Suspect/minHeartbeatsDomains)
+		return max(f.opts.HeartbeatInterval, f.opts.SuspectAfter/minHeartbeatsDomains)
 	}
-	return max(f.opts.Heartbeat, min(largeFleetFactor*f.opts.Heartbeat, f.opts.Suspect/minHeartbeats))
+	return max(f.opts.HeartbeatInterval, min(largeFleetFactor*f.opts.HeartbeatInterval, f.opts.SuspectAfter/minHeartbeats))
 }
 
 // resumed restarts the silence of all live peers, since their heartbeats could not arrive while
@@ -151,7 +151,7 @@
 	f.fleetMu.Lock()
 	var lost []string
 	for name, h := range f.peerStates {
-		if h.alive && now.Sub(h.lastHeartbeat) > f.opts.Suspect {
+		if h.alive && now.Sub(h.lastHeartbeat) > f.opts.SuspectAfter {
 			h.alive = false
 			lost = append(lost, name)
 		}
--- a/core/fleet/place_test.go
+++ b/core/fleet/place_test.go
@@ -23,13 +23,13 @@
 	const key = 7
 	fleetRanks, cellRanks := map[int]bool{}, map[int]map[int]bool{0: {}, 1: {}}
 	for i, n := range names {
-		rank, count := view(n, true).Place(key, false)
+		rank, count := view(n, true).SelfRank(key, false)
 		g.Expect(count).To(gomega.Equal(5), "peers without a heartbeat count")
 		fleetRanks[rank] = true
-		rank, count = view(n, true).Place(key, true)
+		rank, count = view(n, true).SelfRank(key, true)
 		g.Expect(count).To(gomega.Equal(3 - i%2))
 		cellRanks[i%2][rank] = true
-		rank, count = view(n, false).Place(key, false)
+		rank, count = view(n, false).SelfRank(key, false)
 		g.Expect([]int{rank, count}).To(gomega.Equal([]int{0, 0}), "the box list was not read yet")
 	}
 	g.Expect(fleetRanks).To(gomega.HaveLen(5), "all agree on the order")
--- a/core/fleet/rank.go
+++ b/core/fleet/rank.go
@@ -61,9 +61,9 @@
 	return out
 }
 
-// Place returns the index of name in Rank's order of names for key, or len(names) if it is not
+// RankOf returns the index of name in Rank's order of names for key, or len(names) if it is not
 // among them.
-func Place(key uint64, names []string, name string) int {
+func RankOf(key uint64, names []string, name string) int {
 	ranked := Rank(key, names)
 	if at := slices.Index(ranked, name); at >= 0 {
 		return at
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -95,12 +95,12 @@
 // Draining reports whether this daemon takes no new assignments.
 func (v *View) Draining() bool { return v.draining }
 
-// Duty returns the daemon of this cell that holds the assignment named by key.
-func (v *View) Duty(key uint64) string { return First(key, v.eligible) }
+// Assignee returns the daemon of this cell that holds the assignment named by key.
+func (v *View) Assignee(key uint64) string { return First(key, v.eligible) }
 
-// DutyOf returns the daemon of the whole fleet that holds the assignment named by key, according
+// FleetAssignee returns the daemon of the whole fleet that holds the assignment named by key, according
 // to this view.
-func (v *View) DutyOf(key uint64) string {
+func (v *View) FleetAssignee(key uint64) string {
 	return First(key, v.cellEligible(v.KeyCell(key)))
 }
 
@@ -118,19 +118,19 @@
 	return names
 }
 
-// OnDuty returns the daemons of this cell that take assignments. The result must not be changed.
-func (v *View) OnDuty() []string { return v.eligible }
+// Eligible returns the daemons of this cell that take assignments. The result must not be changed.
+func (v *View) Eligible() []string { return v.eligible }
 
-// Expected returns the daemons of this cell that take assignments or are about to: those that
+// ExpectedEligible returns the daemons of this cell that take assignments or are about to: those that
 // have not sent a heartbeat since this daemon started are included, so that daemons that start
 // together agree before their first heartbeats. The result must not be changed.
-func (v *View) Expected() []string { return v.expected }
+func (v *View) ExpectedEligible() []string { return v.expected }
 
-// Listed returns the daemons of the whole fleet that are not known to drain, ordered by name,
+// NotDraining returns the daemons of the whole fleet that are not known to drain, ordered by name,
 // with this one at the end if it does not drain. Daemons agree on it as far as they have the
 // same box list; whether a daemon of another cell is alive is not considered. The result must
 // not be changed.
-func (v *View) Listed() []string { return v.listed() }
+func (v *View) NotDraining() []string { return v.listed() }
 
 // allListed computes the result of Listed.
 func (v *View) allListed() []string {
@@ -146,10 +146,10 @@
 	return names
 }
 
-// Living returns the daemons of the whole fleet that do not drain and are not known to be lost,
+// NotLost returns the daemons of the whole fleet that do not drain and are not known to be lost,
 // this one included. Those of this cell that have not sent a heartbeat since this daemon started
 // are included, so that daemons that start together agree before their first heartbeats.
-func (v *View) Living() []string {
+func (v *View) NotLost() []string {
 	names := make([]string, 0, len(v.peers)+1)
 	for _, p := range v.peers {
 		noHeartbeat := p.Cell == v.cell && p.Incarnation == ""
@@ -163,11 +163,11 @@
 	return names
 }
 
-// Place returns this daemon's rank for key, from 0, among the daemons of its cell or of the
+// SelfRank returns this daemon's rank for key, from 0, among the daemons of its cell or of the
 // whole fleet, and the number of these daemons. Peers that have not sent a heartbeat are
 // included, so that a daemon that is cut off does not consider itself the first. Until the box
 // list was read, both results are 0.
-func (v *View) Place(key uint64, cell bool) (rank, count int) {
+func (v *View) SelfRank(key uint64, cell bool) (rank, count int) {
 	if !v.boxesLoaded {
 		return 0, 0
 	}
@@ -185,8 +185,8 @@
 	return rank, count
 }
 
-// Ranked returns the first n of the daemons that Place ranks, without this one.
-func (v *View) Ranked(key uint64, cell bool, n int) []string {
+// TopRanked returns the first n of the daemons that Place ranks, without this one.
+func (v *View) TopRanked(key uint64, cell bool, n int) []string {
 	var names []string
 	for _, p := range v.peers {
 		if !cell || p.Cell == v.cell {
@@ -196,9 +196,9 @@
 	return RankFirst(key, names, n)
 }
 
-// Domains returns the daemons that Listed returns by failure domain. The result must not be
+// DaemonsByDomain returns the daemons that Listed returns by failure domain. The result must not be
 // changed.
-func (v *View) Domains() map[string][]string { return v.domains() }
+func (v *View) DaemonsByDomain() map[string][]string { return v.domains() }
 
 // byDomain computes the result of Domains. own is this daemon's domain.
 func (v *View) byDomain(own string) map[string][]string {
@@ -217,14 +217,14 @@
 // cellsPerContext is how many cells are tried for one context.
 const cellsPerContext = 3
 
-// HomeCells returns the cells whose daemons may own the context with prefix hash root, best
+// OwnerCells returns the cells whose daemons may own the context with prefix hash root, best
 // first. A later cell is used where those before it have no worker for the request.
-func (v *View) HomeCells(root uint64) []int { return v.rank(root, cellsPerContext) }
+func (v *View) OwnerCells(root uint64) []int { return v.rank(root, cellsPerContext) }
 
-// WeighedCell returns the cell that a key falls into by weighted rendezvous hashing, so that the
+// WeightedCell returns the cell that a key falls into by weighted rendezvous hashing, so that the
 // keys of a cell are in proportion to its daemons. When a cell grows or shrinks, only the keys
 // that must move do.
-func (v *View) WeighedCell(key uint64) int {
+func (v *View) WeightedCell(key uint64) int {
 	best, highest := 0, math.Inf(-1)
 	for c, size := range v.sizes() {
 		uniform := (float64(score(key, v.label(c))>>uniformShift) + 1) / (uniformSteps + 1)
@@ -260,10 +260,10 @@
 	return sizes
 }
 
-// Homes returns the daemons of a cell to request a placement from for the context with prefix
+// Owners returns the daemons of a cell to request a placement from for the context with prefix
 // hash root, best first, at most n. For its own cell this daemon is added at the end if it is
 // not among them.
-func (v *View) Homes(cell int, root uint64, n int) []string {
+func (v *View) Owners(cell int, root uint64, n int) []string {
 	ranked := Rank(root, v.cellEligible(cell))
 	if len(ranked) > n {
 		ranked = ranked[:n]
@@ -274,8 +274,8 @@
 	return ranked
 }
 
-// Home returns the daemon of this cell that owns the context with prefix hash root.
-func (v *View) Home(root uint64) string { return v.Homes(v.Cell(), root, 1)[0] }
+// Owner returns the daemon of this cell that owns the context with prefix hash root.
+func (v *View) Owner(root uint64) string { return v.Owners(v.Cell(), root, 1)[0] }
 
 // Usable reports whether a target may get new requests, by its configuration, the drain orders
 // and the box list.
@@ -290,10 +290,10 @@
 	return listed && box.State == plat.BoxLive
 }
 
-// Share returns the part of names that this daemon's cell uses where the cells divide them in
+// CellShare returns the part of names that this daemon's cell uses where the cells divide them in
 // proportion to their daemons. Daemons with the same view agree on it. With one cell, or fewer
 // names than cells, it returns all names.
-func (v *View) Share(names []string) []string {
+func (v *View) CellShare(names []string) []string {
 	if v.cells <= 1 || len(names) < v.cells {
 		return names
 	}
@@ -301,12 +301,12 @@
 	return Rank(shareKey, names)[from:to]
 }
 
-// SharedBy returns the cell that uses name where Share divides names.
-func (v *View) SharedBy(names []string, name string) int {
+// ShareCell returns the cell that uses name where Share divides names.
+func (v *View) ShareCell(names []string, name string) int {
 	if v.cells <= 1 || len(names) < v.cells {
 		return v.cell
 	}
-	at := Place(shareKey, names, name)
+	at := RankOf(shareKey, names, name)
 	for c := range v.cells {
 		if from, to := v.shareRange(c, len(names)); from <= at && at < to {
 			return c
--- a/core/home/assignments.go
+++ b/core/home/assignments.go
@@ -56,7 +56,7 @@
 	a.snap, a.view = snap, view
 	assigned := map[string]*conf.Target{}
 	for _, name := range a.owner.targets(snap, view).workers {
-		if view.Duty(fleet.Key("follow/"+name)) == view.Self() {
+		if view.Assignee(fleet.Key("follow/"+name)) == view.Self() {
 			assigned[name] = snap.Target(name)
 		}
 	}
@@ -83,7 +83,7 @@
 func (a *assignments) rootBlocks(snap *conf.Snapshot, t *conf.Target) int {
 	for _, name := range t.Deployments {
 		if dep := snap.Deployment(name); dep != nil {
-			return dep.Roots()
+			return dep.RootBlocksOrDefault()
 		}
 	}
 	return 1
@@ -139,7 +139,7 @@
 // Resynced notifies every daemon of the cell which chains a worker holds now.
 func (h *Owner) Resynced(worker string, tips []cache.BlockRef) {
 	byOwner := h.byOwner(tips)
-	for _, name := range h.o.Fleet.View().OnDuty() {
+	for _, name := range h.o.Fleet.View().Eligible() {
 		h.notifyBlocks(name, kindResynced, &blockNotice{worker, byOwner[name]})
 	}
 }
@@ -149,7 +149,7 @@
 	view := h.o.Fleet.View()
 	out := map[string][]cache.BlockRef{}
 	for _, m := range list {
-		owner := view.Home(m.Root)
+		owner := view.Owner(m.Root)
 		out[owner] = append(out[owner], m)
 	}
 	return out
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -125,7 +125,7 @@
 func (h *Owner) Place(ctx context.Context, view *fleet.View, req *PlacementRequest) (PlacementResult, error) {
 	root := req.Root().Short()
 	noWorker, lastErr := PlacementResult{}, errors.New("no daemon placed the request")
-	for _, cell := range view.HomeCells(root) {
+	for _, cell := range view.OwnerCells(root) {
 		ans, err := h.placeInCell(ctx, view, cell, root, req)
 		if err != nil {
 			lastErr = err
@@ -142,7 +142,7 @@
 // placeInCell queries the daemons of one cell until one decides.
 func (h *Owner) placeInCell(ctx context.Context, view *fleet.View, cell int, root uint64, req *PlacementRequest) (ans PlacementResult, err error) {
 	err = errors.Errorf("cell %d has no daemon", cell)
-	for _, name := range view.Homes(cell, root, maxOwnersQueried) {
+	for _, name := range view.Owners(cell, root, maxOwnersQueried) {
 		if ctx.Err() != nil {
 			return ans, errors.WithStack(ctx.Err())
 		}
@@ -217,7 +217,7 @@
 	if d.Verdict != route.Placed {
 		return ans, nil
 	}
-	ans.Boot = h.loads.incarnation(ans.Worker)
+	ans.WorkerIncarnation = h.loads.incarnation(ans.Worker)
 	h.stats.Placed.Add(1)
 	h.loads.addPending(d.Chosen.Worker, pendingRequest{
 		request: req.Request, tokens: d.Chosen.Recomputed, blocks: len(req.Chain), priority: req.Priority, at: now,
@@ -271,7 +271,7 @@
 			OneWayLatency: distance(t.Domain == h.o.Domain),
 		}
 		if w.PrefillPerSecond == 0 {
-			w.PrefillPerSecond = t.Prefill()
+			w.PrefillPerSecond = t.PrefillSpeed()
 		}
 		for _, held := range state.Workers {
 			if held.Worker == name {
@@ -447,5 +447,5 @@
 // LinkStatus returns the backlog of a store's link in bytes and its rate in bytes per
 // second.
 func (h *Owner) LinkStatus(store string, t *conf.Target) (backlog int64, rate float64) {
-	return h.links.state(store, t.Link())
+	return h.links.state(store, t.LinkCapacity())
 }
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -62,12 +62,14 @@
 	LinkBytes      int64 `msgpack:"b,omitempty"`
 	// Owner is the daemon that decided.
 	Owner string `msgpack:"n"`
-	// Boot identifies the incarnation of the worker, if the owner has it.
-	Boot string `msgpack:"z,omitempty"`
+	// WorkerIncarnation identifies the incarnation of the worker, if the owner has it.
+	WorkerIncarnation string `msgpack:"z,omitempty"`
 }
 
 // Incarnation returns the name of the chosen worker's incarnation.
-func (ans *PlacementResult) Incarnation() string { return incarnationName(ans.Worker, ans.Boot) }
+func (ans *PlacementResult) Incarnation() string {
+	return incarnationName(ans.Worker, ans.WorkerIncarnation)
+}
 
 // Incarnation returns the name of a worker's incarnation, or "" if this daemon has no report of
 // it.
--- a/core/home/transfer.go
+++ b/core/home/transfer.go
@@ -33,7 +33,7 @@
 // adds what they hold to state.
 func (h *Owner) queryStores(ctx context.Context, snap *conf.Snapshot, view *fleet.View, req *PlacementRequest, root cache.Hash, state *cache.ContextState) manifests {
 	d := snap.Deployment(req.Deployment)
-	if state.StoresQueried || !h.o.Placement.Exports() || d == nil || len(req.Chain) < d.ExportFrom() {
+	if state.StoresQueried || !h.o.Placement.Exports() || d == nil || len(req.Chain) < d.MinExportBlocksOrDefault() {
 		return nil
 	}
 	names := h.stores(snap, view, root)
@@ -114,7 +114,7 @@
 		if t == nil || h.isDown(k.Store) {
 			continue
 		}
-		backlog, rate := h.links.state(k.Store, t.Link())
+		backlog, rate := h.links.state(k.Store, t.LinkCapacity())
 		out = append(out, route.StoredContext{
 			Store: k.Store, Blocks: k.Blocks, BlockBytes: blockBytes,
 			LinkBytesPerSecond: rate, BacklogBytes: backlog, Latency: storeLatency,
@@ -222,7 +222,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	view := h.o.Fleet.View()
-	name := view.Duty(fleet.Key("link/" + store))
+	name := view.Assignee(fleet.Key("link/" + store))
 	req := &linkRequest{Store: store, Organisation: organisation, Bytes: bytes, Waiting: waiting}
 	if name == view.Self() || name == "" {
 		grant, err := h.links.acquire(ctx, req)
--- a/core/learn/retention.go
+++ b/core/learn/retention.go
@@ -63,9 +63,9 @@
 	return 1 / (1 + math.Exp((depth-priorDepth)/priorWidth))
 }
 
-// Chance returns the probability that a worker of a service still has a segment at a
+// Probability returns the probability that a worker of a service still has a segment at a
 // depth cached.
-func (r *Retention) Chance(service string, depth float64, now time.Time) float64 {
+func (r *Retention) Probability(service string, depth float64, now time.Time) float64 {
 	if !finite(depth) || depth >= maxDepth {
 		return 0
 	}
--- a/core/learn/retention_test.go
+++ b/core/learn/retention_test.go
@@ -14,10 +14,10 @@
 	g := gomega.NewWithT(t)
 	var r Retention
 	now := time.Now()
-	g.Expect(r.Chance("s", 0.1, now)).To(gomega.BeNumerically(">", 0.99))
-	g.Expect(r.Chance("s", priorDepth, now)).To(gomega.BeNumerically("~", 0.5, 0.01))
-	g.Expect(r.Chance("s", 2, now)).To(gomega.BeZero())
-	g.Expect(r.Chance("s", math.NaN(), now)).To(gomega.BeZero())
+	g.Expect(r.Probability("s", 0.1, now)).To(gomega.BeNumerically(">", 0.99))
+	g.Expect(r.Probability("s", priorDepth, now)).To(gomega.BeNumerically("~", 0.5, 0.01))
+	g.Expect(r.Probability("s", 2, now)).To(gomega.BeZero())
+	g.Expect(r.Probability("s", math.NaN(), now)).To(gomega.BeZero())
 }
 
 func TestRetentionIsLearnedByDepth(t *testing.T) {
@@ -29,15 +29,15 @@
 		local.Observe("s", 0.45, true, now)
 		local.Observe("s", 0.65, false, now)
 	}
-	g.Expect(local.Chance("s", 0.45, now)).To(gomega.BeNumerically(">", 0.95))
-	g.Expect(local.Chance("s", 0.65, now)).To(gomega.BeNumerically("<", 0.2))
-	g.Expect(local.Chance("another", 0.65, now)).To(gomega.BeNumerically(">", 0.9))
+	g.Expect(local.Probability("s", 0.45, now)).To(gomega.BeNumerically(">", 0.95))
+	g.Expect(local.Probability("s", 0.65, now)).To(gomega.BeNumerically("<", 0.2))
+	g.Expect(local.Probability("another", 0.65, now)).To(gomega.BeNumerically(">", 0.9))
 	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	local.Told()
 	g.Expect(local.Collect(false)).To(gomega.BeNil())
 	remote.Receive("local", raw)
-	g.Expect(remote.Chance("s", 0.65, time.Now())).To(gomega.BeNumerically("<", 0.2))
+	g.Expect(remote.Probability("s", 0.65, time.Now())).To(gomega.BeNumerically("<", 0.2))
 }
 
 func TestRetentionRejectsInvalidObservations(t *testing.T) {
@@ -53,7 +53,7 @@
 	r.Receive("faulty", []byte("no msgpack"))
 	g.Expect(r.Rejected()).To(gomega.Equal(6))
 	g.Expect(r.Collect(false)).To(gomega.BeNil())
-	g.Expect(r.Chance("s", 0.1, now)).To(gomega.BeNumerically(">", 0.99))
+	g.Expect(r.Probability("s", 0.1, now)).To(gomega.BeNumerically(">", 0.99))
 }
 
 // For any observations, the probability is between 0 and 1.
@@ -65,7 +65,7 @@
 			r.Observe("s", rapid.Float64Range(-1, 3).Draw(t, "depth"), rapid.Bool().Draw(t, "cached"), now)
 			now = now.Add(time.Duration(rapid.IntRange(-1000, 5000).Draw(t, "pause")) * time.Millisecond)
 		}
-		c := r.Chance("s", rapid.Float64Range(-1, 3).Draw(t, "queried depth"), now)
+		c := r.Probability("s", rapid.Float64Range(-1, 3).Draw(t, "queried depth"), now)
 		if !(c >= 0 && c <= 1) {
 			t.Fatalf("chance %v", c)
 		}
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -110,8 +110,8 @@
 	t.observe(id, targetReport{Service: service, Times: 1, LogSlowdown: float32(logRatio)}, now)
 }
 
-// ObserveAnswer records the outcome of an attempt at a target: good is false for failures.
-func (t *Targets) ObserveAnswer(id, service string, good bool, now time.Time) {
+// ObserveResponse records the outcome of an attempt at a target: good is false for failures.
+func (t *Targets) ObserveResponse(id, service string, good bool, now time.Time) {
 	r := targetReport{Service: service, Answers: 1}
 	if !good {
 		r.Failures = 1
--- a/core/learn/targets_test.go
+++ b/core/learn/targets_test.go
@@ -15,10 +15,10 @@
 	now := time.Now()
 	g.Expect(l.State("a", "s", now)).To(gomega.Equal(TargetState{Slowdown: 1, FailureShare: priorFailures}))
 	for range 20 {
-		l.ObserveAnswer("a", "s", false, now)
+		l.ObserveResponse("a", "s", false, now)
 		l.ObserveTime("a", "s", 6, now)
 		for range 5 {
-			l.ObserveAnswer("b", "s", true, now)
+			l.ObserveResponse("b", "s", true, now)
 			l.ObserveTime("b", "s", 1, now)
 		}
 	}
@@ -39,7 +39,7 @@
 	var l Targets
 	now := time.Now()
 	for i := range 200 {
-		l.ObserveAnswer([]string{"a", "b"}[i%2], "s", i%10 != 0 && i%10 != 1, now)
+		l.ObserveResponse([]string{"a", "b"}[i%2], "s", i%10 != 0 && i%10 != 1, now)
 	}
 	g.Expect(l.State("new", "s", now).FailureShare).To(gomega.BeNumerically("~", 0.2, 0.05))
 	g.Expect(l.State("a", "s", now).FailureShare).To(gomega.BeNumerically("~", l.State("b", "s", now).FailureShare, 0.1))
@@ -61,12 +61,12 @@
 	var local, remote Targets
 	now := time.Now()
 	for range 10 {
-		local.ObserveAnswer("a", "s", false, now)
+		local.ObserveResponse("a", "s", false, now)
 		local.ObserveTime("a", "s", 4, now)
 	}
 	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	local.ObserveAnswer("b", "s", true, now)
+	local.ObserveResponse("b", "s", true, now)
 	remote.Receive("local", raw)
 	got, want := remote.State("a", "s", time.Now()), local.State("a", "s", time.Now())
 	g.Expect(got.Slowdown).To(gomega.BeNumerically("~", want.Slowdown, 0.2))
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -107,8 +107,8 @@
 	return e.Time(f) - service, service
 }
 
-// Chance returns the probability that a time is at most ratio times the expected one.
-func (e *Estimate) Chance(ratio float64) float64 {
+// Probability returns the probability that a time is at most ratio times the expected one.
+func (e *Estimate) Probability(ratio float64) float64 {
 	i, found := slices.BinarySearch(e.ratios[:], ratio)
 	switch {
 	case found:
@@ -390,7 +390,7 @@
 // target is then; limit if there is none. expected and next are the expected times to the
 // first answer of this and the other target.
 func (e *Estimate) WaitBudget(limit, expected, next time.Duration, margin float64) time.Duration {
-	inTime := e.Chance(limit.Seconds() / expected.Seconds())
+	inTime := e.Probability(limit.Seconds() / expected.Seconds())
 	for i := 1; i < ratioSteps; i++ {
 		waited := seconds(e.ratios[i] * expected.Seconds())
 		if waited >= limit {
@@ -398,7 +398,7 @@
 		}
 		answered := float64(i) / ratioSteps
 		pending := (inTime - answered) / (1 - answered)
-		if e.Chance((limit-waited).Seconds()/next.Seconds()) > pending+margin {
+		if e.Probability((limit-waited).Seconds()/next.Seconds()) > pending+margin {
 			return waited
 		}
 	}
--- a/core/learn/times_test.go
+++ b/core/learn/times_test.go
@@ -27,8 +27,8 @@
 	queueing, service := e.Components(Factors{OwnTokens: 1000, QueuedTokens: 2000, Utilisation: 1})
 	g.Expect(queueing).To(gomega.BeNumerically("~", 40*time.Millisecond, time.Millisecond))
 	g.Expect(service).To(gomega.BeNumerically("~", 120*time.Millisecond, time.Millisecond))
-	g.Expect(e.Chance(1)).To(gomega.BeNumerically("~", 0.5, 0.05))
-	g.Expect(e.Chance(math.Exp(0.5))).To(gomega.BeNumerically("~", 0.84, 0.05))
+	g.Expect(e.Probability(1)).To(gomega.BeNumerically("~", 0.5, 0.05))
+	g.Expect(e.Probability(math.Exp(0.5))).To(gomega.BeNumerically("~", 0.84, 0.05))
 }
 
 // The speed of a target is learned from 150 responses whatever the prior is, although every
@@ -107,7 +107,7 @@
 		}
 		last := 0.0
 		for ratio := 0.0; ratio < 20; ratio += 0.1 {
-			c := e.Chance(ratio)
+			c := e.Probability(ratio)
 			if c < last || c > 1 {
 				t.Fatalf("probability decreases from %v to %v at ratio %v", last, c, ratio)
 			}
--- a/core/lease/lease.go
+++ b/core/lease/lease.go
@@ -106,4 +106,4 @@
 }
 
 // isSessionOver reports whether the coordination store answered that a session has expired.
-func isSessionOver(err error) bool { return errors.Is(err, plat.ErrSessionOver) }
+func isSessionOver(err error) bool { return errors.Is(err, plat.ErrSessionEnded) }
--- a/core/lease/presence.go
+++ b/core/lease/presence.go
@@ -14,9 +14,9 @@
 type Presence struct {
 	Key    string
 	Value  []byte
-	Life   time.Duration
+	TTL    time.Duration
 	Store  plat.Store
-	Mirror *plat.Mirror
+	Mirror *plat.WatchCache
 	Log    *event.Log
 	// session is zero while none is open; only Run uses it.
 	session plat.Session
@@ -48,7 +48,7 @@
 // pauses returns the pause after an attempt that returned err, and the retry pause after the next
 // failure.
 func (p *Presence) pauses(err error, retry time.Duration) (pause, next time.Duration) {
-	regular := p.Life / renewalsPerLife
+	regular := p.TTL / renewalsPerLife
 	switch {
 	case err == nil:
 		return regular, initialRetryPause
@@ -94,7 +94,7 @@
 // writeKey writes the key, replacing what a former incarnation of this daemon left there.
 func (p *Presence) writeKey(ctx context.Context) error {
 	if p.session == (plat.Session{}) {
-		session, err := p.Store.Open(ctx, p.Life)
+		session, err := p.Store.Open(ctx, p.TTL)
 		if err != nil {
 			return err
 		}
@@ -106,7 +106,7 @@
 
 // endSession ends the session, which removes the key.
 func (p *Presence) endSession() {
-	if p.session == (plat.Session{}) || p.session.Era != p.Mirror.Era() {
+	if p.session == (plat.Session{}) || p.session.StoreIncarnation != p.Mirror.StoreIncarnation() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/core/lease/timed.go
+++ b/core/lease/timed.go
@@ -41,22 +41,22 @@
 type TimedOptions struct {
 	Key   string
 	Owner string
-	// Apart is the least time between the actions of two holders, and the life of the key without
+	// MinGap is the least time between the actions of two holders, and the life of the key without
 	// renewals.
-	Apart  time.Duration
+	MinGap time.Duration
 	Store  plat.Store
-	Mirror *plat.Mirror
+	Mirror *plat.WatchCache
 	Log    *event.Log
-	// Known returns when the coordination store last confirmed the contents of the watch cache, to
+	// LastContact returns when the coordination store last confirmed the contents of the watch cache, to
 	// this daemon or a peer; nil stands for its last contact with this daemon.
-	Known func() clock.Time
+	LastContact func() clock.Time
 	// Rank returns how many daemons try to take the lease before this one.
 	Rank func() int
-	// Idle reports that this daemon must not hold the lease.
-	Idle func() bool
-	// Urgent reports that the holder has work to do. Otherwise the lease is renewed only as often
+	// Ineligible reports that this daemon must not hold the lease.
+	Ineligible func() bool
+	// HasWork reports that the holder has work to do. Otherwise the lease is renewed only as often
 	// as is needed to keep it.
-	Urgent func() bool
+	HasWork func() bool
 }
 
 // Times of a Timed lease, some as divisors of Apart.
@@ -100,7 +100,7 @@
 	t.timedMu.Lock()
 	open := t.session != plat.Session{}
 	t.timedMu.Unlock()
-	if !open && (t.lastContact().IsZero() || t.o.Idle()) {
+	if !open && (t.lastContact().IsZero() || t.o.Ineligible()) {
 		return idleInterval
 	}
 	return checkInterval
@@ -108,16 +108,16 @@
 
 // lastContact returns when the coordination store last confirmed the contents of the watch cache.
 func (t *Timed) lastContact() clock.Time {
-	if t.o.Known == nil {
-		return t.o.Mirror.Contact()
+	if t.o.LastContact == nil {
+		return t.o.Mirror.LastContact()
 	}
-	return t.o.Known()
+	return t.o.LastContact()
 }
 
 // step keeps, takes or releases the lease. It takes and returns the time since which the key is
 // seen to be free, zero if it is not.
 func (t *Timed) step(ctx context.Context, freeSince clock.Time) clock.Time {
-	if t.o.Idle() {
+	if t.o.Ineligible() {
 		t.release("this daemon must not hold it")
 		return freeSince
 	}
@@ -143,7 +143,7 @@
 // holder whose key the copy lacks may have acted within Apart. A daemon that has just started can't
 // tell when that was, and assumes now.
 func (t *Timed) recentlyRestored() bool {
-	return t.o.Mirror.Era() > 0 && clock.Since(t.o.Mirror.EraSince()) < t.o.Apart
+	return t.o.Mirror.StoreIncarnation() > 0 && clock.Since(t.o.Mirror.StoreIncarnationSince()) < t.o.MinGap
 }
 
 // keyState reports whether this daemon holds the key according to the watch cache, whether it lost
@@ -178,9 +178,9 @@
 		t.markLost("it expired or another daemon holds it")
 		return false
 	}
-	pause := t.o.Apart / idleDivisor
-	if t.o.Urgent() {
-		pause = t.o.Apart / urgentDivisor
+	pause := t.o.MinGap / idleDivisor
+	if t.o.HasWork() {
+		pause = t.o.MinGap / urgentDivisor
 	}
 	if clock.Since(lastTry) >= pause && !t.renew(ctx, session) {
 		return false
@@ -216,7 +216,7 @@
 // recordTaken records that this holder has the key. It is called with timedMu held.
 func (t *Timed) recordTaken(revision int64) {
 	t.fence = uint64(revision)
-	delay := t.o.Apart/actDivisor + transitMargin
+	delay := t.o.MinGap/actDivisor + transitMargin
 	t.actsFrom = clock.Now().Add(delay)
 	t.o.Log.Emit(event.LeaseTaken, event.Ref{Resource: t.o.Key}, "may act "+delay.String()+" from now")
 }
@@ -229,7 +229,7 @@
 	session := t.session
 	t.timedMu.Unlock()
 	if session == (plat.Session{}) {
-		got, err := t.o.Store.Open(ctx, t.o.Apart)
+		got, err := t.o.Store.Open(ctx, t.o.MinGap)
 		if err != nil {
 			// The next check tries again; the watch cache reports an outage.
 			return
@@ -269,13 +269,13 @@
 func (t *Timed) release(why string) {
 	t.timedMu.Lock()
 	session, held := t.session, t.fence != 0
-	recent := clock.Since(t.lastAct) < t.o.Apart
+	recent := clock.Since(t.lastAct) < t.o.MinGap
 	t.session, t.fence = plat.Session{}, 0
 	t.timedMu.Unlock()
 	if held {
 		t.o.Log.Emit(event.LeaseLost, event.Ref{Resource: t.o.Key}, "released: "+why)
 	}
-	if session == (plat.Session{}) || recent || session.Era != t.o.Mirror.Era() {
+	if session == (plat.Session{}) || recent || session.StoreIncarnation != t.o.Mirror.StoreIncarnation() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -314,7 +314,7 @@
 	t.timedMu.Lock()
 	defer t.timedMu.Unlock()
 	now := clock.Now()
-	if !t.heldLocked(now) || now.Sub(t.renewed) >= t.o.Apart/actDivisor || plat.Era(int64(t.fence)) != t.o.Mirror.Era() {
+	if !t.heldLocked(now) || now.Sub(t.renewed) >= t.o.MinGap/actDivisor || plat.StoreIncarnation(int64(t.fence)) != t.o.Mirror.StoreIncarnation() {
 		return 0, false
 	}
 	t.lastAct = now
--- a/core/lease/timed_test.go
+++ b/core/lease/timed_test.go
@@ -23,7 +23,7 @@
 // holder is one daemon that competes for a lease.
 type holder struct {
 	lease  *Timed
-	mirror *plat.Mirror
+	mirror *plat.WatchCache
 	stop   func()
 	idle   atomic.Bool
 }
@@ -35,11 +35,11 @@
 // newHolderApart is newHolder with another least time between the actions of two holders.
 func newHolderApart(t *testing.T, kv *memkv.KV, name string, rank int, apart time.Duration) *holder {
 	log := &event.Log{}
-	mirror := plat.NewMirror(kv, plat.Prefix(""), log)
+	mirror := plat.NewWatchCache(kv, plat.Prefix(""), log)
 	h := &holder{mirror: mirror}
 	h.lease = NewTimed(TimedOptions{
-		Key: "duty", Owner: name, Apart: apart, Store: kv, Mirror: mirror, Log: log,
-		Rank: func() int { return rank }, Idle: h.idle.Load, Urgent: func() bool { return true },
+		Key: "duty", Owner: name, MinGap: apart, Store: kv, Mirror: mirror, Log: log,
+		Rank: func() int { return rank }, Ineligible: h.idle.Load, HasWork: func() bool { return true },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -87,11 +87,11 @@
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	var lost atomic.Bool
-	kv.SetFate(func() memkv.Fate {
+	kv.SetFault(func() memkv.Fault {
 		if lost.CompareAndSwap(false, true) {
-			return memkv.Lost
+			return memkv.LostResponse
 		}
-		return memkv.Answered
+		return memkv.NoFault
 	})
 	h := newHolder(t, kv, "a", 0)
 	g.Eventually(h.may, "10s", "5ms").Should(gomega.BeTrue())
@@ -141,8 +141,8 @@
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	log := &event.Log{}
-	mirror := plat.NewMirror(kv, plat.Prefix(""), log)
-	p := &Presence{Key: "box", Value: []byte("v"), Life: apart, Store: kv, Mirror: mirror, Log: log}
+	mirror := plat.NewWatchCache(kv, plat.Prefix(""), log)
+	p := &Presence{Key: "box", Value: []byte("v"), TTL: apart, Store: kv, Mirror: mirror, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { mirror.Run(ctx) })
@@ -163,7 +163,7 @@
 // expired meanwhile is written again soon.
 func TestPresenceBacksOffWhileTheStoreIsUnreachable(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := &Presence{Life: 12 * time.Second}
+	p := &Presence{TTL: 12 * time.Second}
 	errUnreachable := errors.New("no answer")
 	attempts, retry := 0, initialRetryPause
 	for elapsed := time.Duration(0); elapsed < 8*time.Second; attempts++ {
@@ -172,7 +172,7 @@
 		elapsed += pause
 	}
 	g.Expect(attempts).To(gomega.Equal(5))
-	pause, retry := p.pauses(plat.ErrSessionOver, retry)
+	pause, retry := p.pauses(plat.ErrSessionEnded, retry)
 	g.Expect([]time.Duration{pause, retry}).To(gomega.Equal([]time.Duration{initialRetryPause, initialRetryPause}))
 	pause, retry = p.pauses(nil, 3*time.Second)
 	g.Expect([]time.Duration{pause, retry}).To(gomega.Equal([]time.Duration{3 * time.Second, initialRetryPause}))
@@ -208,9 +208,9 @@
 			g := gomega.NewWithT(t)
 			kv, log := &memkv.KV{}, &event.Log{}
 			lease := NewTimed(TimedOptions{
-				Key: "duty", Owner: "a", Apart: apart, Store: kv, Mirror: plat.NewMirror(kv, plat.Prefix(""), log), Log: log,
-				Known: func() clock.Time { return clock.Now().Add(-tc.age) },
-				Rank:  func() int { return 0 }, Idle: func() bool { return false }, Urgent: func() bool { return true },
+				Key: "duty", Owner: "a", MinGap: apart, Store: kv, Mirror: plat.NewWatchCache(kv, plat.Prefix(""), log), Log: log,
+				LastContact: func() clock.Time { return clock.Now().Add(-tc.age) },
+				Rank:        func() int { return 0 }, Ineligible: func() bool { return false }, HasWork: func() bool { return true },
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
--- a/core/memkv/memkv.go
+++ b/core/memkv/memkv.go
@@ -16,20 +16,20 @@
 	"embertally.dev/core/plat"
 )
 
-// Fate is the fault injected into a commit.
-type Fate int
+// Fault is the fault injected into a commit.
+type Fault int
 
 // The faults of commits.
 const (
-	// Answered means no fault.
-	Answered Fate = iota
-	// Lost applies the commit but loses the response.
-	Lost
-	// Dropped loses the request: the commit is not applied and gets no response.
-	Dropped
-	// Late delays the commit: it gets no response and is applied just before the next one, if
+	// NoFault means no fault.
+	NoFault Fault = iota
+	// LostResponse applies the commit but loses the response.
+	LostResponse
+	// LostRequest loses the request: the commit is not applied and gets no response.
+	LostRequest
+	// Delayed delays the commit: it gets no response and is applied just before the next one, if
 	// its compares hold then.
-	Late
+	Delayed
 )
 
 // KV is an in-memory coordination store. The zero value is empty and has no faults.
@@ -42,7 +42,7 @@
 	changed  chan struct{} // closed at the next change; nil while no watch waits
 	writes   int           // commits that took effect
 	down     bool          // true while every call fails
-	fault    func() Fate   // chooses the fault of each commit; nil for none
+	fault    func() Fault  // chooses the fault of each commit; nil for none
 	// sessions holds the keys of each open session by its ID.
 	sessions    map[int64][]string
 	lastSession int64 // ID of the last session opened
@@ -52,8 +52,8 @@
 	historyStart int64
 }
 
-// SetFate makes f choose the fault of each commit.
-func (k *KV) SetFate(f func() Fate) {
+// SetFault makes f choose the fault of each commit.
+func (k *KV) SetFault(f func() Fault) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.fault = f
@@ -109,32 +109,32 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.down {
-		return plat.Outcome{}, plat.ErrUnknown
+		return plat.Outcome{}, plat.ErrOutcomeUnknown
 	}
 	delayed := k.delayed
 	k.delayed = nil
 	for _, d := range delayed {
 		k.apply(d)
 	}
-	fault := Answered
+	fault := NoFault
 	if k.fault != nil {
 		fault = k.fault()
 	}
 	switch fault {
-	case Dropped:
-		return plat.Outcome{}, plat.ErrUnknown
-	case Late:
+	case LostRequest:
+		return plat.Outcome{}, plat.ErrOutcomeUnknown
+	case Delayed:
 		k.delayed = append(k.delayed, t)
-		return plat.Outcome{}, plat.ErrUnknown
+		return plat.Outcome{}, plat.ErrOutcomeUnknown
 	}
 	for _, p := range t.Puts {
-		if _, open := k.sessions[p.Session.ID]; p.Session.ID != 0 && (!open || p.Session.Era != k.incarnation) {
-			return plat.Outcome{}, plat.ErrSessionOver
+		if _, open := k.sessions[p.Session.ID]; p.Session.ID != 0 && (!open || p.Session.StoreIncarnation != k.incarnation) {
+			return plat.Outcome{}, plat.ErrSessionEnded
 		}
 	}
 	out := k.apply(t)
-	if fault == Lost {
-		return plat.Outcome{}, plat.ErrUnknown
+	if fault == LostResponse {
+		return plat.Outcome{}, plat.ErrOutcomeUnknown
 	}
 	return out, nil
 }
@@ -192,7 +192,7 @@
 	}
 	k.lastSession++
 	k.sessions[k.lastSession] = nil
-	return plat.Session{ID: k.lastSession, Era: k.incarnation}, nil
+	return plat.Session{ID: k.lastSession, StoreIncarnation: k.incarnation}, nil
 }
 
 // Renew fails if a session has ended. It does not extend a session: they expire by Expire only.
@@ -202,8 +202,8 @@
 	if k.down {
 		return errDown
 	}
-	if _, open := k.sessions[session.ID]; !open || session.Era != k.incarnation {
-		return plat.ErrSessionOver
+	if _, open := k.sessions[session.ID]; !open || session.StoreIncarnation != k.incarnation {
+		return plat.ErrSessionEnded
 	}
 	return nil
 }
@@ -250,7 +250,7 @@
 			k.mu.Unlock()
 			return errDown
 		}
-		if plat.Era(from) != k.incarnation || (k.historyStart > 0 && from <= k.historyStart) {
+		if plat.StoreIncarnation(from) != k.incarnation || (k.historyStart > 0 && from <= k.historyStart) {
 			k.mu.Unlock()
 			return plat.ErrCompacted
 		}
--- a/core/memkv/restore.go
+++ b/core/memkv/restore.go
@@ -18,7 +18,7 @@
 func (k *KV) Copy() *Copy {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return &Copy{plat.Number(k.revision), maps.Clone(k.data), maps.Clone(k.sessions), k.lastSession}
+	return &Copy{plat.StoreRevision(k.revision), maps.Clone(k.data), maps.Clone(k.sessions), k.lastSession}
 }
 
 // Restore sets the store to a snapshot, in the next store incarnation. Revision numbers and
@@ -34,7 +34,7 @@
 	k.sessions = maps.Clone(c.sessions)
 	k.data = make(map[string]plat.Pair, len(c.data))
 	for key, p := range c.data {
-		p.ModRevision = plat.Revision(k.incarnation, plat.Number(p.ModRevision))
+		p.ModRevision = plat.Revision(k.incarnation, plat.StoreRevision(p.ModRevision))
 		k.data[key] = p
 	}
 	if k.changed != nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Era returns the store incarnation, which is the number of calls of Restore.
-func (k *KV) Era() int64 {
+// StoreIncarnation returns the store incarnation, which is the number of calls of Restore.
+func (k *KV) StoreIncarnation() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.incarnation
--- a/core/once/msgs.go
+++ b/core/once/msgs.go
@@ -108,8 +108,8 @@
 	Status      int    `msgpack:"s"`
 	ContentType string `msgpack:"t,omitempty"`
 	Body        []byte `msgpack:"b,omitempty"`
-	// Cut reports that the body was too large to be recorded.
-	Cut bool `msgpack:"c,omitempty"`
+	// BodyOmitted reports that the body was too large to be recorded.
+	BodyOmitted bool `msgpack:"c,omitempty"`
 }
 
 // MaxOutcomeBody bounds the body of a recorded outcome, in bytes.
--- a/core/once/once.go
+++ b/core/once/once.go
@@ -41,7 +41,9 @@
 type fleetPeers struct{ *fleet.Fleet }
 
 // Owner returns the daemon to which a shard is assigned, or "".
-func (p fleetPeers) Owner(shard int) string { return p.View().DutyOf(fleet.Key(assignment(shard))) }
+func (p fleetPeers) Owner(shard int) string {
+	return p.View().FleetAssignee(fleet.Key(assignment(shard)))
+}
 
 // Running reports whether the incarnation of a daemon is alive.
 func (p fleetPeers) Running(name, incarnation string) bool {
@@ -137,11 +139,11 @@
 // settlerCount is how many results of attempts are sent concurrently.
 const settlerCount = 64
 
-// Writes returns how many batches this daemon has committed.
-func (c *Once) Writes() int64 { return c.writes.Load() }
+// CommittedBatches returns how many batches this daemon has committed.
+func (c *Once) CommittedBatches() int64 { return c.writes.Load() }
 
-// Owned returns how many shards this daemon owns.
-func (c *Once) Owned() int {
+// OwnedShards returns how many shards this daemon owns.
+func (c *Once) OwnedShards() int {
 	n := 0
 	for _, s := range c.shards {
 		if s.isOwned() {
@@ -154,8 +156,8 @@
 // assignment returns the name of the assignment of a shard.
 func assignment(shard int) string { return "once/" + strconv.Itoa(shard) }
 
-// Duties returns the names of the assignments of all shards.
-func Duties() []string {
+// Assignments returns the names of the assignments of all shards.
+func Assignments() []string {
 	out := make([]string, shardCount)
 	for i := range out {
 		out[i] = assignment(i)
@@ -200,7 +202,7 @@
 	ans := c.claimFromOwner(ctx, m)
 	if ans.State == Unavailable {
 		// The claim may have been committed nevertheless: release it.
-		a.NotRun()
+		a.Release()
 	}
 	if ans.State != Granted {
 		return nil, ans
@@ -245,19 +247,19 @@
 	return ans, c.peers.Call(ctx, owner, kindClaim, m, &ans)
 }
 
-// Ran records the outcome of the call.
-func (a *Attempt) Ran(o Outcome) {
+// RecordOutcome records the outcome of the call.
+func (a *Attempt) RecordOutcome(o Outcome) {
 	if len(o.Body) > MaxOutcomeBody {
-		o.Body, o.Cut = nil, true
+		o.Body, o.BodyOmitted = nil, true
 	}
 	a.settle(resultRan, o)
 }
 
-// NotRun releases the claim: nothing was sent to a target.
-func (a *Attempt) NotRun() { a.settle(resultNotRun, Outcome{}) }
+// Release releases the claim: nothing was sent to a target.
+func (a *Attempt) Release() { a.settle(resultNotRun, Outcome{}) }
 
-// Unknown records that it is not known whether the call ran.
-func (a *Attempt) Unknown() { a.settle(resultUnknown, Outcome{}) }
+// RecordUnknown records that it is not known whether the call ran.
+func (a *Attempt) RecordUnknown() { a.settle(resultUnknown, Outcome{}) }
 
 func (a *Attempt) settle(r attemptResult, o Outcome) {
 	select {
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -131,7 +131,7 @@
 	g.Expect(ans.State).To(gomega.Equal(Running))
 	_, ans = claimUntilAvailable(g, m.nodes["a"], key, at, 8)
 	g.Expect(ans.State).To(gomega.Equal(Mismatch))
-	first.Ran(Outcome{Status: 200, Body: []byte("paid")})
+	first.RecordOutcome(Outcome{Status: 200, Body: []byte("paid")})
 	g.Eventually(func() Answer {
 		_, ans := m.nodes["a"].Claim(context.Background(), key, at, 7)
 		return ans
@@ -144,9 +144,9 @@
 		end  func(a *Attempt)
 		want State
 	}{
-		{"ran", func(a *Attempt) { a.Ran(Outcome{Status: 201}) }, Ran},
-		{"unknown", func(a *Attempt) { a.Unknown() }, Unknown},
-		{"released", func(a *Attempt) { a.NotRun() }, Granted},
+		{"ran", func(a *Attempt) { a.RecordOutcome(Outcome{Status: 201}) }, Ran},
+		{"unknown", func(a *Attempt) { a.RecordUnknown() }, Unknown},
+		{"released", func(a *Attempt) { a.Release() }, Granted},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -297,8 +297,8 @@
 			g := gomega.NewWithT(t)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			kv := &memkv.KV{}
-			outcomes := []memkv.Fate{memkv.Answered, memkv.Answered, memkv.Answered, memkv.Lost, memkv.Dropped, memkv.Late}
-			kv.SetFate(func() memkv.Fate { return outcomes[rng.IntN(len(outcomes))] })
+			outcomes := []memkv.Fault{memkv.NoFault, memkv.NoFault, memkv.NoFault, memkv.LostResponse, memkv.LostRequest, memkv.Delayed}
+			kv.SetFault(func() memkv.Fault { return outcomes[rng.IntN(len(outcomes))] })
 			names := []string{"a", "b", "c"}
 			m := newMesh(kv, names...)
 			m.start(t)
@@ -403,7 +403,7 @@
 			granted = a
 		}
 	}
-	granted.Ran(Outcome{Status: 200})
+	granted.RecordOutcome(Outcome{Status: 200})
 	g.Eventually(func() State { _, s := claim("c", "org", first, 1); return s }, "20s", "10ms").Should(gomega.Equal(Ran))
 
 	second := m.nodes["a"].NewTicket("org", "pay")
--- a/core/once/table.go
+++ b/core/once/table.go
@@ -57,7 +57,7 @@
 // limitBody drops the claim's body if the recorded bodies would exceed maxBodyBytes.
 func (t *table) limitBody(c *claim) {
 	if t.bodyBytes+len(c.outcome.Body) > maxBodyBytes {
-		c.outcome.Body, c.outcome.Cut = nil, true
+		c.outcome.Body, c.outcome.BodyOmitted = nil, true
 	}
 	t.bodyBytes += len(c.outcome.Body)
 }
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -87,8 +87,8 @@
 	resendAfter = 4 * time.Second
 )
 
-// Duty returns the name of the assignment to send orders in a cell.
-func Duty(cell int) string { return "order/" + strconv.Itoa(cell) }
+// Assignment returns the name of the assignment to send orders in a cell.
+func Assignment(cell int) string { return "order/" + strconv.Itoa(cell) }
 
 // Run sends orders while this daemon has the assignment, until ctx ends.
 func (h *Holder) Run(ctx context.Context) {
@@ -125,7 +125,7 @@
 // store.
 func (h *Holder) step(ctx context.Context) {
 	snap, view := h.o.Conf.Snapshot(), h.o.Fleet.View()
-	if view.Duty(fleet.Key(Duty(view.Cell()))) != view.Self() {
+	if view.Assignee(fleet.Key(Assignment(view.Cell()))) != view.Self() {
 		h.lease = lease.Lease{}
 		return
 	}
@@ -192,7 +192,7 @@
 		return false
 	}
 	h.lease, h.takenAt = l, time.Now()
-	h.o.Log.Emit(event.LeaseTaken, event.Ref{}, fmt.Sprintf("%s, epoch %d", Duty(view.Cell()), l.Epoch()))
+	h.o.Log.Emit(event.LeaseTaken, event.Ref{}, fmt.Sprintf("%s, epoch %d", Assignment(view.Cell()), l.Epoch()))
 	return true
 }
 
@@ -245,7 +245,7 @@
 		h.resend(ctx, w, slots[i])
 		return slots
 	}
-	key := freeSlot(slots, w.spec.Loads())
+	key := freeSlot(slots, w.spec.MaxLoadsOrDefault())
 	if key == "" || !h.mayOrder(w) {
 		h.o.Log.Emit(event.OrderDeferred, event.Ref{Target: w.worker}, w.deployment+" "+w.spec.WeightVersion)
 		return slots
--- a/core/order/update.go
+++ b/core/order/update.go
@@ -51,7 +51,7 @@
 
 // weightUpdate is the weight update of one worker.
 type weightUpdate struct {
-	updater *Swapper
+	updater *WeightUpdater
 	target  *roster.Target
 	model   string
 	version int64
@@ -70,11 +70,11 @@
 	defer cancel()
 	s, id := u.updater, u.target.ID()
 	s.o.Roster.BeginUpdate(id, time.Now().Add(initialMarkTime))
-	s.o.Changed()
+	s.o.Notify()
 	u.notifyProgress()
 	err := u.execute(ctx)
 	s.o.Roster.EndUpdate(id)
-	defer s.o.Changed()
+	defer s.o.Notify()
 	s.updatesMu.Lock()
 	defer s.updatesMu.Unlock()
 	delete(s.updates, id)
@@ -85,19 +85,19 @@
 	}
 	delete(s.retryAt, id)
 	s.o.Roster.RecordVersion(id, u.model, u.version)
-	if s.o.Audience != nil {
-		s.o.Audience.UpdateEnded(u.target, u.model, u.version)
+	if s.o.Observer != nil {
+		s.o.Observer.UpdateEnded(u.target, u.model, u.version)
 	}
 }
 
 // notifyProgress notifies the observer, every notifyInterval, that the update
 // is in progress.
 func (u *weightUpdate) notifyProgress() {
-	if u.updater.o.Audience == nil || time.Since(u.notified) < notifyInterval {
+	if u.updater.o.Observer == nil || time.Since(u.notified) < notifyInterval {
 		return
 	}
 	u.notified = time.Now()
-	u.updater.o.Audience.UpdateStarted(u.target, u.model, remoteMarkTime)
+	u.updater.o.Observer.UpdateStarted(u.target, u.model, remoteMarkTime)
 }
 
 // Reasons why an update failed.
@@ -143,9 +143,9 @@
 	for range stateTries {
 		tryCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 		var st WorkerState
-		st, err = u.updater.o.Commander.State(tryCtx, u.target.Entry().Address, u.target.ID())
+		st, err = u.updater.o.Client.State(tryCtx, u.target.Entry().Address, u.target.ID())
 		cancel()
-		if err == nil && st.Run != "" && st.Run != u.target.ID() {
+		if err == nil && st.Incarnation != "" && st.Incarnation != u.target.ID() {
 			u.updater.o.Roster.RecordReplaced(u.target.ID())
 			return errOtherIncarnation
 		}
@@ -176,10 +176,10 @@
 	defer cancel()
 	u.ordered = time.Now()
 	id := u.target.ID()
-	v, err := u.updater.o.Commander.Order(ctx, u.target.Entry().Address, WeightOrder{
-		Target: id, Model: u.model, Version: u.version, Holder: u.updater.o.Name, Fence: fence, After: u.state.Orders,
+	v, err := u.updater.o.Client.Order(ctx, u.target.Entry().Address, WeightOrder{
+		Target: id, Model: u.model, Version: u.version, Holder: u.updater.o.Name, Fence: fence, AcceptedBefore: u.state.AcceptedOrders,
 	})
-	text := fmt.Sprintf("%s version %d, fence %d, after order %d", u.model, u.version, fence, u.state.Orders)
+	text := fmt.Sprintf("%s version %d, fence %d, after order %d", u.model, u.version, fence, u.state.AcceptedOrders)
 	if err != nil {
 		u.updater.o.Log.Emit(event.OrderSent, event.Ref{Target: id}, text+", no answer: "+err.Error())
 		return nil
@@ -189,7 +189,7 @@
 	case Fenced:
 		leadership.Refused(fence)
 		return errNoLeadership
-	case Elsewhere, Refused:
+	case OtherIncarnation, Refused:
 		return errors.Errorf("the worker answered: %s", v)
 	}
 	return nil
--- a/core/order/updater.go
+++ b/core/order/updater.go
@@ -14,29 +14,29 @@
 	"embertally.dev/core/wait"
 )
 
-// SwapOptions configure a Swapper.
-type SwapOptions struct {
+// WeightUpdaterOptions configure a Swapper.
+type WeightUpdaterOptions struct {
 	Name string
-	// Rights are the leadership leases, one per partition of the workers; the hash of a worker's
+	// Leaderships are the leadership leases, one per partition of the workers; the hash of a worker's
 	// incarnation selects its partition. If the holder of one is lost, the other partitions continue.
-	Rights []Right
-	// Divided, if set, reports whether a service is sharded by cell: then each cell sends the
+	Leaderships []Leadership
+	// Sharded, if set, reports whether a service is sharded by cell: then each cell sends the
 	// orders to its own workers. Uses reports whether a worker belongs to this daemon's cell, and
 	// Cell returns the lease for the cell's workers, or nil.
-	Divided   func(service string) bool
-	Uses      func(name, domain string) bool
-	Cell      func() Right
-	Commander WorkerClient
-	Roster    *roster.Roster
+	Sharded        func(service string) bool
+	InOwnCell      func(name, domain string) bool
+	CellLeadership func() Leadership
+	Client         WorkerClient
+	Roster         *roster.Roster
 	// Table returns the applied configuration, or nil.
 	Table func() *table.Table
-	// Named returns the newest desired version of a model's weights.
-	Named func(model string) int64
-	// Changed is called when an update starts or ends, to notify other daemons at once. It must be
+	// Desired returns the newest desired version of a model's weights.
+	Desired func(model string) int64
+	// Notify is called when an update starts or ends, to notify other daemons at once. It must be
 	// set.
-	Changed func()
-	// Audience is notified of updates in addition, or nil.
-	Audience UpdateObserver
+	Notify func()
+	// Observer is notified of updates in addition, or nil.
+	Observer UpdateObserver
 	Log      *event.Log
 }
 
@@ -49,11 +49,11 @@
 	UpdateEnded(t *roster.Target, model string, version int64)
 }
 
-// Swapper brings the workers to the desired weights, a limited number at a time and idle ones
+// WeightUpdater brings the workers to the desired weights, a limited number at a time and idle ones
 // first, while this daemon holds a leadership lease. It keeps no state that a successor needs: the
 // workers report what they hold.
-type Swapper struct {
-	o SwapOptions
+type WeightUpdater struct {
+	o WeightUpdaterOptions
 
 	updatesMu sync.Mutex
 	updates   map[string]*weightUpdate // by target; guarded by updatesMu
@@ -64,9 +64,9 @@
 	lastExtra time.Time
 }
 
-// NewSwapper returns a Swapper.
-func NewSwapper(o SwapOptions) *Swapper {
-	return &Swapper{o: o, updates: map[string]*weightUpdate{}, retryAt: map[string]time.Time{}}
+// NewWeightUpdater returns a Swapper.
+func NewWeightUpdater(o WeightUpdaterOptions) *WeightUpdater {
+	return &WeightUpdater{o: o, updates: map[string]*weightUpdate{}, retryAt: map[string]time.Time{}}
 }
 
 // Times and limits of starting updates.
@@ -91,44 +91,46 @@
 
 // leadership returns the lease for orders to a worker, or nil if this daemon can't hold it. sharded
 // is that of the worker's service.
-func (s *Swapper) leadership(t *roster.Target, sharded bool) Right {
+func (s *WeightUpdater) leadership(t *roster.Target, sharded bool) Leadership {
 	if !sharded {
-		return s.o.Rights[fleet.Key(t.ID())%uint64(len(s.o.Rights))]
+		return s.o.Leaderships[fleet.Key(t.ID())%uint64(len(s.o.Leaderships))]
 	}
-	if e := t.Entry(); !s.o.Uses(e.Name, e.Domain) {
+	if e := t.Entry(); !s.o.InOwnCell(e.Name, e.Domain) {
 		return nil
 	}
-	return s.o.Cell()
+	return s.o.CellLeadership()
 }
 
 // sharded reports whether a service is sharded by cell.
-func (s *Swapper) sharded(service string) bool { return s.o.Divided != nil && s.o.Divided(service) }
+func (s *WeightUpdater) sharded(service string) bool {
+	return s.o.Sharded != nil && s.o.Sharded(service)
+}
 
 // partitions returns the number of leases that the workers of a service, as this daemon knows them,
 // are spread over.
-func (s *Swapper) partitions(service string) int {
+func (s *WeightUpdater) partitions(service string) int {
 	if s.sharded(service) {
 		return 1
 	}
-	return len(s.o.Rights)
+	return len(s.o.Leaderships)
 }
 
-// CellWanted reports whether a worker of this daemon's cell holds older weights than desired.
-func (s *Swapper) CellWanted() bool {
+// CellHasOutdated reports whether a worker of this daemon's cell holds older weights than desired.
+func (s *WeightUpdater) CellHasOutdated() bool {
 	return s.anyOutdated(true, func(t *roster.Target) bool {
 		e := t.Entry()
-		return s.o.Uses(e.Name, e.Domain)
+		return s.o.InOwnCell(e.Name, e.Domain)
 	})
 }
 
-// Wanted reports whether a worker of a partition holds older weights than desired.
-func (s *Swapper) Wanted(partition int) bool {
-	return s.anyOutdated(false, func(t *roster.Target) bool { return s.leadership(t, false) == s.o.Rights[partition] })
+// HasOutdated reports whether a worker of a partition holds older weights than desired.
+func (s *WeightUpdater) HasOutdated(partition int) bool {
+	return s.anyOutdated(false, func(t *roster.Target) bool { return s.leadership(t, false) == s.o.Leaderships[partition] })
 }
 
 // anyOutdated reports whether a selected worker holds older weights than desired. It considers
 // either the sharded services or the others.
-func (s *Swapper) anyOutdated(sharded bool, selected func(*roster.Target) bool) bool {
+func (s *WeightUpdater) anyOutdated(sharded bool, selected func(*roster.Target) bool) bool {
 	t := s.o.Table()
 	if t == nil {
 		return false
@@ -138,7 +140,7 @@
 			continue
 		}
 		for _, model := range svc.Engine.Models {
-			version := s.o.Named(model)
+			version := s.o.Desired(model)
 			for _, w := range s.o.Roster.ByService(svc.Name) {
 				if w.Entry().Weights[model] < version && selected(w) {
 					return true
@@ -150,7 +152,7 @@
 }
 
 // Run sends orders until ctx ends.
-func (s *Swapper) Run(ctx context.Context) {
+func (s *WeightUpdater) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for wait.For(ctx, s.interval()) {
@@ -161,7 +163,7 @@
 }
 
 // interval returns the pause until the next check.
-func (s *Swapper) interval() time.Duration {
+func (s *WeightUpdater) interval() time.Duration {
 	if s.isLeader() {
 		return leaderInterval
 	}
@@ -169,7 +171,7 @@
 }
 
 // startable returns the updates to start now.
-func (s *Swapper) startable() []*weightUpdate {
+func (s *WeightUpdater) startable() []*weightUpdate {
 	t := s.o.Table()
 	if t == nil || !s.isLeader() {
 		return nil
@@ -186,14 +188,14 @@
 }
 
 // isLeader reports whether this daemon holds any lease. All but a few of a fleet hold none.
-func (s *Swapper) isLeader() bool {
-	if slices.ContainsFunc(s.o.Rights, Right.Held) {
+func (s *WeightUpdater) isLeader() bool {
+	if slices.ContainsFunc(s.o.Leaderships, Leadership.Held) {
 		return true
 	}
-	if s.o.Cell == nil {
+	if s.o.CellLeadership == nil {
 		return false
 	}
-	cell := s.o.Cell()
+	cell := s.o.CellLeadership()
 	return cell != nil && cell.Held()
 }
 
@@ -201,17 +203,17 @@
 type progress struct {
 	workers int
 	// outdated holds the workers whose update may start, by their lease.
-	outdated map[Right][]*roster.Target
+	outdated map[Leadership][]*roster.Target
 	// running counts this daemon's updates by lease, total those of all daemons.
-	running map[Right]int
+	running map[Leadership]int
 	total   int
 }
 
 // progress returns the state of the updates of a model to a version. It is called with updatesMu
 // held.
-func (s *Swapper) progress(service, model string, version int64, now time.Time) progress {
+func (s *WeightUpdater) progress(service, model string, version int64, now time.Time) progress {
 	workers := s.o.Roster.ByService(service)
-	pr := progress{outdated: map[Right][]*roster.Target{}, running: map[Right]int{}}
+	pr := progress{outdated: map[Leadership][]*roster.Target{}, running: map[Leadership]int{}}
 	// Heartbeats carry the updates of other daemons.
 	ordered, sharded := s.o.Roster.Updating(now), s.sharded(service)
 	for _, t := range workers {
@@ -234,14 +236,14 @@
 }
 
 // shuttingDown reports whether a worker is shutting down: a load of weights would be lost with it.
-func (s *Swapper) shuttingDown(t *roster.Target) bool {
+func (s *WeightUpdater) shuttingDown(t *roster.Target) bool {
 	_, shuttingDown := s.o.Roster.ShuttingDown(t)
 	return shuttingDown
 }
 
 // startableOf returns the updates of one model to start now. It is called with updatesMu held.
-func (s *Swapper) startableOf(service, model string) []*weightUpdate {
-	version := s.o.Named(model)
+func (s *WeightUpdater) startableOf(service, model string) []*weightUpdate {
+	version := s.o.Desired(model)
 	now := time.Now()
 	pr := s.progress(service, model, version, now)
 	var out []*weightUpdate
@@ -274,7 +276,7 @@
 
 // allowExtra reports whether a partition may start one more update because other partitions have
 // fewer workers left. Heartbeats must carry the last one first.
-func (s *Swapper) allowExtra(total, workers int, now time.Time) bool {
+func (s *WeightUpdater) allowExtra(total, workers int, now time.Time) bool {
 	if total >= max(minUpdates, workers/updateDivisor) || now.Sub(s.lastExtra) < extraInterval {
 		return false
 	}
--- a/core/order/updater_test.go
+++ b/core/order/updater_test.go
@@ -58,17 +58,17 @@
 	n := len(w.orders)
 	w.orders = append(w.orders, o)
 	if w.verdict != nil {
-		if v, err := w.verdict(n, o); v != Taken || err != nil {
+		if v, err := w.verdict(n, o); v != Accepted || err != nil {
 			return v, err
 		}
 	}
-	if st := w.states[o.Target]; st.Orders != o.After {
+	if st := w.states[o.Target]; st.AcceptedOrders != o.AcceptedBefore {
 		return Conflict, nil
 	}
-	w.states[o.Target] = WorkerState{Busy: true, Orders: o.After + 1, Weights: map[string]int64{"m": o.Version}}
+	w.states[o.Target] = WorkerState{Busy: true, AcceptedOrders: o.AcceptedBefore + 1, Weights: map[string]int64{"m": o.Version}}
 	w.running++
 	w.maxRunning = max(w.maxRunning, w.running)
-	return Taken, nil
+	return Accepted, nil
 }
 
 func (w *fakeWorkers) State(_ context.Context, _, target string) (WorkerState, error) {
@@ -121,7 +121,7 @@
 	workers    *fakeWorkers
 	leadership *fakeLeadership
 	roster     *roster.Roster
-	updater    *Swapper
+	updater    *WeightUpdater
 	// observer is notified of updates.
 	observer      *fakeObserver
 	desired       atomic.Int64
@@ -129,11 +129,11 @@
 }
 
 func newTestUpdater(t *testing.T, n int) *testUpdater {
-	return newTestUpdaterWith(t, n, func(*SwapOptions) {})
+	return newTestUpdaterWith(t, n, func(*WeightUpdaterOptions) {})
 }
 
 // newTestUpdaterWith is newTestUpdater with changed options.
-func newTestUpdaterWith(t *testing.T, n int, change func(*SwapOptions)) *testUpdater {
+func newTestUpdaterWith(t *testing.T, n int, change func(*WeightUpdaterOptions)) *testUpdater {
 	r := &testUpdater{g: gomega.NewWithT(t), workers: &fakeWorkers{states: map[string]WorkerState{}}, leadership: &fakeLeadership{fence: 7}, observer: &fakeObserver{}}
 	r.desired.Store(2)
 	r.roster = roster.New(&event.Log{}, nil)
@@ -143,13 +143,13 @@
 		r.workers.states[id] = WorkerState{Weights: map[string]int64{"m": 1}}
 	}
 	tbl := table.New(table.Spec{Services: []table.Service{{Name: "llm", Engine: &table.Engine{Models: []string{"m"}}}}})
-	o := SwapOptions{
-		Name: "me", Rights: []Right{r.leadership}, Commander: r.workers, Roster: r.roster,
-		Table: func() *table.Table { return tbl }, Named: func(string) int64 { return r.desired.Load() },
-		Changed: func() { r.notifications.Add(1) }, Audience: r.observer, Log: &event.Log{},
+	o := WeightUpdaterOptions{
+		Name: "me", Leaderships: []Leadership{r.leadership}, Client: r.workers, Roster: r.roster,
+		Table: func() *table.Table { return tbl }, Desired: func(string) int64 { return r.desired.Load() },
+		Notify: func() { r.notifications.Add(1) }, Observer: r.observer, Log: &event.Log{},
 	}
 	change(&o)
-	r.updater = NewSwapper(o)
+	r.updater = NewWeightUpdater(o)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { r.updater.Run(ctx) })
@@ -169,14 +169,14 @@
 
 func TestAllWorkersGetTheDesiredWeightsAFewAtATime(t *testing.T) {
 	r := newTestUpdater(t, 9)
-	r.g.Expect(r.updater.Wanted(0)).To(gomega.BeTrue())
+	r.g.Expect(r.updater.HasOutdated(0)).To(gomega.BeTrue())
 	r.g.Eventually(r.outdated, "30s", "10ms").Should(gomega.BeZero())
-	r.g.Expect(r.updater.Wanted(0)).To(gomega.BeFalse())
+	r.g.Expect(r.updater.HasOutdated(0)).To(gomega.BeFalse())
 	sent := r.workers.sentOrders()
 	r.g.Expect(sent).To(gomega.HaveLen(9))
 	for _, o := range sent {
 		r.g.Expect(o.Fence).To(gomega.Equal(uint64(7)))
-		r.g.Expect(o.After).To(gomega.BeZero())
+		r.g.Expect(o.AcceptedBefore).To(gomega.BeZero())
 	}
 	r.workers.mu.Lock()
 	defer r.workers.mu.Unlock()
@@ -197,7 +197,7 @@
 		if len(r.observer.all()) == 0 {
 			return 0, errors.New("the observer was not notified")
 		}
-		return Taken, nil
+		return Accepted, nil
 	}
 	r.workers.mu.Unlock()
 	r.g.Eventually(r.outdated, "30s", "10ms").Should(gomega.BeZero())
@@ -223,7 +223,7 @@
 		if n == 0 {
 			return 0, errors.New("no answer")
 		}
-		return Taken, nil
+		return Accepted, nil
 	}
 	r.workers.mu.Unlock()
 	r.g.Eventually(r.outdated, "30s", "10ms").Should(gomega.BeZero())
@@ -253,9 +253,9 @@
 func TestACellSendsOrdersToItsOwnWorkers(t *testing.T) {
 	inCell := func(name, _ string) bool { return name < "w04" }
 	cell := &fakeLeadership{fence: 9}
-	r := newTestUpdaterWith(t, 9, func(o *SwapOptions) {
-		o.Divided, o.Uses = func(string) bool { return true }, inCell
-		o.Cell = func() Right { return cell }
+	r := newTestUpdaterWith(t, 9, func(o *WeightUpdaterOptions) {
+		o.Sharded, o.InOwnCell = func(string) bool { return true }, inCell
+		o.CellLeadership = func() Leadership { return cell }
 	})
 	outdated := func() (local, remote int) {
 		for _, t := range r.roster.ByService("llm") {
@@ -269,10 +269,10 @@
 		}
 		return local, remote
 	}
-	r.g.Expect(r.updater.CellWanted()).To(gomega.BeTrue())
-	r.g.Expect(r.updater.Wanted(0)).To(gomega.BeFalse(), "the partitions are for services that are not sharded by cell")
+	r.g.Expect(r.updater.CellHasOutdated()).To(gomega.BeTrue())
+	r.g.Expect(r.updater.HasOutdated(0)).To(gomega.BeFalse(), "the partitions are for services that are not sharded by cell")
 	r.g.Eventually(func() int { local, _ := outdated(); return local }, "30s", "10ms").Should(gomega.BeZero())
-	r.g.Expect(r.updater.CellWanted()).To(gomega.BeFalse())
+	r.g.Expect(r.updater.CellHasOutdated()).To(gomega.BeFalse())
 	_, remote := outdated()
 	r.g.Expect(remote).To(gomega.Equal(5))
 	for _, o := range r.workers.sentOrders() {
@@ -286,14 +286,14 @@
 func TestTheCostOfChecksDoesNotGrowWithTheWorkers(t *testing.T) {
 	const workers = 500
 	shardQueries, cellQueries := 0, 0
-	r := newTestUpdaterWith(t, workers, func(o *SwapOptions) {
-		o.Divided = func(string) bool { shardQueries++; return true }
-		o.Uses = func(string, string) bool { cellQueries++; return true }
-		o.Cell = func() Right { return nil }
+	r := newTestUpdaterWith(t, workers, func(o *WeightUpdaterOptions) {
+		o.Sharded = func(string) bool { shardQueries++; return true }
+		o.InOwnCell = func(string, string) bool { cellQueries++; return true }
+		o.CellLeadership = func() Leadership { return nil }
 		// The updater's own loop must not count.
-		o.Rights = []Right{&fakeLeadership{}}
+		o.Leaderships = []Leadership{&fakeLeadership{}}
 	})
-	r.g.Expect(r.updater.Wanted(0)).To(gomega.BeFalse())
+	r.g.Expect(r.updater.HasOutdated(0)).To(gomega.BeFalse())
 	r.g.Expect([]int{shardQueries, cellQueries}).To(gomega.Equal([]int{1, 0}))
 	r.updater.updatesMu.Lock()
 	defer r.updater.updatesMu.Unlock()
@@ -304,11 +304,11 @@
 
 // A daemon without its cell's lease sends no orders.
 func TestNoOrdersWithoutTheLeaseOfTheCell(t *testing.T) {
-	r := newTestUpdaterWith(t, 3, func(o *SwapOptions) {
-		o.Divided, o.Uses = func(string) bool { return true }, func(string, string) bool { return true }
-		o.Cell = func() Right { return nil }
+	r := newTestUpdaterWith(t, 3, func(o *WeightUpdaterOptions) {
+		o.Sharded, o.InOwnCell = func(string) bool { return true }, func(string, string) bool { return true }
+		o.CellLeadership = func() Leadership { return nil }
 	})
-	r.g.Expect(r.updater.CellWanted()).To(gomega.BeTrue())
+	r.g.Expect(r.updater.CellHasOutdated()).To(gomega.BeTrue())
 	r.g.Consistently(r.workers.sentOrders, "700ms", "50ms").Should(gomega.BeEmpty())
 }
 
@@ -318,9 +318,9 @@
 	for i, v := range []int64{2, 1, 2, 1, 1, 1} {
 		ros.Put(roster.Entry{ID: fmt.Sprint(i), Service: "llm", Weights: map[string]int64{"m": v}})
 	}
-	s := NewSwapper(SwapOptions{
-		Rights: []Right{&fakeLeadership{fence: 1}}, Roster: ros, Log: &event.Log{},
-		Named: func(string) int64 { return 3 },
+	s := NewWeightUpdater(WeightUpdaterOptions{
+		Leaderships: []Leadership{&fakeLeadership{fence: 1}}, Roster: ros, Log: &event.Log{},
+		Desired: func(string) int64 { return 3 },
 	})
 	for _, j := range s.startableOf("llm", "m") {
 		g.Expect(j.target.Entry().Weights["m"]).To(gomega.Equal(int64(1)))
@@ -335,19 +335,19 @@
 	r.g.Eventually(r.outdated, "30s", "10ms").Should(gomega.BeZero())
 	sent := len(r.workers.sentOrders())
 	r.workers.mu.Lock()
-	r.workers.states["w00"] = WorkerState{Run: "w00@2", Weights: map[string]int64{"m": 1}}
+	r.workers.states["w00"] = WorkerState{Incarnation: "w00@2", Weights: map[string]int64{"m": 1}}
 	r.workers.mu.Unlock()
 	r.desired.Store(3)
 	r.g.Eventually(func() *roster.Target { return r.roster.Target("w00") }, "30s", "10ms").Should(gomega.BeNil())
 	r.g.Expect(r.workers.sentOrders()).To(gomega.HaveLen(sent))
 	r.workers.mu.Lock()
-	r.workers.states["w00@2"] = WorkerState{Run: "w00@2", Weights: map[string]int64{"m": 1}}
+	r.workers.states["w00@2"] = WorkerState{Incarnation: "w00@2", Weights: map[string]int64{"m": 1}}
 	r.workers.mu.Unlock()
 	r.roster.Put(roster.Entry{ID: "w00@2", Name: "w00", Service: "llm", Address: "w00", Weights: map[string]int64{"m": 1}})
 	r.g.Eventually(r.outdated, "30s", "10ms").Should(gomega.BeZero())
 	last := r.workers.sentOrders()[sent]
 	r.g.Expect(last.Target).To(gomega.Equal("w00@2"))
-	r.g.Expect(last.After).To(gomega.BeZero())
+	r.g.Expect(last.AcceptedBefore).To(gomega.BeZero())
 }
 
 // A daemon without any lease does not visit the workers.
--- a/core/order/worker.go
+++ b/core/order/worker.go
@@ -12,10 +12,10 @@
 	// of its lease.
 	Holder string
 	Fence  uint64
-	// After is the number of orders the worker had accepted before this one.
+	// AcceptedBefore is the number of orders the worker had accepted before this one.
 	// The worker rejects the order if it has accepted others, so that an order
 	// that arrives late does not undo a newer one.
-	After int64
+	AcceptedBefore int64
 }
 
 // Verdict is a worker's response to an order.
@@ -23,16 +23,16 @@
 
 // Verdicts.
 const (
-	// Taken: the worker will load the weights.
-	Taken Verdict = iota
-	// Held: it has loaded them already.
-	Held
+	// Accepted: the worker will load the weights.
+	Accepted Verdict = iota
+	// AlreadyLoaded: it has loaded them already.
+	AlreadyLoaded
 	// Conflict: it is busy with another order, or has accepted others.
 	Conflict
 	// Fenced: it has seen a higher fence.
 	Fenced
-	// Elsewhere: another incarnation has its address.
-	Elsewhere
+	// OtherIncarnation: another incarnation has its address.
+	OtherIncarnation
 	// Refused: it does not support the order, or the version is not the desired
 	// one.
 	Refused
@@ -45,12 +45,12 @@
 
 // WorkerState is a worker's report about orders.
 type WorkerState struct {
-	// Run is the incarnation of the worker that reports, or "" if it does not
+	// Incarnation is the incarnation of the worker that reports, or "" if it does not
 	// report one.
-	Run  string
-	Busy bool
-	// Orders is the number of orders the worker has accepted.
-	Orders int64
+	Incarnation string
+	Busy        bool
+	// AcceptedOrders is the number of orders the worker has accepted.
+	AcceptedOrders int64
 	// Weights holds the loaded version of each model.
 	Weights map[string]int64
 }
@@ -65,8 +65,8 @@
 	State(ctx context.Context, address, target string) (WorkerState, error)
 }
 
-// Right is the leadership lease for sending orders.
-type Right interface {
+// Leadership is the leadership lease for sending orders.
+type Leadership interface {
 	// Held reports whether this daemon holds the lease.
 	Held() bool
 	// Act returns the fence of an order, and whether the order may be sent now.
--- a/core/plat/contact.go
+++ b/core/plat/contact.go
@@ -8,7 +8,7 @@
 )
 
 // recordPeerContact records when the store last answered a peer.
-func (m *Mirror) recordPeerContact(at clock.Time) {
+func (m *WatchCache) recordPeerContact(at clock.Time) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	if at.After(m.peerContact) {
@@ -17,9 +17,9 @@
 	}
 }
 
-// Fresh returns when the store last answered this daemon or a peer that this daemon has applied
+// FreshAsOf returns when the store last answered this daemon or a peer that this daemon has applied
 // the state of.
-func (m *Mirror) Fresh() clock.Time {
+func (m *WatchCache) FreshAsOf() clock.Time {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	if m.peerContact.After(m.lastContact) {
@@ -29,7 +29,7 @@
 }
 
 // recordContact records a response of the store.
-func (m *Mirror) recordContact() {
+func (m *WatchCache) recordContact() {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	now := clock.Now()
@@ -44,7 +44,7 @@
 
 // recordFailure records that a read or watch failed, which counts as an outage once the store
 // has been silent for outageAfter.
-func (m *Mirror) recordFailure(err error) {
+func (m *WatchCache) recordFailure(err error) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	if m.down || clock.Since(m.lastContact) < outageAfter {
@@ -59,36 +59,36 @@
 }
 
 // peersReport reports whether peers currently pass on what they receive from the store.
-func (m *Mirror) peersReport() bool {
+func (m *WatchCache) peersReport() bool {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return clock.Since(m.peerContact) < peerReportMaxAge
 }
 
 // silentFor returns how long the store has been silent.
-func (m *Mirror) silentFor() time.Duration {
+func (m *WatchCache) silentFor() time.Duration {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return clock.Since(m.lastContact)
 }
 
 // Down reports whether the store is in an outage, as seen by this daemon.
-func (m *Mirror) Down() bool {
+func (m *WatchCache) Down() bool {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.down
 }
 
-// Contact returns when the store last answered this daemon; zero before the first response, and
+// LastContact returns when the store last answered this daemon; zero before the first response, and
 // while this daemon takes changes from peers.
-func (m *Mirror) Contact() clock.Time {
+func (m *WatchCache) LastContact() clock.Time {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.lastContact
 }
 
-// Regained returns when the last outage ended, and how long it was.
-func (m *Mirror) Regained() (clock.Time, time.Duration) {
+// LastOutage returns when the last outage ended, and how long it was.
+func (m *WatchCache) LastOutage() (clock.Time, time.Duration) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.outageEnd, m.outageLength
--- a/core/plat/interfaces.go
+++ b/core/plat/interfaces.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSessionOver means that a session has ended and its keys were deleted.
-var ErrSessionOver = errors.New("session has ended")
+// ErrSessionEnded means that a session has ended and its keys were deleted.
+var ErrSessionEnded = errors.New("session has ended")
 
 // Reader reads keys of the coordination store and watches them for changes. It is implemented by
 // KV, for etcd's JSON gateway, and by the client of the users' platform.
--- a/core/plat/kv.go
+++ b/core/plat/kv.go
@@ -21,8 +21,8 @@
 	"embertally.dev/core/wait"
 )
 
-// ErrUnknown means that a write was sent and its outcome is unknown.
-var ErrUnknown = errors.New("outcome of write is unknown")
+// ErrOutcomeUnknown means that a write was sent and its outcome is unknown.
+var ErrOutcomeUnknown = errors.New("outcome of write is unknown")
 
 // ErrCompacted means that a watch requested revisions whose history the store has discarded; the
 // caller must read all keys again.
@@ -93,14 +93,14 @@
 type Change struct {
 	Pair
 	Deleted bool
-	// Dropped is set on a deletion where the key only left the cache, as its shard changed; it
+	// LeftShard is set on a deletion where the key only left the cache, as its shard changed; it
 	// may still exist in the store.
-	Dropped bool
-	// Late means that the value is missing since it is large; it is fetched separately.
-	Late bool
-	// Restored is set on a deletion where the key was found missing after the store came back
+	LeftShard bool
+	// Unfetched means that the value is missing since it is large; it is fetched separately.
+	Unfetched bool
+	// DeletedByRestore is set on a deletion where the key was found missing after the store came back
 	// from an older copy; its writer may be about to write it again.
-	Restored bool
+	DeletedByRestore bool
 }
 
 // KV is a client of a coordination store that speaks etcd's published v3 JSON gateway. It is
@@ -210,7 +210,7 @@
 		Succeeded bool       `json:"succeeded"`
 	}
 	if err := k.call(ctx, "/v3/kv/txn", body, &reply); err != nil {
-		return Outcome{}, errors.Wrapf(ErrUnknown, "txn: %v", err)
+		return Outcome{}, errors.Wrapf(ErrOutcomeUnknown, "txn: %v", err)
 	}
 	return Outcome{Succeeded: reply.Succeeded, Revision: reply.Header.Revision}, nil
 }
@@ -223,17 +223,17 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	ctx, idle := wait.Patiently(ctx, CallTimeout, CallTimeout)
+	ctx, idle := wait.WithIdleTimeout(ctx, CallTimeout, CallTimeout)
 	defer idle.Stop()
 	resp, err := k.post(ctx, path, raw)
 	if err != nil {
-		return idle.Reason(err)
+		return idle.Cause(err)
 	}
 	defer resp.Body.Close()
 	got, err := io.ReadAll(io.LimitReader(idle.Reader(resp.Body), maxReply))
 	k.bytes.Add(int64(len(got)))
 	if err != nil {
-		return idle.Reason(errors.WithStack(err))
+		return idle.Cause(errors.WithStack(err))
 	}
 	return errors.Wrap(json.Unmarshal(got, reply), "decode response of coordination store")
 }
--- a/core/plat/kv_test.go
+++ b/core/plat/kv_test.go
@@ -26,8 +26,8 @@
 		err   error
 	}{
 		{"slow", len(reply), nil},
-		{"stalls midway", len(reply) / 2, wait.ErrSilent},
-		{"never begins", 0, wait.ErrSilent},
+		{"stalls midway", len(reply) / 2, wait.ErrIdleTimeout},
+		{"never begins", 0, wait.ErrIdleTimeout},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/plat/outline.go
+++ b/core/plat/outline.go
@@ -24,9 +24,9 @@
 
 // readFirst reads the keys of the outline first where not all keys fit one page. done is true if
 // no more has to be read: everything was, or this daemon takes changes from peers.
-func (m *Mirror) readFirst(ctx context.Context) (done bool, err error) {
+func (m *WatchCache) readFirst(ctx context.Context) (done bool, err error) {
 	p, pages := m.reader.(pager)
-	if !pages || m.Outline == "" {
+	if !pages || m.FirstPrefix == "" {
 		return false, nil
 	}
 	for previous, try := -1, 0; try < maxOutlineReads; try++ {
@@ -51,7 +51,7 @@
 
 // readOutline reads pages until all keys of the outline were read. If that was the whole span,
 // it is applied as a snapshot and whole is true.
-func (m *Mirror) readOutline(ctx context.Context, p pager) (outline []Pair, whole bool, err error) {
+func (m *WatchCache) readOutline(ctx context.Context, p pager) (outline []Pair, whole bool, err error) {
 	var all []Pair
 	first := int64(0)
 	err = p.Pages(ctx, m.span, func(pairs []Pair, revision int64, more bool) bool {
@@ -63,7 +63,7 @@
 		if len(pairs) > 0 {
 			last = pairs[len(pairs)-1].Key
 		}
-		return last < m.Outline || strings.HasPrefix(last, m.Outline)
+		return last < m.FirstPrefix || strings.HasPrefix(last, m.FirstPrefix)
 	})
 	if err != nil {
 		return nil, false, err
@@ -73,7 +73,7 @@
 		return nil, true, nil
 	}
 	for _, pair := range all {
-		if strings.HasPrefix(pair.Key, m.Outline) {
+		if strings.HasPrefix(pair.Key, m.FirstPrefix) {
 			outline = append(outline, pair)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // seed fills the cache with the keys of the outline until there is a snapshot. It sets no
 // revision, since the keys need not be of the same one.
-func (m *Mirror) seed(outline []Pair) {
+func (m *WatchCache) seed(outline []Pair) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	if m.revision > 0 {
@@ -97,8 +97,8 @@
 	}
 }
 
-// Known reports whether the cache contains anything, if only the outline.
-func (m *Mirror) Known() bool {
+// HasData reports whether the cache contains anything, if only the outline.
+func (m *WatchCache) HasData() bool {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.revision > 0 || len(m.pairs) > 0
--- a/core/plat/restore_test.go
+++ b/core/plat/restore_test.go
@@ -19,16 +19,16 @@
 	g := gomega.NewWithT(t)
 	g.Expect(plat.Revision(0, 17)).To(gomega.Equal(int64(17)), "of a store without incarnations")
 	g.Expect(plat.Revision(2, 1)).To(gomega.BeNumerically(">", plat.Revision(1, 1<<39)))
-	for _, incarnation := range []int64{0, 1, plat.EraMost} {
+	for _, incarnation := range []int64{0, 1, plat.MaxStoreIncarnation} {
 		for _, number := range []int64{0, 1, 1<<40 - 1} {
 			r := plat.Revision(incarnation, number)
-			g.Expect(plat.Era(r)).To(gomega.Equal(incarnation))
-			g.Expect(plat.Number(r)).To(gomega.Equal(number))
+			g.Expect(plat.StoreIncarnation(r)).To(gomega.Equal(incarnation))
+			g.Expect(plat.StoreRevision(r)).To(gomega.Equal(number))
 			g.Expect(int64(float64(r))).To(gomega.Equal(r), "fencing numbers must be exact in a float64")
 		}
 	}
-	g.Expect(plat.Number(-1)).To(gomega.Equal(int64(-1)))
-	g.Expect(plat.Era(-1)).To(gomega.BeZero())
+	g.Expect(plat.StoreRevision(-1)).To(gomega.Equal(int64(-1)))
+	g.Expect(plat.StoreIncarnation(-1)).To(gomega.BeZero())
 }
 
 // After a random schedule of writes and restores of any former copy, the cache and its observers
@@ -70,7 +70,7 @@
 			want[p.Key] = string(p.Value)
 		}
 		got := map[string]string{}
-		for _, p := range w.Under("a/") {
+		for _, p := range w.WithPrefix("a/") {
 			got[p.Key] = string(p.Value)
 		}
 		return fmt.Sprint(got) == fmt.Sprint(want) && fmt.Sprint(w.model()) == fmt.Sprint(want)
@@ -99,7 +99,7 @@
 	old := kv.Copy()
 	w := watch(kv)
 	var entered atomic.Int64
-	w.Entered = func() { entered.Add(1) }
+	w.OnStoreIncarnation = func() { entered.Add(1) }
 	w.start(t)
 	g.Eventually(entered.Load, "60s", "1ms").Should(gomega.Equal(int64(1)))
 	put(t, kv, "a/new", "1")
@@ -109,7 +109,7 @@
 	for incarnation := int64(1); incarnation <= 2; incarnation++ {
 		kv.Restore(old)
 		g.Eventually(entered.Load, "60s", "1ms").Should(gomega.Equal(incarnation + 1))
-		g.Expect(w.Era()).To(gomega.Equal(incarnation))
+		g.Expect(w.StoreIncarnation()).To(gomega.Equal(incarnation))
 	}
 }
 
@@ -128,13 +128,13 @@
 	g.Eventually(w.value("a/new"), "60s", "1ms").Should(gomega.BeEmpty())
 	remove(t, kv, "a/old")
 	g.Eventually(w.value("a/old"), "60s", "1ms").Should(gomega.BeEmpty())
-	g.Expect(w.Era()).To(gomega.Equal(int64(1)))
+	g.Expect(w.StoreIncarnation()).To(gomega.Equal(int64(1)))
 	restored := map[string]bool{}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, c := range w.received {
 		if c.Deleted {
-			restored[c.Key] = c.Restored
+			restored[c.Key] = c.DeletedByRestore
 		}
 	}
 	g.Expect(restored).To(gomega.Equal(map[string]bool{"a/new": true, "a/old": false}))
@@ -148,29 +148,29 @@
 	pair := func(key string, incarnation, number int64) plat.Change {
 		return plat.Change{Pair: plat.Pair{Key: key, Value: []byte("v"), ModRevision: plat.Revision(incarnation, number)}}
 	}
-	m := plat.NewMirror(&memkv.KV{}, plat.Prefix(""), &event.Log{})
+	m := plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), &event.Log{})
 	at := clock.Now()
-	m.TakeAll([]plat.Change{pair("a", 2, 5)}, plat.Revision(2, 9), "", "", at)
-	g.Expect(m.Fresh()).To(gomega.Equal(at))
+	m.ApplySnapshot([]plat.Change{pair("a", 2, 5)}, plat.Revision(2, 9), "", "", at)
+	g.Expect(m.FreshAsOf()).To(gomega.Equal(at))
 	later := at.Add(time.Second)
 
-	m.Take([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), later)
-	m.TakeAll([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "", later)
-	m.TakeAll([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", later)
-	m.TakeMoved([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", func(plat.Pair) bool { return false }, later)
-	m.Take([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), later)
-	g.Expect(m.Fresh()).To(gomega.Equal(at), "of another store incarnation")
+	m.ApplyChanges([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), later)
+	m.ApplySnapshot([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "", later)
+	m.ApplySnapshot([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", later)
+	m.SwitchShard([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", func(plat.Pair) bool { return false }, later)
+	m.ApplyChanges([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), later)
+	g.Expect(m.FreshAsOf()).To(gomega.Equal(at), "of another store incarnation")
 	g.Expect(m.Shard()).To(gomega.BeEmpty())
 	_, there := m.Pair("b")
 	g.Expect(there).To(gomega.BeFalse())
 	g.Expect(m.Revision()).To(gomega.Equal(plat.Revision(2, 9)))
 
-	m.TakeAll([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), "", "", later)
-	g.Expect(m.Fresh()).To(gomega.Equal(later))
+	m.ApplySnapshot([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), "", "", later)
+	g.Expect(m.FreshAsOf()).To(gomega.Equal(later))
 	_, there = m.Pair("a")
 	g.Expect(there).To(gomega.BeFalse())
 	// A request for the changes after a revision of the former incarnation needs a snapshot.
-	_, _, whole := m.Since(plat.Revision(2, 9))
+	_, _, whole := m.ChangesSince(plat.Revision(2, 9))
 	g.Expect(whole).To(gomega.BeFalse())
 }
 
--- a/core/plat/revision.go
+++ b/core/plat/revision.go
@@ -9,20 +9,20 @@
 const (
 	// incarnationShift is the number of bits of a revision that hold the store's own number.
 	incarnationShift = 40
-	// EraMost is the highest store incarnation that a revision can hold. Revisions serve as
+	// MaxStoreIncarnation is the highest store incarnation that a revision can hold. Revisions serve as
 	// fencing numbers, which are sent as numbers that must be exact in a float64.
-	EraMost = 1<<(53-incarnationShift) - 1
+	MaxStoreIncarnation = 1<<(53-incarnationShift) - 1
 )
 
 // Revision combines a store incarnation and the store's own revision number.
 func Revision(incarnation, number int64) int64 { return incarnation<<incarnationShift | number }
 
-// Era returns the store incarnation of a revision; 0 where the store has none.
-func Era(revision int64) int64 { return max(0, revision) >> incarnationShift }
+// StoreIncarnation returns the store incarnation of a revision; 0 where the store has none.
+func StoreIncarnation(revision int64) int64 { return max(0, revision) >> incarnationShift }
 
-// Number returns the store's own number of a revision. Negative revisions, which no key has, are
+// StoreRevision returns the store's own number of a revision. Negative revisions, which no key has, are
 // returned unchanged.
-func Number(revision int64) int64 {
+func StoreRevision(revision int64) int64 {
 	if revision < 0 {
 		return revision
 	}
@@ -32,7 +32,7 @@
 // Session identifies a session of the store. The zero value means no session.
 type Session struct {
 	ID int64
-	// Era is the store incarnation in which the session was opened. In a later one the same ID
+	// StoreIncarnation is the store incarnation in which the session was opened. In a later one the same ID
 	// may belong to another session.
-	Era int64
+	StoreIncarnation int64
 }
--- a/core/plat/unfetched.go
+++ b/core/plat/unfetched.go
@@ -13,8 +13,8 @@
 // configurations 5 KB to 1 MB, most of them less than largeValue.
 const largeValue = 32 << 10
 
-// Large reports whether a value is sent to peers separately.
-func Large(value []byte) bool { return len(value) >= largeValue }
+// IsLarge reports whether a value is sent to peers separately.
+func IsLarge(value []byte) bool { return len(value) >= largeValue }
 
 // unfetchedValue describes a value that is known to exist and was not received yet.
 type unfetchedValue struct {
@@ -26,14 +26,14 @@
 
 // withoutLarge returns the change with its value removed and marked as late if it is large.
 func (c Change) withoutLarge() Change {
-	if !Large(c.Value) {
+	if !IsLarge(c.Value) {
 		return c
 	}
-	return Change{Pair: Pair{Key: c.Key, ModRevision: c.ModRevision}, Late: true}
+	return Change{Pair: Pair{Key: c.Key, ModRevision: c.ModRevision}, Unfetched: true}
 }
 
 // markUnfetched records that a value was not received yet. It is called with cacheMu held.
-func (m *Mirror) markUnfetched(key string, revision int64) {
+func (m *WatchCache) markUnfetched(key string, revision int64) {
 	v, waiting := m.unfetched[key]
 	if !waiting {
 		v.since = clock.Now()
@@ -42,9 +42,9 @@
 	m.unfetched[key] = v
 }
 
-// Arrive applies a value that was fetched separately. It does nothing if the value is older than
+// ApplyFetched applies a value that was fetched separately. It does nothing if the value is older than
 // required or the key no longer waits for one.
-func (m *Mirror) Arrive(p Pair) {
+func (m *WatchCache) ApplyFetched(p Pair) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	m.cacheMu.Lock()
@@ -60,7 +60,7 @@
 }
 
 // Fetch reads one key from the store. It returns false if the key does not exist.
-func (m *Mirror) Fetch(ctx context.Context, key string) (Pair, bool, error) {
+func (m *WatchCache) Fetch(ctx context.Context, key string) (Pair, bool, error) {
 	pairs, _, err := m.reader.Range(ctx, Prefix(key))
 	if err != nil {
 		return Pair{}, false, err
@@ -73,16 +73,16 @@
 	return Pair{}, false, nil
 }
 
-// Behind reports whether a value is missing that is known to exist.
-func (m *Mirror) Behind() bool {
+// HasUnfetched reports whether a value is missing that is known to exist.
+func (m *WatchCache) HasUnfetched() bool {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return len(m.unfetched) > 0
 }
 
-// Late returns the keys whose values were not received yet, without values; each revision is the
+// Unfetched returns the keys whose values were not received yet, without values; each revision is the
 // lowest that the value must have.
-func (m *Mirror) Late() []Pair {
+func (m *WatchCache) Unfetched() []Pair {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	var out []Pair
@@ -92,8 +92,8 @@
 	return out
 }
 
-// LateSince returns since when a value has been missing; zero where none is.
-func (m *Mirror) LateSince() clock.Time {
+// UnfetchedSince returns since when a value has been missing; zero where none is.
+func (m *WatchCache) UnfetchedSince() clock.Time {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	var first clock.Time
--- a/core/plat/watchcache.go
+++ b/core/plat/watchcache.go
@@ -17,31 +17,31 @@
 	"embertally.dev/core/wait"
 )
 
-// Mirror is a watch cache: it keeps a local copy of a span of the store's keys current, with one
+// WatchCache is a watch cache: it keeps a local copy of a span of the store's keys current, with one
 // watch of the store or with changes from peers. Use NewMirror.
 //
 // Lock order: notifyMu before cacheMu and before the locks that observers take.
-type Mirror struct {
+type WatchCache struct {
 	reader Reader
 	span   Span
 	log    *event.Log
 	// observers are called with all changes; filled before Run.
 	observers []func([]Change)
-	// Follows, if set, reports whether this daemon reads and watches the store itself; the
+	// WatchesStore, if set, reports whether this daemon reads and watches the store itself; the
 	// others take changes from peers. It is set before Run.
-	Follows func() bool
-	// Reserve, if set, reports whether this daemon reads the store only because the daemons that
+	WatchesStore func() bool
+	// IsStandby, if set, reports whether this daemon reads the store only because the daemons that
 	// should do so seem silent. It is set before Run.
-	Reserve func() bool
-	// Gather, if set, returns how long to wait for further changes after one, so that a response
+	IsStandby func() bool
+	// BatchTime, if set, returns how long to wait for further changes after one, so that a response
 	// carries several. It is set before Run.
-	Gather func() time.Duration
-	// Outline, if set, is the prefix of the keys that are read first where not all keys fit one
+	BatchTime func() time.Duration
+	// FirstPrefix, if set, is the prefix of the keys that are read first where not all keys fit one
 	// page, since Follows may depend on them. It is set before Run.
-	Outline string
-	// Entered, if set, is called at the first snapshot of each store incarnation, with cacheMu
+	FirstPrefix string
+	// OnStoreIncarnation, if set, is called at the first snapshot of each store incarnation, with cacheMu
 	// held; it must not block. It is set before Run.
-	Entered func()
+	OnStoreIncarnation func()
 
 	// notifyMu serialises changes of the cache and the calls of observers: the store and a peer
 	// may report changes at the same time.
@@ -89,27 +89,27 @@
 // changes as keys are kept, since all keys may be rewritten at once.
 const minHistory = 1024
 
-// NewMirror returns a watch cache of the keys in span.
-func NewMirror(reader Reader, span Span, log *event.Log) *Mirror {
-	return &Mirror{reader: reader, span: span, log: log, pairs: map[string]Pair{}, unfetched: map[string]unfetchedValue{}, changed: make(chan struct{})}
+// NewWatchCache returns a watch cache of the keys in span.
+func NewWatchCache(reader Reader, span Span, log *event.Log) *WatchCache {
+	return &WatchCache{reader: reader, span: span, log: log, pairs: map[string]Pair{}, unfetched: map[string]unfetchedValue{}, changed: make(chan struct{})}
 }
 
-// News returns a channel that is closed when the cache or its freshness changes.
-func (m *Mirror) News() <-chan struct{} {
+// Changed returns a channel that is closed when the cache or its freshness changes.
+func (m *WatchCache) Changed() <-chan struct{} {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.changed
 }
 
 // wakeWaiters closes the channel that News returned. It is called with cacheMu held.
-func (m *Mirror) wakeWaiters() {
+func (m *WatchCache) wakeWaiters() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
 // Observe registers f to be called with all changes, one call at a time. It must be called
 // before Run.
-func (m *Mirror) Observe(f func([]Change)) { m.observers = append(m.observers, f) }
+func (m *WatchCache) Observe(f func([]Change)) { m.observers = append(m.observers, f) }
 
 // Intervals and timeouts of a Mirror.
 const (
@@ -135,10 +135,10 @@
 )
 
 // Run keeps the cache current until ctx ends.
-func (m *Mirror) Run(ctx context.Context) {
+func (m *WatchCache) Run(ctx context.Context) {
 	pause := retryPause
 	for ctx.Err() == nil {
-		if m.Follows != nil && !m.Follows() {
+		if m.WatchesStore != nil && !m.WatchesStore() {
 			m.clearContact()
 			wait.For(ctx, followerPause)
 			continue
@@ -157,7 +157,7 @@
 		switch {
 		case m.peersReport():
 			pause = relayedRetryPause
-		case m.Reserve != nil && m.Reserve():
+		case m.IsStandby != nil && m.IsStandby():
 			pause = reservePause
 		}
 		wait.For(ctx, pause/2+rand.N(pause/2))
@@ -167,7 +167,7 @@
 
 // clearContact clears the time of the last contact: this daemon takes changes from peers now, so
 // that the store's silence towards it is no outage. Fresh is not affected.
-func (m *Mirror) clearContact() {
+func (m *WatchCache) clearContact() {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	if m.lastContact.After(m.peerContact) {
@@ -176,18 +176,18 @@
 	m.lastContact, m.down = clock.Time{}, false
 }
 
-func (m *Mirror) gather() time.Duration {
-	if m.Gather == nil {
+func (m *WatchCache) gather() time.Duration {
+	if m.BatchTime == nil {
 		return 0
 	}
-	return m.Gather()
+	return m.BatchTime()
 }
 
 // errFollowsPeers ends the watch of a daemon that takes changes from peers from now on.
 var errFollowsPeers = errors.New("changes are taken from peers")
 
 // readAndWatch reads all keys where needed, then watches them.
-func (m *Mirror) readAndWatch(ctx context.Context) error {
+func (m *WatchCache) readAndWatch(ctx context.Context) error {
 	if !m.isWatchable() {
 		if err := m.readAll(ctx); err != nil {
 			return err
@@ -219,10 +219,10 @@
 }
 
 // followsPeers reports whether this daemon takes changes from peers at present.
-func (m *Mirror) followsPeers() bool { return m.Follows != nil && !m.Follows() }
+func (m *WatchCache) followsPeers() bool { return m.WatchesStore != nil && !m.WatchesStore() }
 
 // isWatchable reports whether a watch can continue from the cache's revision.
-func (m *Mirror) isWatchable() bool {
+func (m *WatchCache) isWatchable() bool {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.watchable
@@ -230,7 +230,7 @@
 
 // readAll reads all keys and notifies the observers of the differences. It ends early if the
 // outline shows that this daemon takes changes from peers.
-func (m *Mirror) readAll(ctx context.Context) error {
+func (m *WatchCache) readAll(ctx context.Context) error {
 	if done, err := m.readFirst(ctx); done || err != nil {
 		return err
 	}
@@ -243,8 +243,8 @@
 }
 
 // applyRead applies a snapshot that was read from the store.
-func (m *Mirror) applyRead(pairs []Pair, revision int64) {
-	if Era(revision) >= m.Era() {
+func (m *WatchCache) applyRead(pairs []Pair, revision int64) {
+	if StoreIncarnation(revision) >= m.StoreIncarnation() {
 		// Must precede the notification: observers look up how long the store was silent.
 		m.recordContact()
 	}
@@ -267,21 +267,21 @@
 
 // replace applies a snapshot of a shard, unless a newer state of the same shard is cached. It
 // reports whether the snapshot is of the cache's store incarnation or a later one.
-func (m *Mirror) replace(all []Change, revision int64, shard string) bool {
+func (m *WatchCache) replace(all []Change, revision int64, shard string) bool {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	return m.replaceLocked(all, revision, shard)
 }
 
 // replaceLocked is replace with notifyMu held.
-func (m *Mirror) replaceLocked(all []Change, revision int64, shard string) bool {
+func (m *WatchCache) replaceLocked(all []Change, revision int64, shard string) bool {
 	m.cacheMu.Lock()
 	otherShard := shard != m.shard
-	if Era(revision) < Era(m.revision) || (revision < m.revision && !otherShard) {
+	if StoreIncarnation(revision) < StoreIncarnation(m.revision) || (revision < m.revision && !otherShard) {
 		cached := m.revision
 		m.cacheMu.Unlock()
 		m.log.Emit(event.ConfDropped, event.Ref{}, "revision "+strconv.FormatInt(revision, 10)+", cached up to "+strconv.FormatInt(cached, 10))
-		return Era(revision) == Era(cached)
+		return StoreIncarnation(revision) == StoreIncarnation(cached)
 	}
 	changes := m.differences(all, revision, otherShard)
 	m.noteIncarnation(revision)
@@ -296,7 +296,7 @@
 
 // differences returns the changes from the cache to a snapshot. If the snapshot is of another
 // shard, keys that it lacks may still exist in the store. It is called with cacheMu held.
-func (m *Mirror) differences(all []Change, revision int64, otherShard bool) []Change {
+func (m *WatchCache) differences(all []Change, revision int64, otherShard bool) []Change {
 	missing := map[string]bool{}
 	for key, p := range m.pairs {
 		// A value that was fetched separately may be newer than the snapshot.
@@ -305,7 +305,7 @@
 	for key := range m.unfetched {
 		missing[key] = true
 	}
-	restored := m.revision > 0 && Era(revision) > Era(m.revision)
+	restored := m.revision > 0 && StoreIncarnation(revision) > StoreIncarnation(m.revision)
 	var changes []Change
 	for _, c := range all {
 		missing[c.Key] = false
@@ -317,7 +317,7 @@
 		if !absent {
 			continue
 		}
-		changes = append(changes, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, Dropped: otherShard, Restored: restored && !otherShard})
+		changes = append(changes, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, LeftShard: otherShard, DeletedByRestore: restored && !otherShard})
 	}
 	return changes
 }
@@ -325,11 +325,11 @@
 // apply applies changes that lead to a revision. Changes already cached are skipped, since both
 // the store and peers may report them. It reports whether the changes are of the cache's store
 // incarnation.
-func (m *Mirror) apply(changes []Change, revision int64) bool {
+func (m *WatchCache) apply(changes []Change, revision int64) bool {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	m.cacheMu.Lock()
-	if Era(revision) != Era(m.revision) && m.revision > 0 {
+	if StoreIncarnation(revision) != StoreIncarnation(m.revision) && m.revision > 0 {
 		// Only a snapshot shows which keys are missing in another store incarnation.
 		m.cacheMu.Unlock()
 		return false
@@ -352,10 +352,10 @@
 }
 
 // update writes changes to the cache. It is called with cacheMu held.
-func (m *Mirror) update(changes []Change) {
+func (m *WatchCache) update(changes []Change) {
 	m.editCount += int64(len(changes))
 	for _, c := range changes {
-		if c.Late {
+		if c.Unfetched {
 			m.markUnfetched(c.Key, c.ModRevision)
 			continue
 		}
@@ -370,7 +370,7 @@
 
 // appendHistory adds changes to the history, without large values, which peers request
 // separately. It is called with cacheMu held.
-func (m *Mirror) appendHistory(changes []Change) {
+func (m *WatchCache) appendHistory(changes []Change) {
 	for _, c := range changes {
 		m.history = append(m.history, c.withoutLarge())
 	}
@@ -382,8 +382,8 @@
 
 // notify calls the observers. For an unfetched value they are called once it is there. It is
 // called with notifyMu held, so that observers get changes in order.
-func (m *Mirror) notify(changes []Change) {
-	fetched := slices.DeleteFunc(slices.Clone(changes), func(c Change) bool { return c.Late })
+func (m *WatchCache) notify(changes []Change) {
+	fetched := slices.DeleteFunc(slices.Clone(changes), func(c Change) bool { return c.Unfetched })
 	if len(fetched) == 0 {
 		return
 	}
@@ -392,10 +392,10 @@
 	}
 }
 
-// Since returns the changes after a revision, for a peer, and the revision that they lead to.
+// ChangesSince returns the changes after a revision, for a peer, and the revision that they lead to.
 // whole is false if the history no longer covers them. Large values are left out and marked as
 // late.
-func (m *Mirror) Since(after int64) (changes []Change, revision int64, whole bool) {
+func (m *WatchCache) ChangesSince(after int64) (changes []Change, revision int64, whole bool) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	if after < m.historyStart || m.revision == 0 {
@@ -405,10 +405,10 @@
 	return slices.Clone(m.history[from:]), m.revision, true
 }
 
-// All returns a snapshot for a peer, ordered by key, and its revision: the keys after the given
+// Snapshot returns a snapshot for a peer, ordered by key, and its revision: the keys after the given
 // one whose pairs keep accepts, or all if keep is nil. Large values are left out and marked as
 // late.
-func (m *Mirror) All(after string, keep func(Pair) bool) ([]Change, int64) {
+func (m *WatchCache) Snapshot(after string, keep func(Pair) bool) ([]Change, int64) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	var out []Change
@@ -419,24 +419,24 @@
 	}
 	for key, v := range m.unfetched {
 		if key > after {
-			out = append(out, Change{Pair: Pair{Key: key, ModRevision: v.revision}, Late: true})
+			out = append(out, Change{Pair: Pair{Key: key, ModRevision: v.revision}, Unfetched: true})
 		}
 	}
 	slices.SortFunc(out, func(a, b Change) int { return strings.Compare(a.Key, b.Key) })
 	return out, m.revision
 }
 
-// Take applies changes from a peer. contact is when the store last answered that peer.
-func (m *Mirror) Take(changes []Change, revision int64, contact clock.Time) {
+// ApplyChanges applies changes from a peer. contact is when the store last answered that peer.
+func (m *WatchCache) ApplyChanges(changes []Change, revision int64, contact clock.Time) {
 	if m.apply(changes, revision) {
 		m.recordPeerContact(contact)
 	}
 }
 
-// TakeAll applies a peer's snapshot of a shard, "" for all keys. contact is when the store last
+// ApplySnapshot applies a peer's snapshot of a shard, "" for all keys. contact is when the store last
 // answered that peer. fromShard is the shard that the cache contained when the snapshot was
 // requested; if it contains another one by now, the snapshot is discarded.
-func (m *Mirror) TakeAll(all []Change, revision int64, fromShard, shard string, contact clock.Time) {
+func (m *WatchCache) ApplySnapshot(all []Change, revision int64, fromShard, shard string, contact clock.Time) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	if m.Shard() != fromShard {
@@ -448,16 +448,16 @@
 }
 
 // Revision returns the highest revision seen; 0 before the first snapshot.
-func (m *Mirror) Revision() int64 {
+func (m *WatchCache) Revision() int64 {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.revision
 }
 
-// TakeMoved switches the cache to another shard by a peer's changes, which are what the cache
+// SwitchShard switches the cache to another shard by a peer's changes, which are what the cache
 // lacks of that shard. Pairs that remove accepts are removed from the cache. fromShard and
 // contact are as in TakeAll.
-func (m *Mirror) TakeMoved(changes []Change, revision int64, fromShard, shard string, remove func(Pair) bool, contact clock.Time) {
+func (m *WatchCache) SwitchShard(changes []Change, revision int64, fromShard, shard string, remove func(Pair) bool, contact clock.Time) {
 	m.notifyMu.Lock()
 	defer m.notifyMu.Unlock()
 	if m.Shard() != fromShard {
@@ -470,9 +470,9 @@
 
 // switchShard switches the cache to another shard, unless the changes are of another store
 // incarnation. It is called with notifyMu held.
-func (m *Mirror) switchShard(changes []Change, revision int64, shard string, remove func(Pair) bool) bool {
+func (m *WatchCache) switchShard(changes []Change, revision int64, shard string, remove func(Pair) bool) bool {
 	m.cacheMu.Lock()
-	if Era(revision) != Era(m.revision) {
+	if StoreIncarnation(revision) != StoreIncarnation(m.revision) {
 		// The response to the next request will be a full snapshot.
 		m.cacheMu.Unlock()
 		return false
@@ -485,7 +485,7 @@
 	}
 	for key, p := range m.pairs {
 		if remove(p) {
-			newer = append(newer, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, Dropped: true})
+			newer = append(newer, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, LeftShard: true})
 		}
 	}
 	m.update(newer)
@@ -499,29 +499,29 @@
 }
 
 // Shard returns the ID of the shard that the cache contains; "" means all keys.
-func (m *Mirror) Shard() string {
+func (m *WatchCache) Shard() string {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.shard
 }
 
-// Edits returns the number of changes made to the cache.
-func (m *Mirror) Edits() int64 {
+// EditCount returns the number of changes made to the cache.
+func (m *WatchCache) EditCount() int64 {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	return m.editCount
 }
 
 // Pair returns the cached pair of a key.
-func (m *Mirror) Pair(key string) (Pair, bool) {
+func (m *WatchCache) Pair(key string) (Pair, bool) {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	p, ok := m.pairs[key]
 	return p, ok
 }
 
-// Under returns the cached pairs whose keys begin with prefix, in no order.
-func (m *Mirror) Under(prefix string) []Pair {
+// WithPrefix returns the cached pairs whose keys begin with prefix, in no order.
+func (m *WatchCache) WithPrefix(prefix string) []Pair {
 	m.cacheMu.Lock()
 	defer m.cacheMu.Unlock()
 	var out []Pair
--- a/core/plat/watchcache_test.go
+++ b/core/plat/watchcache_test.go
@@ -18,13 +18,13 @@
 
 // watched is a Mirror with the changes that its observer received.
 type watched struct {
-	*plat.Mirror
+	*plat.WatchCache
 	mu       sync.Mutex
 	received []plat.Change
 }
 
 func watch(from plat.Reader) *watched {
-	w := &watched{Mirror: plat.NewMirror(from, plat.Prefix("a/"), &event.Log{})}
+	w := &watched{WatchCache: plat.NewWatchCache(from, plat.Prefix("a/"), &event.Log{})}
 	w.Observe(func(cs []plat.Change) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -70,7 +70,7 @@
 	_, err := kv.Commit(context.Background(), plat.Txn{Deletes: []string{"a/1"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Eventually(m.value("a/1"), "10s", "5ms").Should(gomega.BeEmpty())
-	g.Expect(m.Under("a/")).To(gomega.BeEmpty())
+	g.Expect(m.WithPrefix("a/")).To(gomega.BeEmpty())
 }
 
 func TestMirrorKeepsItsCacheInAnOutage(t *testing.T) {
@@ -131,25 +131,25 @@
 	g.Eventually(peer.value("a/1"), "10s", "5ms").Should(gomega.Equal("x"))
 
 	follower := watch(kv) // never started: the store does not answer it
-	all, revision := peer.All("", nil)
+	all, revision := peer.Snapshot("", nil)
 	now := clock.Now()
-	follower.TakeAll(all, revision, "", "", now)
+	follower.ApplySnapshot(all, revision, "", "", now)
 	g.Expect(follower.value("a/1")()).To(gomega.Equal("x"))
-	g.Expect(follower.Fresh()).To(gomega.Equal(now))
-	g.Expect(follower.Contact().IsZero()).To(gomega.BeTrue())
+	g.Expect(follower.FreshAsOf()).To(gomega.Equal(now))
+	g.Expect(follower.LastContact().IsZero()).To(gomega.BeTrue())
 
 	put(t, kv, "a/1", "y")
 	g.Eventually(peer.value("a/1"), "10s", "5ms").Should(gomega.Equal("y"))
-	changes, revision, whole := peer.Since(follower.Revision())
+	changes, revision, whole := peer.ChangesSince(follower.Revision())
 	g.Expect(whole).To(gomega.BeTrue())
-	follower.Take(changes, revision, now)
-	follower.Take(changes, revision, now)
+	follower.ApplyChanges(changes, revision, now)
+	follower.ApplyChanges(changes, revision, now)
 	g.Expect(follower.received).To(gomega.HaveLen(2))
 
 	// An older snapshot changes nothing.
-	follower.TakeAll(all, all[0].ModRevision, "", "", now)
+	follower.ApplySnapshot(all, all[0].ModRevision, "", "", now)
 	g.Expect(follower.value("a/1")()).To(gomega.Equal("y"))
-	_, _, whole = peer.Since(-1)
+	_, _, whole = peer.ChangesSince(-1)
 	g.Expect(whole).To(gomega.BeFalse())
 }
 
@@ -160,7 +160,7 @@
 
 // unfetched returns a change whose value is unfetched.
 func unfetched(key string, revision int64) plat.Change {
-	return plat.Change{Pair: plat.Pair{Key: key, ModRevision: revision}, Late: true}
+	return plat.Change{Pair: plat.Pair{Key: key, ModRevision: revision}, Unfetched: true}
 }
 
 func TestFormerValueStaysCachedUntilNewOneIsFetched(t *testing.T) {
@@ -173,43 +173,43 @@
 		received int
 	}{
 		{"nothing", func(*watched) {}, "former", true, 1},
-		{"it is fetched", func(m *watched) { m.Arrive(change("a/1", "new", 5).Pair) }, "new", false, 2},
-		{"a newer one is fetched", func(m *watched) { m.Arrive(change("a/1", "newer", 7).Pair) }, "newer", false, 2},
-		{"an older one is fetched", func(m *watched) { m.Arrive(change("a/1", "old", 4).Pair) }, "former", true, 1},
+		{"it is fetched", func(m *watched) { m.ApplyFetched(change("a/1", "new", 5).Pair) }, "new", false, 2},
+		{"a newer one is fetched", func(m *watched) { m.ApplyFetched(change("a/1", "newer", 7).Pair) }, "newer", false, 2},
+		{"an older one is fetched", func(m *watched) { m.ApplyFetched(change("a/1", "old", 4).Pair) }, "former", true, 1},
 		{"it is fetched twice", func(m *watched) {
-			m.Arrive(change("a/1", "new", 5).Pair)
-			m.Arrive(change("a/1", "new", 5).Pair)
+			m.ApplyFetched(change("a/1", "new", 5).Pair)
+			m.ApplyFetched(change("a/1", "new", 5).Pair)
 		}, "new", false, 2},
 		{"the fetched value is reported as unfetched again", func(m *watched) {
-			m.Arrive(change("a/1", "newer", 7).Pair)
-			m.Take([]plat.Change{unfetched("a/1", 7)}, 7, clock.Now())
+			m.ApplyFetched(change("a/1", "newer", 7).Pair)
+			m.ApplyChanges([]plat.Change{unfetched("a/1", 7)}, 7, clock.Now())
 		}, "newer", false, 2},
 		{"it is deleted", func(m *watched) {
-			m.Take([]plat.Change{{Pair: plat.Pair{Key: "a/1", ModRevision: 6}, Deleted: true}}, 6, clock.Now())
-			m.Arrive(change("a/1", "new", 5).Pair)
+			m.ApplyChanges([]plat.Change{{Pair: plat.Pair{Key: "a/1", ModRevision: 6}, Deleted: true}}, 6, clock.Now())
+			m.ApplyFetched(change("a/1", "new", 5).Pair)
 		}, "", false, 2},
 		{"a later change carries its value", func(m *watched) {
-			m.Take([]plat.Change{change("a/1", "new", 6)}, 6, clock.Now())
+			m.ApplyChanges([]plat.Change{change("a/1", "new", 6)}, 6, clock.Now())
 		}, "new", false, 2},
 		{"a snapshot has a later one, unfetched", func(m *watched) {
-			m.TakeAll([]plat.Change{unfetched("a/1", 8)}, 8, "", "", clock.Now())
-			m.Arrive(change("a/1", "new", 5).Pair)
+			m.ApplySnapshot([]plat.Change{unfetched("a/1", 8)}, 8, "", "", clock.Now())
+			m.ApplyFetched(change("a/1", "new", 5).Pair)
 		}, "former", true, 1},
-		{"a snapshot lacks it", func(m *watched) { m.TakeAll(nil, 8, "", "", clock.Now()) }, "", false, 2},
+		{"a snapshot lacks it", func(m *watched) { m.ApplySnapshot(nil, 8, "", "", clock.Now()) }, "", false, 2},
 		{"a snapshot older than the fetched value lacks it", func(m *watched) {
-			m.Arrive(change("a/1", "newer", 9).Pair)
-			m.TakeAll(nil, 8, "", "", clock.Now())
+			m.ApplyFetched(change("a/1", "newer", 9).Pair)
+			m.ApplySnapshot(nil, 8, "", "", clock.Now())
 		}, "newer", false, 2},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			m := watch(&memkv.KV{})
-			m.Take([]plat.Change{change("a/1", "former", 2)}, 2, clock.Now())
-			m.Take([]plat.Change{unfetched("a/1", 5)}, 5, clock.Now())
+			m.ApplyChanges([]plat.Change{change("a/1", "former", 2)}, 2, clock.Now())
+			m.ApplyChanges([]plat.Change{unfetched("a/1", 5)}, 5, clock.Now())
 			tc.then(m)
 			g.Expect(m.value("a/1")()).To(gomega.Equal(tc.value))
-			g.Expect(m.Behind()).To(gomega.Equal(tc.behind))
+			g.Expect(m.HasUnfetched()).To(gomega.Equal(tc.behind))
 			g.Expect(m.received).To(gomega.HaveLen(tc.received))
 		})
 	}
@@ -221,13 +221,13 @@
 	g := gomega.NewWithT(t)
 	m := watch(&memkv.KV{})
 	large := strings.Repeat("x", 32<<10)
-	m.Take([]plat.Change{change("a/1", "small", 2), change("a/2", large, 3), unfetched("a/3", 4)}, 4, clock.Now())
+	m.ApplyChanges([]plat.Change{change("a/1", "small", 2), change("a/2", large, 3), unfetched("a/3", 4)}, 4, clock.Now())
 	want := []plat.Change{change("a/1", "small", 2), unfetched("a/2", 3), unfetched("a/3", 4)}
-	changes, revision, whole := m.Since(1)
+	changes, revision, whole := m.ChangesSince(1)
 	g.Expect(whole).To(gomega.BeTrue())
 	g.Expect(revision).To(gomega.Equal(int64(4)))
 	g.Expect(changes).To(gomega.Equal(want))
-	all, revision := m.All("", nil)
+	all, revision := m.Snapshot("", nil)
 	g.Expect(revision).To(gomega.Equal(int64(4)))
 	g.Expect(all).To(gomega.Equal(want))
 	g.Expect(m.value("a/2")()).To(gomega.Equal(large))
@@ -255,22 +255,22 @@
 // applied, nor make the cache look fresher.
 func TestDataOfFormerShardIsDiscarded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := plat.NewMirror(&memkv.KV{}, plat.Prefix(""), &event.Log{})
+	m := plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), &event.Log{})
 	pair := func(key string, revision int64) plat.Change {
 		return plat.Change{Pair: plat.Pair{Key: key, Value: []byte("x"), ModRevision: revision}}
 	}
 	all := func(plat.Pair) bool { return true }
 	first := clock.Now()
-	m.TakeAll([]plat.Change{pair("a", 3)}, 3, "", "one", first)
+	m.ApplySnapshot([]plat.Change{pair("a", 3)}, 3, "", "one", first)
 	later := first.Add(time.Second)
-	m.TakeAll([]plat.Change{pair("b", 5)}, 5, "other", "two", later)
-	m.TakeMoved([]plat.Change{pair("c", 6)}, 6, "other", "two", all, later)
+	m.ApplySnapshot([]plat.Change{pair("b", 5)}, 5, "other", "two", later)
+	m.SwitchShard([]plat.Change{pair("c", 6)}, 6, "other", "two", all, later)
 	g.Expect(m.Shard()).To(gomega.Equal("one"))
 	g.Expect(m.Revision()).To(gomega.Equal(int64(3)))
-	g.Expect(m.Fresh()).To(gomega.Equal(first))
-	m.TakeMoved([]plat.Change{pair("c", 6)}, 6, "one", "two", func(p plat.Pair) bool { return p.Key == "a" }, later)
+	g.Expect(m.FreshAsOf()).To(gomega.Equal(first))
+	m.SwitchShard([]plat.Change{pair("c", 6)}, 6, "one", "two", func(p plat.Pair) bool { return p.Key == "a" }, later)
 	g.Expect(m.Shard()).To(gomega.Equal("two"))
-	g.Expect(m.Fresh()).To(gomega.Equal(later))
+	g.Expect(m.FreshAsOf()).To(gomega.Equal(later))
 	_, holds := m.Pair("a")
 	g.Expect(holds).To(gomega.BeFalse())
 }
--- a/core/poison/attempts.go
+++ b/core/poison/attempts.go
@@ -35,7 +35,7 @@
 
 // sentRequest identifies a request that was sent, for crash counting.
 type sentRequest struct {
-	request      Fingerprint
+	request      Digest
 	organisation string
 }
 
@@ -74,7 +74,7 @@
 }
 
 // shortKey shortens a digest for uses where a collision costs little.
-func shortKey(f Fingerprint) uint64 { return binary.BigEndian.Uint64(f[:]) }
+func shortKey(f Digest) uint64 { return binary.BigEndian.Uint64(f[:]) }
 
 // recordLoss records that a connection broke under a request. crashed reports that the incarnation
 // is recorded as crashed, first that this is its first broken connection, so that it must be
@@ -127,7 +127,7 @@
 
 // crashedAlone reports whether no other incarnation crashed at the same time. Those that had the
 // request in flight too don't count: it may have crashed them in turn.
-func (s *attempts) crashedAlone(incarnation string, f Fingerprint) bool {
+func (s *attempts) crashedAlone(incarnation string, f Digest) bool {
 	s.attemptsMu.Lock()
 	defer s.attemptsMu.Unlock()
 	i := slices.IndexFunc(s.recentCrashes, func(c crash) bool { return c.incarnation == incarnation })
@@ -215,7 +215,7 @@
 
 // recentlySucceeded reports whether a request recently completed well at an incarnation that did
 // not crash just after.
-func (s *attempts) recentlySucceeded(f Fingerprint) bool {
+func (s *attempts) recentlySucceeded(f Digest) bool {
 	s.attemptsMu.Lock()
 	defer s.attemptsMu.Unlock()
 	for _, generation := range []map[uint64]success{s.current, s.previous} {
--- a/core/poison/blocks.go
+++ b/core/poison/blocks.go
@@ -34,7 +34,7 @@
 type block struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack     struct{} `msgpack:",as_array"`
-	Request      Fingerprint
+	Request      Digest
 	Organisation string
 	// Released reports that the block was revoked.
 	Released bool
@@ -62,17 +62,17 @@
 	blocksMu sync.Mutex
 	// entries holds active blocks, released ones, and expired ones for as long again as they
 	// lasted, so that the next block is longer. Guarded by blocksMu.
-	entries map[Fingerprint]block
+	entries map[Digest]block
 	// publishUntil is the time until which heartbeats carry the whole list. Guarded by blocksMu.
 	publishUntil clock.Time
 }
 
 func newBlockList(log *event.Log, notify func()) *blockList {
-	return &blockList{log: log, notify: notify, entries: map[Fingerprint]block{}}
+	return &blockList{log: log, notify: notify, entries: map[Digest]block{}}
 }
 
 // remaining returns how much longer a request is blocked.
-func (l *blockList) remaining(f Fingerprint) (time.Duration, bool) {
+func (l *blockList) remaining(f Digest) (time.Duration, bool) {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
 	b, found := l.entries[f]
@@ -85,7 +85,7 @@
 
 // previousBlocks returns the number of consecutive blocks of a request, 0 if the last one expired
 // long ago or was released.
-func (l *blockList) previousBlocks(f Fingerprint) int {
+func (l *blockList) previousBlocks(f Digest) int {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
 	if b := l.entries[f]; !b.Released {
@@ -108,7 +108,7 @@
 }
 
 // add blocks a request.
-func (l *blockList) add(f Fingerprint, organisation, why string) block {
+func (l *blockList) add(f Digest, organisation, why string) block {
 	l.blocksMu.Lock()
 	old := l.entries[f]
 	if !old.Released && clock.Until(old.until) > 0 {
@@ -127,7 +127,7 @@
 }
 
 // release revokes a block, and returns the update for other daemons if there was one.
-func (l *blockList) release(f Fingerprint, why string) (update block, done bool) {
+func (l *blockList) release(f Digest, why string) (update block, done bool) {
 	l.blocksMu.Lock()
 	b, found := l.entries[f]
 	l.blocksMu.Unlock()
@@ -188,7 +188,7 @@
 }
 
 // evictionCandidate returns the request to evict first. It is called with blocksMu held.
-func (l *blockList) evictionCandidate() Fingerprint {
+func (l *blockList) evictionCandidate() Digest {
 	perOrganisation := map[string]int{}
 	for _, b := range l.entries {
 		perOrganisation[b.Organisation]++
--- a/core/poison/digest.go
+++ b/core/poison/digest.go
@@ -15,25 +15,25 @@
 	"strings"
 )
 
-// Fingerprint is the digest of a request. The same request from the same organisation has the same
+// Digest is the digest of a request. The same request from the same organisation has the same
 // digest at each daemon, whatever its request ID.
 //
 // It is the first half of a SHA-256. The organisation is part of the input, so nobody can craft a
 // request that collides with another organisation's. A collision would refuse a harmless request;
 // among 2^128 values that does not happen by accident.
-type Fingerprint [16]byte
+type Digest [16]byte
 
 // String returns the digest as hexadecimal digits.
-func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
+func (f Digest) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse parses the result of String.
-func Parse(s string) (Fingerprint, bool) {
-	var f Fingerprint
+// ParseDigest parses the result of String.
+func ParseDigest(s string) (Digest, bool) {
+	var f Digest
 	raw, err := hex.DecodeString(s)
 	if err != nil || len(raw) != len(f) {
 		return f, false
 	}
-	return Fingerprint(raw), true
+	return Digest(raw), true
 }
 
 // Request holds the parts of a request that its digest covers.
@@ -47,9 +47,9 @@
 	Body []byte
 }
 
-// Of returns the digest of a request. Headers are left out: IDs and deadlines differ between
+// DigestOf returns the digest of a request. Headers are left out: IDs and deadlines differ between
 // retries.
-func Of(r *Request) Fingerprint {
+func DigestOf(r *Request) Digest {
 	h := sha256.New()
 	for _, s := range []string{r.Organisation, r.Method, strings.ToLower(r.Host), r.URI} {
 		writeField(h, len(s))
@@ -58,7 +58,7 @@
 	}
 	_, _ = h.Write(r.Body)
 	var sum [sha256.Size]byte
-	return Fingerprint(h.Sum(sum[:0]))
+	return Digest(h.Sum(sum[:0]))
 }
 
 // writeField writes the length of a field, so that moving bytes between fields changes the digest.
--- a/core/poison/digest_test.go
+++ b/core/poison/digest_test.go
@@ -29,19 +29,19 @@
 			g := gomega.NewWithT(t)
 			changed := base
 			c.change(&changed)
-			g.Expect(Of(&changed) == Of(&base)).To(gomega.Equal(c.same))
+			g.Expect(DigestOf(&changed) == DigestOf(&base)).To(gomega.Equal(c.same))
 		})
 	}
 }
 
 func TestParseReversesString(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := Of(&Request{URI: "/"})
-	got, ok := Parse(f.String())
+	f := DigestOf(&Request{URI: "/"})
+	got, ok := ParseDigest(f.String())
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(got).To(gomega.Equal(f))
 	for _, s := range []string{"", "00", f.String() + "00", "zz" + f.String()[2:]} {
-		_, ok := Parse(s)
+		_, ok := ParseDigest(s)
 		g.Expect(ok).To(gomega.BeFalse(), s)
 	}
 }
@@ -50,6 +50,6 @@
 func BenchmarkOf(b *testing.B) {
 	r := Request{Organisation: "org", Method: "POST", Host: "site.example", URI: "/ask/a", Body: make([]byte, 800)}
 	for b.Loop() {
-		Of(&r)
+		DigestOf(&r)
 	}
 }
--- a/core/poison/guard.go
+++ b/core/poison/guard.go
@@ -23,13 +23,13 @@
 // Options configure a Guard.
 type Options struct {
 	Fleet *fleet.Fleet
-	// Try opens a connection to the address of an incarnation of a target and keeps it for use.
-	Try func(ctx context.Context, address string) error
-	Log *event.Log
+	// Dial opens a connection to the address of an incarnation of a target and keeps it for use.
+	Dial func(ctx context.Context, address string) error
+	Log  *event.Log
 	// Store is the coordination store and Mirror its watch cache. The store keeps the blocks for
 	// daemons that start while no other one is up. Both may be nil.
 	Store  plat.Writer
-	Mirror *plat.Mirror
+	Mirror *plat.WatchCache
 }
 
 // Guard blocks requests that crash targets.
@@ -51,7 +51,7 @@
 	countsMu sync.Mutex
 	// crashCounts holds the number of incarnations that crashed under each request that this daemon
 	// reported, as answered by crash trackers. Guarded by countsMu.
-	crashCounts map[Fingerprint]int
+	crashCounts map[Digest]int
 	// crashCount is the number of incarnations that crashed under requests of this daemon. Guarded
 	// by countsMu.
 	crashCount int64
@@ -59,8 +59,8 @@
 
 // New returns a Guard. It must be called before the fleet runs.
 func New(o Options) *Guard {
-	b := newBlockList(o.Log, o.Fleet.Kick)
-	g := &Guard{o: o, blocks: b, tracker: newCrashTracker(o.Log), crashCounts: map[Fingerprint]int{}}
+	b := newBlockList(o.Log, o.Fleet.TriggerHeartbeat)
+	g := &Guard{o: o, blocks: b, tracker: newCrashTracker(o.Log), crashCounts: map[Digest]int{}}
 	o.Fleet.Attach("blocks", b)
 	o.Fleet.Mux().Register(kindCrash, wire.Handle(g.receiveCrash))
 	o.Fleet.Mux().Register(kindBlock, wire.Handle(g.receiveBlocks))
@@ -68,16 +68,16 @@
 }
 
 // Blocked returns how much longer a request is blocked, and whether it is.
-func (g *Guard) Blocked(f Fingerprint) (time.Duration, bool) {
+func (g *Guard) Blocked(f Digest) (time.Duration, bool) {
 	if g == nil {
 		return 0, false
 	}
 	return g.blocks.remaining(f)
 }
 
-// Ends returns the number of incarnations that crashed under a request, as far as this daemon was
+// Crashes returns the number of incarnations that crashed under a request, as far as this daemon was
 // informed.
-func (g *Guard) Ends(f Fingerprint) int {
+func (g *Guard) Crashes(f Digest) int {
 	if g == nil {
 		return 0
 	}
@@ -86,9 +86,9 @@
 	return g.crashCounts[f]
 }
 
-// Good records that a request completed well at an incarnation of a target. If the request is
+// RecordSuccess records that a request completed well at an incarnation of a target. If the request is
 // blocked, it did not cause the earlier crashes, unless this incarnation crashes as well.
-func (g *Guard) Good(f Fingerprint, organisation, incarnation string) {
+func (g *Guard) RecordSuccess(f Digest, organisation, incarnation string) {
 	if g == nil {
 		return
 	}
@@ -98,16 +98,16 @@
 	}
 }
 
-// Answers records that an incarnation of a target responds.
-func (g *Guard) Answers(incarnation string) {
+// RecordResponsive records that an incarnation of a target responds.
+func (g *Guard) RecordResponsive(incarnation string) {
 	if g != nil {
 		g.attempts.markResponsive(incarnation)
 	}
 }
 
-// Lost records that the connection to an incarnation of a target broke while a request was in
+// RecordLostConnection records that the connection to an incarnation of a target broke while a request was in
 // flight there, and finds out whether the incarnation crashed.
-func (g *Guard) Lost(f Fingerprint, organisation, incarnation, address string) {
+func (g *Guard) RecordLostConnection(f Digest, organisation, incarnation, address string) {
 	if g == nil {
 		return
 	}
@@ -121,15 +121,15 @@
 	}
 }
 
-// Refused records a failed connection attempt. Only a refused connection counts as a crash.
-func (g *Guard) Refused(incarnation string, err error) {
+// RecordDialError records a failed connection attempt. Only a refused connection counts as a crash.
+func (g *Guard) RecordDialError(incarnation string, err error) {
 	if g != nil && errors.Is(err, syscall.ECONNREFUSED) {
 		g.recordCrash(incarnation, true)
 	}
 }
 
-// Ended records that an incarnation of a target ended unplanned, according to the platform's list.
-func (g *Guard) Ended(incarnation string) {
+// RecordListedCrash records that an incarnation of a target ended unplanned, according to the platform's list.
+func (g *Guard) RecordListedCrash(incarnation string) {
 	if g != nil {
 		g.recordCrash(incarnation, false)
 	}
--- a/core/poison/guard_test.go
+++ b/core/poison/guard_test.go
@@ -32,7 +32,7 @@
 type testDaemon struct {
 	fleet  *fleet.Fleet
 	guard  *Guard
-	mirror *plat.Mirror
+	mirror *plat.WatchCache
 	stop   func()
 }
 
@@ -64,9 +64,9 @@
 
 // run runs one daemon until the test ends or its stop is called.
 func (r *testFleet) run(name string, l net.Listener) *testDaemon {
-	m := &testDaemon{fleet: fleet.New(fleet.Options{Name: name, Incarnation: name + time.Now().String(), Seeds: r.seeds, Heartbeat: heartbeat, Suspect: suspectAfter, Log: &event.Log{}})}
-	m.mirror = plat.NewMirror(r.store, plat.Prefix(""), &event.Log{})
-	m.guard = New(Options{Fleet: m.fleet, Try: r.try, Log: &event.Log{}, Store: r.store, Mirror: m.mirror})
+	m := &testDaemon{fleet: fleet.New(fleet.Options{Name: name, Incarnation: name + time.Now().String(), Seeds: r.seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspectAfter, Log: &event.Log{}})}
+	m.mirror = plat.NewWatchCache(r.store, plat.Prefix(""), &event.Log{})
+	m.guard = New(Options{Fleet: m.fleet, Dial: r.try, Log: &event.Log{}, Store: r.store, Mirror: m.mirror})
 	m.mirror.Observe(func(list []plat.Change) {
 		for _, c := range list {
 			m.guard.Observe(c)
@@ -91,17 +91,17 @@
 }
 
 // digestOf returns the digest of a request with the given body.
-func digestOf(text string) Fingerprint {
-	return Of(&Request{Organisation: "org", Method: "POST", Body: []byte(text)})
+func digestOf(text string) Digest {
+	return DigestOf(&Request{Organisation: "org", Method: "POST", Body: []byte(text)})
 }
 
 // crash makes an incarnation crash under a request at one daemon.
-func (r *testFleet) crash(daemon int, f Fingerprint, incarnation string) {
-	r.daemons[daemon%len(r.daemons)].guard.Lost(f, "org", incarnation, "10.0.0.1:1")
+func (r *testFleet) crash(daemon int, f Digest, incarnation string) {
+	r.daemons[daemon%len(r.daemons)].guard.RecordLostConnection(f, "org", incarnation, "10.0.0.1:1")
 }
 
 // blockedDaemons returns a function that counts the daemons that block a request.
-func (r *testFleet) blockedDaemons(f Fingerprint) func() int {
+func (r *testFleet) blockedDaemons(f Digest) func() int {
 	return func() int {
 		n := 0
 		for _, m := range r.daemons {
@@ -114,7 +114,7 @@
 }
 
 // waitForCrashes waits until the crash trackers have counted so many crashes.
-func (r *testFleet) waitForCrashes(f Fingerprint, crashes int) {
+func (r *testFleet) waitForCrashes(f Digest, crashes int) {
 	r.g.Eventually(func() int {
 		n := 0
 		for _, m := range r.daemons {
@@ -171,9 +171,9 @@
 	for i := range 4 {
 		r.crash(0, f, fmt.Sprintf("inc-%d", i))
 	}
-	r.g.Consistently(func() int { return r.daemons[0].guard.Suspects() + r.daemons[1].guard.Suspects() }, 3*redialPause, "10ms").Should(gomega.BeZero())
+	r.g.Consistently(func() int { return r.daemons[0].guard.SuspectCount() + r.daemons[1].guard.SuspectCount() }, 3*redialPause, "10ms").Should(gomega.BeZero())
 	for i := range 3 {
-		r.daemons[0].guard.Ended(fmt.Sprintf("inc-%d", i))
+		r.daemons[0].guard.RecordListedCrash(fmt.Sprintf("inc-%d", i))
 	}
 	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(2))
 }
@@ -183,7 +183,7 @@
 	r := newTestFleet(t, 3)
 	f := digestOf("frequent")
 	for i := range 6 {
-		r.daemons[i%3].guard.Good(f, "org", fmt.Sprintf("well-%d", i))
+		r.daemons[i%3].guard.RecordSuccess(f, "org", fmt.Sprintf("well-%d", i))
 		r.crash(i, f, fmt.Sprintf("inc-%d", i))
 	}
 	r.g.Consistently(r.blockedDaemons(f), 5*heartbeat, "5ms").Should(gomega.BeZero())
@@ -195,8 +195,8 @@
 	f := digestOf("fatal")
 	for i := range 3 {
 		incarnation := fmt.Sprintf("inc-%d", i)
-		r.daemons[0].guard.Good(f, "org", incarnation)
-		r.daemons[0].guard.Refused(incarnation, errors.WithStack(syscall.ECONNREFUSED))
+		r.daemons[0].guard.RecordSuccess(f, "org", incarnation)
+		r.daemons[0].guard.RecordDialError(incarnation, errors.WithStack(syscall.ECONNREFUSED))
 		if i < 2 {
 			r.waitForCrashes(f, i+1)
 		}
@@ -208,7 +208,7 @@
 func TestTheCountSurvivesTheLossOfACrashTracker(t *testing.T) {
 	r := newTestFleet(t, 5)
 	f := digestOf("fatal")
-	ranked := fleet.Rank(shortKey(f), r.daemons[0].fleet.View().Listed())
+	ranked := fleet.Rank(shortKey(f), r.daemons[0].fleet.View().NotDraining())
 	at := map[string]int{}
 	for i, s := range r.seeds {
 		at[s.Name] = i
@@ -217,7 +217,7 @@
 		r.crash(at[ranked[4]], f, fmt.Sprintf("inc-%d", i))
 		r.waitForCrashes(f, i+1)
 	}
-	r.g.Eventually(func() int { return r.daemons[at[ranked[1]]].guard.Suspects() }, maxWait, "5ms").Should(gomega.Equal(1))
+	r.g.Eventually(func() int { return r.daemons[at[ranked[1]]].guard.SuspectCount() }, maxWait, "5ms").Should(gomega.Equal(1))
 	r.daemons[at[ranked[0]]].stop()
 	r.crash(at[ranked[3]], f, "inc-2")
 	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.BeNumerically(">=", 4))
@@ -275,9 +275,9 @@
 		r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(3))
 	}
 	crashThrice(0)
-	stored := func() bool { _, there := r.daemons[0].mirror.Pair(KeyBlocks + f.String()); return there }
+	stored := func() bool { _, there := r.daemons[0].mirror.Pair(BlockPrefix + f.String()); return there }
 	r.g.Eventually(stored, maxWait, "5ms").Should(gomega.BeTrue())
-	_, err := r.store.Commit(context.Background(), plat.Txn{Deletes: []string{KeyBlocks + f.String()}})
+	_, err := r.store.Commit(context.Background(), plat.Txn{Deletes: []string{BlockPrefix + f.String()}})
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.BeZero())
 	r.g.Consistently(r.blockedDaemons(f), 5*heartbeat, "5ms").Should(gomega.BeZero())
@@ -297,10 +297,10 @@
 		r.crash(i, f, fmt.Sprintf("inc-%d", i))
 	}
 	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(3))
-	stored := func() bool { _, there := r.daemons[0].mirror.Pair(KeyBlocks + f.String()); return there }
+	stored := func() bool { _, there := r.daemons[0].mirror.Pair(BlockPrefix + f.String()); return there }
 	r.g.Eventually(stored, maxWait, "5ms").Should(gomega.BeTrue())
 	r.store.Restore(before)
-	r.g.Eventually(func() bool { return r.daemons[0].mirror.Era() == 1 && stored() }, maxWait, "5ms").Should(gomega.BeTrue())
+	r.g.Eventually(func() bool { return r.daemons[0].mirror.StoreIncarnation() == 1 && stored() }, maxWait, "5ms").Should(gomega.BeTrue())
 	r.g.Expect(r.blockedDaemons(f)()).To(gomega.Equal(3))
 }
 
@@ -324,13 +324,13 @@
 func TestNilGuardBlocksNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var none *Guard
-	none.Lost(digestOf("a"), "org", "inc", "10.0.0.1:1")
-	none.Good(digestOf("a"), "org", "inc")
-	none.Refused("inc", syscall.ECONNREFUSED)
-	none.Ended("inc")
+	none.RecordLostConnection(digestOf("a"), "org", "inc", "10.0.0.1:1")
+	none.RecordSuccess(digestOf("a"), "org", "inc")
+	none.RecordDialError("inc", syscall.ECONNREFUSED)
+	none.RecordListedCrash("inc")
 	_, blocked := none.Blocked(digestOf("a"))
 	g.Expect(blocked).To(gomega.BeFalse())
-	g.Expect(none.Ends(digestOf("a"))).To(gomega.BeZero())
+	g.Expect(none.Crashes(digestOf("a"))).To(gomega.BeZero())
 }
 
 // Simultaneous crashes have another cause than a request that was at one of them: three of them do
@@ -355,7 +355,7 @@
 		crashTwo(i)
 	}
 	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(2))
-	r.daemons[1].guard.Good(f, "org", "well")
+	r.daemons[1].guard.RecordSuccess(f, "org", "well")
 	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.BeZero())
 }
 
@@ -366,14 +366,14 @@
 	g := r.daemons[0].guard
 	r.crash(0, digestOf("a"), "inc")
 	r.waitForCrashes(digestOf("a"), 1)
-	g.Answers("inc")
+	g.RecordResponsive("inc")
 	r.alive.Store(true)
 	r.crash(0, digestOf("b"), "inc")
-	r.g.Consistently(g.Suspects, 3*redialPause, "10ms").Should(gomega.Equal(1))
+	r.g.Consistently(g.SuspectCount, 3*redialPause, "10ms").Should(gomega.Equal(1))
 }
 
 // weightOf returns the weight of the crashes under a request.
-func (t *crashTracker) weightOf(f Fingerprint) int {
+func (t *crashTracker) weightOf(f Digest) int {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
 	if s := t.suspects[f]; s != nil {
--- a/core/poison/operators.go
+++ b/core/poison/operators.go
@@ -4,10 +4,10 @@
 
 // BlockedRequest is a blocked request as shown to operators.
 type BlockedRequest struct {
-	Asks         string    `json:"asks"`
+	Digest       string    `json:"asks"`
 	Organisation string    `json:"organisation"`
 	Until        time.Time `json:"until"`
-	Times        int       `json:"times"`
+	Consecutive  int       `json:"times"`
 }
 
 // List returns the blocked requests, ordered by digest.
@@ -22,20 +22,20 @@
 }
 
 // Release revokes a block in all daemons, and reports whether there was one.
-func (g *Guard) Release(f Fingerprint, why string) bool {
+func (g *Guard) Release(f Digest, why string) bool {
 	g.tracker.forget(f)
 	return g.release(f, why)
 }
 
-// Blocks returns the number of blocked requests.
-func (g *Guard) Blocks() int { return g.blocks.count() }
+// BlockedCount returns the number of blocked requests.
+func (g *Guard) BlockedCount() int { return g.blocks.count() }
 
-// Suspects returns the number of requests that this daemon counts crashes for.
-func (g *Guard) Suspects() int { return g.tracker.size() }
+// SuspectCount returns the number of requests that this daemon counts crashes for.
+func (g *Guard) SuspectCount() int { return g.tracker.size() }
 
-// EndedRuns returns the number of incarnations of targets that crashed under requests of this
+// CrashCount returns the number of incarnations of targets that crashed under requests of this
 // daemon.
-func (g *Guard) EndedRuns() int64 {
+func (g *Guard) CrashCount() int64 {
 	g.countsMu.Lock()
 	defer g.countsMu.Unlock()
 	return g.crashCount
--- a/core/poison/probe.go
+++ b/core/poison/probe.go
@@ -11,7 +11,7 @@
 // unblocker releases a block if the incarnation at which the request completed well survives.
 type unblocker struct {
 	guard       *Guard
-	request     Fingerprint
+	request     Digest
 	incarnation string
 }
 
@@ -45,7 +45,7 @@
 			time.Sleep(redialPause)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
-		err := p.guard.o.Try(ctx, p.address)
+		err := p.guard.o.Dial(ctx, p.address)
 		cancel()
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			p.guard.recordCrash(p.incarnation, true)
--- a/core/poison/report.go
+++ b/core/poison/report.go
@@ -31,7 +31,7 @@
 type crashReport struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack     struct{} `msgpack:",as_array"`
-	Request      Fingerprint
+	Request      Digest
 	Organisation string
 	Incarnation  string
 	// Succeeded states that the same request recently completed well at another incarnation, and
@@ -91,7 +91,7 @@
 // reportCrash reports to the crash trackers of a request: the first that answer.
 func (g *Guard) reportCrash(r *crashReport) {
 	view := g.o.Fleet.View()
-	ranked := fleet.Rank(shortKey(r.Request), view.Living())
+	ranked := fleet.Rank(shortKey(r.Request), view.NotLost())
 	acknowledged, crashes := 0, 0
 	for _, name := range ranked[:min(len(ranked), maxTrackersTried)] {
 		reply, err := g.reportTo(view.Self(), name, r)
@@ -120,7 +120,7 @@
 }
 
 // cacheCount caches how many incarnations crashed under a request.
-func (g *Guard) cacheCount(f Fingerprint, crashes int) {
+func (g *Guard) cacheCount(f Digest, crashes int) {
 	g.countsMu.Lock()
 	defer g.countsMu.Unlock()
 	if len(g.crashCounts) >= maxCrashCounts {
@@ -156,7 +156,7 @@
 }
 
 // release revokes a block and notifies the other cells; it reports whether there was one.
-func (g *Guard) release(f Fingerprint, why string) bool {
+func (g *Guard) release(f Digest, why string) bool {
 	b, released := g.blocks.release(f, why)
 	if released {
 		g.sendToCells(b)
@@ -184,7 +184,7 @@
 
 func (t cellSender) run() {
 	acknowledged := 0
-	for _, name := range t.view.Homes(t.cell, shortKey(t.block.Request), maxReceiversTried) {
+	for _, name := range t.view.Owners(t.cell, shortKey(t.block.Request), maxReceiversTried) {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		err := t.guard.o.Fleet.Call(ctx, name, kindBlock, &blockUpdate{Blocks: []block{t.block}}, &struct{}{})
 		cancel()
--- a/core/poison/store.go
+++ b/core/poison/store.go
@@ -13,9 +13,9 @@
 	"embertally.dev/core/wait"
 )
 
-// KeyBlocks is the prefix of blocked requests in the coordination store. Removing a key there
+// BlockPrefix is the prefix of blocked requests in the coordination store. Removing a key there
 // releases the block.
-const KeyBlocks = "embertally/blocked/"
+const BlockPrefix = "embertally/blocked/"
 
 const (
 	// storeInterval is the pause between checks of what the store holds, and storeRankDelay how
@@ -40,16 +40,16 @@
 
 // Observe processes a change of the coordination store; it ignores keys other than blocks.
 func (g *Guard) Observe(c plat.Change) {
-	name, isBlock := strings.CutPrefix(c.Key, KeyBlocks)
+	name, isBlock := strings.CutPrefix(c.Key, BlockPrefix)
 	if !isBlock {
 		return
 	}
-	f, ok := Parse(name)
+	f, ok := ParseDigest(name)
 	if !ok {
 		g.o.Log.Emit(event.ConfUnderived, event.Ref{Resource: c.Key}, "the key is not a request digest")
 		return
 	}
-	if c.Restored {
+	if c.DeletedByRestore {
 		// Nobody removed it; its crash trackers write it again.
 		return
 	}
@@ -80,14 +80,14 @@
 
 // syncStore brings the store up to date.
 func (g *Guard) syncStore(ctx context.Context) {
-	if g.o.Mirror.Down() || clock.Since(g.o.Mirror.Fresh()) > maxMirrorAge {
+	if g.o.Mirror.Down() || clock.Since(g.o.Mirror.FreshAsOf()) > maxMirrorAge {
 		return
 	}
 	list := g.blocks.list()
 	view := g.o.Fleet.View()
 	for i := range list {
 		b := &list[i]
-		place := fleet.Place(shortKey(b.Request), view.Listed(), view.Self())
+		place := fleet.RankOf(shortKey(b.Request), view.NotDraining(), view.Self())
 		if place >= trackersPerRequest {
 			continue
 		}
@@ -96,14 +96,14 @@
 			continue
 		}
 		if err := g.syncBlock(ctx, b); err != nil {
-			g.o.Log.Emit(event.ConfUnknown, event.Ref{Resource: KeyBlocks + b.Request.String()}, err.Error())
+			g.o.Log.Emit(event.ConfUnknown, event.Ref{Resource: BlockPrefix + b.Request.String()}, err.Error())
 		}
 	}
 }
 
 // syncBlock writes or removes one block, unless the store is already up to date.
 func (g *Guard) syncBlock(ctx context.Context, b *block) error {
-	name := KeyBlocks + b.Request.String()
+	name := BlockPrefix + b.Request.String()
 	pair, found := g.o.Mirror.Pair(name)
 	txn := plat.Txn{Compares: []plat.Compare{{Key: name, ModRevision: pair.ModRevision}}}
 	var s storedBlock
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -70,17 +70,17 @@
 	log *event.Log
 
 	trackerMu sync.Mutex
-	suspects  map[Fingerprint]*suspect // guarded by trackerMu
+	suspects  map[Digest]*suspect // guarded by trackerMu
 }
 
 func newCrashTracker(log *event.Log) *crashTracker {
-	return &crashTracker{log: log, suspects: map[Fingerprint]*suspect{}}
+	return &crashTracker{log: log, suspects: map[Digest]*suspect{}}
 }
 
 // countCrash records one daemon's report that an incarnation crashed under a request. It returns
 // the number of crashes, and whether the request is to be blocked. An incarnation counts once,
 // whichever daemons report it.
-func (t *crashTracker) countCrash(f Fingerprint, organisation, incarnation string, weight int) (crashes int, mustBlock bool) {
+func (t *crashTracker) countCrash(f Digest, organisation, incarnation string, weight int) (crashes int, mustBlock bool) {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
 	now := clock.Now()
@@ -103,7 +103,7 @@
 
 // halveCrash makes a crash that coincided with others count half, and reports whether the request
 // thereby falls below the weight for a block.
-func (t *crashTracker) halveCrash(f Fingerprint, incarnation string) bool {
+func (t *crashTracker) halveCrash(f Digest, incarnation string) bool {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
 	s := t.suspects[f]
@@ -116,14 +116,14 @@
 }
 
 // forget removes the crashes attributed to a request.
-func (t *crashTracker) forget(f Fingerprint) {
+func (t *crashTracker) forget(f Digest) {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
 	delete(t.suspects, f)
 }
 
 // names returns the incarnations that crashed under a request, for the log.
-func (t *crashTracker) names(f Fingerprint) string {
+func (t *crashTracker) names(f Digest) string {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
 	if s := t.suspects[f]; s != nil {
@@ -144,7 +144,7 @@
 	if len(t.suspects) < maxSuspects {
 		return
 	}
-	var digest Fingerprint
+	var digest Digest
 	var found *suspect
 	for f, s := range t.suspects {
 		if found == nil || len(s.crashes) < len(found.crashes) || (len(s.crashes) == len(found.crashes) && s.lastCrash.Before(found.lastCrash)) {
