--- a/core/relay/admit.go
+++ b/core/relay/admit.go
@@ -68,7 +68,7 @@
 		return p.refuseUnknown(http.StatusNotFound, entry.CodeNotFound, "there is no route for this host and path")
 	}
 	p.organisation = t.Organisation(meta.APIKey)
-	if p.organisation == nil && t.Keyed() && !p.route.Public {
+	if p.organisation == nil && t.RequiresKeys() && !p.route.Public {
 		return p.refuseUnknown(http.StatusUnauthorized, entry.CodeBadKey, "the key is not known")
 	}
 	p.regions = regionsOf(p.route, p.organisation)
@@ -114,8 +114,8 @@
 // readBody reads the complete body, so that the request can be sent more than once.
 func (p *proxiedRequest) readBody(limits table.Limits) *entry.Refusal {
 	maxBytes := int64(defaultMaxBodyBytes)
-	if limits.BodyBytes > 0 {
-		maxBytes = limits.BodyBytes
+	if limits.MaxBodyBytes > 0 {
+		maxBytes = limits.MaxBodyBytes
 	}
 	tooLarge := entry.NewRefusal(http.StatusRequestEntityTooLarge, entry.CodeTooLarge, entry.NotRun, "the body is too large", 0)
 	if p.r.ContentLength > maxBytes {
@@ -148,12 +148,12 @@
 		return nil
 	}
 	p.relay.options.Stats.Blocked.Inc()
-	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeEndsTargets, entry.NotRun, crashesTargets, remaining)
+	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeCrashesTargets, entry.NotRun, crashesTargets, remaining)
 }
 
 // requestDigest returns the digest that identifies equal requests.
-func (p *proxiedRequest) requestDigest() poison.Fingerprint {
-	return poison.Of(&poison.Request{Organisation: p.organisationName(), Method: p.r.Method, Host: p.r.Host, URI: p.r.RequestURI, Body: p.body})
+func (p *proxiedRequest) requestDigest() poison.Digest {
+	return poison.DigestOf(&poison.Request{Organisation: p.organisationName(), Method: p.r.Method, Host: p.r.Host, URI: p.r.RequestURI, Body: p.body})
 }
 
 // readAll appends everything that r yields to b, using the free capacity of b first.
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -22,7 +22,7 @@
 func (p *proxiedRequest) attempt(ctx context.Context, c *choice) (outcome, *bufferedResponse) {
 	c.addLoad()
 	version := c.target.Entry().Version
-	p.relay.options.Canary.Begin(p.service, version)
+	p.relay.options.Canary.RequestStarted(p.service, version)
 	// If another cell made the choice, the context owner there publishes the load.
 	if p.meta.PromptTokens > 0 && c.report == nil && !p.relay.options.Disabled.Publishing {
 		p.relay.options.PublishState()
@@ -34,7 +34,7 @@
 			load.QueuedTokens = 0
 		}
 		c.target.RemoveLoad(load)
-		p.relay.options.Canary.End(p.service, version)
+		p.relay.options.Canary.RequestEnded(p.service, version)
 		c.report.reportEnd()
 	}()
 	// The prompt counts as not yet prefilled until the first event or response.
@@ -63,7 +63,7 @@
 	}
 	p.attempts++
 	p.executions++
-	p.relay.options.Poison.Answers(c.target.ID())
+	p.relay.options.Poison.RecordResponsive(c.target.ID())
 	if respMeta.WeightVersion > 0 {
 		p.relay.options.Roster.RecordVersion(c.target.ID(), p.meta.Model, respMeta.WeightVersion)
 	}
@@ -84,8 +84,8 @@
 // waitBudget bounds the wait for a response while another target may still respond on time.
 func (p *proxiedRequest) waitBudget(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
 	now := time.Now()
-	remaining := p.route.Aim - now.Sub(p.start)
-	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.Attempts || remaining <= 0 || c.onlyCandidate || p.relay.options.Disabled.WaitBudget {
+	remaining := p.route.LatencyObjective - now.Sub(p.start)
+	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.MaxAttempts || remaining <= 0 || c.onlyCandidate || p.relay.options.Disabled.WaitBudget {
 		return context.WithCancel(ctx)
 	}
 	budget := p.estimate(now).WaitBudget(remaining, c.evaluation.Expected, c.evaluation.Expected, retryAdvantage)
@@ -124,7 +124,7 @@
 	}
 	p.recordNoResponse(c)
 	if !sent {
-		p.relay.options.Poison.Refused(c.target.ID(), err)
+		p.relay.options.Poison.RecordDialError(c.target.ID(), err)
 		return outcomeNotSent
 	}
 	if !target.ClosedEarly(err) {
@@ -137,13 +137,13 @@
 // may have crashed the target, and its caller may repeat it.
 func (p *proxiedRequest) recordDisconnect(c *choice) {
 	if _, shuttingDown := p.relay.options.Roster.ShuttingDown(c.target); !shuttingDown {
-		p.relay.options.Poison.Lost(p.digest, p.organisationName(), c.target.ID(), c.target.Entry().Address)
+		p.relay.options.Poison.RecordLostConnection(p.digest, p.organisationName(), c.target.ID(), c.target.Entry().Address)
 	}
 }
 
 // recordSuccess records that a target completed the request.
 func (p *proxiedRequest) recordSuccess(c *choice) {
-	p.relay.options.Poison.Good(p.digest, p.organisationName(), c.target.ID())
+	p.relay.options.Poison.RecordSuccess(p.digest, p.organisationName(), c.target.ID())
 }
 
 // organisationName returns the name of the caller's organisation, or "".
@@ -161,7 +161,7 @@
 	p.recordSelfReport(c, misdirected, respMeta)
 	switch {
 	case respMeta.AttemptID != "" && respMeta.AttemptID != p.meta.AttemptID, respMeta.AttemptID == "" && !respMeta.NotExecuted && !misdirected:
-		p.relay.options.Stats.MismatchedAnswers.Inc()
+		p.relay.options.Stats.MismatchedResponses.Inc()
 		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the response is for request "+strconv.Quote(respMeta.AttemptID))
 		resp.Discard()
 		p.attempts++
--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -182,7 +182,7 @@
 // the fraction of the service's targets that they were taken from.
 func (p *proxiedRequest) routeInput(targets int, share float64, now time.Time) route.PickRequest {
 	out := route.PickRequest{
-		Tokens: p.meta.PromptTokens, Bytes: p.bodyBytes, Objective: p.route.Aim, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
+		Tokens: p.meta.PromptTokens, Bytes: p.bodyBytes, Objective: p.route.LatencyObjective, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
 		UtilityRate: share * p.relay.utilityRate(p.service, targets, now),
 	}
 	if p.relay.options.Disabled.QueueCost {
--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -215,10 +215,10 @@
 // limitConnections sets this daemon's share of the connections to a target. external is set if the
 // target belongs to another cell.
 func (p *proxiedRequest) limitConnections(svc *table.Service, address string, external bool) {
-	if svc.MaxConns <= 0 {
+	if svc.MaxConnsPerTarget <= 0 {
 		return
 	}
-	limit, daemons := connectionShare*float64(svc.MaxConns), p.relay.options.DaemonCount()
+	limit, daemons := connectionShare*float64(svc.MaxConnsPerTarget), p.relay.options.DaemonCount()
 	switch {
 	case !p.relay.sharded(p.service):
 	case external:
--- a/core/relay/feedback.go
+++ b/core/relay/feedback.go
@@ -74,7 +74,7 @@
 // recordResponse records a response of a target, and whether it was good.
 func (p *proxiedRequest) recordResponse(c *choice, good bool) {
 	if !p.remote {
-		p.relay.options.Canary.Answered(p.service, p.route.Name, c.target.Entry().Version, good)
+		p.relay.options.Canary.RecordAnswer(p.service, p.route.Name, c.target.Entry().Version, good)
 	}
 	c.target.RecordResponse()
 	c.report.recordResponse(good)
@@ -86,7 +86,7 @@
 	now := time.Now()
 	took := now.Sub(sent)
 	if c.baseline > 0 {
-		p.relay.options.Canary.Timed(p.service, p.route.Name, c.target.Entry().Version, float64(took)/float64(c.baseline))
+		p.relay.options.Canary.RecordTime(p.service, p.route.Name, c.target.Entry().Version, float64(took)/float64(c.baseline))
 	}
 	if p.forecast != nil && p.forecast.FirstMillis == 0 && p.attempts <= 1 {
 		p.forecast.FirstMillis = event.Millis(took)
@@ -133,7 +133,7 @@
 // learnResponse records whether a target responded, and without a failure.
 func (p *proxiedRequest) learnResponse(c *choice, good bool) {
 	if !p.relay.options.Disabled.Targets {
-		p.relay.options.TargetStats.ObserveAnswer(c.target.ID(), p.service, good, time.Now())
+		p.relay.options.TargetStats.ObserveResponse(c.target.ID(), p.service, good, time.Now())
 	}
 }
 
--- a/core/relay/finish.go
+++ b/core/relay/finish.go
@@ -95,6 +95,6 @@
 	}
 	p.forecast = &event.Forecast{
 		Service: p.service, Target: c.target.ID(), ExpectedMillis: event.Millis(c.evaluation.Expected),
-		InTime: c.evaluation.WithinObjective, Served: c.evaluation.BeforeDeadline, AimMillis: event.Millis(p.route.Aim - time.Since(p.start)),
+		InTime: c.evaluation.WithinObjective, Served: c.evaluation.BeforeDeadline, AimMillis: event.Millis(p.route.LatencyObjective - time.Since(p.start)),
 	}
 }
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -81,7 +81,7 @@
 func NewContextOwners(rl *Relay, f *fleet.Fleet) *ContextOwners {
 	co := &ContextOwners{
 		relay: rl, fleet: f, timeout: ownerTimeout, placements: map[string]*ownedPlacement{},
-		backoff: wait.Backoff[string]{First: backoffFirst, Most: backoffMax},
+		backoff: wait.Backoff[string]{Initial: backoffFirst, Max: backoffMax},
 	}
 	rl.owners = co
 	f.Mux().Register(kindPlace, wire.Handle(co.handlePlace))
@@ -117,7 +117,7 @@
 	// Regions restrict where the request may run.
 	Regions regions
 	// Versions restricts the target versions that the request may go to.
-	Versions canary.Side
+	Versions canary.VersionFilter
 }
 
 // placementSegment is one segment of a prompt.
@@ -243,8 +243,8 @@
 	}
 	p.cellsQueried = now
 	view := co.fleet.View()
-	for _, cell := range view.NextCells() {
-		peers := co.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
+	for _, cell := range view.FallbackCells() {
+		peers := co.responsive(view.Owners(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
 		if c := p.chooseByPeers(ctx, svc, peers, now); c != nil {
 			return c
 		}
@@ -314,7 +314,7 @@
 // newPlacementRequest returns the query for the request.
 func (p *proxiedRequest) newPlacementRequest(now time.Time) *placementRequest {
 	request := &placementRequest{
-		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.Aim, Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).Wall, PromptTokens: p.meta.PromptTokens,
+		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.LatencyObjective, Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).IsolatedOrganisation, PromptTokens: p.meta.PromptTokens,
 		BodyBytes: p.bodyBytes, OriginDomain: p.relay.options.Domain, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
 		Regions: p.regions, Versions: p.versions, RateLimits: p.relay.options.Roster.RateLimits(p.service), NeedsPermit: p.rateLimited != nil,
 	}
@@ -370,7 +370,7 @@
 	if cell == view.Cell() {
 		return nil
 	}
-	return co.responsive(view.Homes(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
+	return co.responsive(view.Owners(cell, fleet.Key("home/"+view.Self()), maxOwnerQueries), now)
 }
 
 // ownerCell returns the cell that owns a context. Each cell has about the same number of targets of
@@ -379,12 +379,12 @@
 	if co.relay.sharded(service) {
 		return view.KeyCell(contextHash)
 	}
-	return view.WeighedCell(contextHash)
+	return view.WeightedCell(contextHash)
 }
 
 // responsive returns those of some daemons that are not in backoff.
 func (co *ContextOwners) responsive(names []string, now time.Time) []string {
-	return slices.DeleteFunc(names, func(name string) bool { return !co.backoff.Open(name, now) })
+	return slices.DeleteFunc(names, func(name string) bool { return !co.backoff.Ready(name, now) })
 }
 
 // query queries one daemon.
@@ -394,10 +394,10 @@
 	var response placementResponse
 	err := co.fleet.Call(ctx, peer, kindPlace, request, &response)
 	if err != nil && !errors.Is(err, wire.ErrRemote) {
-		co.backoff.Failed(peer, time.Now())
+		co.backoff.RecordFailure(peer, time.Now())
 		return nil, err
 	}
-	co.backoff.Worked(peer)
+	co.backoff.RecordSuccess(peer)
 	return &response, err
 }
 
--- a/core/relay/owners_test.go
+++ b/core/relay/owners_test.go
@@ -53,13 +53,13 @@
 		// Keep the times of real engines: this rig's are not to be learned.
 		r.relay.options.Disabled.Times, r.relay.options.Disabled.Targets = true, true
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: 250 * time.Millisecond, Suspect: 10 * time.Second, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: 250 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: &event.Log{},
 		})
 		f.Attach("roster", roster.HeartbeatPart{Roster: r.roster})
 		f.Attach("where", r.relay.options.WorkerCaches)
-		r.relay.options.OwnTargets = func(names []string) []string { return f.View().Share(names) }
+		r.relay.options.OwnTargets = func(names []string) []string { return f.View().CellShare(names) }
 		r.relay.options.DaemonCount = func() int { return daemons }
-		r.relay.options.PublishState = f.Kick
+		r.relay.options.PublishState = f.TriggerHeartbeat
 		owners := NewContextOwners(r.relay, f)
 		// A busy box takes longer than an owner may.
 		owners.timeout = 10 * time.Second
@@ -79,17 +79,17 @@
 		}
 	}
 	for _, f := range h.fleets {
-		h.g.Eventually(func() int { return len(f.View().OnDuty()) }, waitTimeout, pollInterval).Should(gomega.BeNumerically(">", 1))
+		h.g.Eventually(func() int { return len(f.View().Eligible()) }, waitTimeout, pollInterval).Should(gomega.BeNumerically(">", 1))
 	}
 	return h
 }
 
 // ownerCell returns the cell that owns a context, and the workers that this cell uses.
 func (h *fleetRig) ownerCell(context string) (cell int, workers []string) {
-	cell = h.fleets[0].View().WeighedCell(fleet.Key(context))
+	cell = h.fleets[0].View().WeightedCell(fleet.Key(context))
 	for _, f := range h.fleets {
 		if f.View().Cell() == cell {
-			return cell, f.View().Share(h.workers)
+			return cell, f.View().CellShare(h.workers)
 		}
 	}
 	return cell, nil
@@ -203,7 +203,7 @@
 	}
 	// Another context of the same owner, since the first is now cached elsewhere.
 	other := "b0"
-	for n := 1; h.fleets[0].View().WeighedCell(fleet.Key(other)) != cell; n++ {
+	for n := 1; h.fleets[0].View().WeightedCell(fleet.Key(other)) != cell; n++ {
 		other = fmt.Sprintf("b%d", n)
 	}
 	before := len(h.rigs[0].received())
--- a/core/relay/ratelimit_test.go
+++ b/core/relay/ratelimit_test.go
@@ -214,10 +214,10 @@
 		f := h.fleets[i]
 		// As View.Place, which needs a list of boxes that these daemons do not have.
 		r.roster.Rank = func(t *roster.Target) (int, int) {
-			cell := f.View().OnDuty()
-			return fleet.Place(fleet.Key(t.ID()), cell, f.View().Self()), len(cell)
+			cell := f.View().Eligible()
+			return fleet.RankOf(fleet.Key(t.ID()), cell, f.View().Self()), len(cell)
 		}
-		r.relay.options.RankedDaemons = func(t *roster.Target, n int) []string { return f.View().Ranked(fleet.Key(t.ID()), true, n) }
+		r.relay.options.RankedDaemons = func(t *roster.Target, n int) []string { return f.View().TopRanked(fleet.Key(t.ID()), true, n) }
 	}
 	h.g.Expect(h.fleets[0].View().Cells()).To(gomega.BeNumerically(">", 1))
 	start := time.Now()
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -272,7 +272,7 @@
 
 // storeSegment adds the KV-cache store to the rig and waits until the segment is known to be there.
 func storeSegment(r *rig, salt, id string) {
-	r.storeIndex.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Room: 1 << 20}})
+	r.storeIndex.Set(testContext(r.t), []cache.StoreInfo{{Address: "store:1", Capacity: 1 << 20}})
 	name := cache.SegmentName{Salt: salt, ID: id}
 	r.g.Eventually(func() bool {
 		return len(r.storeIndex.Find(name, clock.Now())) > 0
@@ -375,7 +375,7 @@
 			r := newRig(t, fakeStores{[]cache.SegmentChange{{SegmentName: name, Tokens: 5000}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.storeIndex.Set(testContext(r.t), []cache.StoreInfo{
-				{Address: "near:1", Room: 1 << 20, TokenTime: 10 * time.Microsecond}, {Address: "far:1", Room: 1 << 20, TokenTime: 20 * time.Microsecond},
+				{Address: "near:1", Capacity: 1 << 20, TokenTime: 10 * time.Microsecond}, {Address: "far:1", Capacity: 1 << 20, TokenTime: 20 * time.Microsecond},
 			})
 			r.g.Eventually(func() int { return len(r.storeIndex.Find(name, clock.Now())) }, "10s", "5ms").Should(gomega.Equal(2))
 			t2 := r.target("t2", "llm", always(stream(true)))
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -33,14 +33,14 @@
 	regions      regions
 	body         []byte
 	// digest is the request digest; zero until the body is read.
-	digest  poison.Fingerprint
+	digest  poison.Digest
 	service string
 	// bodyBytes is the size of the body, and originDomain the failure domain of the daemon that
 	// received the request.
 	bodyBytes    int
 	originDomain string
 	// versions restricts the target versions that the request may go to.
-	versions canary.Side
+	versions canary.VersionFilter
 	// remote is set if another daemon sends the request and this one only chooses the target.
 	remote bool
 	// ownerQueried is when another daemon was last queried for a choice.
@@ -123,7 +123,7 @@
 			if !p.mayRetry(out) {
 				return p.giveUp(failed, "it may not be sent again")
 			}
-			p.versions = p.versions.Aside()
+			p.versions = p.versions.WithoutCanary()
 		}
 	}
 }
@@ -196,7 +196,7 @@
 	now := time.Now().Add(delay)
 	e := p.estimate(now)
 	expected := e.Time(learn.Factors{OwnTokens: p.meta.PromptTokens - p.sharedTokens()})
-	return e.Chance((p.route.Aim-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeProbability
+	return e.Probability((p.route.LatencyObjective-now.Sub(p.start)).Seconds()/expected.Seconds()) >= minOnTimeProbability
 }
 
 // Bounds on the attempts of one request.
@@ -223,11 +223,11 @@
 		return false
 	case out != outcomeRejected && !p.route.MayRepeat():
 		return false
-	case p.executions >= p.route.Attempts:
+	case p.executions >= p.route.MaxAttempts:
 		return false
 	case p.attempts-p.executions > maxRejections, p.relay.options.Disabled.Retries:
 		return false
-	case out == outcomeIncomplete && p.relay.options.Poison.Ends(p.digest) >= maxCrashes:
+	case out == outcomeIncomplete && p.relay.options.Poison.Crashes(p.digest) >= maxCrashes:
 		p.note("not retried: the request may crash targets")
 		return false
 	}
@@ -270,7 +270,7 @@
 func (p *proxiedRequest) cacheSalt(version int64) cache.SegmentSalt {
 	s := cache.SegmentSalt{Model: p.meta.Model, Version: version}
 	if p.organisation != nil && p.organisation.Isolated {
-		s.Wall = p.organisation.Name
+		s.IsolatedOrganisation = p.organisation.Name
 	}
 	return s
 }
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -185,12 +185,12 @@
 func (fakeStores) Free(context.Context, string, int64, []cache.SegmentName) error { return nil }
 
 var testRoutes = []table.Route{
-	{Name: "once", Host: "h", Prefix: "/once/", Kind: table.Once, Timeout: 2 * time.Second, Aim: time.Second, Attempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
-	{Name: "again", Host: "h", Prefix: "/again/", Kind: table.Repeatable, Timeout: 2 * time.Second, Aim: 10 * time.Second, Attempts: 2, Splits: []table.Split{{Service: "plain", Weight: 1}}},
-	{Name: "stream", Host: "h", Prefix: "/stream/", Kind: table.Stream, Resumable: true, Timeout: 5 * time.Second, Aim: time.Second, Attempts: 2, Splits: []table.Split{{Service: "llm", Weight: 1}}},
-	{Name: "single", Host: "h", Prefix: "/single/", Kind: table.Stream, Timeout: 5 * time.Second, Aim: time.Second, Attempts: 1, Splits: []table.Split{{Service: "llm", Weight: 1}}},
-	{Name: "public", Host: "h", Prefix: "/public/", Kind: table.Once, Timeout: time.Second, Attempts: 1, Public: true, Splits: []table.Split{{Service: "plain", Weight: 1}}},
-	{Name: "short", Host: "h", Prefix: "/short/", Kind: table.Once, Timeout: 150 * time.Millisecond, Attempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
+	{Name: "once", Host: "h", Prefix: "/once/", Kind: table.Once, Timeout: 2 * time.Second, LatencyObjective: time.Second, MaxAttempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
+	{Name: "again", Host: "h", Prefix: "/again/", Kind: table.Repeatable, Timeout: 2 * time.Second, LatencyObjective: 10 * time.Second, MaxAttempts: 2, Splits: []table.Split{{Service: "plain", Weight: 1}}},
+	{Name: "stream", Host: "h", Prefix: "/stream/", Kind: table.Stream, Resumable: true, Timeout: 5 * time.Second, LatencyObjective: time.Second, MaxAttempts: 2, Splits: []table.Split{{Service: "llm", Weight: 1}}},
+	{Name: "single", Host: "h", Prefix: "/single/", Kind: table.Stream, Timeout: 5 * time.Second, LatencyObjective: time.Second, MaxAttempts: 1, Splits: []table.Split{{Service: "llm", Weight: 1}}},
+	{Name: "public", Host: "h", Prefix: "/public/", Kind: table.Once, Timeout: time.Second, MaxAttempts: 1, Public: true, Splits: []table.Split{{Service: "plain", Weight: 1}}},
+	{Name: "short", Host: "h", Prefix: "/short/", Kind: table.Once, Timeout: 150 * time.Millisecond, MaxAttempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
 }
 
 // Priors and costs, the latter as in the default settings.
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -67,7 +67,7 @@
 			if t == nil || t.Entry().Weights[p.meta.Model] != version {
 				continue
 			}
-			shared.holders = append(shared.holders, holder{t, f.Depth, p.relay.options.Retention.Chance(p.service, f.Depth, now)})
+			shared.holders = append(shared.holders, holder{t, f.Depth, p.relay.options.Retention.Probability(p.service, f.Depth, now)})
 		}
 		out = append(out, shared)
 	}
@@ -100,7 +100,7 @@
 	best := source{stored: len(segment.stores) > 0}
 	destination := p.relay.options.Links.State(t.entry.Address, now)
 	for _, stored := range segment.stores {
-		p.considerSource(&best, destination, segment, source{address: stored.Address, probability: 1, copyTime: stored.TransferTime(t.entry.Domain), deadline: stored.Until}, now)
+		p.considerSource(&best, destination, segment, source{address: stored.Address, probability: 1, copyTime: stored.TransferTime(t.entry.Domain), deadline: stored.Deadline}, now)
 	}
 	for _, h := range segment.holders {
 		if h.target == t.target {
@@ -110,7 +110,7 @@
 		if h.target.Health(now).Suspect || p.relay.options.Disabled.WorkerCopies {
 			continue
 		}
-		took := workerCopyLatency + table.LinkTime(segment.Tokens*svc.Engine.TokenBytes, svc.Engine.LinkBits)
+		took := workerCopyLatency + table.LinkTime(segment.Tokens*svc.Engine.BytesPerToken, svc.Engine.LinkBitsPerSecond)
 		p.considerSource(&best, destination, segment, source{address: h.target.Entry().Address, probability: h.probability, copyTime: took}, now)
 	}
 	return best
@@ -132,8 +132,8 @@
 func (p *proxiedRequest) copyCost(src *source, segment *sharedSegment) float64 {
 	costs := &p.relay.options.Costs
 	cost := (1 - src.probability) * costs.RecomputePerToken * float64(segment.Tokens)
-	if p.route.Aim > 0 {
-		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
+	if p.route.LatencyObjective > 0 {
+		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.LatencyObjective.Seconds()
 	}
 	return cost
 }
@@ -176,8 +176,8 @@
 	costs := &p.relay.options.Costs
 	gain := (1 - src.cachedProbability) * src.probability * costs.RecomputePerToken * float64(segment.Tokens)
 	cost := costs.CopyPerToken * float64(segment.Tokens)
-	if p.route.Aim > 0 {
-		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.Aim.Seconds()
+	if p.route.LatencyObjective > 0 {
+		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.LatencyObjective.Seconds()
 	}
 	return src.cachedProbability == 0 || (gain > cost && !p.relay.options.Disabled.SpareCopies)
 }
--- a/core/relay/selfreport.go
+++ b/core/relay/selfreport.go
@@ -12,7 +12,7 @@
 		p.relay.options.Stats.ReportedShutdown.Inc()
 		p.note("%s reports that it is shutting down", c.target.ID())
 		c.report.recordShutdown()
-		if p.relay.options.Roster.RecordShutdown(c.target.ID(), roster.ByAnswer) {
+		if p.relay.options.Roster.RecordShutdown(c.target.ID(), roster.ByResponse) {
 			// Publish it at once: the next heartbeat may be a second away.
 			p.relay.options.PublishState()
 		}
--- a/core/relay/selfreport_test.go
+++ b/core/relay/selfreport_test.go
@@ -112,7 +112,7 @@
 	sender := h.outsideOf(cell)
 	// Only the sender knows that all but one worker of the owner's cell are shutting down.
 	for _, id := range workers[1:] {
-		h.rigs[sender].roster.RecordShutdown(id, roster.ByAnswer)
+		h.rigs[sender].roster.RecordShutdown(id, roster.ByResponse)
 	}
 	before := len(h.rigs[0].received())
 	for range 4 {
@@ -208,7 +208,7 @@
 	r.target("a", "plain", always(respond(200, "x")))
 	r.target("b", "plain", always(respond(200, "x")))
 	r.target("c", "plain", always(respond(200, "x")))
-	r.roster.RecordShutdown("a", roster.ByAnswer)
+	r.roster.RecordShutdown("a", roster.ByResponse)
 	r.roster.RecordRejection("b", roster.Pushback{Duration: time.Minute})
 	r.g.Expect(r.send(http.MethodPost, "/once/", "x").status).To(gomega.Equal(200))
 	r.g.Eventually(func() string { return r.lastLogLine(event.RequestDone) }, waitTimeout, pollInterval).Should(gomega.ContainSubstring("skipped: a leaves, b rests"))
--- a/core/relay/stats.go
+++ b/core/relay/stats.go
@@ -8,9 +8,9 @@
 
 // Stats holds the counters of a relay.
 type Stats struct {
-	set                                                                            *metrics.Set
-	Requests, Done, Refused, Failed, AnswersCut, CallersGone                       *metrics.Counter
-	Attempts, Retries, StreamsResumed, MismatchedAnswers, NotExecuted, Misdirected *metrics.Counter
+	set                                                                              *metrics.Set
+	Requests, Done, Refused, Failed, AnswersCut, CallersGone                         *metrics.Counter
+	Attempts, Retries, StreamsResumed, MismatchedResponses, NotExecuted, Misdirected *metrics.Counter
 	// FirstSeconds is the time to the first event of a stream, TotalSeconds the time to the end of
 	// a complete answer.
 	FirstSeconds, TotalSeconds *metrics.Histogram
@@ -38,7 +38,7 @@
 		set: set, Requests: c("requests_total"), Done: c("requests_done_total"), Refused: c("requests_refused_total"),
 		Failed: c("requests_failed_total"), AnswersCut: c("answers_cut_total"), CallersGone: c("callers_gone_total"),
 		Attempts: c("sends_total"), Retries: c("sends_repeated_total"), StreamsResumed: c("streams_resumed_total"),
-		MismatchedAnswers: c("answers_foreign_total"), NotExecuted: c("targets_refused_total"), Misdirected: c("targets_moved_total"),
+		MismatchedResponses: c("answers_foreign_total"), NotExecuted: c("targets_refused_total"), Misdirected: c("targets_moved_total"),
 		FirstSeconds: set.NewHistogram("embertally_first_seconds"), TotalSeconds: set.NewHistogram("embertally_whole_seconds"),
 		PromptTokens: c("prompt_tokens_total"), PromptTokensCopied: c("prompt_tokens_copied_total"), PromptTokensCached: c("prompt_tokens_kept_total"),
 		Opened: c("target_connections_opened_total"), Blocked: c("requests_blocked_total"),
--- a/core/relay/versions.go
+++ b/core/relay/versions.go
@@ -13,26 +13,26 @@
 // canary version is evaluated, only some of its targets are used, so that each of them gets as many
 // requests as in a completed rollout.
 func (p *proxiedRequest) applyRollout(list []*roster.Target) []*roster.Target {
-	canaryVersion := p.versions.Trial
+	canaryVersion := p.versions.Canary
 	if canaryVersion != "" && !slices.ContainsFunc(list, func(t *roster.Target) bool { return t.Entry().Version != canaryVersion }) {
-		p.versions = canary.Side{Not: slices.DeleteFunc(p.versions.Not, func(v string) bool { return v == canaryVersion })}
+		p.versions = canary.VersionFilter{Excluded: slices.DeleteFunc(p.versions.Excluded, func(v string) bool { return v == canaryVersion })}
 	}
-	if p.versions.Few <= 0 {
+	if p.versions.TargetShare <= 0 {
 		return list
 	}
 	var ids []string
 	for _, t := range list {
-		if t.Entry().Version == p.versions.Prefer {
+		if t.Entry().Version == p.versions.Preferred {
 			ids = append(ids, t.ID())
 		}
 	}
 	subset := map[string]bool{}
-	for _, id := range fleet.RankFirst(fleet.Key(p.versions.Prefer), ids, int(math.Ceil(p.versions.Few*float64(len(ids))))) {
+	for _, id := range fleet.RankFirst(fleet.Key(p.versions.Preferred), ids, int(math.Ceil(p.versions.TargetShare*float64(len(ids))))) {
 		subset[id] = true
 	}
 	var out []*roster.Target
 	for _, t := range list {
-		if t.Entry().Version != p.versions.Prefer || subset[t.ID()] {
+		if t.Entry().Version != p.versions.Preferred || subset[t.ID()] {
 			out = append(out, t)
 		}
 	}
@@ -41,12 +41,12 @@
 
 // preferVersion returns the targets of the preferred version, or all if there are none.
 func (p *proxiedRequest) preferVersion(targets []eligibleTarget) []eligibleTarget {
-	if p.versions.Prefer == "" {
+	if p.versions.Preferred == "" {
 		return targets
 	}
 	var out []eligibleTarget
 	for _, t := range targets {
-		if t.entry.Version == p.versions.Prefer {
+		if t.entry.Version == p.versions.Preferred {
 			out = append(out, t)
 		}
 	}
--- a/core/relay/versions_test.go
+++ b/core/relay/versions_test.go
@@ -36,7 +36,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.options.Canary.Share = 0.1
+			r.relay.options.Canary.CanaryShare = 0.1
 			r.relay.options.Canary.SetOrder(canary.Order{Service: "plain", Version: "v2", Lasts: time.Minute, Revision: 5})
 			r.relay.options.Canary.SetState("plain", canary.State{Order: 5, Version: "v2", Phase: tc.phase})
 			for i, version := range tc.targets {
--- a/core/relay/warmup.go
+++ b/core/relay/warmup.go
@@ -13,7 +13,7 @@
 // value is ready for use.
 type warmUpLimiter struct {
 	limiterMu sync.Mutex
-	limiters  map[string]*route.WarmupLimiter // by target ID; guarded by limiterMu
+	limiters  map[string]*route.WarmUpLimiter // by target ID; guarded by limiterMu
 }
 
 // allow reports whether a target may get one more of share requests per second. If consume is set,
@@ -23,7 +23,7 @@
 	defer l.limiterMu.Unlock()
 	limiter := l.limiters[id]
 	if limiter == nil {
-		limiter = &route.WarmupLimiter{}
+		limiter = &route.WarmUpLimiter{}
 	}
 	if !limiter.Allows(share, now) {
 		return false
@@ -36,7 +36,7 @@
 }
 
 // add stores a target's limiter and removes idle ones. It is called with limiterMu held.
-func (l *warmUpLimiter) add(id string, limiter *route.WarmupLimiter, now time.Time) {
+func (l *warmUpLimiter) add(id string, limiter *route.WarmUpLimiter, now time.Time) {
 	if l.limiters[id] == limiter {
 		return
 	}
@@ -46,7 +46,7 @@
 		}
 	}
 	if l.limiters == nil {
-		l.limiters = map[string]*route.WarmupLimiter{}
+		l.limiters = map[string]*route.WarmUpLimiter{}
 	}
 	l.limiters[id] = limiter
 }
@@ -55,15 +55,15 @@
 // If consume is set, it counts the request. Only daemons that use the target may send to it while
 // it warms up.
 func (rl *Relay) warmUpAllows(svc *table.Service, t *roster.Target, shared, consume bool, now time.Time) bool {
-	if svc.Cold.PerSecond <= 0 || !rl.options.Roster.WarmingUp(t, svc.Cold.Start, now) {
+	if svc.WarmUp.RequestsPerSecond <= 0 || !rl.options.Roster.WarmingUp(t, svc.WarmUp.Duration, now) {
 		return true
 	}
 	if !shared {
 		return false
 	}
 	rank, total := rl.options.Rank(t.ID(), svc.Engine != nil)
-	perSecond := svc.Cold.PerSecond*rl.options.WarmUpFactor + rl.options.WarmUpExtra
-	return rl.warmUp.allow(t.ID(), route.WarmupShare(perSecond, total, rank), consume, now)
+	perSecond := svc.WarmUp.RequestsPerSecond*rl.options.WarmUpFactor + rl.options.WarmUpExtra
+	return rl.warmUp.allow(t.ID(), route.WarmUpShare(perSecond, total, rank), consume, now)
 }
 
 // acquire counts a choice under the warm-up limit of its target and takes a permit if the target
--- a/core/relay/warmup_test.go
+++ b/core/relay/warmup_test.go
@@ -20,7 +20,7 @@
 	spec := table.Spec{Version: old.Version() + 1, Routes: testRoutes, Organisations: []table.Organisation{{Name: "org", Keys: []string{"secret"}}}}
 	for _, name := range []string{"plain", "llm"} {
 		svc := *old.Service(name)
-		svc.Cold = table.Cold{Start: time.Minute, PerSecond: 4}
+		svc.WarmUp = table.WarmUp{Duration: time.Minute, RequestsPerSecond: 4}
 		spec.Services = append(spec.Services, svc)
 	}
 	r.relay.SetTable(table.New(spec))
--- a/core/roster/availability_test.go
+++ b/core/roster/availability_test.go
@@ -30,14 +30,14 @@
 		{"its entry shows shutting down, then ready", func(r *Roster) { r.Put(shuttingDownEntry); r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", ShuttingDown},
 		{"the next incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Available},
 		{"the next incarnation answers before its entry", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Available},
-		{"a late report of the previous incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.RecordShutdown("a@1000", ByAnswer) }, "a@2000", Available},
+		{"a late report of the previous incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.RecordShutdown("a@1000", ByResponse) }, "a@2000", Available},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			r := New(&event.Log{}, nil)
 			r.Put(incarnationEntry("a@1000", 1000))
-			g.Expect(r.RecordShutdown("a@1000", ByAnswer)).To(gomega.BeTrue())
+			g.Expect(r.RecordShutdown("a@1000", ByResponse)).To(gomega.BeTrue())
 			g.Expect(r.RecordShutdown("a@1000", ByPeer)).To(gomega.BeFalse(), "it was recorded already")
 			tc.steps(r)
 			target := r.Target(tc.use)
@@ -48,7 +48,7 @@
 			source, shuttingDown := r.ShuttingDown(target)
 			g.Expect(shuttingDown).To(gomega.Equal(tc.want == ShuttingDown))
 			if shuttingDown {
-				g.Expect(source).To(gomega.Equal(ByAnswer))
+				g.Expect(source).To(gomega.Equal(ByResponse))
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	g := gomega.NewWithT(t)
 	from, to := New(&event.Log{}, nil), New(&event.Log{}, nil)
 	from.Put(incarnationEntry("a@1000", 1000))
-	from.RecordShutdown("a@1000", ByAnswer)
+	from.RecordShutdown("a@1000", ByResponse)
 	raw, err := msgpack.Marshal(HeartbeatPart{from}.Collect(true))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	HeartbeatPart{to}.Receive("peer", raw)
@@ -77,8 +77,8 @@
 	for _, id := range []string{"a", "b", "c"} {
 		r.Put(entry(id))
 	}
-	r.RecordShutdown("a", ByAnswer)
-	r.RecordShutdown("b", ByAnswer)
+	r.RecordShutdown("a", ByResponse)
+	r.RecordShutdown("b", ByResponse)
 	r.Remove("b", clock.Now())
 	g.Expect(r.RecentShutdowns()).To(gomega.ConsistOf("a", "b"))
 	clock.Suspend(shutdownRecallTime + time.Second)
@@ -91,13 +91,13 @@
 	r := New(&event.Log{}, nil)
 	for _, id := range []string{"a", "b"} {
 		r.Put(entry(id))
-		r.RecordShutdown(id, ByAnswer)
+		r.RecordShutdown(id, ByResponse)
 		r.Remove(id, clock.Now())
 	}
 	g.Expect(r.selfReports).To(gomega.HaveLen(2))
 	clock.Suspend(selfReportTTL + time.Second)
 	r.Put(entry("c"))
-	r.RecordShutdown("c", ByAnswer)
+	r.RecordShutdown("c", ByResponse)
 	g.Expect(r.selfReports).To(gomega.HaveLen(1))
 	shuttingDown, _ := r.SelfReportCounts()
 	g.Expect(shuttingDown).To(gomega.Equal(1))
--- a/core/roster/bench_test.go
+++ b/core/roster/bench_test.go
@@ -49,7 +49,7 @@
 		r.Put(Entry{ID: id, Service: "s"})
 		switch {
 		case i < 5:
-			r.RecordShutdown(id, ByAnswer)
+			r.RecordShutdown(id, ByResponse)
 		case i < 10:
 			r.RecordRejection(id, Pushback{Duration: time.Minute})
 		}
--- a/core/roster/external_test.go
+++ b/core/roster/external_test.go
@@ -26,7 +26,7 @@
 		}, false, Available},
 		{"reported shutting down", func(r *Roster) *Target {
 			external := r.AddExternal(incarnationEntry("a@1000", 1000))
-			r.RecordShutdown("a@1000", ByAnswer)
+			r.RecordShutdown("a@1000", ByResponse)
 			return external
 		}, false, ShuttingDown},
 		{"listed from now on", func(r *Roster) *Target {
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -208,9 +208,9 @@
 		// The response may be older than the one that stated the lower rate.
 	case stated.Stated:
 		state.lastStated = now
-		return r.setLimit(id, state, RateLimitUpdate{Active: true, PerSecond: stated.PerSecond, Seq: state.seq + 1}, ByAnswer)
+		return r.setLimit(id, state, RateLimitUpdate{Active: true, PerSecond: stated.PerSecond, Seq: state.seq + 1}, ByResponse)
 	case executed && stated.Invalid == "" && state.active && sent.After(state.lastStated) && sent.After(state.changed):
-		return r.setLimit(id, state, RateLimitUpdate{Seq: state.seq + 1}, ByAnswer)
+		return r.setLimit(id, state, RateLimitUpdate{Seq: state.seq + 1}, ByResponse)
 	}
 	return false
 }
--- a/core/roster/restored.go
+++ b/core/roster/restored.go
@@ -39,10 +39,10 @@
 // keeps the entry if so. It is called with rosterMu held.
 func (r *Roster) isStale(e Entry) bool {
 	removed, exists := r.removed[e.ID]
-	if !exists || plat.Era(e.Revision) <= plat.Era(removed.revision) || plat.Number(e.Revision) > plat.Number(removed.revision) {
+	if !exists || plat.StoreIncarnation(e.Revision) <= plat.StoreIncarnation(removed.revision) || plat.StoreRevision(e.Revision) > plat.StoreRevision(removed.revision) {
 		return false
 	}
-	if old, sameName := r.stale[e.Name]; sameName && old.ID == e.ID && plat.Era(old.Revision) == plat.Era(e.Revision) {
+	if old, sameName := r.stale[e.Name]; sameName && old.ID == e.ID && plat.StoreIncarnation(old.Revision) == plat.StoreIncarnation(e.Revision) {
 		// Unless it is the same entry again, it has changed since the list was restored.
 		return old.Revision == e.Revision
 	}
--- a/core/roster/selfreport.go
+++ b/core/roster/selfreport.go
@@ -13,9 +13,9 @@
 
 // The possible sources.
 const (
-	ByList   Source = "list"
-	ByAnswer Source = "answer"
-	ByPeer   Source = "peer"
+	ByList     Source = "list"
+	ByResponse Source = "answer"
+	ByPeer     Source = "peer"
 )
 
 // selfReport is what one incarnation of a target reported about itself. It outlives the
--- a/core/route/utility.go
+++ b/core/route/utility.go
@@ -157,9 +157,9 @@
 	ev := Evaluation{Expected: max(wait, c.CopyTime) + work, WithinObjective: 1}
 	expected := max(ev.Expected, time.Microsecond).Seconds()
 	if req.Objective > 0 {
-		ev.WithinObjective = e.Chance((req.Objective - req.Elapsed).Seconds() / expected)
+		ev.WithinObjective = e.Probability((req.Objective - req.Elapsed).Seconds() / expected)
 	}
-	ev.BeforeDeadline = max(ev.WithinObjective, e.Chance(req.Remaining.Seconds()/expected))
+	ev.BeforeDeadline = max(ev.WithinObjective, e.Probability(req.Remaining.Seconds()/expected))
 	utility := m.Utility(req.Tokens)
 	ev.CallerUtility = utility * (1 - c.FailureShare) * (m.PastObjectiveShare*ev.BeforeDeadline + (1-m.PastObjectiveShare)*ev.WithinObjective)
 	// Tokens that do not fit into memory evict cached segments of later requests.
--- a/core/route/warmup.go
+++ b/core/route/warmup.go
@@ -7,7 +7,7 @@
 // before a box is lost or the network is partitioned, and the view after that.
 const ConcurrentViews = 2
 
-// WarmupShare returns the number of requests per second that one daemon may send to a target
+// WarmUpShare returns the number of requests per second that one daemon may send to a target
 // that is warming up. maxRate is the target's warm-up rate: what it may get per second from
 // all daemons together. rank is this daemon's rank, from 0, among the daemons that may send to
 // the target. Daemons don't coordinate: each computes its share from the list of boxes, and
@@ -16,7 +16,7 @@
 // It guards against the overload of workers that return at the same time: in a failure domain
 // of 28 workers each sustains 26 requests per second in its first three seconds, and without
 // a limit the idle ones would get most of the 1,225 that arrive.
-func WarmupShare(maxRate float64, daemons, rank int) int {
+func WarmUpShare(maxRate float64, daemons, rank int) int {
 	if daemons <= 0 {
 		return 0
 	}
@@ -28,9 +28,9 @@
 	return share
 }
 
-// WarmupLimiter is the rate limiter of one daemon for one target that is warming up. The zero value
+// WarmUpLimiter is the rate limiter of one daemon for one target that is warming up. The zero value
 // has recorded no attempts.
-type WarmupLimiter struct {
+type WarmUpLimiter struct {
 	// sent holds the times of the attempts within the last warmupWindow, oldest first.
 	sent []time.Time
 }
@@ -41,7 +41,7 @@
 const warmupWindow = 1050 * time.Millisecond
 
 // Allows reports whether another attempt is allowed if at most share are per second.
-func (l *WarmupLimiter) Allows(share int, now time.Time) bool {
+func (l *WarmUpLimiter) Allows(share int, now time.Time) bool {
 	for len(l.sent) > 0 && now.Sub(l.sent[0]) >= warmupWindow {
 		l.sent = l.sent[1:]
 	}
@@ -49,9 +49,9 @@
 }
 
 // RecordAttempt records an attempt.
-func (l *WarmupLimiter) RecordAttempt(now time.Time) { l.sent = append(l.sent, now) }
+func (l *WarmUpLimiter) RecordAttempt(now time.Time) { l.sent = append(l.sent, now) }
 
 // Idle reports whether there was no attempt within the window.
-func (l *WarmupLimiter) Idle(now time.Time) bool {
+func (l *WarmUpLimiter) Idle(now time.Time) bool {
 	return len(l.sent) == 0 || now.Sub(l.sent[len(l.sent)-1]) >= warmupWindow
 }
--- a/core/route/warmup_test.go
+++ b/core/route/warmup_test.go
@@ -28,10 +28,10 @@
 			g := gomega.NewWithT(t)
 			sum := 0
 			for rank := range tc.daemons {
-				sum += WarmupShare(tc.maxRate, tc.daemons, rank)
+				sum += WarmUpShare(tc.maxRate, tc.daemons, rank)
 			}
 			g.Expect(sum).To(gomega.Equal(tc.sum))
-			g.Expect(WarmupShare(tc.maxRate, tc.daemons, 0)).To(gomega.Equal(tc.first))
+			g.Expect(WarmUpShare(tc.maxRate, tc.daemons, 0)).To(gomega.Equal(tc.first))
 			g.Expect(float64(sum * ConcurrentViews)).To(gomega.BeNumerically("<=", tc.maxRate))
 		})
 	}
@@ -45,11 +45,11 @@
 	for _, daemons := range []int{1, 4, 8, 16, 79, 385} {
 		sum := 0
 		for rank := range daemons {
-			sum += WarmupShare(maxRate, daemons, rank)
+			sum += WarmUpShare(maxRate, daemons, rank)
 		}
 		listed := max(1, daemons/2)
 		for rank := range listed {
-			sum += WarmupShare(maxRate, listed, rank)
+			sum += WarmUpShare(maxRate, listed, rank)
 		}
 		g.Expect(sum).To(gomega.BeNumerically("<=", maxRate), "%d daemons", daemons)
 	}
@@ -57,7 +57,7 @@
 
 func TestWarmupLimiterLimitsOverASlidingWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var p WarmupLimiter
+	var p WarmUpLimiter
 	start := time.Unix(1000, 0)
 	g.Expect(p.Idle(start)).To(gomega.BeTrue())
 	for _, step := range []struct {
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -36,7 +36,7 @@
 // store. After the store was restored from an older copy, daemons that have only read the copy get
 // the values that it lacks from peers, and which targets are shutting down.
 type AppliedValues struct {
-	watchCache *plat.Mirror
+	watchCache *plat.WatchCache
 	fleet      *fleet.Fleet
 	transfers  *transfers
 	log        *event.Log
@@ -184,7 +184,7 @@
 // one, according to the watch cache.
 func (n *AppliedValues) inStore(v appliedValue, incarnation int64) bool {
 	p, exists := n.watchCache.Pair(v.Key)
-	return exists && n.watchCache.Era() >= incarnation && bytes.Equal(p.Value, v.Value)
+	return exists && n.watchCache.StoreIncarnation() >= incarnation && bytes.Equal(p.Value, v.Value)
 }
 
 // Pull requests newer values from some peers, live ones first, and calls take, one call at a time,
@@ -251,7 +251,7 @@
 func (p appliedPuller) pull(ctx context.Context) ([]appliedValue, error) {
 	firstCtx, cancel := context.WithTimeout(ctx, appliedTimeout)
 	defer cancel()
-	req := &appliedRequest{Versions: p.versions(), StoreIncarnation: p.watchCache.Era()}
+	req := &appliedRequest{Versions: p.versions(), StoreIncarnation: p.watchCache.StoreIncarnation()}
 	var got appliedResponse
 	if err := p.fleet.Call(firstCtx, p.peer, kindApplied, req, &got); err != nil {
 		return nil, err
--- a/core/spread/applied_test.go
+++ b/core/spread/applied_test.go
@@ -108,7 +108,7 @@
 	sender.applied.MarkReady()
 	requester := run(t, seeds[1].Name, listeners[1], before, seeds)
 	g.Eventually(requester.holds("op/config", []byte("one")), shortWait, pollInterval).Should(gomega.BeTrue())
-	g.Expect(requester.watchCache.Era()).To(gomega.Equal(int64(1)))
+	g.Expect(requester.watchCache.StoreIncarnation()).To(gomega.Equal(int64(1)))
 	got, _ := requester.pulled()
 	g.Expect(got).To(gomega.Equal(map[string]string{"op/config": "two"}))
 }
@@ -159,7 +159,7 @@
 			store := &memkv.KV{}
 			seeds, listeners := seedsAndListeners(t, 2)
 			peer := fleet.New(fleet.Options{
-				Name: seeds[0].Name, Incarnation: seeds[0].Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+				Name: seeds[0].Name, Incarnation: seeds[0].Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 			})
 			peer.Mux().Register("spread.inforce", func(context.Context, string, []byte) (any, error) { return &tc.response, nil })
 			peer.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) { return nil, errRefused })
--- a/core/spread/changes.go
+++ b/core/spread/changes.go
@@ -77,7 +77,7 @@
 	}
 	s.awaitChange(ctx, req)
 	elapsed := clock.Since(start)
-	fresh := s.watchCache.Fresh()
+	fresh := s.watchCache.FreshAsOf()
 	if fresh.IsZero() {
 		return nil, errors.New("the watch cache of this daemon is still empty")
 	}
@@ -96,7 +96,7 @@
 
 // changesPage returns as many of the requested changes as fit one response.
 func (s *WatchCacheSync) changesPage(req *changesRequest, v *shardView) *changesResponse {
-	changes, revision, whole := s.watchCache.Since(req.AfterRevision)
+	changes, revision, whole := s.watchCache.ChangesSince(req.AfterRevision)
 	if !whole || req.PageAfter != "" {
 		return s.fullCopyPage(req.PageAfter, v)
 	}
@@ -127,7 +127,7 @@
 	if !ok {
 		return s.fullCopyPage("", v)
 	}
-	lacking, _ := s.watchCache.All("", func(p plat.Pair) bool { return v.includes(p) && !former.includes(p) })
+	lacking, _ := s.watchCache.Snapshot("", func(p plat.Pair) bool { return v.includes(p) && !former.includes(p) })
 	changes = append(v.filter(changes), lacking...)
 	if countFitting(changes) < len(changes) {
 		return s.fullCopyPage("", v)
@@ -137,7 +137,7 @@
 
 // fullCopyPage returns the page of the cache that follows a key.
 func (s *WatchCacheSync) fullCopyPage(after string, v *shardView) *changesResponse {
-	rest, revision := s.watchCache.All(after, v.includes)
+	rest, revision := s.watchCache.Snapshot(after, v.includes)
 	n := countFitting(rest)
 	return &changesResponse{FullCopy: true, Changes: wireChanges(rest[:n]), Revision: revision, More: n < len(rest), ShardName: v.name}
 }
@@ -158,7 +158,7 @@
 func wireChanges(changes []plat.Change) []wireChange {
 	out := make([]wireChange, len(changes))
 	for i, c := range changes {
-		out[i] = wireChange{Key: c.Key, Value: c.Value, Revision: c.ModRevision, Deleted: c.Deleted, Unfetched: c.Late}
+		out[i] = wireChange{Key: c.Key, Value: c.Value, Revision: c.ModRevision, Deleted: c.Deleted, Unfetched: c.Unfetched}
 	}
 	return out
 }
@@ -172,9 +172,9 @@
 	timeout := time.NewTimer(clock.Until(deadline))
 	defer timeout.Stop()
 	for checked := req.AfterRevision; ; {
-		updated := s.watchCache.News()
+		updated := s.watchCache.Changed()
 		var changed bool
-		if changed, checked = s.hasChangesFor(req, checked); changed || !s.watchCache.Fresh().Before(fresher) {
+		if changed, checked = s.hasChangesFor(req, checked); changed || !s.watchCache.FreshAsOf().Before(fresher) {
 			return
 		}
 		select {
@@ -198,6 +198,6 @@
 	if v == nil || req.CacheShard != v.name {
 		return true, after
 	}
-	changes, revision, whole := s.watchCache.Since(after)
+	changes, revision, whole := s.watchCache.ChangesSince(after)
 	return !whole || v.includesAny(changes), revision
 }
--- a/core/spread/relays.go
+++ b/core/spread/relays.go
@@ -45,7 +45,7 @@
 func (s *WatchCacheSync) WatchesStore() bool {
 	view := s.fleet.View()
 	switch {
-	case len(view.Peers()) < smallFleet, !s.watchCache.Known():
+	case len(view.Peers()) < smallFleet, !s.watchCache.HasData():
 		return true
 	case view.Cells() < minCellsForRelays:
 		return s.cellRank(view) < watchersPerCell || s.IsStandby()
@@ -72,12 +72,12 @@
 // down, at the cost of a call each.
 func (s *WatchCacheSync) IsStandby() bool {
 	view := s.fleet.View()
-	if len(view.Peers()) < smallFleet || !s.watchCache.Known() {
+	if len(view.Peers()) < smallFleet || !s.watchCache.HasData() {
 		return false
 	}
 	rounds := int(s.cacheAge() / staleAfter)
 	if view.Cells() >= minCellsForRelays {
-		rank := fleet.Place(relayKey, view.Domains()[view.Domain()], view.Self())
+		rank := fleet.RankOf(relayKey, view.DaemonsByDomain()[view.Domain()], view.Self())
 		return rank > 0 && rank <= rounds
 	}
 	rank := s.cellRank(view)
@@ -86,7 +86,7 @@
 
 // cellRank returns how many daemons of the cell rank before this one for watching the store.
 func (s *WatchCacheSync) cellRank(view *fleet.View) int {
-	return fleet.Place(fleet.Key("mirror"), view.Expected(), view.Self())
+	return fleet.RankOf(fleet.Key("mirror"), view.ExpectedEligible(), view.Self())
 }
 
 // relayKey ranks the daemons of a failure domain for watching the store.
@@ -115,10 +115,10 @@
 		return r
 	}
 	r := &relaySet{view: view}
-	domains := view.Domains()
+	domains := view.DaemonsByDomain()
 	if len(domains) < minRelays {
-		r.names = fleet.RankFirst(relayKey, view.Listed(), minRelays)
-		r.candidates = fleet.RankFirst(relayKey, view.Listed(), minRelays*candidatesPerDomain)
+		r.names = fleet.RankFirst(relayKey, view.NotDraining(), minRelays)
+		r.candidates = fleet.RankFirst(relayKey, view.NotDraining(), minRelays*candidatesPerDomain)
 		s.relays.Store(r)
 		return r
 	}
@@ -149,7 +149,7 @@
 func (s *WatchCacheSync) WatchingDaemons() []string {
 	view := s.fleet.View()
 	if view.Cells() < minCellsForRelays {
-		return view.OnDuty()
+		return view.Eligible()
 	}
 	return s.relaysOf(view)
 }
@@ -158,7 +158,7 @@
 func (s *WatchCacheSync) nextRelay() string {
 	view, now := s.fleet.View(), time.Now()
 	for _, name := range s.relaySetOf(view).candidates {
-		if name != view.Self() && s.relayBackoff.Open(name, now) {
+		if name != view.Self() && s.relayBackoff.Ready(name, now) {
 			return name
 		}
 	}
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -68,12 +68,12 @@
 	var out []*domainMember
 	for i, seed := range seeds {
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Domain: seed.Domain, Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
-			Boxes: &reader{list: list}, BoxPause: 50 * time.Millisecond,
+			Name: seed.Name, Incarnation: seed.Name + "-1", Domain: seed.Domain, Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+			Boxes: &reader{list: list}, BoxPollInterval: 50 * time.Millisecond,
 		})
 		m := &domainMember{member: &member{fleet: f}, domain: seed.Domain}
-		m.watchCache = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
-		m.watchCache.Outline = "op/a/"
+		m.watchCache = plat.NewWatchCache(store, plat.Prefix("op/"), &event.Log{})
+		m.watchCache.FirstPrefix = "op/a/"
 		m.cacheSync = spread.NewWatchCacheSync(m.watchCache, f, &event.Log{})
 		m.cacheSync.EntryParser = entryOf
 		ctx, cancel := context.WithCancel(context.Background())
@@ -118,7 +118,7 @@
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
-	names := members[0].fleet.View().Domains()
+	names := members[0].fleet.View().DaemonsByDomain()
 	var rest []*domainMember
 	for _, m := range members {
 		if fleet.First(fleet.Key("root"), names[m.domain]) == m.fleet.View().Self() {
@@ -147,7 +147,7 @@
 	last, _ := store.quiet()
 	for start := time.Now(); time.Since(start) < outage; {
 		for _, m := range members {
-			g.Expect(m.watchCache.Fresh().After(last)).To(gomega.BeFalse())
+			g.Expect(m.watchCache.FreshAsOf().After(last)).To(gomega.BeFalse())
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/core/spread/restore_test.go
+++ b/core/spread/restore_test.go
@@ -35,7 +35,7 @@
 		g.Eventually(m.holds("op/config", configuration(15, 2100)), shortWait, pollInterval).Should(gomega.BeTrue())
 		_, exists := m.watchCache.Pair("op/lost")
 		g.Expect(exists).To(gomega.BeFalse())
-		g.Expect(m.watchCache.Era()).To(gomega.Equal(int64(1)))
+		g.Expect(m.watchCache.StoreIncarnation()).To(gomega.Equal(int64(1)))
 	}
 	// Two restores in a row, to a state before the first one.
 	store.Restore(before)
@@ -43,6 +43,6 @@
 	put(t, store, "op/small", []byte("new"))
 	for _, m := range rest {
 		g.Eventually(m.holds("op/small", []byte("new")), shortWait, pollInterval).Should(gomega.BeTrue())
-		g.Expect(plat.Era(m.watchCache.Revision())).To(gomega.Equal(int64(3)))
+		g.Expect(plat.StoreIncarnation(m.watchCache.Revision())).To(gomega.Equal(int64(3)))
 	}
 }
--- a/core/spread/shards.go
+++ b/core/spread/shards.go
@@ -185,7 +185,7 @@
 	if !known || !slices.Contains(v.sharded, entry.Service) {
 		return true
 	}
-	return v.shard.Holds(entry.Name, entry.Domain)
+	return v.shard.Contains(entry.Name, entry.Domain)
 }
 
 // filter returns the changes that the requester is to receive.
@@ -230,5 +230,5 @@
 // InOwnCell reports whether a target of a sharded service belongs to this daemon's cell. While the
 // cache itself holds a shard, all its targets do, so that a change of shards leaves no gap.
 func (s *WatchCacheSync) InOwnCell(name, domain string) bool {
-	return s.watchCache.Shard() != "" || s.fleet.View().Shard().Holds(name, domain)
+	return s.watchCache.Shard() != "" || s.fleet.View().Shard().Contains(name, domain)
 }
--- a/core/spread/shards_test.go
+++ b/core/spread/shards_test.go
@@ -50,7 +50,7 @@
 // held returns the keys of a service's entries that a daemon's watch cache holds.
 func (m *domainMember) held(service string) []string {
 	var out []string
-	for _, p := range m.watchCache.Under("op/t/" + service + "/") {
+	for _, p := range m.watchCache.WithPrefix("op/t/" + service + "/") {
 		out = append(out, p.Key)
 	}
 	return out
@@ -156,7 +156,7 @@
 			}
 			for _, key := range keys {
 				e, _ := entryOf(plat.Pair{Key: key})
-				if slices.Contains(held, key) != shard.Holds(e.Name, e.Domain) {
+				if slices.Contains(held, key) != shard.Contains(e.Name, e.Domain) {
 					return false
 				}
 			}
@@ -205,7 +205,7 @@
 				view := fleet.New(fleet.Options{Name: seeds[at].Name, Domain: seeds[at].Domain, Seeds: seeds, Log: &event.Log{}}).View()
 				held, peers := 0, 0
 				for i := range daemons * each {
-					if view.Shard().Holds(fmt.Sprintf("w-%05d", i), fmt.Sprint("domain-", i%domains)) {
+					if view.Shard().Contains(fmt.Sprintf("w-%05d", i), fmt.Sprint("domain-", i%domains)) {
 						held++
 					}
 				}
@@ -233,7 +233,7 @@
 	allHold(g, members, string(configuration(1, 200)))
 	ranges := store.rangeCalls()
 	second := configuration(2, 200)
-	g.Expect(plat.Large(second)).To(gomega.BeTrue())
+	g.Expect(plat.IsLarge(second)).To(gomega.BeTrue())
 	put(t, store.KV, "op/config", second)
 	allHold(g, members, string(second))
 	g.Expect(store.rangeCalls() - ranges).To(gomega.BeNumerically("<", daemons/4))
--- a/core/spread/spread.go
+++ b/core/spread/spread.go
@@ -115,7 +115,7 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-			s.fleet.Kick()
+			s.fleet.TriggerHeartbeat()
 		case <-stateChanged:
 		}
 	}
@@ -245,7 +245,7 @@
 // HoldsWatch reports whether this daemon is assigned to watch the coordination store for its cell.
 func (s *ConfigReplicator) HoldsWatch() bool {
 	v := s.fleet.View()
-	return v.Duty(fleet.Key(WatchAssignment)) == v.Self()
+	return v.Assignee(fleet.Key(WatchAssignment)) == v.Self()
 }
 
 // PeerSeq returns the sequence that a peer last reported as applied; 0 if it reported none.
--- a/core/spread/storecalls_test.go
+++ b/core/spread/storecalls_test.go
@@ -171,7 +171,7 @@
 	members := startTogether(t, store, daemons)
 	for _, m := range members {
 		g.Eventually(m.holds("op/config", []byte("first")), shortWait, pollInterval).Should(gomega.BeTrue())
-		g.Eventually(func() int { return len(m.fleet.View().OnDuty()) }, shortWait, pollInterval).Should(gomega.BeNumerically(">", 1))
+		g.Eventually(func() int { return len(m.fleet.View().Eligible()) }, shortWait, pollInterval).Should(gomega.BeNumerically(">", 1))
 	}
 	before, _ := store.stats()
 	store.setDown(true)
--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -47,7 +47,7 @@
 func NewStoreIndexes(direct cache.StoreClient, f *fleet.Fleet) *StoreIndexes {
 	return &StoreIndexes{
 		direct: direct, fleet: f, published: map[string]publishedState{}, publishing: map[string]publishedState{},
-		backoff: wait.Backoff[indexLink]{First: backoffFirst, Most: backoffMax},
+		backoff: wait.Backoff[indexLink]{Initial: backoffFirst, Max: backoffMax},
 	}
 }
 
@@ -157,10 +157,10 @@
 		}
 		link := indexLink{source.peer, address}
 		if err == nil {
-			s.backoff.Worked(link)
+			s.backoff.RecordSuccess(link)
 			return ev, nil
 		}
-		s.backoff.Failed(link, time.Now())
+		s.backoff.RecordFailure(link, time.Now())
 		if ctx.Err() != nil {
 			return ev, err
 		}
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -96,7 +96,7 @@
 	t.Cleanup(wg.Wait)
 	for i, seed := range seeds {
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 		})
 		indexes := spread.NewStoreIndexes(store, f)
 		m := &indexMember{name: seed.Name, indexes: cache.NewStoreIndexes(indexes, &event.Log{})}
@@ -132,7 +132,7 @@
 	g := gomega.NewWithT(t)
 	store := &busyStore{watchers: 4, changed: make(chan struct{})}
 	store.save()
-	members := indexFleet(t, store, cache.StoreInfo{Address: address, Room: 1000, Watchers: store.watchers}, daemons)
+	members := indexFleet(t, store, cache.StoreInfo{Address: address, Capacity: 1000, MaxWatchers: store.watchers}, daemons)
 	g.Eventually(upToDate(members, address, 1), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	for range 3 {
 		segments := store.save()
@@ -147,7 +147,7 @@
 	const daemons, address = 40, "10.0.0.1:1"
 	g := gomega.NewWithT(t)
 	store := &busyStore{watchers: 8, changed: make(chan struct{})}
-	members := indexFleet(t, store, cache.StoreInfo{Address: address, Room: 1000, Watchers: store.watchers}, daemons)
+	members := indexFleet(t, store, cache.StoreInfo{Address: address, Capacity: 1000, MaxWatchers: store.watchers}, daemons)
 	segments := store.save()
 	g.Eventually(upToDate(members, address, segments), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	var names []string
--- a/core/spread/storeindex_rank.go
+++ b/core/spread/storeindex_rank.go
@@ -59,15 +59,15 @@
 		return r.(*storeRank)
 	}
 	key := fleet.Key("shelf/" + address)
-	names := view.Listed()
+	names := view.NotDraining()
 	r := &storeRank{fleet: fleet.RankFirst(key, names, max(1, int(rankedFraction*float64(s.watchers(address)))))}
 	// Daemons of the cell that send requests to the store itself come first.
 	for _, name := range r.fleet {
-		if slices.Contains(view.OnDuty(), name) {
+		if slices.Contains(view.Eligible(), name) {
 			r.cell = append(r.cell, name)
 		}
 	}
-	for _, name := range fleet.RankFirst(key, view.OnDuty(), requestersPerCell) {
+	for _, name := range fleet.RankFirst(key, view.Eligible(), requestersPerCell) {
 		if !slices.Contains(r.cell, name) {
 			r.cell = append(r.cell, name)
 		}
@@ -89,7 +89,7 @@
 		}
 		watching = len(first)
 	}
-	return watching + fleet.Place(fleet.Key("store/"+address), view.OnDuty(), view.Self())
+	return watching + fleet.RankOf(fleet.Key("store/"+address), view.Eligible(), view.Self())
 }
 
 // allWatch reports whether the fleet is small enough for all daemons to send requests to a store.
@@ -134,7 +134,7 @@
 // firstOpen returns the first daemon that is not backed off for a store, or "".
 func (s *StoreIndexes) firstOpen(names []string, address string, now time.Time) string {
 	for _, name := range names {
-		if s.backoff.Open(indexLink{name, address}, now) {
+		if s.backoff.Ready(indexLink{name, address}, now) {
 			return name
 		}
 	}
--- a/core/spread/storeindex_test.go
+++ b/core/spread/storeindex_test.go
@@ -62,7 +62,7 @@
 			ownSeeds = slow
 		}
 		f := fleet.New(fleet.Options{
-			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 		})
 		indexes := spread.NewStoreIndexes(store, f)
 		indexesByName[name] = cache.NewStoreIndexes(indexes, &event.Log{})
@@ -71,8 +71,8 @@
 		wg.Go(func() { f.Run(ctx, listeners[i]) })
 	}
 	for _, name := range []string{ranked[0], ranked[1], ranked[daemons-1]} {
-		g.Eventually(func() int { return len(fleetByName[name].View().OnDuty()) }, shortWait, pollInterval).Should(gomega.Equal(daemons))
-		indexesByName[name].Set(ctx, []cache.StoreInfo{{Address: address, Room: segments}})
+		g.Eventually(func() int { return len(fleetByName[name].View().Eligible()) }, shortWait, pollInterval).Should(gomega.Equal(daemons))
+		indexesByName[name].Set(ctx, []cache.StoreInfo{{Address: address, Capacity: segments}})
 		g.Eventually(indexesByName[name].Tokens, longWait, pollInterval).Should(gomega.Equal(segments), name)
 	}
 }
--- a/core/spread/updates.go
+++ b/core/spread/updates.go
@@ -72,7 +72,7 @@
 	if cell == view.Cell() {
 		return
 	}
-	for _, peer := range view.Homes(cell, fleet.Key(t.ID()), noticePeers) {
+	for _, peer := range view.Owners(cell, fleet.Key(t.ID()), noticePeers) {
 		go noticeSender{s.fleet, peer, n}.run()
 	}
 }
@@ -87,7 +87,7 @@
 	for _, other := range s.roster.ByService(e.Service) {
 		names = append(names, other.ID())
 	}
-	return view.SharedBy(names, t.ID())
+	return view.ShareCell(names, t.ID())
 }
 
 // noticeSender sends one notice to one peer.
@@ -112,6 +112,6 @@
 	} else {
 		s.roster.BeginUpdate(n.Target, time.Now().Add(min(max(0, n.Remaining), maxRemoteHold)))
 	}
-	s.fleet.Kick()
+	s.fleet.TriggerHeartbeat()
 	return struct{}{}, nil
 }
--- a/core/spread/updates_test.go
+++ b/core/spread/updates_test.go
@@ -35,7 +35,7 @@
 	for i, seed := range seeds {
 		m := &updateMember{roster: roster.New(&event.Log{}, nil)}
 		m.fleet = fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 		})
 		m.fleet.Attach("roster", roster.HeartbeatPart{Roster: m.roster})
 		m.updates = spread.NewWeightUpdateNotifier(m.fleet, m.roster)
@@ -59,14 +59,14 @@
 	g.Expect(initiator.fleet.View().Cells()).To(gomega.Equal(2))
 	other := ""
 	for _, w := range names {
-		if initiator.fleet.View().SharedBy(names, w) != initiator.fleet.View().Cell() {
+		if initiator.fleet.View().ShareCell(names, w) != initiator.fleet.View().Cell() {
 			other = w
 		}
 	}
 	g.Expect(other).NotTo(gomega.BeEmpty())
 	var users []*updateMember
 	for _, m := range members {
-		for _, w := range m.fleet.View().Share(names) {
+		for _, w := range m.fleet.View().CellShare(names) {
 			if w == other {
 				users = append(users, m)
 			}
--- a/core/spread/values.go
+++ b/core/spread/values.go
@@ -23,7 +23,7 @@
 // largeValues transfers the large values of the watch cache. A daemon that receives a change
 // without its value from a peer fetches the value separately, compressed and in chunks.
 type largeValues struct {
-	watchCache *plat.Mirror
+	watchCache *plat.WatchCache
 	fleet      *fleet.Fleet
 	transfers  *transfers
 	log        *event.Log
@@ -83,7 +83,7 @@
 }
 
 // newLargeValues returns largeValues, attached to the watch cache and the fleet.
-func newLargeValues(m *plat.Mirror, f *fleet.Fleet, t *transfers, log *event.Log) *largeValues {
+func newLargeValues(m *plat.WatchCache, f *fleet.Fleet, t *transfers, log *event.Log) *largeValues {
 	v := &largeValues{watchCache: m, fleet: f, transfers: t, log: log, wake: make(chan struct{}, 1), versions: map[string][]plat.Pair{}}
 	m.Observe(v.observe)
 	f.Mux().Register(kindValue, wire.Handle(v.handleValue))
@@ -98,7 +98,7 @@
 		switch {
 		case c.Deleted:
 			delete(v.versions, c.Key)
-		case plat.Large(c.Value):
+		case plat.IsLarge(c.Value):
 			list := append(v.versions[c.Key], c.Pair)
 			v.versions[c.Key] = list[max(0, len(list)-maxVersions):]
 		}
@@ -170,7 +170,7 @@
 			return
 		case <-v.wake:
 		}
-		for ctx.Err() == nil && v.watchCache.Behind() {
+		for ctx.Err() == nil && v.watchCache.HasUnfetched() {
 			if !v.fetchAll(ctx) {
 				wait.For(ctx, retryPause)
 			}
@@ -181,7 +181,7 @@
 // fetchAll tries once to fetch each unfetched value, and reports whether it got any.
 func (v *largeValues) fetchAll(ctx context.Context) bool {
 	got := false
-	for _, want := range v.watchCache.Late() {
+	for _, want := range v.watchCache.Unfetched() {
 		got = v.fetch(ctx, want) || got
 	}
 	return got
@@ -206,7 +206,7 @@
 // fetch it at the same time. Without this wait each daemon of a large fleet would read each large
 // value from the store.
 func (v *largeValues) waitsForPeers() bool {
-	return v.fleet.View().Cells() >= minCellsForRelays && clock.Since(v.watchCache.LateSince()) < peerWaitBudget
+	return v.fleet.View().Cells() >= minCellsForRelays && clock.Since(v.watchCache.UnfetchedSince()) < peerWaitBudget
 }
 
 // candidatePeers returns the peers to request a value from: the one that announced it and others of
@@ -255,7 +255,7 @@
 
 // deliver passes a fetched value to the watch cache.
 func (v *largeValues) deliver(p plat.Pair, source string, start clock.Time) {
-	v.watchCache.Arrive(p)
+	v.watchCache.ApplyFetched(p)
 	text := "revision " + strconv.FormatInt(p.ModRevision, 10) + ", " + strconv.Itoa(len(p.Value)) + " bytes in " + elapsedSince(start) + ", " + source
 	v.log.Emit(event.ValueFetched, event.Ref{Resource: p.Key}, text)
 }
--- a/core/spread/values_test.go
+++ b/core/spread/values_test.go
@@ -131,7 +131,7 @@
 func faultyPeer(t *testing.T, seeds []fleet.Peer, l net.Listener, response *valueResponse, chunk []byte) {
 	name := seeds[0].Name
 	f := fleet.New(fleet.Options{
-		Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 	})
 	f.Attach("mirror", freshHeartbeat{})
 	f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
@@ -174,7 +174,7 @@
 			var requests atomic.Int64
 			name := seeds[0].Name
 			f := fleet.New(fleet.Options{
-				Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+				Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 			})
 			f.Attach("mirror", freshHeartbeat{})
 			f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
@@ -218,7 +218,7 @@
 		put(t, store, fmt.Sprintf("op/targets/%04d", i), entry)
 	}
 	_, rest := cell(t, store, 1, slowLink(t, rate))
-	g.Eventually(func() int { return len(rest[0].watchCache.Under("op/targets/")) }, longWait, pollInterval).Should(gomega.Equal(targets))
+	g.Eventually(func() int { return len(rest[0].watchCache.WithPrefix("op/targets/")) }, longWait, pollInterval).Should(gomega.Equal(targets))
 }
 
 // A peer receives many changes page by page, and all of them in the end.
@@ -233,6 +233,6 @@
 	for i := range targets {
 		put(t, store, fmt.Sprintf("op/targets/%04d", i), entry)
 	}
-	g.Eventually(func() int { return len(rest[0].watchCache.Under("op/targets/")) }, longWait, pollInterval).Should(gomega.Equal(targets + 1))
+	g.Eventually(func() int { return len(rest[0].watchCache.WithPrefix("op/targets/")) }, longWait, pollInterval).Should(gomega.Equal(targets + 1))
 	g.Expect(rest[0].watchCache.Revision()).To(gomega.Equal(sender.watchCache.Revision()))
 }
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -26,7 +26,7 @@
 type WatchCacheSync struct {
 	// started is when this daemon started.
 	started    clock.Time
-	watchCache *plat.Mirror
+	watchCache *plat.WatchCache
 	fleet      *fleet.Fleet
 	log        *event.Log
 	values     *largeValues
@@ -52,14 +52,14 @@
 }
 
 // NewWatchCacheSync returns a WatchCacheSync for m and attaches it to the fleet's heartbeats.
-func NewWatchCacheSync(m *plat.Mirror, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
+func NewWatchCacheSync(m *plat.WatchCache, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
 	s := &WatchCacheSync{started: clock.Now(), watchCache: m, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
-	s.relayBackoff.First, s.relayBackoff.Most = backoffFirst, backoffMax
+	s.relayBackoff.Initial, s.relayBackoff.Max = backoffFirst, backoffMax
 	s.values = newLargeValues(m, f, newTransfers(f, func(bytes int) { s.bytesSent.Add(int64(bytes)) }), log)
 	m.Observe(s.observe)
 	f.Attach("mirror", s)
 	f.Mux().Register(kindChanges, wire.Handle(s.handleChanges))
-	m.Follows, m.Reserve, m.Gather = s.WatchesStore, s.IsStandby, s.BatchTime
+	m.WatchesStore, m.IsStandby, m.BatchTime = s.WatchesStore, s.IsStandby, s.BatchTime
 	return s
 }
 
@@ -81,8 +81,8 @@
 // request changes from a watch relay for their cell, report an age, so that the others of the cell
 // request changes from them.
 func (s *WatchCacheSync) Collect(bool) any {
-	fresh := s.watchCache.Fresh()
-	if s.watchCache.Contact().IsZero() && !s.pullsFromRelay() || fresh.IsZero() {
+	fresh := s.watchCache.FreshAsOf()
+	if s.watchCache.LastContact().IsZero() && !s.pullsFromRelay() || fresh.IsZero() {
 		return nil
 	}
 	return &cacheHeartbeat{AgeMillis: ageMillis(clock.Since(fresh))}
@@ -166,7 +166,7 @@
 	defer wg.Wait()
 	wg.Go(func() { s.values.run(ctx) })
 	wait.Every(ctx, requestInterval, func() {
-		if clock.Since(s.watchCache.Contact()) > storeSilentAfter || !s.WatchesStore() {
+		if clock.Since(s.watchCache.LastContact()) > storeSilentAfter || !s.WatchesStore() {
 			s.pull(ctx)
 		}
 	})
@@ -200,10 +200,10 @@
 		} else {
 			s.shardMismatches.Store(0)
 		}
-	case err != nil, clock.Since(s.watchCache.Fresh()) > staleAfter:
-		s.relayBackoff.Failed(relay, time.Now())
+	case err != nil, clock.Since(s.watchCache.FreshAsOf()) > staleAfter:
+		s.relayBackoff.RecordFailure(relay, time.Now())
 	default:
-		s.relayBackoff.Worked(relay)
+		s.relayBackoff.RecordSuccess(relay)
 		s.shardMismatches.Store(0)
 	}
 }
@@ -219,7 +219,7 @@
 
 // cacheAge returns the age of this daemon's cache or, while it is empty, the time since the start.
 func (s *WatchCacheSync) cacheAge() time.Duration {
-	if fresh := s.watchCache.Fresh(); !fresh.IsZero() {
+	if fresh := s.watchCache.FreshAsOf(); !fresh.IsZero() {
 		return clock.Since(fresh)
 	}
 	return clock.Since(s.started)
@@ -234,7 +234,7 @@
 		shard = nil
 	}
 	req := &changesRequest{
-		AfterRevision: s.watchCache.Revision(), WaitMillis: requestWait.Milliseconds(), AgeMillis: ageMillis(clock.Since(s.watchCache.Fresh())),
+		AfterRevision: s.watchCache.Revision(), WaitMillis: requestWait.Milliseconds(), AgeMillis: ageMillis(clock.Since(s.watchCache.FreshAsOf())),
 		Shard: shard, CacheShard: s.watchCache.Shard(),
 	}
 	for {
@@ -248,7 +248,7 @@
 		}
 		if got.ShardChanged && shard != nil {
 			s.logShardChange(req.CacheShard, got.ShardName, peer, len(got.Changes))
-			s.watchCache.TakeMoved(got.changes(), got.Revision, req.CacheShard, got.ShardName, s.outsideShard(shard, got.ShardName), got.freshAt(start))
+			s.watchCache.SwitchShard(got.changes(), got.Revision, req.CacheShard, got.ShardName, s.outsideShard(shard, got.ShardName), got.freshAt(start))
 			s.fetchUnfetched(peer)
 			return nil
 		}
@@ -256,11 +256,11 @@
 			return errors.WithStack(errInvalidMessage)
 		}
 		if got.More {
-			s.watchCache.Take(got.changes(), got.Revision, clock.Time{})
+			s.watchCache.ApplyChanges(got.changes(), got.Revision, clock.Time{})
 			req = &changesRequest{AfterRevision: got.Revision, Shard: shard, CacheShard: req.CacheShard}
 			continue
 		}
-		s.watchCache.Take(got.changes(), got.Revision, got.freshAt(start))
+		s.watchCache.ApplyChanges(got.changes(), got.Revision, got.freshAt(start))
 		s.fetchUnfetched(peer)
 		return nil
 	}
@@ -282,7 +282,7 @@
 		all = append(all, page.changes()...)
 	}
 	s.logShardChange(sent.CacheShard, first.ShardName, peer, len(all))
-	s.watchCache.TakeAll(all, first.Revision, sent.CacheShard, first.ShardName, freshAt)
+	s.watchCache.ApplySnapshot(all, first.Revision, sent.CacheShard, first.ShardName, freshAt)
 	s.fetchUnfetched(peer)
 	return nil
 }
@@ -299,7 +299,7 @@
 
 // fetchUnfetched starts to fetch the values that a peer announced without sending them.
 func (s *WatchCacheSync) fetchUnfetched(peer string) {
-	if s.watchCache.Behind() {
+	if s.watchCache.HasUnfetched() {
 		s.values.requestFetch(peer)
 	}
 }
@@ -341,7 +341,7 @@
 	out := make([]plat.Change, len(r.Changes))
 	for i, c := range r.Changes {
 		pair := plat.Pair{Key: c.Key, Value: c.Value, ModRevision: c.Revision}
-		out[i] = plat.Change{Pair: pair, Deleted: c.Deleted, Late: c.Unfetched}
+		out[i] = plat.Change{Pair: pair, Deleted: c.Deleted, Unfetched: c.Unfetched}
 	}
 	return out
 }
@@ -351,7 +351,7 @@
 func (s *WatchCacheSync) freshestPeer() string {
 	s.peersMu.Lock()
 	defer s.peersMu.Unlock()
-	name, latest := "", s.watchCache.Fresh().Add(-freshnessSlack)
+	name, latest := "", s.watchCache.FreshAsOf().Add(-freshnessSlack)
 	for peer, at := range s.peerFresh {
 		if at.After(latest) {
 			name, latest = peer, at
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -42,7 +42,7 @@
 // member is one daemon of a test, with its fleet and its watch cache of a store.
 type member struct {
 	fleet      *fleet.Fleet
-	watchCache *plat.Mirror
+	watchCache *plat.WatchCache
 	cacheSync  *spread.WatchCacheSync
 	applied    *spread.AppliedValues
 	// shuttingDown holds the incarnations that the member reports as shutting down.
@@ -110,9 +110,9 @@
 // run runs one member until the test ends.
 func run(t *testing.T, name string, l net.Listener, store plat.Reader, seeds []fleet.Peer) *member {
 	m := &member{fleet: fleet.New(fleet.Options{
-		Name: name, Incarnation: name + "-1", Seeds: seeds, Heartbeat: heartbeat, Suspect: suspect, Log: &event.Log{},
+		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 	})}
-	m.watchCache = plat.NewMirror(store, plat.Prefix("op/"), &event.Log{})
+	m.watchCache = plat.NewWatchCache(store, plat.Prefix("op/"), &event.Log{})
 	m.watchCache.Observe(m.observe)
 	m.cacheSync = spread.NewWatchCacheSync(m.watchCache, m.fleet, &event.Log{})
 	m.applied = spread.NewAppliedValues(m.cacheSync)
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -46,13 +46,13 @@
 	Resumable bool
 	// Timeout bounds the total time of a request; 0 means that the route sets no bound.
 	Timeout time.Duration
-	// Aim is the latency objective of an answer.
-	Aim time.Duration
-	// GapAim is the objective for the pause between two events of a stream.
-	GapAim   time.Duration
-	Priority int
-	// Attempts bounds the attempts of one request that may have run at a target, at least 1.
-	Attempts int
+	// LatencyObjective is the latency objective of an answer.
+	LatencyObjective time.Duration
+	// GapObjective is the objective for the pause between two events of a stream.
+	GapObjective time.Duration
+	Priority     int
+	// MaxAttempts bounds the attempts of one request that may have run at a target, at least 1.
+	MaxAttempts int
 	// Public reports whether requests need no key.
 	Public bool
 	// Splits holds at least one entry; weights are not negative.
@@ -88,10 +88,10 @@
 	Slots int
 	// MemoryTokens is the capacity of a worker's KV cache, in tokens.
 	MemoryTokens int
-	// TokenBytes is the size of one token in the KV cache, in bytes.
-	TokenBytes int
-	// LinkBits is the bandwidth of a worker's link, in bits per second.
-	LinkBits float64
+	// BytesPerToken is the size of one token in the KV cache, in bytes.
+	BytesPerToken int
+	// LinkBitsPerSecond is the bandwidth of a worker's link, in bits per second.
+	LinkBitsPerSecond float64
 }
 
 // Store describes a KV-cache store.
@@ -100,16 +100,16 @@
 	Address string
 	// Domain is the failure domain.
 	Domain string
-	// Tokens is the capacity in tokens.
-	Tokens int
-	// LinkBits is the bandwidth of the store's link, in bits per second.
-	LinkBits float64
-	// First is the latency of each transfer until its first byte.
-	First time.Duration
+	// CapacityTokens is the capacity in tokens.
+	CapacityTokens int
+	// LinkBitsPerSecond is the bandwidth of the store's link, in bits per second.
+	LinkBitsPerSecond float64
+	// FirstByteLatency is the latency of each transfer until its first byte.
+	FirstByteLatency time.Duration
 	// Managed reports whether the store evicts nothing by itself.
 	Managed bool
-	// Watchers bounds the daemons that follow the store's events at a time.
-	Watchers int
+	// MaxWatchers bounds the daemons that follow the store's events at a time.
+	MaxWatchers int
 }
 
 // bitsPerByte converts sizes in bytes to bits on a link.
@@ -124,20 +124,20 @@
 	return time.Duration(float64(size) * bitsPerByte / linkBits * float64(time.Second))
 }
 
-// Cold describes the warm-up of targets that have just started. The zero value means no warm-up.
-type Cold struct {
-	// Start is how long the warm-up lasts after a target's start.
-	Start time.Duration
-	// PerSecond bounds the requests per second to a target that is warming up; 0 means no bound.
-	PerSecond float64
+// WarmUp describes the warm-up of targets that have just started. The zero value means no warm-up.
+type WarmUp struct {
+	// Duration is how long the warm-up lasts after a target's start.
+	Duration time.Duration
+	// RequestsPerSecond bounds the requests per second to a target that is warming up; 0 means no bound.
+	RequestsPerSecond float64
 }
 
 // Service is one service of a site.
 type Service struct {
-	Name string
-	Cold Cold
-	// MaxConns bounds the connections to one target from all clients; 0 means no bound.
-	MaxConns int
+	Name   string
+	WarmUp WarmUp
+	// MaxConnsPerTarget bounds the connections to one target from all clients; 0 means no bound.
+	MaxConnsPerTarget int
 	// Engine is nil for plain services and KV-cache stores.
 	Engine *Engine
 	// Store is nil for all services but KV-cache stores.
@@ -157,12 +157,12 @@
 
 // Limits bounds callers' requests. Zero means no bound.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	// HeaderTime bounds the time in which a header arrives.
-	HeaderTime time.Duration
-	// IdleTime bounds the time that a connection stays open without a request.
-	IdleTime time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	// HeaderTimeout bounds the time in which a header arrives.
+	HeaderTimeout time.Duration
+	// IdleTimeout bounds the time that a connection stays open without a request.
+	IdleTimeout time.Duration
 }
 
 // Spec is the content of a table.
@@ -217,8 +217,8 @@
 // Limits returns the bounds of callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Keyed reports whether requests on routes that are not public need a key.
-func (t *Table) Keyed() bool { return t.requiresKeys }
+// RequiresKeys reports whether requests on routes that are not public need a key.
+func (t *Table) RequiresKeys() bool { return t.requiresKeys }
 
 // Match returns the route with the longest matching prefix of the host, or nil. A port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -69,14 +69,14 @@
 	g := gomega.NewWithT(t)
 	tbl := New(spec())
 	g.Expect(tbl.Version()).To(gomega.Equal(int64(7)))
-	g.Expect(tbl.Keyed()).To(gomega.BeTrue())
+	g.Expect(tbl.RequiresKeys()).To(gomega.BeTrue())
 	g.Expect(tbl.Organisation("k2").Name).To(gomega.Equal("o"))
 	g.Expect(tbl.Organisation("k3")).To(gomega.BeNil())
 	g.Expect(tbl.Stores()).To(gomega.HaveLen(2))
 	g.Expect(tbl.Stores()[0].Address).To(gomega.Equal("10.0.0.1:1"))
 	g.Expect(tbl.Engines()).To(gomega.HaveLen(1))
 	g.Expect(tbl.Service("none")).To(gomega.BeNil())
-	g.Expect(New(Spec{}).Keyed()).To(gomega.BeFalse())
+	g.Expect(New(Spec{}).RequiresKeys()).To(gomega.BeFalse())
 }
 
 func TestMayRepeat(t *testing.T) {
--- a/core/wait/backoff.go
+++ b/core/wait/backoff.go
@@ -8,7 +8,7 @@
 // Backoff keeps an exponential backoff for each key: First after a failure, doubled with each further
 // failure in a row, up to Most. A Backoff is ready once both are set.
 type Backoff[K comparable] struct {
-	First, Most time.Duration
+	Initial, Max time.Duration
 
 	backoffMu sync.Mutex
 	failures  map[K]failure // guarded by backoffMu
@@ -23,28 +23,28 @@
 // maxDoublings bounds the doublings of the backoff, so that it can't overflow.
 const maxDoublings = 16
 
-// Failed records a failure of k.
-func (b *Backoff[K]) Failed(k K, now time.Time) {
+// RecordFailure records a failure of k.
+func (b *Backoff[K]) RecordFailure(k K, now time.Time) {
 	b.backoffMu.Lock()
 	defer b.backoffMu.Unlock()
 	if b.failures == nil {
 		b.failures = map[K]failure{}
 	}
 	f := b.failures[k]
-	f.until = now.Add(min(b.First<<min(f.count, maxDoublings), b.Most))
+	f.until = now.Add(min(b.Initial<<min(f.count, maxDoublings), b.Max))
 	f.count++
 	b.failures[k] = f
 }
 
-// Worked records a success of k, which ends its backoff.
-func (b *Backoff[K]) Worked(k K) {
+// RecordSuccess records a success of k, which ends its backoff.
+func (b *Backoff[K]) RecordSuccess(k K) {
 	b.backoffMu.Lock()
 	defer b.backoffMu.Unlock()
 	delete(b.failures, k)
 }
 
-// Open reports whether k may be tried: it is not in a backoff.
-func (b *Backoff[K]) Open(k K, now time.Time) bool {
+// Ready reports whether k may be tried: it is not in a backoff.
+func (b *Backoff[K]) Ready(k K, now time.Time) bool {
 	b.backoffMu.Lock()
 	defer b.backoffMu.Unlock()
 	return !now.Before(b.failures[k].until)
--- a/core/wait/idle.go
+++ b/core/wait/idle.go
@@ -8,48 +8,48 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSilent reports that no data of an answer arrived within the idle timeout.
-var ErrSilent = errors.New("no data received within the idle timeout")
+// ErrIdleTimeout reports that no data of an answer arrived within the idle timeout.
+var ErrIdleTimeout = errors.New("no data received within the idle timeout")
 
-// Patience is an idle timeout: it cancels a call when no data of its answer has arrived for too long.
+// IdleTimeout is an idle timeout: it cancels a call when no data of its answer has arrived for too long.
 // It doesn't bound the total time, because a bound for that would depend on the size of the answer.
-type Patience struct {
+type IdleTimeout struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	idle   time.Duration
 	timer  *time.Timer
 }
 
-// Patiently returns the context of a call with an idle timeout. firstByte bounds the wait for the start
+// WithIdleTimeout returns the context of a call with an idle timeout. firstByte bounds the wait for the start
 // of the answer, idle each later wait for data. Stop must be called at the end.
-func Patiently(ctx context.Context, firstByte, idle time.Duration) (context.Context, *Patience) {
-	p := &Patience{idle: idle}
+func WithIdleTimeout(ctx context.Context, firstByte, idle time.Duration) (context.Context, *IdleTimeout) {
+	p := &IdleTimeout{idle: idle}
 	p.ctx, p.cancel = context.WithCancelCause(ctx)
-	p.timer = time.AfterFunc(firstByte, func() { p.cancel(ErrSilent) })
+	p.timer = time.AfterFunc(firstByte, func() { p.cancel(ErrIdleTimeout) })
 	return p.ctx, p
 }
 
 // Stop cancels the call's context.
-func (p *Patience) Stop() {
+func (p *IdleTimeout) Stop() {
 	p.timer.Stop()
 	p.cancel(nil)
 }
 
-// Reason returns ErrSilent if err comes from a call that the idle timeout cancelled, else err.
-func (p *Patience) Reason(err error) error {
-	if err != nil && errors.Is(context.Cause(p.ctx), ErrSilent) {
-		return errors.WithStack(ErrSilent)
+// Cause returns ErrSilent if err comes from a call that the idle timeout cancelled, else err.
+func (p *IdleTimeout) Cause(err error) error {
+	if err != nil && errors.Is(context.Cause(p.ctx), ErrIdleTimeout) {
+		return errors.WithStack(ErrIdleTimeout)
 	}
 	return err
 }
 
 // Reader returns a reader of the call's answer that restarts the idle timeout with each read of data.
-func (p *Patience) Reader(r io.Reader) io.Reader { return &idleReader{r, p} }
+func (p *IdleTimeout) Reader(r io.Reader) io.Reader { return &idleReader{r, p} }
 
 // idleReader restarts the idle timeout whenever data arrives.
 type idleReader struct {
 	source  io.Reader
-	timeout *Patience
+	timeout *IdleTimeout
 }
 
 // Read reads from the source.
--- a/core/wait/wait_test.go
+++ b/core/wait/wait_test.go
@@ -62,24 +62,24 @@
 
 func TestPatienceEndsOnlyIdleCalls(t *testing.T) {
 	const idle, pause, chunks = 400 * time.Millisecond, 50 * time.Millisecond, 20
-	ctx, p := Patiently(context.Background(), idle, idle)
+	ctx, p := WithIdleTimeout(context.Background(), idle, idle)
 	defer p.Stop()
 	got, err := io.ReadAll(p.Reader(&slowReader{ctx, pause, chunks}))
 	if len(got) != chunks {
 		t.Errorf("read %d bytes in more than twice the idle timeout, want %d", len(got), chunks)
 	}
-	if err = p.Reason(err); !errors.Is(err, ErrSilent) {
+	if err = p.Cause(err); !errors.Is(err, ErrIdleTimeout) {
 		t.Errorf("ended with %v, want ErrSilent", err)
 	}
-	if err := p.Reason(nil); err != nil {
+	if err := p.Cause(nil); err != nil {
 		t.Errorf("Reason(nil) = %v, want nil", err)
 	}
 }
 
 func TestPatienceKeepsOtherErrors(t *testing.T) {
-	_, p := Patiently(context.Background(), time.Hour, time.Hour)
+	_, p := WithIdleTimeout(context.Background(), time.Hour, time.Hour)
 	p.Stop()
-	if err := p.Reason(io.ErrUnexpectedEOF); !errors.Is(err, io.ErrUnexpectedEOF) {
+	if err := p.Cause(io.ErrUnexpectedEOF); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("Reason(io.ErrUnexpectedEOF) = %v, want it unchanged", err)
 	}
 }
--- a/core/wire/mux.go
+++ b/core/wire/mux.go
@@ -35,10 +35,10 @@
 type Mux struct {
 	// handlers are the handlers by kind; filled before Serve and only read afterwards.
 	handlers map[Kind]Handler
-	// Refused, if set, is called for each connection that is rejected because the peer did not
+	// OnReject, if set, is called for each connection that is rejected because the peer did not
 	// prove its name.
-	Refused func(address string, err error)
-	bytes   atomic.Int64
+	OnReject func(address string, err error)
+	bytes    atomic.Int64
 
 	connsMu sync.Mutex
 	// conns are the open connections. Guarded by connsMu.
@@ -148,8 +148,8 @@
 	defer s.mux.remove(s.conn)
 	defer s.conn.Close()
 	if err := s.readHello(ctx); err != nil {
-		if s.mux.Refused != nil && ctx.Err() == nil {
-			s.mux.Refused(s.conn.RemoteAddr().String(), err)
+		if s.mux.OnReject != nil && ctx.Err() == nil {
+			s.mux.OnReject(s.conn.RemoteAddr().String(), err)
 		}
 		return
 	}
--- a/core/wire/wire_test.go
+++ b/core/wire/wire_test.go
@@ -116,7 +116,7 @@
 func TestConnectionsWithoutHelloAreRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rejected := make(chan error, 8)
-	m := Mux{Refused: func(_ string, err error) { rejected <- err }}
+	m := Mux{OnReject: func(_ string, err error) { rejected <- err }}
 	address := serve(t, &m)
 	frames := [][]byte{
 		[]byte("GET / HTTP/1.1\r\n\r\n"),
--- a/emberd/internal/daemon/daemon.go
+++ b/emberd/internal/daemon/daemon.go
@@ -85,10 +85,10 @@
 	d.kv = plat.NewKV(settings.Platform.KeyValue, platform)
 	d.config = conf.NewStore(d.log)
 	d.fleet = fleet.New(d.fleetOptions(incarnation, platform))
-	d.fleet.Mux().Refused = func(address string, err error) {
+	d.fleet.Mux().OnReject = func(address string, err error) {
 		d.log.Emit(event.PeerRefused, event.Ref{}, address+": "+err.Error())
 	}
-	d.fleet.OnWake(func(time.Duration) {
+	d.fleet.OnResume(func(time.Duration) {
 		now := clock.Now()
 		d.resumedAt.Store(&now)
 	})
@@ -126,8 +126,8 @@
 // fleetOptions returns the options of the fleet. platform is the client for the box list.
 func (d *Daemon) fleetOptions(incarnation string, platform *http.Client) fleet.Options {
 	o := fleet.Options{
-		Name: d.settings.Name, Incarnation: incarnation, Heartbeat: d.settings.Peers.Heartbeat,
-		Suspect: d.settings.Peers.Suspect, BoxPause: d.settings.Platform.BoxListInterval, Log: d.log,
+		Name: d.settings.Name, Incarnation: incarnation, HeartbeatInterval: d.settings.Peers.Heartbeat,
+		SuspectAfter: d.settings.Peers.Suspect, BoxPollInterval: d.settings.Platform.BoxListInterval, Log: d.log,
 	}
 	for _, s := range d.settings.Peers.Seeds {
 		o.Seeds = append(o.Seeds, fleet.Peer{Name: s.Name, Address: s.Address, Domain: s.Domain})
@@ -148,9 +148,9 @@
 	d.targetMeter.Measure(controlTransport)
 	control := &http.Client{Transport: controlTransport}
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	d.poison = poison.New(poison.Options{Fleet: d.fleet, Try: tryDial, Log: d.log})
+	d.poison = poison.New(poison.Options{Fleet: d.fleet, Dial: tryDial, Log: d.log})
 	d.contextOwner = home.New(home.Options{
-		IncarnationReplaced: d.poison.Ended,
+		IncarnationReplaced: d.poison.RecordListedCrash,
 		Domain:              d.settings.Domain,
 		Placement:           route.Placement(d.settings.Placement), Conf: d.config, Fleet: d.fleet, Log: d.log,
 		Client: control, LoadInterval: d.settings.Limits.LoadInterval,
@@ -164,15 +164,15 @@
 	})
 	d.entry = entry.New(entry.Options{
 		Conf: d.config, Fleet: d.fleet, Home: d.contextOwner, Once: d.once, Poison: d.poison, Log: d.log,
-		Engines: engines,
-		Calls:   &http.Client{Transport: target.NewTransport(), CheckRedirect: noRedirect},
-		Single:  &http.Client{Transport: target.NewTransportWithoutReuse(), CheckRedirect: noRedirect},
-		MaxBody: d.settings.Limits.MaxBodyBytes, MaxRunning: d.settings.Limits.MaxRunning, Ready: d.NotReadyReason,
+		EngineClient:     engines,
+		RepeatableClient: &http.Client{Transport: target.NewTransport(), CheckRedirect: noRedirect},
+		OnceClient:       &http.Client{Transport: target.NewTransportWithoutReuse(), CheckRedirect: noRedirect},
+		MaxBodyBytes:     d.settings.Limits.MaxBodyBytes, MaxRunningPerOrganisation: d.settings.Limits.MaxRunning, NotReadyReason: d.NotReadyReason,
 	})
 	d.admin = admin.New(admin.Options{
 		Conf: d.config, Writer: conf.NewWriter(d.config, d.kv, d.log), Spread: d.replicator, Fleet: d.fleet, Home: d.contextOwner, Poison: d.poison, Log: d.log,
-		Duties:    append([]string{spread.WatchAssignment, order.Duty(0)}, once.Duties()...),
-		KeyHashes: d.settings.OperatorKeyHashes, Ready: d.NotReadyReason, Running: d.entry.Running,
+		Assignments:       append([]string{spread.WatchAssignment, order.Assignment(0)}, once.Assignments()...),
+		OperatorKeyHashes: d.settings.OperatorKeyHashes, NotReadyReason: d.NotReadyReason, RequestsRunning: d.entry.Running,
 	})
 }
 
@@ -207,7 +207,7 @@
 
 // isolated reports whether peers, box list and key-value service have been silent for Limits.IsolationTimeout.
 func (d *Daemon) isolated() bool {
-	last := d.fleet.Contact()
+	last := d.fleet.LastContact()
 	if at := d.config.Confirmed(); at.After(last) {
 		last = at
 	}
--- a/emberd/internal/host/applied.go
+++ b/emberd/internal/host/applied.go
@@ -40,7 +40,7 @@
 			return
 		case <-h.incarnationCheck:
 		}
-		if h.watchCache.Era() == 0 {
+		if h.watchCache.StoreIncarnation() == 0 {
 			continue
 		}
 		for end := time.Now().Add(restoredGrace); !h.pullApplied(ctx) && time.Now().Before(end); {
@@ -90,7 +90,7 @@
 
 // isOnlyBox reports whether the store lists no other box.
 func (h *Host) isOnlyBox() bool {
-	for _, p := range h.watchCache.Under(keyBoxes) {
+	for _, p := range h.watchCache.WithPrefix(keyBoxes) {
 		if strings.TrimPrefix(p.Key, keyBoxes) != h.settings.Name {
 			return false
 		}
@@ -177,7 +177,7 @@
 // first one stays pending until peers have been queried.
 func (h *Host) applyFromStore(t *table.Table) {
 	h.firstTable.mu.Lock()
-	defers := !h.applied.Ready() && h.watchCache.Era() > 0
+	defers := !h.applied.Ready() && h.watchCache.StoreIncarnation() > 0
 	if defers {
 		h.firstTable.pending = t
 	}
@@ -199,7 +199,7 @@
 	h.log.Emit(event.ConfApplied, event.Ref{}, "version "+itoa(t.Version()))
 	tokenBytes := 0
 	for _, svc := range t.Engines() {
-		tokenBytes = max(tokenBytes, svc.Engine.TokenBytes)
+		tokenBytes = max(tokenBytes, svc.Engine.BytesPerToken)
 	}
 	var stores []cache.StoreInfo
 	for _, s := range t.Stores() {
--- a/emberd/internal/host/applied_test.go
+++ b/emberd/internal/host/applied_test.go
@@ -23,7 +23,7 @@
 	for _, p := range pairs {
 		changes = append(changes, plat.Change{Pair: p})
 	}
-	h.watchCache.TakeAll(changes, revision, "", "", clock.Now())
+	h.watchCache.ApplySnapshot(changes, revision, "", "", clock.Now())
 }
 
 // Only a store that reports its incarnation may have been restored from a copy.
@@ -45,7 +45,7 @@
 	h.pullApplied(context.Background())
 	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(5)))
 	// Later configurations of the store are applied at once.
-	h.watchCache.Take([]plat.Change{{Pair: configPair("6", plat.Revision(1, 2))}}, plat.Revision(1, 2), clock.Now())
+	h.watchCache.ApplyChanges([]plat.Change{{Pair: configPair("6", plat.Revision(1, 2))}}, plat.Revision(1, 2), clock.Now())
 	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(6)))
 }
 
--- a/emberd/internal/host/assignments.go
+++ b/emberd/internal/host/assignments.go
@@ -17,17 +17,17 @@
 // buildAssignments creates the work that only some daemons do at a time, with the leases for it, and the
 // key by which other daemons find this one.
 func (h *Host) buildAssignments(incarnation string, engines *platform.Engines) {
-	var leaderships []order.Right
+	var leaderships []order.Leadership
 	for partition := range updatePartitions {
 		t := h.newLeadership(partition, incarnation)
 		h.leaderships = append(h.leaderships, t)
 		leaderships = append(leaderships, t)
 	}
 	h.cellLeadership = &cellLeadership{host: h, owner: h.settings.Name + ownerSeparator + incarnation}
-	h.weightUpdater = order.NewSwapper(order.SwapOptions{
-		Divided: h.watchCacheSync.Sharded, Uses: h.watchCacheSync.InOwnCell, Cell: h.cellLeadership.Current,
-		Name: h.settings.Name, Rights: leaderships, Commander: engines, Roster: h.roster,
-		Table: h.relay.Table, Named: h.desired.version, Changed: h.fleet.Kick, Audience: h.updateNotifier, Log: h.log,
+	h.weightUpdater = order.NewWeightUpdater(order.WeightUpdaterOptions{
+		Sharded: h.watchCacheSync.Sharded, InOwnCell: h.watchCacheSync.InOwnCell, CellLeadership: h.cellLeadership.Current,
+		Name: h.settings.Name, Leaderships: leaderships, Client: engines, Roster: h.roster,
+		Table: h.relay.Table, Desired: h.desired.version, Notify: h.fleet.TriggerHeartbeat, Observer: h.updateNotifier, Log: h.log,
 	})
 	h.sweeper = cache.NewSweeper(cache.SweepOptions{
 		Stores: h.storeIndexes, Log: h.log, Superseded: h.desired.supersededSince,
@@ -41,14 +41,14 @@
 func (h *Host) buildRollouts(incarnation string) {
 	owner := h.settings.Name + ownerSeparator + incarnation
 	leadership := lease.NewTimed(lease.TimedOptions{
-		Key: keyRollouts, Owner: owner, Apart: h.settings.Bounds.OrderGap, Store: h.store, Mirror: h.watchCache, Log: h.log,
-		Rank:   func() int { return h.assignmentRank(keyRollouts) },
-		Urgent: func() bool { return !h.canary.Over() },
-		Idle:   func() bool { return h.ineligible() || h.canary.Over() },
+		Key: keyRollouts, Owner: owner, MinGap: h.settings.Bounds.OrderGap, Store: h.store, Mirror: h.watchCache, Log: h.log,
+		Rank:       func() int { return h.assignmentRank(keyRollouts) },
+		HasWork:    func() bool { return !h.canary.AllDecided() },
+		Ineligible: func() bool { return h.ineligible() || h.canary.AllDecided() },
 	})
 	h.leaderships = append(h.leaderships, leadership)
 	h.rollouts = canary.NewController(canary.Options{
-		Guard: &h.canary, Fleet: h.fleet, Run: owner, Right: leadership, Store: h.store, Mirror: h.watchCache,
+		Guard: &h.canary, Fleet: h.fleet, Incarnation: owner, Leadership: leadership, Store: h.store, Mirror: h.watchCache,
 		Holder: h.rolloutHolder, Status: platform.RolloutSays, Log: h.log,
 	})
 }
@@ -71,7 +71,7 @@
 		panic(err)
 	}
 	return &lease.Presence{
-		Key: keyBoxes + h.settings.Name, Value: value, Life: boxTTL, Store: h.store, Mirror: h.watchCache, Log: h.log,
+		Key: keyBoxes + h.settings.Name, Value: value, TTL: boxTTL, Store: h.store, Mirror: h.watchCache, Log: h.log,
 	}
 }
 
@@ -82,5 +82,5 @@
 // assignmentRank returns this daemon's rank, from 0, for an assignment that only daemons which watch the
 // coordination store themselves can hold.
 func (h *Host) assignmentRank(assignment string) int {
-	return fleet.Place(fleet.Key(assignment), h.watchCacheSync.WatchingDaemons(), h.settings.Name)
+	return fleet.RankOf(fleet.Key(assignment), h.watchCacheSync.WatchingDaemons(), h.settings.Name)
 }
--- a/emberd/internal/host/box_list_test.go
+++ b/emberd/internal/host/box_list_test.go
@@ -19,13 +19,13 @@
 type boxListRig struct {
 	g          *gomega.WithT
 	store      *memkv.KV
-	watchCache *plat.Mirror
+	watchCache *plat.WatchCache
 	boxes      *boxList
 }
 
 func newBoxListRig(t *testing.T) *boxListRig {
 	r := &boxListRig{g: gomega.NewWithT(t), store: &memkv.KV{}}
-	r.watchCache = plat.NewMirror(r.store, plat.Prefix(""), &event.Log{})
+	r.watchCache = plat.NewWatchCache(r.store, plat.Prefix(""), &event.Log{})
 	r.boxes = &boxList{watchCache: r.watchCache}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -51,7 +51,7 @@
 // awaitSync waits until the watch cache equals the store.
 func (r *boxListRig) awaitSync() {
 	r.g.Eventually(func() bool {
-		return r.watchCache.Revision() != 0 && len(r.watchCache.Under("")) == len(r.store.Under("")) && plat.Era(r.watchCache.Revision()) == r.store.Era()
+		return r.watchCache.Revision() != 0 && len(r.watchCache.WithPrefix("")) == len(r.store.Under("")) && plat.StoreIncarnation(r.watchCache.Revision()) == r.store.StoreIncarnation()
 	}, "30s", "1ms").Should(gomega.BeTrue())
 }
 
--- a/emberd/internal/host/changes.go
+++ b/emberd/internal/host/changes.go
@@ -52,17 +52,17 @@
 		if former := h.roster.Put(*update.Target); former != nil {
 			h.pool.CloseIdle(former.Entry().Address)
 		}
-	case update.Gone != "" && c.Dropped:
+	case update.Gone != "" && c.LeftShard:
 		h.roster.MakeExternal(update.Gone)
-	case update.Gone != "" && c.Restored:
+	case update.Gone != "" && c.DeletedByRestore:
 		h.roster.RecordMissing(update.Gone)
 	case update.Gone != "":
 		h.removeTarget(update.Gone)
-	case update.Evacuation != nil && c.Restored:
+	case update.Evacuation != nil && c.DeletedByRestore:
 		h.endEvacuationLater(update.Evacuation.Domain, c.Key)
 	case update.Evacuation != nil:
 		h.applyEvacuation(c.Pair, update.Evacuation)
-	case update.Rollout != nil && c.Restored:
+	case update.Rollout != nil && c.DeletedByRestore:
 		// The restored store lost the rollout: operators did not withdraw it, and write it again.
 	case update.Rollout != nil:
 		h.applyRollout(c.Pair, update.Rollout)
@@ -119,14 +119,14 @@
 // down, it counts as crashed.
 func (h *Host) incarnationRemoved(incarnation string, shuttingDown bool) {
 	if !shuttingDown {
-		h.poison.Ended(incarnation)
+		h.poison.RecordListedCrash(incarnation)
 	}
 }
 
 // storeInfo describes a KV-cache store to the cache package. tokenBytes is the size of one cached token.
 func storeInfo(s *table.Store, tokenBytes int) cache.StoreInfo {
 	return cache.StoreInfo{
-		Address: s.Address, Domain: s.Domain, Room: s.Tokens, First: s.First,
-		TokenTime: table.LinkTime(tokenBytes, s.LinkBits), Watchers: s.Watchers,
+		Address: s.Address, Domain: s.Domain, Capacity: s.CapacityTokens, FirstByteDelay: s.FirstByteLatency,
+		TokenTime: table.LinkTime(tokenBytes, s.LinkBitsPerSecond), MaxWatchers: s.MaxWatchers,
 	}
 }
--- a/emberd/internal/host/config_current_test.go
+++ b/emberd/internal/host/config_current_test.go
@@ -26,13 +26,13 @@
 // newCurrentHost returns a daemon whose watch cache has just been updated.
 func newCurrentHost(t *testing.T) (*gomega.WithT, *Host) {
 	g, h := newHost(t)
-	h.watchCache.Take([]plat.Change{{Pair: plat.Pair{Key: "a", ModRevision: 1}}}, 1, clock.Now())
+	h.watchCache.ApplyChanges([]plat.Change{{Pair: plat.Pair{Key: "a", ModRevision: 1}}}, 1, clock.Now())
 	return g, h
 }
 
 // unfetched returns a change of a key whose value has not been received yet.
 func unfetched(key string, revision int64) plat.Change {
-	return plat.Change{Pair: plat.Pair{Key: key, ModRevision: revision}, Late: true}
+	return plat.Change{Pair: plat.Pair{Key: key, ModRevision: revision}, Unfetched: true}
 }
 
 // A daemon that is waiting for a newer configuration must not claim that something does not exist: the newer
@@ -40,23 +40,23 @@
 func TestConfigIsNotCurrentUntilANewerOneArrives(t *testing.T) {
 	g, h := newCurrentHost(t)
 	g.Expect(h.configCurrent()).To(gomega.BeTrue())
-	h.watchCache.Take([]plat.Change{unfetched("a", 2)}, 2, clock.Now())
+	h.watchCache.ApplyChanges([]plat.Change{unfetched("a", 2)}, 2, clock.Now())
 	g.Expect(h.configCurrent()).To(gomega.BeFalse())
-	h.watchCache.Arrive(plat.Pair{Key: "a", ModRevision: 2})
+	h.watchCache.ApplyFetched(plat.Pair{Key: "a", ModRevision: 2})
 	g.Expect(h.configCurrent()).To(gomega.BeTrue())
 }
 
 // A configuration must not be used for too long after it is known to have been replaced.
 func TestConfigIsOverdueIfANewerOneDoesNotArrive(t *testing.T) {
 	g, h := newCurrentHost(t)
-	h.watchCache.Take([]plat.Change{unfetched("a", 2)}, 2, clock.Now())
-	since := h.watchCache.LateSince()
+	h.watchCache.ApplyChanges([]plat.Change{unfetched("a", 2)}, 2, clock.Now())
+	since := h.watchCache.UnfetchedSince()
 	maxAge := h.settings.Bounds.OldConfiguration
 	g.Expect(h.configOverdue(since.Add(maxAge / 4))).To(gomega.BeZero())
 	g.Expect(h.configOverdue(since.Add(maxAge))).To(gomega.Equal(maxAge))
-	h.watchCache.Take([]plat.Change{unfetched("a", 3)}, 3, clock.Now())
+	h.watchCache.ApplyChanges([]plat.Change{unfetched("a", 3)}, 3, clock.Now())
 	g.Expect(h.configOverdue(since.Add(maxAge))).To(gomega.Equal(maxAge), "the time counts from the first change that has not arrived")
-	h.watchCache.Arrive(plat.Pair{Key: "a", ModRevision: 3})
+	h.watchCache.ApplyFetched(plat.Pair{Key: "a", ModRevision: 3})
 	g.Expect(h.configOverdue(since.Add(maxAge))).To(gomega.BeZero())
 }
 
@@ -72,7 +72,7 @@
 	g.Expect(h.configCurrent()).To(gomega.BeFalse())
 	g.Expect(h.viewAge()).To(gomega.BeNumerically(">=", h.settings.Bounds.StoreSilence))
 	g.Expect(h.desired.replacedFor("m", 1)).To(gomega.BeNumerically(">=", h.settings.Bounds.StoreSilence))
-	h.watchCache.Take(nil, 1, clock.Now())
+	h.watchCache.ApplyChanges(nil, 1, clock.Now())
 	g.Expect(h.configCurrent()).To(gomega.BeTrue())
 }
 
@@ -84,7 +84,7 @@
 	t.Cleanup(bugs.Handle(func(string, []byte) { reported++ }))
 	guard := h.poison
 	h.poison = nil // makes the handler of the first change panic
-	h.applyChanges([]plat.Change{{Pair: plat.Pair{Key: poison.KeyBlocks + "00"}}, {Pair: plat.Pair{Key: "op/evacuate/z1"}}})
+	h.applyChanges([]plat.Change{{Pair: plat.Pair{Key: poison.BlockPrefix + "00"}}, {Pair: plat.Pair{Key: "op/evacuate/z1"}}})
 	h.poison = guard
 	g.Expect(reported).To(gomega.Equal(1))
 	_, evacuated := h.roster.Evacuated("z1", time.Now())
--- a/emberd/internal/host/host.go
+++ b/emberd/internal/host/host.go
@@ -60,7 +60,7 @@
 	store *platform.Store
 	// decoder parses the values of the coordination store.
 	decoder          platform.Decoder
-	watchCache       *plat.Mirror
+	watchCache       *plat.WatchCache
 	watchCacheSync   *spread.WatchCacheSync
 	fleet            *fleet.Fleet
 	roster           *roster.Roster
@@ -79,7 +79,7 @@
 	rollouts         *canary.Controller
 	leaderships      []*lease.Timed
 	cellLeadership   *cellLeadership
-	weightUpdater    *order.Swapper
+	weightUpdater    *order.WeightUpdater
 	updateNotifier   *spread.WeightUpdateNotifier
 	sweeper          *cache.Sweeper
 	presence         *lease.Presence
@@ -106,28 +106,28 @@
 func New(settings Settings) *Host {
 	h := &Host{settings: settings, started: time.Now(), stats: relay.NewStats(), firstAnswerTimes: learn.NewTimes(), spool: event.NewSpool(os.Stdout)}
 	h.log = event.NewLog(settings.Name, h.spool, event.FormatJSON, event.Level(settings.LogLevel))
-	h.log.SetPace(&event.Pace{PerSecond: settings.LogRate})
+	h.log.SetLineLimiter(&event.LineLimiter{LinesPerSecond: settings.LogRate})
 	bugs.Handle(func(text string, stack []byte) {
 		h.log.Emit(event.InvariantBroken, event.Ref{}, text+"\n"+string(stack))
 	})
 	incarnation := uuid.NewString()
 	h.store = platform.NewStore("http://"+settings.Store, newClient())
-	h.watchCache = plat.NewMirror(h.store, plat.Prefix(""), h.log)
+	h.watchCache = plat.NewWatchCache(h.store, plat.Prefix(""), h.log)
 	h.watchCache.Observe(h.applyChanges)
 	h.incarnationCheck = make(chan struct{}, 1)
-	h.watchCache.Entered = h.wakeIncarnationWatch
-	h.roster = roster.New(h.log, h.watchCache.Regained)
+	h.watchCache.OnStoreIncarnation = h.wakeIncarnationWatch
+	h.roster = roster.New(h.log, h.watchCache.LastOutage)
 	h.fleet = fleet.New(fleet.Options{
 		Name: settings.Name, Incarnation: incarnation, Address: settings.Peers, Domain: settings.Domain,
-		Heartbeat: settings.Tuning.Heartbeat, Suspect: settings.Tuning.Suspect,
-		BoxPause: boxPollInterval, Boxes: &boxList{watchCache: h.watchCache}, Log: h.log,
+		HeartbeatInterval: settings.Tuning.Heartbeat, SuspectAfter: settings.Tuning.Suspect,
+		BoxPollInterval: boxPollInterval, Boxes: &boxList{watchCache: h.watchCache}, Log: h.log,
 	})
 	h.fleet.Attach("roster", roster.HeartbeatPart{Roster: h.roster})
 	h.watchCacheSync = spread.NewWatchCacheSync(h.watchCache, h.fleet, h.log)
 	h.applied = spread.NewAppliedValues(h.watchCacheSync)
 	h.applied.ShuttingDown = h.roster.RecentShutdowns
 	h.applied.OnShuttingDown = func(targetIncarnation string) { h.roster.RecordShutdown(targetIncarnation, roster.ByPeer) }
-	h.watchCache.Outline, h.watchCacheSync.EntryParser = keyBoxes, h.parseEntry
+	h.watchCache.FirstPrefix, h.watchCacheSync.EntryParser = keyBoxes, h.parseEntry
 	h.store.Hold = h.watchCacheSync.WatchWait
 	h.workerCaches.Capacity = h.workerCapacity
 	h.fleet.Attach("where", &h.workerCaches)
@@ -135,17 +135,17 @@
 	h.fleet.Attach("targets", &h.targetStats)
 	h.fleet.Attach("retention", &h.retention)
 	engines := platform.NewEngines(newClient())
-	engines.Leaves = func(targetIncarnation string) { h.roster.RecordShutdown(targetIncarnation, roster.ByAnswer) }
+	engines.Leaves = func(targetIncarnation string) { h.roster.RecordShutdown(targetIncarnation, roster.ByResponse) }
 	h.storeIndexSync = spread.NewStoreIndexes(engines, h.fleet)
 	h.storeIndexes = cache.NewStoreIndexes(h.storeIndexSync, h.log)
 	h.storeIndexSync.Serve(h.storeIndexes)
 	h.pool = &target.Pool{Opened: h.stats.Opened}
 	h.daemonCounter.view = h.fleet.View
-	h.poison = poison.New(poison.Options{Fleet: h.fleet, Try: h.pool.Connect, Log: h.log, Store: h.store, Mirror: h.watchCache})
+	h.poison = poison.New(poison.Options{Fleet: h.fleet, Dial: h.pool.Connect, Log: h.log, Store: h.store, Mirror: h.watchCache})
 	h.roster.Removed = h.incarnationRemoved
 	h.roster.Rank = h.targetRank
-	h.canary.Share = settings.Bounds.CanaryShare
-	h.canary.Fresh = func() bool { return h.viewAge() < rolloutMaxViewAge }
+	h.canary.CanaryShare = settings.Bounds.CanaryShare
+	h.canary.OrdersCurrent = func() bool { return h.viewAge() < rolloutMaxViewAge }
 	h.buildRelay()
 	h.contextOwners = relay.NewContextOwners(h.relay, h.fleet)
 	h.updateNotifier = spread.NewWeightUpdateNotifier(h.fleet, h.roster)
@@ -158,7 +158,7 @@
 // targetRank returns this daemon's rank, from 0, among the daemons that may choose a target, and their
 // number.
 func (h *Host) targetRank(t *roster.Target) (rank, daemons int) {
-	return h.fleet.View().Place(fleet.Key(t.ID()), h.chosenWithinCell(t))
+	return h.fleet.View().SelfRank(fleet.Key(t.ID()), h.chosenWithinCell(t))
 }
 
 // chosenWithinCell reports whether only the daemons of one cell choose a target, because the targets of
@@ -191,11 +191,11 @@
 }
 
 // viewAge returns how old the watch cache of the coordination store is.
-func (h *Host) viewAge() time.Duration { return clock.Since(h.watchCache.Fresh()) }
+func (h *Host) viewAge() time.Duration { return clock.Since(h.watchCache.FreshAsOf()) }
 
 // configCurrent reports whether the applied configuration is known to be the newest.
 func (h *Host) configCurrent() bool {
-	return h.viewAge() < h.settings.Bounds.StoreSilence && !h.watchCache.Behind()
+	return h.viewAge() < h.settings.Bounds.StoreSilence && !h.watchCache.HasUnfetched()
 }
 
 // overdueShare is the share of Bounds.OldConfiguration for which a daemon keeps using the
@@ -206,7 +206,7 @@
 // configOverdue returns how long a newer configuration has been known but not received, if that
 // is too long to handle requests by the applied one; else 0.
 func (h *Host) configOverdue(now clock.Time) time.Duration {
-	since := h.watchCache.LateSince()
+	since := h.watchCache.UnfetchedSince()
 	if since.IsZero() {
 		return 0
 	}
@@ -240,14 +240,14 @@
 		Dialect: platform.Dialect{}, Roster: h.roster, Pool: h.pool, StoreIndex: h.storeIndexes, WorkerCaches: &h.workerCaches, Links: &h.links, Retention: &h.retention, FirstAnswerTimes: h.firstAnswerTimes, TargetStats: &h.targetStats,
 		EnginePrior: h.settings.Expected.Engines.prior(), CallPrior: h.settings.Expected.Calls.prior(), Costs: h.settings.Costs.model(), Disabled: h.settings.Disabled,
 		Log: h.log, Stats: h.stats, Poison: h.poison, Canary: &h.canary,
-		Placement: route.Placement(h.settings.Placement), PublishState: h.fleet.Kick,
+		Placement: route.Placement(h.settings.Placement), PublishState: h.fleet.TriggerHeartbeat,
 		Domain: h.settings.Domain, Regions: h.settings.Regions, DesiredWeights: h.desired.version, DaemonCount: h.daemonCounter.count,
-		OwnTargets:   func(names []string) []string { return h.fleet.View().Share(names) },
+		OwnTargets:   func(names []string) []string { return h.fleet.View().CellShare(names) },
 		ShardVersion: h.watchCacheSync.ShardVersion,
 		Sharded:      h.watchCacheSync.Sharded, InOwnCell: h.watchCacheSync.InOwnCell, CellDaemonCount: func() int { return h.fleet.View().CellSize() },
-		Rank: func(target string, cell bool) (int, int) { return h.fleet.View().Place(fleet.Key(target), cell) },
+		Rank: func(target string, cell bool) (int, int) { return h.fleet.View().SelfRank(fleet.Key(target), cell) },
 		RankedDaemons: func(t *roster.Target, n int) []string {
-			return h.fleet.View().Ranked(fleet.Key(t.ID()), h.chosenWithinCell(t), n)
+			return h.fleet.View().TopRanked(fleet.Key(t.ID()), h.chosenWithinCell(t), n)
 		},
 		WarmUpFactor: h.settings.Bounds.WarmUpFactor, WarmUpExtra: h.settings.Bounds.WarmUpExtra,
 		WeightsOutdated: func(model string, version int64) bool {
--- a/emberd/internal/host/leaderships.go
+++ b/emberd/internal/host/leaderships.go
@@ -27,11 +27,11 @@
 func (h *Host) newLeadership(partition int, incarnation string) *lease.Timed {
 	key := keyWeightUpdates + strconv.Itoa(partition)
 	return lease.NewTimed(lease.TimedOptions{
-		Key: key, Owner: h.settings.Name + ownerSeparator + incarnation, Apart: h.settings.Bounds.OrderGap,
+		Key: key, Owner: h.settings.Name + ownerSeparator + incarnation, MinGap: h.settings.Bounds.OrderGap,
 		Store: h.store, Mirror: h.watchCache, Log: h.log,
-		Rank:   func() int { return h.assignmentRank(key) + ranksPerLeadership*h.heldLeaderships() },
-		Urgent: func() bool { return h.weightUpdater.Wanted(partition) },
-		Idle:   h.ineligible,
+		Rank:       func() int { return h.assignmentRank(key) + ranksPerLeadership*h.heldLeaderships() },
+		HasWork:    func() bool { return h.weightUpdater.HasOutdated(partition) },
+		Ineligible: h.ineligible,
 	})
 }
 
@@ -47,7 +47,7 @@
 const cellPollInterval = 500 * time.Millisecond
 
 // Current returns the lease for the workers of the current cell, or nil.
-func (c *cellLeadership) Current() order.Right {
+func (c *cellLeadership) Current() order.Leadership {
 	t := c.lease.Load()
 	if t == nil {
 		// A nil *lease.Timed in the interface would not equal nil.
@@ -63,7 +63,7 @@
 	label, stop := "", context.CancelFunc(func() {})
 	defer func() { stop() }()
 	for wait.For(ctx, cellPollInterval) {
-		if now := c.host.fleet.View().Label(); now != label {
+		if now := c.host.fleet.View().CellLabel(); now != label {
 			stop()
 			label = now
 			t := c.newLease(label)
@@ -80,10 +80,10 @@
 func (c *cellLeadership) newLease(label string) *lease.Timed {
 	h, key := c.host, keyCells+label
 	return lease.NewTimed(lease.TimedOptions{
-		Key: key, Owner: c.owner, Apart: h.settings.Bounds.OrderGap, Store: h.store, Mirror: h.watchCache, Log: h.log, Known: h.watchCache.Fresh,
-		Rank:   func() int { return fleet.Place(fleet.Key(key), h.fleet.View().Expected(), h.settings.Name) },
-		Urgent: h.weightUpdater.CellWanted,
-		Idle:   func() bool { return h.ineligible() || !h.weightUpdater.CellWanted() },
+		Key: key, Owner: c.owner, MinGap: h.settings.Bounds.OrderGap, Store: h.store, Mirror: h.watchCache, Log: h.log, LastContact: h.watchCache.FreshAsOf,
+		Rank:       func() int { return fleet.RankOf(fleet.Key(key), h.fleet.View().ExpectedEligible(), h.settings.Name) },
+		HasWork:    h.weightUpdater.CellHasOutdated,
+		Ineligible: func() bool { return h.ineligible() || !h.weightUpdater.CellHasOutdated() },
 	})
 }
 
@@ -102,7 +102,7 @@
 // heldLeaderships counts the partition leases that this daemon holds according to the watch cache.
 func (h *Host) heldLeaderships() int {
 	n := 0
-	for _, p := range h.watchCache.Under(keyWeightUpdates) {
+	for _, p := range h.watchCache.WithPrefix(keyWeightUpdates) {
 		if strings.HasPrefix(string(p.Value), h.settings.Name+ownerSeparator) {
 			n++
 		}
--- a/emberd/internal/host/main.go
+++ b/emberd/internal/host/main.go
@@ -77,6 +77,6 @@
 		}
 		r.host.log.Emit(event.SettingsReloaded, event.Ref{}, "applied: logLevel, logRate; other changes need a restart")
 		r.host.log.SetLevel(event.Level(settings.LogLevel))
-		r.host.log.SetRate(settings.LogRate)
+		r.host.log.SetLineRate(settings.LogRate)
 	}
 }
--- a/emberd/internal/host/state.go
+++ b/emberd/internal/host/state.go
@@ -97,7 +97,7 @@
 // boxList reads the list of daemons' boxes from the watch cache of the coordination store. It is not safe
 // for concurrent use.
 type boxList struct {
-	watchCache *plat.Mirror
+	watchCache *plat.WatchCache
 	// edits is the watch cache's edit count at the last read, and state that of the boxes' keys.
 	edits int64
 	state boxKeysState
@@ -129,12 +129,12 @@
 	if expired {
 		b.missing = nil
 	}
-	edits, incarnation := b.watchCache.Edits(), b.watchCache.Era()
+	edits, incarnation := b.watchCache.EditCount(), b.watchCache.StoreIncarnation()
 	if edits == b.edits && !expired {
 		return nil, false, nil
 	}
 	b.edits = edits
-	pairs := b.watchCache.Under(keyBoxes)
+	pairs := b.watchCache.WithPrefix(keyBoxes)
 	state := boxKeysState{read: true, count: len(pairs)}
 	for _, p := range pairs {
 		state.latest = max(state.latest, p.ModRevision)
--- a/embfake/fake/fake_test.go
+++ b/embfake/fake/fake_test.go
@@ -70,7 +70,7 @@
 	write := plat.Txn{Puts: []plat.Put{{Key: "k", Value: []byte("v")}}}
 	k.Set(LoseAnswers, 1)
 	_, err := kv.Commit(ctx, write)
-	g.Expect(errors.Is(err, plat.ErrUnknown)).To(gomega.BeTrue())
+	g.Expect(errors.Is(err, plat.ErrOutcomeUnknown)).To(gomega.BeTrue())
 	there, err := kv.Read(ctx, "k")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(there).NotTo(gomega.BeNil(), "it took effect")
@@ -79,7 +79,7 @@
 		_, err = kv.Read(ctx, "k")
 		g.Expect(err).To(gomega.HaveOccurred())
 		_, err = kv.Commit(ctx, write)
-		g.Expect(errors.Is(err, plat.ErrUnknown)).To(gomega.BeTrue())
+		g.Expect(errors.Is(err, plat.ErrOutcomeUnknown)).To(gomega.BeTrue())
 	}
 	k.Set(Down, 0)
 	_, err = kv.Commit(ctx, write)
--- a/embfake/fake/site.go
+++ b/embfake/fake/site.go
@@ -35,7 +35,7 @@
 	WeightTime  time.Duration
 	BoxLag      time.Duration
 	// Weights are the policies' prices.
-	Weights conf.Weights
+	Weights conf.CostWeights
 	// Deadline for first tokens.
 	Deadline conf.Duration
 	// Plain leaves TLS out.
@@ -108,12 +108,12 @@
 	case Abonamente:
 		o.Engines, o.Services, o.Domains = 20, 4, 4
 		o.Engine.Latency, o.Deadline = 2*time.Millisecond, conf.Seconds(8)
-		o.Weights = conf.Weights{FirstToken: 1, RecomputedSeconds: 0.005, LinkSeconds: 0.00001}
+		o.Weights = conf.CostWeights{FirstToken: 1, RecomputedSeconds: 0.005, LinkSeconds: 0.00001}
 	case Cascade:
 		o.Engines, o.Services, o.Domains = 15, 3, 3
 		o.Engine.Blocks = 360
 		o.Engine.Latency, o.Deadline = time.Millisecond, conf.Seconds(12)
-		o.Weights = conf.Weights{FirstToken: 0.3, RecomputedSeconds: 0.1, LinkSeconds: 0.0001}
+		o.Weights = conf.CostWeights{FirstToken: 0.3, RecomputedSeconds: 0.1, LinkSeconds: 0.0001}
 	default:
 		return o, errors.Errorf("deployment %q is not known: abonamente or cascade", name)
 	}
