--- a/embfake/fake/blocks.go
+++ b/embfake/fake/blocks.go
@@ -16,44 +16,44 @@
 	"embertally.dev/core/target"
 )
 
-// contentOf is what a block with the hash contains that was computed with the
-// weights of a version.
-func contentOf(h cache.Hash, version string) string {
+// expectedContent returns the content of the block with hash h, as computed with
+// the weights of this version.
+func expectedContent(h cache.Hash, version string) string {
 	return "kv of " + h.String() + " under " + version
 }
 
-// cached is one block in an engine's cache.
-type cached struct {
+// cachedBlock is one block in an engine's KV cache.
+type cachedBlock struct {
 	parent   cache.Hash
 	content  string
-	children int
-	used     uint64
+	children int    // cached blocks that follow it directly
+	lastUse  uint64 // useCount at the last use
 }
 
-// timedNote is a cache event that shows after a lag.
-type timedNote struct {
+// delayedEvent is a cache event that can be read after a delay.
+type delayedEvent struct {
 	cache.CacheEvent
-	shown time.Time
+	visibleAt time.Time
 }
 
-// blockCache is an engine's cache: the block that was not used for longest and
-// that no other needs goes first.
+// blockCache is an engine's KV cache. It evicts the least recently used blocks that
+// no cached block follows.
 type blockCache struct {
-	room   int
-	lag    time.Duration
-	blocks map[cache.Hash]*cached
-	clock  uint64
-	seq    uint64
-	notes  []timedNote
+	capacity int           // in blocks
+	lag      time.Duration // until an event is visible
+	blocks   map[cache.Hash]*cachedBlock
+	useCount uint64 // uses so far; orders them
+	seq      uint64 // sequence number of the last event
+	events   []delayedEvent
 }
 
-func (b *blockCache) init(room int, lag time.Duration) {
-	b.room, b.lag = room, lag
-	b.blocks = map[cache.Hash]*cached{}
+func (b *blockCache) init(capacity int, lag time.Duration) {
+	b.capacity, b.lag = capacity, lag
+	b.blocks = map[cache.Hash]*cachedBlock{}
 }
 
-// held returns how many first blocks of a chain are cached.
-func (b *blockCache) held(chain []cache.Hash) int {
+// cachedPrefix returns how many blocks at the start of a chain are cached.
+func (b *blockCache) cachedPrefix(chain []cache.Hash) int {
 	for i, h := range chain {
 		if b.blocks[h] == nil {
 			return i
@@ -62,112 +62,116 @@
 	return len(chain)
 }
 
-// spoiled reports whether any block's content is not that of its hash under the
-// weights.
-func (b *blockCache) spoiled(chain []cache.Hash, version string) bool {
-	return slices.ContainsFunc(chain, func(h cache.Hash) bool { return b.blocks[h].content != contentOf(h, version) })
+// corrupted reports whether the content of any block differs from what the weights
+// of this version compute.
+func (b *blockCache) corrupted(chain []cache.Hash, version string) bool {
+	return slices.ContainsFunc(chain, func(h cache.Hash) bool { return b.blocks[h].content != expectedContent(h, version) })
 }
 
-func (b *blockCache) use(chain []cache.Hash) {
-	b.clock++
+// touch marks the blocks of a chain as used now.
+func (b *blockCache) touch(chain []cache.Hash) {
+	b.useCount++
 	for _, h := range chain {
-		b.blocks[h].used = b.clock
+		b.blocks[h].lastUse = b.useCount
 	}
 }
 
-// add takes blocks that follow parent into the cache.
-func (b *blockCache) add(parent cache.Hash, list []carried) {
-	if len(list) == 0 {
+// add inserts a chain of blocks that follows parent, and evicts others if the
+// cache is over its capacity.
+func (b *blockCache) add(parent cache.Hash, blocks []transferredBlock) {
+	if len(blocks) == 0 {
 		return
 	}
-	b.clock++
+	b.useCount++
 	run := cache.BlockRun{Parent: parent.Short()}
-	for _, c := range list {
+	for _, c := range blocks {
 		if b.blocks[c.Hash] == nil {
-			b.blocks[c.Hash] = &cached{parent: parent, content: c.Content, used: b.clock}
+			b.blocks[c.Hash] = &cachedBlock{parent: parent, content: c.Content, lastUse: b.useCount}
 			if p := b.blocks[parent]; p != nil {
 				p.children++
 			}
 		}
-		b.blocks[c.Hash].used = b.clock
+		b.blocks[c.Hash].lastUse = b.useCount
 		run.Blocks = append(run.Blocks, c.Hash.Short())
 		parent = c.Hash
 	}
-	b.note(cache.CacheEvent{Stored: &run})
-	if extra := len(b.blocks) - b.room; extra > 0 {
-		b.evict(extra + b.room/evictShare)
+	b.record(cache.CacheEvent{Stored: &run})
+	if extra := len(b.blocks) - b.capacity; extra > 0 {
+		b.evict(extra + b.capacity/extraEvictionDivisor)
 	}
 }
 
-// evictShare is the part of the room that is freed beyond the need, so that
-// not every prompt has to look for blocks to push out.
-const evictShare = 64
+// extraEvictionDivisor sets how much is evicted beyond the need: the capacity divided by
+// it. Otherwise every prompt would have to search for blocks to evict.
+const extraEvictionDivisor = 64
 
-// evict pushes n blocks out.
+// evict removes n blocks, or all if there are fewer.
 func (b *blockCache) evict(n int) {
-	type old struct {
-		hash cache.Hash
-		used uint64
+	type leaf struct {
+		hash    cache.Hash
+		lastUse uint64
 	}
-	var gone []cache.Hash
-	for len(gone) < n && len(b.blocks) > 0 {
-		var leaves []old
+	var evicted []cache.Hash
+	for len(evicted) < n && len(b.blocks) > 0 {
+		var leaves []leaf
 		for h, c := range b.blocks {
 			if c.children == 0 {
-				leaves = append(leaves, old{h, c.used})
+				leaves = append(leaves, leaf{h, c.lastUse})
 			}
 		}
-		slices.SortFunc(leaves, func(x, y old) int { return int(int64(x.used) - int64(y.used)) })
-		// One chain after the other, from its last block on.
-		for h := leaves[0].hash; len(gone) < n; {
+		slices.SortFunc(leaves, func(x, y leaf) int { return int(int64(x.lastUse) - int64(y.lastUse)) })
+		// Follow the least recently used chain back from its last block, as far as no other
+		// chain shares its blocks and none was used later.
+		for h := leaves[0].hash; len(evicted) < n; {
 			c := b.blocks[h]
 			delete(b.blocks, h)
-			gone = append(gone, h)
+			evicted = append(evicted, h)
 			p := b.blocks[c.parent]
 			if p == nil {
 				break
 			}
 			p.children--
-			if p.children > 0 || p.used > leaves[0].used {
+			if p.children > 0 || p.lastUse > leaves[0].lastUse {
 				break
 			}
 			h = c.parent
 		}
 	}
-	if len(gone) > 0 {
-		b.note(cache.CacheEvent{Removed: cache.Shorts(gone)})
+	if len(evicted) > 0 {
+		b.record(cache.CacheEvent{Removed: cache.Shorts(evicted)})
 	}
 }
 
-// keptNotes bounds the events that can still be read.
-const keptNotes = 4096
+// maxEvents bounds the stored events. Beyond it the older half is dropped.
+const maxEvents = 4096
 
-func (b *blockCache) note(n cache.CacheEvent) {
+// record stores an event under the next sequence number.
+func (b *blockCache) record(ev cache.CacheEvent) {
 	b.seq++
-	n.Seq = b.seq
-	b.notes = append(b.notes, timedNote{n, time.Now().Add(b.lag)})
-	if len(b.notes) > keptNotes {
-		b.notes = append([]timedNote(nil), b.notes[len(b.notes)-keptNotes/2:]...)
+	ev.Seq = b.seq
+	b.events = append(b.events, delayedEvent{ev, time.Now().Add(b.lag)})
+	if len(b.events) > maxEvents {
+		b.events = append([]delayedEvent(nil), b.events[len(b.events)-maxEvents/2:]...)
 	}
 }
 
-// after returns the events after seq that show by now.
-func (b *blockCache) after(seq uint64, now time.Time) []cache.CacheEvent {
+// visibleAfter returns the events after sequence number seq that are visible at now.
+func (b *blockCache) visibleAfter(seq uint64, now time.Time) []cache.CacheEvent {
 	var out []cache.CacheEvent
-	for _, n := range b.notes {
-		if n.shown.After(now) {
+	for _, ev := range b.events {
+		if ev.visibleAt.After(now) {
 			break
 		}
-		if n.Seq > seq {
-			out = append(out, n.CacheEvent)
+		if ev.Seq > seq {
+			out = append(out, ev.CacheEvent)
 		}
 	}
 	return out
 }
 
-// news answers, after the time of gathering, with the events that show by then
-// and the load.
-func (e *Engine) news(c echo.Context) error {
+// pollEvents waits for gatherMillis, so that events are batched, and responds with the
+// events that are visible by then and the load report.
+func (e *Engine) pollEvents(c echo.Context) error {
 	after, err1 := strconv.ParseUint(c.QueryParam("after"), 10, 64)
 	gather, err2 := strconv.Atoi(c.QueryParam("gatherMillis"))
 	if err1 != nil || err2 != nil {
@@ -179,17 +183,18 @@
 		return nil
 	}
 	e.engineMu.Lock()
-	list := e.cache.after(after, time.Now())
-	out := target.EventBatch{Load: e.report}
+	visible := e.cache.visibleAfter(after, time.Now())
+	out := target.EventBatch{Load: e.loadReport}
 	e.engineMu.Unlock()
-	for _, n := range list {
+	for _, ev := range visible {
 		if !e.Take(DropEvents) {
-			out.Events = append(out.Events, n)
+			out.Events = append(out.Events, ev)
 		}
 	}
 	return c.JSON(http.StatusOK, out)
 }
 
+// contents responds with every cached chain. Chains that share a prefix repeat it.
 func (e *Engine) contents(c echo.Context) error {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
@@ -202,7 +207,7 @@
 	return c.JSON(http.StatusOK, all)
 }
 
-// chainTo returns the chain that ends in a block.
+// chainTo returns the cached chain that ends with block h.
 func (b *blockCache) chainTo(h cache.Hash) cache.BlockRun {
 	var run cache.BlockRun
 	for c := b.blocks[h]; c != nil; c = b.blocks[h] {
@@ -213,9 +218,10 @@
 	return run
 }
 
-// transferClient moves blocks between engines and stores.
+// transferClient carries the engines' requests to KV-cache stores and the weight store.
 var transferClient = &http.Client{Transport: target.NewTransport()}
 
+// post sends body as JSON and decodes the response into reply if its status is 200.
 func post(ctx context.Context, url string, body, reply any) (int, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -237,6 +243,7 @@
 	return resp.StatusCode, json.NewDecoder(resp.Body).Decode(reply)
 }
 
+// importBlocks reads blocks from a KV-cache store and stages them for commit.
 func (e *Engine) importBlocks(c echo.Context) error {
 	var body struct {
 		Store  string         `json:"store"`
@@ -246,38 +253,40 @@
 	if err := c.Bind(&body); err != nil {
 		return err
 	}
-	ask := blockList{}
+	wanted := blockList{}
 	for _, b := range body.Blocks {
-		ask.Blocks = append(ask.Blocks, carried{Block: b})
+		wanted.Blocks = append(wanted.Blocks, transferredBlock{Block: b})
 	}
 	var got blockList
-	status, err := post(c.Request().Context(), body.Store+"/v1/blocks/read", ask, &got)
+	status, err := post(c.Request().Context(), body.Store+"/v1/blocks/read", wanted, &got)
 	if err != nil || status != http.StatusOK {
 		return c.String(http.StatusBadGateway, "the store did not answer\n")
 	}
 	out := target.ImportResult{ID: uuid.NewString(), Bytes: int64(len(got.Blocks) * e.o.BlockBytes)}
 	for i := range got.Blocks {
-		got.Blocks[i].Sum = Sum(got.Blocks[i].Content)
+		got.Blocks[i].Sum = Checksum(got.Blocks[i].Content)
 		out.Blocks = append(out.Blocks, got.Blocks[i].Block)
 	}
 	e.engineMu.Lock()
-	e.staged[out.ID] = staging{body.Parent, got.Blocks}
+	e.stagedImports[out.ID] = stagedImport{body.Parent, got.Blocks}
 	e.engineMu.Unlock()
-	time.AfterFunc(stagedKept, func() { e.unstage(out.ID) })
+	time.AfterFunc(stagedTimeout, func() { e.takeStaged(out.ID) })
 	return c.JSON(http.StatusOK, out)
 }
 
-// stagedKept is how long staged blocks wait for their commit.
-const stagedKept = 30 * time.Second
+// stagedTimeout is how long staged blocks wait to be committed.
+const stagedTimeout = 30 * time.Second
 
-func (e *Engine) unstage(id string) (staging, bool) {
+// takeStaged removes a staged import and returns it.
+func (e *Engine) takeStaged(id string) (stagedImport, bool) {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
-	s, ok := e.staged[id]
-	delete(e.staged, id)
+	s, ok := e.stagedImports[id]
+	delete(e.stagedImports, id)
 	return s, ok
 }
 
+// commit adds the first blocks of a staged import to the cache.
 func (e *Engine) commit(c echo.Context) error {
 	var body struct {
 		ID     string `json:"id"`
@@ -286,7 +295,7 @@
 	if err := c.Bind(&body); err != nil {
 		return err
 	}
-	s, ok := e.unstage(body.ID)
+	s, ok := e.takeStaged(body.ID)
 	if !ok || body.Blocks < 0 || body.Blocks > len(s.blocks) {
 		return c.String(http.StatusNotFound, "no such staged blocks\n")
 	}
@@ -296,6 +305,8 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
+// exportBlocks writes a chain to a KV-cache store, up to the first block that is not
+// cached.
 func (e *Engine) exportBlocks(c echo.Context) error {
 	var body struct {
 		Store  string       `json:"store"`
@@ -304,18 +315,18 @@
 	if err := c.Bind(&body); err != nil {
 		return err
 	}
-	var send blockList
+	var sent blockList
 	e.engineMu.Lock()
 	for _, h := range body.Hashes {
 		b := e.cache.blocks[h]
 		if b == nil {
 			break
 		}
-		send.Blocks = append(send.Blocks, carried{target.Block{Hash: h}, b.content})
+		sent.Blocks = append(sent.Blocks, transferredBlock{target.Block{Hash: h}, b.content})
 	}
 	e.engineMu.Unlock()
 	var got blockList
-	status, err := post(c.Request().Context(), body.Store+"/v1/blocks/write", send, &got)
+	status, err := post(c.Request().Context(), body.Store+"/v1/blocks/write", sent, &got)
 	if status == http.StatusInsufficientStorage {
 		return c.String(http.StatusInsufficientStorage, "the store is full\n")
 	}
@@ -324,12 +335,14 @@
 	}
 	out := target.ExportResult{Bytes: int64(len(got.Blocks) * e.o.BlockBytes)}
 	for i, b := range got.Blocks {
-		b.Sum = Sum(send.Blocks[i].Content)
+		b.Sum = Checksum(sent.Blocks[i].Content)
 		out.Blocks = append(out.Blocks, b.Block)
 	}
 	return c.JSON(http.StatusOK, out)
 }
 
+// order accepts an order to load weights, unless its fencing token is outdated or
+// weights are loading.
 func (e *Engine) order(c echo.Context) error {
 	var o target.Order
 	if err := c.Bind(&o); err != nil {
@@ -338,14 +351,14 @@
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	switch {
-	case e.o.ChecksFence && o.Fence < e.fence:
+	case e.o.ChecksFence && o.Fence < e.maxFence:
 		return c.String(http.StatusPreconditionFailed, "the fence is old\n")
 	case e.loading:
 		return c.String(http.StatusTooManyRequests, "weights are loading\n")
 	}
-	e.fence = max(e.fence, o.Fence)
+	e.maxFence = max(e.maxFence, o.Fence)
 	e.orders = append(e.orders, o)
-	if e.holds(o.Model, o.Version, "") {
+	if e.hasWeights(o.Model, o.Version, "") {
 		return c.NoContent(http.StatusAccepted)
 	}
 	e.loading = true
@@ -353,7 +366,8 @@
 	return c.NoContent(http.StatusAccepted)
 }
 
-// loader loads weights; the former ones stay until it is done.
+// loader loads the weights that an order names. The model's former weights stay in use
+// until then.
 type loader struct {
 	e *Engine
 	o target.Order
--- a/embfake/fake/boxes.go
+++ b/embfake/fake/boxes.go
@@ -11,19 +11,19 @@
 	"embertally.dev/core/plat"
 )
 
-// Boxes stands in for the platform's box list.
+// Boxes emulates the platform's box list.
 type Boxes struct {
 	Server
-	// Lag is how late changes show; set it before use.
+	// Lag is the delay until a change is visible; set it before use.
 	Lag time.Duration
 
 	boxMu   sync.Mutex
 	boxes   map[string]plat.Box // guarded by boxMu
 	order   []string            // names in order of appearance; guarded by boxMu
-	version int                 // guarded by boxMu
+	version int                 // counts changes, sent as ETag; guarded by boxMu
 }
 
-// NewBoxes starts a box list at address.
+// NewBoxes starts a box list that listens at address.
 func NewBoxes(address string) (*Boxes, error) {
 	b := &Boxes{boxes: map[string]plat.Box{}}
 	return b, b.start(address, func(e *echo.Echo) {
@@ -38,7 +38,7 @@
 
 // Put adds or changes a box, after the lag.
 func (b *Boxes) Put(box plat.Box) {
-	b.later(func() {
+	b.afterLag(func() {
 		if _, ok := b.boxes[box.Name]; !ok {
 			b.order = append(b.order, box.Name)
 		}
@@ -46,14 +46,14 @@
 	})
 }
 
-// Remove takes a box off the list, after the lag.
+// Remove deletes a box from the list, after the lag.
 func (b *Boxes) Remove(name string) {
-	b.later(func() { delete(b.boxes, name) })
+	b.afterLag(func() { delete(b.boxes, name) })
 }
 
 // State changes the state of a box, after the lag.
 func (b *Boxes) State(name string, s plat.BoxState) {
-	b.later(func() {
+	b.afterLag(func() {
 		if box, ok := b.boxes[name]; ok {
 			box.State = s
 			b.boxes[name] = box
@@ -61,18 +61,19 @@
 	})
 }
 
-func (b *Boxes) later(f func()) {
-	do := func() {
+// afterLag applies a change after the lag and counts the version up.
+func (b *Boxes) afterLag(f func()) {
+	apply := func() {
 		b.boxMu.Lock()
 		defer b.boxMu.Unlock()
 		f()
 		b.version++
 	}
 	if b.Lag == 0 {
-		do()
+		apply()
 		return
 	}
-	time.AfterFunc(b.Lag, do)
+	time.AfterFunc(b.Lag, apply)
 }
 
 func (b *Boxes) put(c echo.Context) error {
--- a/embfake/fake/engine.go
+++ b/embfake/fake/engine.go
@@ -17,113 +17,123 @@
 	"embertally.dev/core/target"
 )
 
-// EngineOptions are the size and speed of an engine.
+// EngineOptions configures the size and speed of an emulated engine.
 type EngineOptions struct {
+	// Name is the target's name.
 	Name string
-	// Blocks is the room of its cache in blocks.
-	Blocks     int
+	// Blocks is the capacity of the KV cache in blocks.
+	Blocks int
+	// BlockBytes is the size of one KV-cache block.
 	BlockBytes int
-	// PrefillTokensPerSecond is its speed on prompt tokens.
+	// PrefillTokensPerSecond is the prefill speed while no response is generated.
 	PrefillTokensPerSecond float64
-	// TokenTime is the time between two tokens of an answer.
+	// TokenTime is the time between two tokens of a response.
 	TokenTime time.Duration
-	// EventLag and LoadLag are how late cache events and load reports are.
+	// EventLag is the delay until a cache event can be read; LoadLag is the interval between load
+	// reports.
 	EventLag, LoadLag time.Duration
-	// Latency is the time there and back of each request.
+	// Latency is the round-trip time that is added to each request.
 	Latency time.Duration
-	// ChecksFence tells that orders with an old fence are refused.
+	// ChecksFence makes the engine reject orders with an outdated fencing token.
 	ChecksFence bool
-	Weights     []target.Weights
-	// WeightStore is the URL of the weight store; empty loads at once.
+	// Weights are loaded from the start.
+	Weights []target.Weights
+	// WeightStore is the URL of the weight store; if it is empty, weights load without delay.
 	WeightStore string
 }
 
-// Engine stands in for a model engine. An answer is a function of model,
-// weight version and text alone, so that a judge can tell a whole and right
-// answer from any other; a block whose content is not that of its hash spoils
-// every answer that uses it.
+// Engine emulates a model engine. A response is a function of model, weights
+// version and prompt alone, so that a test can verify that it is complete and
+// correct. A block whose content does not match its hash changes every response
+// that uses it.
 type Engine struct {
 	Server
-	o    EngineOptions
-	boot string
-
-	engineMu sync.Mutex
-	cache    blockCache         // guarded by engineMu
-	staged   map[string]staging // guarded by engineMu
-	streams  map[string]*stream // guarded by engineMu
-	queue    []*stream          // waiting for prefill; guarded by engineMu
-	working  bool               // a prefill runs; guarded by engineMu
-	running  int                // streams that generate; guarded by engineMu
-	weights  []target.Weights   // guarded by engineMu
-	loading  bool               // guarded by engineMu
-	fence    uint64             // highest seen; guarded by engineMu
-	orders   []target.Order     // taken; guarded by engineMu
-	report   target.Load        // the latest report, which lags; guarded by engineMu
-	runs     []EngineRun        // guarded by engineMu
-	busy     time.Duration      // prefill time; guarded by engineMu
-	fatal    string             // text whose prompts end the engine; guarded by engineMu
-	over     bool               // guarded by engineMu
-	resting
-	close context.CancelFunc
+	o           EngineOptions
+	incarnation string
+
+	engineMu      sync.Mutex
+	cache         blockCache              // guarded by engineMu
+	stagedImports map[string]stagedImport // guarded by engineMu
+	streams       map[string]*stream      // guarded by engineMu
+	queue         []*stream               // waiting for prefill; guarded by engineMu
+	prefilling    bool                    // a prefiller runs; guarded by engineMu
+	running       int                     // streams in prefill or generation; guarded by engineMu
+	weights       []target.Weights        // guarded by engineMu
+	loading       bool                    // guarded by engineMu
+	maxFence      uint64                  // highest fencing token received; guarded by engineMu
+	orders        []target.Order          // accepted; guarded by engineMu
+	loadReport    target.Load             // last published, behind the current load; guarded by engineMu
+	executions    []EngineRun             // guarded by engineMu
+	prefillTime   time.Duration           // total; guarded by engineMu
+	crashText     string                  // prompts that contain it crash the engine; guarded by engineMu
+	crashed       bool                    // guarded by engineMu
+	pushback
+	stop context.CancelFunc // ends the reporter
 }
 
-type staging struct {
+// stagedImport holds imported blocks until they are committed.
+type stagedImport struct {
 	parent cache.Hash
-	blocks []carried
+	blocks []transferredBlock
 }
 
-// EngineRun is one prompt that an engine answered.
+// EngineRun records one prompt that an engine computed.
 type EngineRun struct {
-	// Arrived is when the prompt reached the engine.
+	// Arrived is when the engine received the prompt.
 	Arrived time.Time `json:"arrived"`
-	// Began is when its prompt was computed.
-	Began   time.Time `json:"began"`
-	Request string    `json:"request"`
-	Version string    `json:"version"`
-	Tokens  int       `json:"tokens"`
-	// Cached is the prompt tokens that were not computed.
+	// Began is when its prefill started.
+	Began time.Time `json:"began"`
+	// Request is the request ID.
+	Request string `json:"request"`
+	// Version is the weights version.
+	Version string `json:"version"`
+	// Tokens is the length of the prompt in tokens.
+	Tokens int `json:"tokens"`
+	// Cached is the number of prompt tokens taken from the cache.
 	Cached int `json:"cached"`
-	// Salt is the prompt's cache salt and Head its first bytes.
+	// Salt is the prompt's cache salt.
 	Salt string `json:"salt"`
+	// Head is the start of the prompt, at most maxPromptStart bytes.
 	Head string `json:"head"`
-	// Spoiled tells that a block's content was not that of its hash.
+	// Spoiled is set if the content of a cached block did not match its hash.
 	Spoiled bool `json:"spoiled"`
 }
 
-// stream is one answer, from its prompt until it was read whole.
+// stream is one response, from the receipt of its prompt until it has been read
+// completely.
 type stream struct {
-	id       string
-	prompt   target.Prompt
-	version  string
-	adapter  string
-	chain    []cache.Hash
-	cached   int
-	spoiled  bool
-	arrived  time.Time
-	ctx      context.Context
-	cancel   context.CancelFunc
-	tokens   []string
-	finished bool
-	moved    chan struct{} // closed and replaced at each change
-	readers  int
+	id           string
+	prompt       target.Prompt
+	version      string
+	adapter      string
+	chain        []cache.Hash
+	cachedTokens int
+	corrupted    bool
+	arrived      time.Time
+	ctx          context.Context
+	cancel       context.CancelFunc
+	tokens       []string
+	finished     bool
+	changed      chan struct{} // closed and replaced at each change of tokens or finished
+	readers      int
 }
 
-// NewEngine starts an engine at address.
+// NewEngine starts an emulated engine that listens at address.
 func NewEngine(address string, o EngineOptions) (*Engine, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Engine{
-		o: o, boot: uuid.NewString(), staged: map[string]staging{}, streams: map[string]*stream{},
-		weights: slices.Clone(o.Weights), close: cancel,
+		o: o, incarnation: uuid.NewString(), stagedImports: map[string]stagedImport{}, streams: map[string]*stream{},
+		weights: slices.Clone(o.Weights), stop: cancel,
 	}
 	e.cache.init(o.Blocks, o.EventLag)
-	e.report = e.measure()
+	e.loadReport = e.currentLoad()
 	e.latency = o.Latency
 	go reporter{e}.run(ctx)
 	return e, e.start(address, func(r *echo.Echo) {
 		r.POST("/v1/completions", e.complete)
 		r.GET("/v1/streams/:id", e.resume)
 		r.DELETE("/v1/streams/:id", e.cancelStream)
-		r.GET("/v1/cache/events", e.news)
+		r.GET("/v1/cache/events", e.pollEvents)
 		r.GET("/v1/cache/contents", e.contents)
 		r.POST("/v1/cache/import", e.importBlocks)
 		r.POST("/v1/cache/commit", e.commit)
@@ -135,100 +145,102 @@
 	})
 }
 
-// Close stops the engine at once.
+// Close stops the engine without waiting for requests.
 func (e *Engine) Close() {
-	e.close()
+	e.stop()
 	e.Server.Close()
 }
 
-// EndOf makes the engine end for good when it begins to run a prompt that contains a text.
+// EndOf makes the engine crash, for good, when it receives a prompt that contains text.
 func (e *Engine) EndOf(text string) {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
-	e.fatal = text
+	e.crashText = text
 }
 
-// Over reports whether a prompt has ended the engine.
+// Over reports whether a prompt has crashed the engine.
 func (e *Engine) Over() bool {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
-	return e.over
+	return e.crashed
 }
 
-// Runs returns every prompt that was answered.
+// Runs returns a record of every prompt that was computed.
 func (e *Engine) Runs() []EngineRun {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
-	return append([]EngineRun{}, e.runs...)
+	return append([]EngineRun{}, e.executions...)
 }
 
-// Orders returns every order that was taken.
+// Orders returns every order that was accepted.
 func (e *Engine) Orders() []target.Order {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	return append([]target.Order{}, e.orders...)
 }
 
-// Holds reports whether the engine has loaded a version of any model.
+// Holds reports whether this version of any model is loaded.
 func (e *Engine) Holds(version string) bool {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	return slices.ContainsFunc(e.weights, func(w target.Weights) bool { return w.Version == version })
 }
 
-// Churn adds and removes runs of blocks, as prompts would, until ctx ends.
+// Churn adds chains of new blocks to the cache, as prompts would, until ctx is done;
+// a full cache evicts others for them.
 func (e *Engine) Churn(ctx context.Context, perSecond float64) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer t.Stop()
-	seed := cache.Salt{Organisation: "churn", Model: e.boot}.Seed()
+	seed := cache.Salt{Organisation: "churn", Model: e.incarnation}.Seed()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		chain := cache.Chain(seed, strings.Repeat(fmt.Sprintf("%08d", n), churnBlocks*cache.BlockBytes/8))
-		list := make([]carried, len(chain))
+		chain := cache.Chain(seed, strings.Repeat(fmt.Sprintf("%08d", n), churnChainBlocks*cache.BlockBytes/8))
+		blocks := make([]transferredBlock, len(chain))
 		for i, h := range chain {
-			list[i] = carried{target.Block{Hash: h}, contentOf(h, "")}
+			blocks[i] = transferredBlock{target.Block{Hash: h}, expectedContent(h, "")}
 		}
 		e.engineMu.Lock()
-		e.cache.add(seed, list)
+		e.cache.add(seed, blocks)
 		e.engineMu.Unlock()
 	}
 }
 
-// churnBlocks is the length of a run that Churn adds.
-const churnBlocks = 16
+// churnChainBlocks is the length of a chain that Churn adds.
+const churnChainBlocks = 16
 
-// EvictAll pushes every block out of the cache.
+// EvictAll evicts every block from the cache.
 func (e *Engine) EvictAll() {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	e.cache.evict(len(e.cache.blocks))
 }
 
-// Blocks returns how many blocks the engine holds.
+// Blocks returns the number of cached blocks.
 func (e *Engine) Blocks() int {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	return len(e.cache.blocks)
 }
 
-// priorities is how many classes a load report tells apart.
-const priorities = 10
+// priorityClasses is the number of priorities that a load report distinguishes.
+const priorityClasses = 10
 
-// measure returns the load as it is now; the caller holds engineMu.
-func (e *Engine) measure() target.Load {
+// currentLoad returns the load at this moment, with the queued prompt tokens that need
+// computation for each priority; the caller holds engineMu.
+func (e *Engine) currentLoad() target.Load {
 	l := target.Load{
-		Incarnation: e.boot, Running: e.running, TotalBlocks: e.o.Blocks, FreeBlocks: e.o.Blocks - len(e.cache.blocks),
+		Incarnation: e.incarnation, Running: e.running, TotalBlocks: e.o.Blocks, FreeBlocks: e.o.Blocks - len(e.cache.blocks),
 		PrefillTokensPerSecond: e.o.PrefillTokensPerSecond, BlockBytes: e.o.BlockBytes,
 		Weights: slices.Clone(e.weights), Loading: e.loading,
 	}
-	queued := make([]int, priorities)
+	queued := make([]int, priorityClasses)
 	for _, s := range e.queue {
-		p := min(max(0, -s.prompt.Priority), priorities-1)
-		queued[p] += max(1, cache.Tokens(len(s.prompt.Prompt))-e.cache.held(s.chain)*cache.BlockTokens)
+		p := min(max(0, -s.prompt.Priority), priorityClasses-1)
+		queued[p] += max(1, cache.Tokens(len(s.prompt.Prompt))-e.cache.cachedPrefix(s.chain)*cache.BlockTokens)
 	}
 	last := 0
 	for p, n := range queued {
@@ -240,12 +252,12 @@
 	return l
 }
 
-// reporter makes the load reports, which lag.
+// reporter updates the load report at intervals of LoadLag, at least 10 ms.
 type reporter struct{ e *Engine }
 
 func (r reporter) run(ctx context.Context) {
-	pause := max(r.e.o.LoadLag, 10*time.Millisecond)
-	t := time.NewTicker(pause)
+	interval := max(r.e.o.LoadLag, 10*time.Millisecond)
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
@@ -254,13 +266,14 @@
 		case <-t.C:
 		}
 		r.e.engineMu.Lock()
-		r.e.report = r.e.measure()
+		r.e.loadReport = r.e.currentLoad()
 		r.e.engineMu.Unlock()
 	}
 }
 
-// holds reports whether weights are loaded; the caller holds engineMu.
-func (e *Engine) holds(model, version, adapter string) bool {
+// hasWeights reports whether these weights are loaded, with the adapter unless it is
+// empty; the caller holds engineMu.
+func (e *Engine) hasWeights(model, version, adapter string) bool {
 	for _, w := range e.weights {
 		if w.Model == model && w.Version == version && (adapter == "" || slices.Contains(w.Adapters, adapter)) {
 			return true
@@ -269,6 +282,7 @@
 	return false
 }
 
+// complete queues a prompt and streams its response.
 func (e *Engine) complete(c echo.Context) error {
 	var p target.Prompt
 	if err := json.NewDecoder(c.Request().Body).Decode(&p); err != nil {
@@ -278,38 +292,38 @@
 	if err := salt.UnmarshalText([]byte(p.CacheSalt)); err != nil {
 		return c.String(http.StatusBadRequest, "cache_salt: "+err.Error())
 	}
-	if e.turnsAway(c.Response().Header()) {
+	if e.rejects(c.Response().Header()) {
 		return c.String(http.StatusServiceUnavailable, "the engine rests\n")
 	}
 	model, adapter, _ := strings.Cut(p.Model, ":")
 	s := &stream{
 		id: c.Request().Header.Get(target.HeaderRequestID), prompt: p, adapter: adapter,
 		version: c.Request().Header.Get(target.HeaderWeightVersion),
-		chain:   cache.Chain(salt, p.Prompt), arrived: time.Now(), moved: make(chan struct{}),
+		chain:   cache.Chain(salt, p.Prompt), arrived: time.Now(), changed: make(chan struct{}),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	e.engineMu.Lock()
-	if !e.holds(model, s.version, adapter) {
+	if !e.hasWeights(model, s.version, adapter) {
 		e.engineMu.Unlock()
 		return c.String(http.StatusConflict, "these weights are not loaded\n")
 	}
-	if e.fatal != "" && strings.Contains(p.Prompt, e.fatal) {
-		e.over = true
+	if e.crashText != "" && strings.Contains(p.Prompt, e.crashText) {
+		e.crashed = true
 		e.engineMu.Unlock()
 		e.Close()
-		return hangUp(c)
+		return resetConnection(c)
 	}
 	e.streams[s.id] = s
 	e.queue = append(e.queue, s)
-	if !e.working {
-		e.working = true
+	if !e.prefilling {
+		e.prefilling = true
 		go prefiller{e}.run()
 	}
 	e.engineMu.Unlock()
-	return e.send(c, s, 0)
+	return e.writeStream(c, s, 0)
 }
 
-// prefiller computes prompts, one after the other, while any wait.
+// prefiller computes the queued prompts one at a time until the queue is empty.
 type prefiller struct{ e *Engine }
 
 func (p prefiller) run() {
@@ -323,19 +337,20 @@
 		case <-time.After(took):
 			go decoder{p.e, s}.run()
 		case <-s.ctx.Done():
-			p.e.ended()
+			p.e.streamStopped()
 		}
 	}
 }
 
-// next takes the waiting prompt of the highest priority.
+// next removes the prompt with the highest priority (the lowest number) from the queue. It
+// returns nil, and ends the prefiller, if the queue is empty.
 func (p prefiller) next() *stream {
 	e := p.e
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	e.queue = slices.DeleteFunc(e.queue, func(s *stream) bool { return s.ctx.Err() != nil })
 	if len(e.queue) == 0 {
-		e.working = false
+		e.prefilling = false
 		return nil
 	}
 	best := 0
@@ -349,39 +364,40 @@
 	return s
 }
 
-// headBytes is how much of a prompt a record holds.
-const headBytes = 64
+// maxPromptStart is how many bytes of a prompt a record contains.
+const maxPromptStart = 64
 
-// perRunning is how much each running answer slows a prefill, as a share.
-const perRunning = 0.02
+// prefillSlowdownPerStream is the share by which each running stream slows a prefill down.
+const prefillSlowdownPerStream = 0.02
 
-// prefill takes the prompt's blocks into the cache and returns how long it
-// takes.
+// prefill adds the prompt's blocks to the cache and returns how long their
+// computation takes.
 func (e *Engine) prefill(s *stream) time.Duration {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
-	held := e.cache.held(s.chain)
-	s.spoiled = e.cache.spoiled(s.chain[:held], s.version)
-	s.cached = min(held*cache.BlockTokens, cache.Tokens(len(s.prompt.Prompt))-1)
-	fresh := make([]carried, 0, len(s.chain)-held)
-	for _, h := range s.chain[held:] {
-		fresh = append(fresh, carried{target.Block{Hash: h}, contentOf(h, s.version)})
+	hits := e.cache.cachedPrefix(s.chain)
+	s.corrupted = e.cache.corrupted(s.chain[:hits], s.version)
+	s.cachedTokens = min(hits*cache.BlockTokens, cache.Tokens(len(s.prompt.Prompt))-1)
+	fresh := make([]transferredBlock, 0, len(s.chain)-hits)
+	for _, h := range s.chain[hits:] {
+		fresh = append(fresh, transferredBlock{target.Block{Hash: h}, expectedContent(h, s.version)})
 	}
-	e.cache.use(s.chain[:held])
-	e.cache.add(parentOf(s.chain, held), fresh)
-	tokens := cache.Tokens(len(s.prompt.Prompt)) - s.cached
-	speed := e.o.PrefillTokensPerSecond / (1 + perRunning*float64(e.running))
+	e.cache.touch(s.chain[:hits])
+	e.cache.add(parentBlock(s.chain, hits), fresh)
+	tokens := cache.Tokens(len(s.prompt.Prompt)) - s.cachedTokens
+	speed := e.o.PrefillTokensPerSecond / (1 + prefillSlowdownPerStream*float64(e.running))
 	took := time.Duration(float64(tokens) / speed * float64(time.Second))
-	e.busy += took
-	e.runs = append(e.runs, EngineRun{
-		Arrived: s.arrived, Began: time.Now(), Request: s.id, Version: s.version, Tokens: cache.Tokens(len(s.prompt.Prompt)), Cached: s.cached, Spoiled: s.spoiled,
-		Salt: s.prompt.CacheSalt, Head: s.prompt.Prompt[:min(len(s.prompt.Prompt), headBytes)],
+	e.prefillTime += took
+	e.executions = append(e.executions, EngineRun{
+		Arrived: s.arrived, Began: time.Now(), Request: s.id, Version: s.version, Tokens: cache.Tokens(len(s.prompt.Prompt)), Cached: s.cachedTokens, Spoiled: s.corrupted,
+		Salt: s.prompt.CacheSalt, Head: s.prompt.Prompt[:min(len(s.prompt.Prompt), maxPromptStart)],
 	})
 	e.running++
 	return took
 }
 
-func parentOf(chain []cache.Hash, at int) cache.Hash {
+// parentBlock returns the hash of the block before index at, zero for the first.
+func parentBlock(chain []cache.Hash, at int) cache.Hash {
 	if at == 0 {
 		return cache.Hash{}
 	}
--- a/embfake/fake/fake_test.go
+++ b/embfake/fake/fake_test.go
@@ -22,7 +22,7 @@
 	return k, plat.NewKV([]string{k.URL()}, &http.Client{})
 }
 
-func TestKeyValueKeepsItsProtocol(t *testing.T) {
+func TestKeyValueProtocol(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := context.Background()
 	_, kv := keyValue(t)
@@ -37,7 +37,7 @@
 	g.Expect(first.Succeeded).To(gomega.BeTrue())
 	again, err := put("a/1", 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(again.Succeeded).To(gomega.BeFalse(), "it exists")
+	g.Expect(again.Succeeded).To(gomega.BeFalse(), "the key exists already")
 	_, err = put("a/2", 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	pairs, revision, err := kv.Range(ctx, plat.Prefix("a/"))
@@ -46,9 +46,9 @@
 	g.Expect(pairs[0].ModRevision).To(gomega.Equal(first.Revision))
 	_, err = kv.Commit(ctx, plat.Txn{DeleteRange: &plat.Span{From: "a/", To: "a/2"}})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	gone, err := kv.Read(ctx, "a/1")
+	removed, err := kv.Read(ctx, "a/1")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(gone).To(gomega.BeNil())
+	g.Expect(removed).To(gomega.BeNil())
 
 	var seen []plat.Change
 	enough := errors.New("enough")
@@ -63,7 +63,7 @@
 	g.Expect(seen[0].Key).To(gomega.Equal("a/1"))
 }
 
-func TestKeyValueFaultsAreTold(t *testing.T) {
+func TestKeyValueFaultsReachTheClient(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := context.Background()
 	k, kv := keyValue(t)
@@ -71,9 +71,9 @@
 	k.Set(LoseAnswers, 1)
 	_, err := kv.Commit(ctx, write)
 	g.Expect(errors.Is(err, plat.ErrUnknown)).To(gomega.BeTrue())
-	there, err := kv.Read(ctx, "k")
+	stored, err := kv.Read(ctx, "k")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(there).NotTo(gomega.BeNil(), "it took effect")
+	g.Expect(stored).NotTo(gomega.BeNil(), "the write took effect")
 	for _, down := range []float64{1, 2} {
 		k.Set(Down, down)
 		_, err = kv.Read(ctx, "k")
@@ -89,7 +89,7 @@
 	g.Expect(errors.Is(err, plat.ErrCompacted)).To(gomega.BeTrue())
 }
 
-func TestBoxListTellsOnlyChanges(t *testing.T) {
+func TestBoxListReportsOnlyChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b, err := NewBoxes(anyPort)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -108,9 +108,9 @@
 		changed bool
 	}{
 		{"first", func() {}, 1, true},
-		{"nothing", func() {}, 0, false},
+		{"no change", func() {}, 0, false},
 		{"leaving", func() { b.State("a", plat.BoxLeaving) }, 1, true},
-		{"gone", func() { b.Remove("a") }, 0, true},
+		{"removed", func() { b.Remove("a") }, 0, true},
 	}
 	for _, s := range steps {
 		s.do()
@@ -120,19 +120,20 @@
 	}
 }
 
-// A continued answer is the rest of the whole one, so that a judge can tell.
-func TestAnswersGoOnWhereTheyWereCut(t *testing.T) {
+// A response that is resumed from the text so far must end as the uninterrupted one does.
+// Otherwise tests could not verify resumed responses.
+func TestResumedAnswerMatchesWholeAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	whole := Answer("m", "v1", "text", 10)
-	begin := Answer("m", "v1", "text", 4)
-	g.Expect(whole).To(gomega.HavePrefix(begin))
-	g.Expect(begin + Answer("m", "v1", "text"+begin, 6)).To(gomega.Equal(whole))
+	start := Answer("m", "v1", "text", 4)
+	g.Expect(whole).To(gomega.HavePrefix(start))
+	g.Expect(start + Answer("m", "v1", "text"+start, 6)).To(gomega.Equal(whole))
 	g.Expect(Answer("m", "v2", "text", 10)).NotTo(gomega.Equal(whole))
 }
 
-func TestWeightLoadsSlowEachOtherDown(t *testing.T) {
+func TestWeightStoreCountsConcurrentLoads(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, err := NewWeights(anyPort, 2, 10*time.Millisecond)
+	w, err := NewWeightStore(anyPort, 2, 10*time.Millisecond)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer w.Close()
 	done := make(chan error, 3)
--- a/embfake/fake/fault.go
+++ b/embfake/fake/fault.go
@@ -1,10 +1,10 @@
-// Package fake owns small stand-ins for the systems that embertally meets: the
-// model engine, the store box, the weight store, the key-value service, the
-// box list and the plain service.
+// Package fake owns emulators of the systems that embertally works with: model
+// engine, KV-cache store, weight store, coordination store, box list and plain
+// service.
 //
-// They speak the interfaces that docs/API.md describes, bring about the faults
-// that tests ask for, and record what happened to them. They must not know
-// anything of the daemons' insides.
+// They implement the interfaces that docs/API.md describes, inject the faults
+// that tests request and record the requests that they receive. They must not
+// know the internals of the daemons.
 package fake
 
 import (
@@ -17,53 +17,53 @@
 	"github.com/pkg/errors"
 )
 
-// Fault names a switch of a stand-in.
+// Fault names a fault that an emulator can inject.
 type Fault string
 
-// The faults of stand-ins. The value of a fault is a number whose meaning the
-// comment gives; zero switches it off.
+// Faults of emulators. The value of a fault is a number with the meaning that its
+// comment states; a count goes down with each use. Zero switches the fault off.
 const (
-	// Down answers every request with an error, or by closing the connection
-	// for values over 1.
+	// Down answers every request with status 503, or resets its connection if the
+	// value is above 1.
 	Down Fault = "down"
-	// Slow delays every answer by the value in milliseconds.
+	// Slow delays every response by the value in milliseconds.
 	Slow Fault = "slow"
-	// LoseAnswers carries out so many writes and closes their connections.
+	// LoseAnswers resets the connections of so many writes after they took effect.
 	LoseAnswers Fault = "loseAnswers"
-	// StallWatch keeps watches open and silent.
+	// StallWatch keeps watches open but sends nothing on them.
 	StallWatch Fault = "stallWatch"
-	// CutStream breaks so many streams after their next token.
+	// CutStream resets the connections of so many streams after their next token.
 	CutStream Fault = "cutStream"
-	// ForgetStream makes the engine forget broken streams.
+	// ForgetStream makes the engine forget so many of the streams that CutStream breaks.
 	ForgetStream Fault = "forgetStream"
-	// Truncate ends so many streams without their last messages.
+	// Truncate ends so many streams without finish reason, usage and end marker.
 	Truncate Fault = "truncate"
-	// Cross gives so many streams the name of another request.
+	// Cross gives so many responses the ID of another request.
 	Cross Fault = "cross"
-	// Repeat sends each token of streams twice.
+	// Repeat sends each token of every stream twice.
 	Repeat Fault = "repeat"
-	// DropEvents leaves out so many cache events.
+	// DropEvents omits so many cache events.
 	DropEvents Fault = "dropEvents"
-	// Corrupt changes the content of so many blocks that are read.
+	// Corrupt changes the content of so many blocks when they are read.
 	Corrupt Fault = "corrupt"
-	// HalfWrite writes only half of the content of so many blocks.
+	// HalfWrite stores only the first half of the content of so many blocks.
 	HalfWrite Fault = "halfWrite"
-	// CutBefore closes so many calls before they run.
+	// CutBefore resets the connections of so many calls before they are executed.
 	CutBefore Fault = "cutBefore"
-	// CutAfter runs so many calls and closes their connections.
+	// CutAfter resets the connections of so many calls after they were executed.
 	CutAfter Fault = "cutAfter"
 )
 
-// Faults are the switches of one stand-in. The zero value has all off.
+// Faults holds the values of the faults of one emulator. In the zero value all are off.
 type Faults struct {
-	faultMu sync.Mutex
-	values  map[Fault]float64 // guarded by faultMu
+	valuesMu sync.Mutex
+	values   map[Fault]float64 // guarded by valuesMu
 }
 
-// Set sets a fault.
+// Set sets the value of a fault.
 func (f *Faults) Set(name Fault, value float64) {
-	f.faultMu.Lock()
-	defer f.faultMu.Unlock()
+	f.valuesMu.Lock()
+	defer f.valuesMu.Unlock()
 	if f.values == nil {
 		f.values = map[Fault]float64{}
 	}
@@ -72,15 +72,15 @@
 
 // Value returns the value of a fault.
 func (f *Faults) Value(name Fault) float64 {
-	f.faultMu.Lock()
-	defer f.faultMu.Unlock()
+	f.valuesMu.Lock()
+	defer f.valuesMu.Unlock()
 	return f.values[name]
 }
 
 // Take counts a fault down by one and reports whether it was on.
 func (f *Faults) Take(name Fault) bool {
-	f.faultMu.Lock()
-	defer f.faultMu.Unlock()
+	f.valuesMu.Lock()
+	defer f.valuesMu.Unlock()
 	if f.values[name] <= 0 {
 		return false
 	}
@@ -88,14 +88,14 @@
 	return true
 }
 
-// guard applies the latency and the faults that every stand-in has.
-func (s *Server) guard(next echo.HandlerFunc) echo.HandlerFunc {
+// applyFaults wraps a handler with the latency and the faults that all emulators have.
+func (s *Server) applyFaults(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if c.Path() == faultPath {
 			return next(c)
 		}
 		if down := s.Value(Down); down > 1 {
-			return hangUp(c)
+			return resetConnection(c)
 		} else if down > 0 {
 			return c.String(http.StatusServiceUnavailable, "down\n")
 		}
@@ -109,10 +109,11 @@
 	}
 }
 
+// faultPath sets faults and is exempt from them.
 const faultPath = "/fault"
 
-// hangUp closes the connection without an answer.
-func hangUp(c echo.Context) error {
+// resetConnection closes the connection with a TCP reset and without a response.
+func resetConnection(c echo.Context) error {
 	conn, _, err := http.NewResponseController(c.Response().Writer).Hijack()
 	if err != nil {
 		return errors.WithStack(err)
@@ -123,26 +124,26 @@
 	return errors.WithStack(conn.Close())
 }
 
-// Server is the listening side that all stand-ins share.
+// Server is the HTTP server that all emulators embed.
 type Server struct {
 	Faults
-	// latency delays every answer; set before start.
+	// latency delays every response; set before start.
 	latency time.Duration
 	url     string
 	srv     *http.Server
 }
 
-// URL returns where the stand-in listens.
+// URL returns the base URL of the emulator.
 func (s *Server) URL() string { return s.url }
 
-// start listens at address, which may have port 0.
+// start listens at address, which may have port 0, and serves the routes that register adds.
 func (s *Server) start(address string, register func(e *echo.Echo)) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	e := echo.New()
-	e.Use(s.guard)
+	e.Use(s.applyFaults)
 	e.POST(faultPath, func(c echo.Context) error {
 		var body struct {
 			Name  Fault   `json:"name"`
@@ -157,19 +158,19 @@
 	register(e)
 	s.url = "http://" + l.Addr().String()
 	s.srv = &http.Server{Handler: e}
-	go serving{s.srv, l}.run()
+	go acceptor{s.srv, l}.run()
 	return nil
 }
 
-// serving is the accepting side of one stand-in.
-type serving struct {
+// acceptor accepts the connections of one emulator.
+type acceptor struct {
 	srv *http.Server
 	l   net.Listener
 }
 
-func (s serving) run() { _ = s.srv.Serve(s.l) }
+func (s acceptor) run() { _ = s.srv.Serve(s.l) }
 
-// Close stops the stand-in at once.
+// Close stops the emulator without waiting for requests.
 func (s *Server) Close() {
 	if s.srv != nil {
 		s.srv.Close()
--- a/embfake/fake/keyvalue.go
+++ b/embfake/fake/keyvalue.go
@@ -10,7 +10,7 @@
 	"github.com/labstack/echo/v4"
 )
 
-// KeyValue stands in for the key-value service and speaks the part of etcd's
+// KeyValue emulates the coordination store. It implements the part of etcd's
 // published v3 JSON gateway that embertally uses.
 type KeyValue struct {
 	Server
@@ -18,26 +18,28 @@
 	kvMu     sync.Mutex
 	revision int64             // guarded by kvMu
 	data     map[string]kvItem // guarded by kvMu
-	// history is every change since compacted, in order. Guarded by kvMu.
-	history   []kvChange
-	compacted int64         // guarded by kvMu
-	moved     chan struct{} // closed and replaced at each change; guarded by kvMu
-	counts    KeyValueCounts
-	waiting   int // open watches; guarded by kvMu
+	// history has every change after the revision compacted, in order. Guarded by kvMu.
+	history     []kvChange
+	compacted   int64          // guarded by kvMu
+	changed     chan struct{}  // closed and replaced at each change; guarded by kvMu
+	counts      KeyValueCounts // guarded by kvMu
+	openWatches int            // guarded by kvMu
 }
 
-// KeyValueCounts counts the calls of a key-value service.
+// KeyValueCounts counts the calls to a coordination store.
 type KeyValueCounts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
 }
 
+// kvItem is a stored value and the revision that wrote it.
 type kvItem struct {
-	value []byte
-	mod   int64
+	value       []byte
+	modRevision int64
 }
 
+// kvChange is one change in the history.
 type kvChange struct {
 	revision int64
 	key      string
@@ -45,12 +47,12 @@
 	deleted  bool
 }
 
-// maxHistory bounds the changes kept for watches.
+// maxHistory bounds the changes that are stored for watches; older ones are compacted.
 const maxHistory = 20000
 
-// NewKeyValue starts a key-value service at address.
+// NewKeyValue starts a coordination store that listens at address.
 func NewKeyValue(address string) (*KeyValue, error) {
-	k := &KeyValue{data: map[string]kvItem{}, moved: make(chan struct{}), revision: 1}
+	k := &KeyValue{data: map[string]kvItem{}, changed: make(chan struct{}), revision: 1}
 	return k, k.start(address, func(e *echo.Echo) {
 		e.POST("/v3/kv/range", k.rangeKeys)
 		e.POST("/v3/kv/txn", k.txn)
@@ -67,26 +69,28 @@
 	return k.counts
 }
 
-// Waiting returns how many watches are open.
+// Waiting returns the number of open watches.
 func (k *KeyValue) Waiting() int {
 	k.kvMu.Lock()
 	defer k.kvMu.Unlock()
-	return k.waiting
+	return k.openWatches
 }
 
-// Compact forgets all changes before the present revision.
+// Compact discards the history up to the current revision.
 func (k *KeyValue) Compact() {
 	k.kvMu.Lock()
 	defer k.kvMu.Unlock()
 	k.history, k.compacted = nil, k.revision
 }
 
+// kvSpan is one key, or the keys from Key up to but without RangeEnd. A RangeEnd of one zero
+// byte has no upper bound.
 type kvSpan struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end"`
 }
 
-func (s kvSpan) holds(key string) bool {
+func (s kvSpan) contains(key string) bool {
 	if len(s.RangeEnd) == 0 {
 		return key == string(s.Key)
 	}
@@ -116,8 +120,8 @@
 	}
 	body.Header.Revision = k.revision
 	for key, item := range k.data {
-		if span.holds(key) {
-			body.Kvs = append(body.Kvs, kvPair{[]byte(key), item.value, item.mod})
+		if span.contains(key) {
+			body.Kvs = append(body.Kvs, kvPair{[]byte(key), item.value, item.modRevision})
 		}
 	}
 	k.kvMu.Unlock()
@@ -125,6 +129,8 @@
 	return c.JSON(http.StatusOK, body)
 }
 
+// kvTxn is a transaction: the operations in Success are executed if every key in Compare has
+// the given revision, zero for a key that does not exist.
 type kvTxn struct {
 	Compare []struct {
 		Key         []byte `json:"key"`
@@ -141,6 +147,7 @@
 	Value []byte `json:"value"`
 }
 
+// txn handles a transaction. A failed comparison leaves the data unchanged.
 func (k *KeyValue) txn(c echo.Context) error {
 	var t kvTxn
 	if err := json.NewDecoder(c.Request().Body).Decode(&t); err != nil {
@@ -148,7 +155,7 @@
 	}
 	ok, revision := k.apply(&t)
 	if k.Take(LoseAnswers) {
-		return hangUp(c)
+		return resetConnection(c)
 	}
 	var body struct {
 		Header    kvHeader `json:"header"`
@@ -158,12 +165,14 @@
 	return c.JSON(http.StatusOK, body)
 }
 
+// apply executes a transaction if its comparisons hold. It returns whether they did and the
+// revision afterwards.
 func (k *KeyValue) apply(t *kvTxn) (bool, int64) {
 	k.kvMu.Lock()
 	defer k.kvMu.Unlock()
 	k.counts.Writes++
 	for _, cmp := range t.Compare {
-		if k.data[string(cmp.Key)].mod != cmp.ModRevision {
+		if k.data[string(cmp.Key)].modRevision != cmp.ModRevision {
 			return false, k.revision
 		}
 	}
@@ -180,8 +189,8 @@
 		k.compacted = k.history[extra-1].revision
 		k.history = append([]kvChange(nil), k.history[extra:]...)
 	}
-	close(k.moved)
-	k.moved = make(chan struct{})
+	close(k.changed)
+	k.changed = make(chan struct{})
 	return true, k.revision
 }
 
@@ -192,7 +201,7 @@
 
 func (k *KeyValue) remove(span kvSpan) {
 	for key := range k.data {
-		if span.holds(key) {
+		if span.contains(key) {
 			delete(k.data, key)
 			k.history = append(k.history, kvChange{revision: k.revision, key: key, deleted: true})
 		}
@@ -216,9 +225,10 @@
 	Result kvResult `json:"result"`
 }
 
-// progressPause is the longest silence of a watch.
-const progressPause = time.Second
+// progressInterval is the interval at which a watch without changes sends its revision.
+const progressInterval = time.Second
 
+// watch streams the changes of a span, from a revision on.
 func (k *KeyValue) watch(c echo.Context) error {
 	var body struct {
 		CreateRequest struct {
@@ -231,14 +241,14 @@
 	}
 	k.kvMu.Lock()
 	k.counts.Watches++
-	k.waiting++
+	k.openWatches++
 	k.kvMu.Unlock()
-	defer k.left()
+	defer k.watchClosed()
 	next := body.CreateRequest.StartRevision
 	c.Response().WriteHeader(http.StatusOK)
 	enc := json.NewEncoder(c.Response())
 	for {
-		msg, moved := k.after(body.CreateRequest.kvSpan, next)
+		msg, changed := k.changesSince(body.CreateRequest.kvSpan, next)
 		if k.Value(StallWatch) == 0 && k.Value(Down) == 0 {
 			if enc.Encode(msg) != nil {
 				return nil
@@ -252,31 +262,32 @@
 		select {
 		case <-c.Request().Context().Done():
 			return nil
-		case <-moved:
-		case <-time.After(progressPause):
+		case <-changed:
+		case <-time.After(progressInterval):
 		}
 	}
 }
 
-// left counts a watch that has ended.
-func (k *KeyValue) left() {
+// watchClosed counts a closed watch.
+func (k *KeyValue) watchClosed() {
 	k.kvMu.Lock()
 	defer k.kvMu.Unlock()
-	k.waiting--
+	k.openWatches--
 }
 
-// after returns the changes of span from a revision on.
-func (k *KeyValue) after(span kvSpan, from int64) (kvMessage, <-chan struct{}) {
+// changesSince returns the changes of span from a revision on, or that the revision is
+// compacted, and a channel that is closed at the next change.
+func (k *KeyValue) changesSince(span kvSpan, from int64) (kvMessage, <-chan struct{}) {
 	k.kvMu.Lock()
 	defer k.kvMu.Unlock()
 	msg := kvMessage{Result: kvResult{Header: kvHeader{k.revision}}}
 	if from > 0 && from <= k.compacted {
 		msg.Result.Canceled, msg.Result.CompactRevision = true, k.compacted
-		return msg, k.moved
+		return msg, k.changed
 	}
 	first := sort.Search(len(k.history), func(i int) bool { return k.history[i].revision >= from })
 	for _, ch := range k.history[first:] {
-		if !span.holds(ch.key) {
+		if !span.contains(ch.key) {
 			continue
 		}
 		ev := kvEvent{KV: kvPair{[]byte(ch.key), ch.value, ch.revision}}
@@ -285,5 +296,5 @@
 		}
 		msg.Result.Events = append(msg.Result.Events, ev)
 	}
-	return msg, k.moved
+	return msg, k.changed
 }
--- a/embfake/fake/rest.go
+++ b/embfake/fake/rest.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// resting is a target's wish for rest. The zero value has none.
-type resting struct {
-	restMu     sync.Mutex
-	rest       time.Duration // guarded by restMu
-	turnedAway int           // guarded by restMu
+// pushback makes a target reject requests with Retry-After. In the zero value it is off.
+type pushback struct {
+	pushbackMu sync.Mutex
+	retryAfter time.Duration // guarded by pushbackMu
+	rejected   int           // guarded by pushbackMu
 }
 
-// AskRest makes the target turn requests away and ask for rest; 0 ends that.
-func (r *resting) AskRest(d time.Duration) {
-	r.restMu.Lock()
-	defer r.restMu.Unlock()
-	r.rest = d
+// AskRest makes the target reject requests with d as Retry-After; 0 ends that.
+func (r *pushback) AskRest(d time.Duration) {
+	r.pushbackMu.Lock()
+	defer r.pushbackMu.Unlock()
+	r.retryAfter = d
 }
 
-// TurnedAway returns how many requests the target turned away to rest.
-func (r *resting) TurnedAway() int {
-	r.restMu.Lock()
-	defer r.restMu.Unlock()
-	return r.turnedAway
+// TurnedAway returns how many requests the target rejected with Retry-After.
+func (r *pushback) TurnedAway() int {
+	r.pushbackMu.Lock()
+	defer r.pushbackMu.Unlock()
+	return r.rejected
 }
 
-// turnsAway reports whether the target rests, and writes for how long into the head of its answer.
-func (r *resting) turnsAway(h http.Header) bool {
-	r.restMu.Lock()
-	defer r.restMu.Unlock()
-	if r.rest == 0 {
+// rejects reports whether the target rejects requests, and sets Retry-After in the
+// response's header if it does.
+func (r *pushback) rejects(h http.Header) bool {
+	r.pushbackMu.Lock()
+	defer r.pushbackMu.Unlock()
+	if r.retryAfter == 0 {
 		return false
 	}
-	r.turnedAway++
-	h.Set("Retry-After", strconv.FormatFloat(r.rest.Seconds(), 'f', -1, 64))
+	r.rejected++
+	h.Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', -1, 64))
 	return true
 }
--- a/embfake/fake/service.go
+++ b/embfake/fake/service.go
@@ -10,54 +10,58 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Service stands in for one instance of a plain service. It records every run.
+// Service emulates one instance of a plain service. It records every execution.
 type Service struct {
 	Server
-	resting
+	pushback
 	name string
 
-	runMu sync.Mutex
-	runs  []ServiceRun // guarded by runMu
+	executionMu sync.Mutex
+	executions  []ServiceRun // guarded by executionMu
 }
 
-// ServiceRun is one call that ran.
+// ServiceRun records one execution of a call.
 type ServiceRun struct {
-	At           time.Time `json:"at"`
-	Method       string    `json:"method"`
-	Path         string    `json:"path"`
-	Key          string    `json:"key"`
-	Organisation string    `json:"organisation"`
-	Request      string    `json:"request"`
-	Body         string    `json:"body"`
+	At     time.Time `json:"at"`
+	Method string    `json:"method"`
+	Path   string    `json:"path"`
+	// Key is the idempotency key.
+	Key          string `json:"key"`
+	Organisation string `json:"organisation"`
+	// Request is the request ID.
+	Request string `json:"request"`
+	Body    string `json:"body"`
 }
 
-// NewService starts a plain service at address.
+// NewService starts a plain service that listens at address.
 func NewService(address, name string) (*Service, error) {
 	s := &Service{name: name}
 	return s, s.start(address, func(e *echo.Echo) {
 		e.GET("/runs", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Runs()) })
-		e.Any("/*", s.run)
+		e.Any("/*", s.serve)
 	})
 }
 
-// Runs returns every call that ran.
+// Runs returns a record of every execution.
 func (s *Service) Runs() []ServiceRun {
-	s.runMu.Lock()
-	defer s.runMu.Unlock()
-	return append([]ServiceRun{}, s.runs...)
+	s.executionMu.Lock()
+	defer s.executionMu.Unlock()
+	return append([]ServiceRun{}, s.executions...)
 }
 
+// maxServiceBody bounds the bytes that are read of a call's body.
 const maxServiceBody = 16 << 20
 
-func (s *Service) run(c echo.Context) error {
+// serve executes a call: it records it and echoes a JSON body.
+func (s *Service) serve(c echo.Context) error {
 	body, err := io.ReadAll(io.LimitReader(c.Request().Body, maxServiceBody))
 	if err != nil {
 		return nil
 	}
 	if s.Take(CutBefore) {
-		return hangUp(c)
+		return resetConnection(c)
 	}
-	if s.turnsAway(c.Response().Header()) {
+	if s.rejects(c.Response().Header()) {
 		return c.String(http.StatusServiceUnavailable, "the service rests\n")
 	}
 	h := c.Request().Header
@@ -65,12 +69,12 @@
 		At: time.Now(), Method: c.Request().Method, Path: c.Request().URL.Path, Key: h.Get("Idempotency-Key"),
 		Organisation: h.Get("X-Embertally-Organisation"), Request: h.Get("X-Request-Id"), Body: string(body),
 	}
-	s.runMu.Lock()
-	s.runs = append(s.runs, r)
-	n := len(s.runs)
-	s.runMu.Unlock()
+	s.executionMu.Lock()
+	s.executions = append(s.executions, r)
+	n := len(s.executions)
+	s.executionMu.Unlock()
 	if s.Take(CutAfter) {
-		return hangUp(c)
+		return resetConnection(c)
 	}
 	reply := struct {
 		Target string          `json:"target"`
@@ -88,24 +92,23 @@
 	return c.JSON(http.StatusOK, reply)
 }
 
-// Weights stands in for the weight store: loads slow one another down once
-// more than Limit run at a time.
-type Weights struct {
+// WeightStore emulates the weight store: loads slow one another down once more than limit
+// run concurrently.
+type WeightStore struct {
 	Server
-	// Limit and Take are how many loads run at full speed and how long one
-	// takes then.
-	limit int
-	took  time.Duration
+	limit    int           // loads that run at full speed
+	loadTime time.Duration // of one load at full speed
 
-	loadMu  sync.Mutex
-	loading int // guarded by loadMu
-	most    int // guarded by loadMu
-	loads   int // guarded by loadMu
+	loadMu     sync.Mutex
+	loading    int // loads that run; guarded by loadMu
+	maxLoading int // highest value of loading; guarded by loadMu
+	loads      int // total; guarded by loadMu
 }
 
-// NewWeights starts a weight store at address.
-func NewWeights(address string, limit int, took time.Duration) (*Weights, error) {
-	w := &Weights{limit: limit, took: took}
+// NewWeightStore starts a weight store that listens at address. Up to limit concurrent loads
+// take loadTime each.
+func NewWeightStore(address string, limit int, loadTime time.Duration) (*WeightStore, error) {
+	w := &WeightStore{limit: limit, loadTime: loadTime}
 	return w, w.start(address, func(e *echo.Echo) {
 		e.GET("/v1/weights/:model/:version", w.load)
 		e.GET("/counts", func(c echo.Context) error {
@@ -116,25 +119,27 @@
 				MostAtOnce  int `json:"mostAtOnce"`
 				LoadingNow  int `json:"loadingNow"`
 				AtFullSpeed int `json:"atFullSpeed"`
-			}{w.loads, w.most, w.loading, w.limit}
+			}{w.loads, w.maxLoading, w.loading, w.limit}
 			return c.JSON(http.StatusOK, body)
 		})
 	})
 }
 
-// Most returns the most loads that ran at a time.
-func (w *Weights) Most() int {
+// Most returns the highest number of loads that ran concurrently.
+func (w *WeightStore) Most() int {
 	w.loadMu.Lock()
 	defer w.loadMu.Unlock()
-	return w.most
+	return w.maxLoading
 }
 
-func (w *Weights) load(c echo.Context) error {
+// load responds after loadTime, or after loadTime times the number of concurrent loads if that
+// is over the limit.
+func (w *WeightStore) load(c echo.Context) error {
 	w.loadMu.Lock()
 	w.loading++
 	w.loads++
-	w.most = max(w.most, w.loading)
-	took := w.took
+	w.maxLoading = max(w.maxLoading, w.loading)
+	took := w.loadTime
 	if w.loading > w.limit {
 		took *= time.Duration(w.loading)
 	}
--- a/embfake/fake/site.go
+++ b/embfake/fake/site.go
@@ -19,47 +19,54 @@
 	"embertally.dev/core/target"
 )
 
-// SiteOptions are the size of a whole set of stand-ins. Zero values take the
-// defaults of a small site.
+// SiteOptions configures a set of emulators and the files for daemons that use
+// them. Zero values select the defaults of a small site.
 type SiteOptions struct {
-	// Dir receives the settings of the daemons, the resources and site.json.
-	Dir                                         string
+	// Dir is an existing directory for the daemons' settings, the resources and site.json.
+	Dir string
+	// Daemons, Engines, Stores, Services and Domains are counts; Domains of failure domains.
 	Daemons, Engines, Stores, Services, Domains int
-	Organisations                               int
-	Engine                                      EngineOptions
-	Store                                       StoreOptions
-	Placement                                   string
-	// WeightLoads is how many loads the weight store serves at full speed and
-	// WeightTime how long one takes.
+	// Organisations is the number of organisations.
+	Organisations int
+	// Engine applies to each engine, except the fields that startTargets sets.
+	Engine EngineOptions
+	// Store applies to each KV-cache store, except the block size, which is that of Engine.
+	Store StoreOptions
+	// Placement is the daemons' setting of that name.
+	Placement string
+	// WeightLoads is how many loads the weight store serves at full speed.
 	WeightLoads int
-	WeightTime  time.Duration
-	BoxLag      time.Duration
-	// Weights are the policies' prices.
+	// WeightTime is the time of one load at full speed.
+	WeightTime time.Duration
+	// BoxLag is the delay until a change of the box list is visible.
+	BoxLag time.Duration
+	// Weights are the cost weights in the policies.
 	Weights conf.Weights
-	// Deadline for first tokens.
+	// Deadline is the policies' deadline for first tokens.
 	Deadline conf.Duration
-	// Plain leaves TLS out.
+	// Plain disables TLS.
 	Plain bool
-	// LogLevel of the daemons.
+	// LogLevel is the daemons' lowest logged severity.
 	LogLevel string
 }
 
-func (o *SiteOptions) fill() {
-	def := func(v *int, d int) {
+// setDefaults replaces zero values.
+func (o *SiteOptions) setDefaults() {
+	setDefault := func(v *int, d int) {
 		if *v == 0 {
 			*v = d
 		}
 	}
-	def(&o.Daemons, 3)
-	def(&o.Engines, 3)
-	def(&o.Stores, 2)
-	def(&o.Services, 2)
-	def(&o.Domains, 3)
-	def(&o.Organisations, 2)
-	def(&o.Engine.Blocks, 2048)
-	def(&o.Engine.BlockBytes, 256<<10)
-	def(&o.Store.Blocks, 65536)
-	def(&o.WeightLoads, 2)
+	setDefault(&o.Daemons, 3)
+	setDefault(&o.Engines, 3)
+	setDefault(&o.Stores, 2)
+	setDefault(&o.Services, 2)
+	setDefault(&o.Domains, 3)
+	setDefault(&o.Organisations, 2)
+	setDefault(&o.Engine.Blocks, 2048)
+	setDefault(&o.Engine.BlockBytes, 256<<10)
+	setDefault(&o.Store.Blocks, 65536)
+	setDefault(&o.WeightLoads, 2)
 	if o.Engine.PrefillTokensPerSecond == 0 {
 		o.Engine.PrefillTokensPerSecond = 8000
 	}
@@ -84,16 +91,16 @@
 	o.Store.BlockBytes = o.Engine.BlockBytes
 }
 
-// Deployments of today, by the name that SitePreset knows them by.
+// Names of deployments for SitePreset.
 const (
 	Abonamente = "abonamente"
 	Cascade    = "cascade"
 )
 
-// SitePreset returns the sizes of one of today's deployments, as the brief
-// states them. Speeds and rooms are scaled so that a trace of half a minute
-// stands for hours: contexts do not fit the workers' memory, and stores are
-// behind links that imports can fill.
+// SitePreset returns options with the sizes of an existing deployment. Speeds
+// and capacities are scaled so that a trace of half a minute represents hours:
+// contexts do not fit the workers' memory, and imports can saturate the links
+// of the KV-cache stores.
 func SitePreset(name string) (SiteOptions, error) {
 	o := SiteOptions{
 		Daemons: 8, Stores: 2, Organisations: 10, LogLevel: "warning",
@@ -115,45 +122,52 @@
 		o.Engine.Latency, o.Deadline = time.Millisecond, conf.Seconds(12)
 		o.Weights = conf.Weights{FirstToken: 0.3, RecomputedSeconds: 0.1, LinkSeconds: 0.0001}
 	default:
-		return o, errors.Errorf("deployment %q is not known: abonamente or cascade", name)
+		return o, errors.Errorf("unknown deployment %q: want abonamente or cascade", name)
 	}
 	o.Store.Latency = o.Engine.Latency
 	return o, nil
 }
 
-// SiteDaemon is one daemon that the site expects.
+// SiteDaemon describes one daemon for which settings were written.
 type SiteDaemon struct {
-	Name      string `json:"name"`
-	Domain    string `json:"domain"`
-	Settings  string `json:"settings"`
+	Name   string `json:"name"`
+	Domain string `json:"domain"`
+	// Settings is the path of the settings file.
+	Settings string `json:"settings"`
+	// Callers and Operators are the base URLs for callers and operators.
 	Callers   string `json:"callers"`
 	Operators string `json:"operators"`
-	Peers     string `json:"peers"`
+	// Peers is the host and port for other daemons.
+	Peers string `json:"peers"`
 }
 
-// SiteTarget is one stand-in that the daemons route to.
+// SiteTarget is one emulator that is a target of the daemons.
 type SiteTarget struct {
 	Name string `json:"name"`
 	URL  string `json:"url"`
 }
 
-// SiteFile is what site.json holds. Keys of callers and operators are in it:
-// it is for stand-ins only.
+// SiteFile is the content of site.json. It contains the keys of callers and
+// operators and is for emulated sites only.
 type SiteFile struct {
-	CA          string            `json:"ca"`
-	OperatorKey string            `json:"operatorKey"`
-	CallerKeys  map[string]string `json:"callerKeys"`
-	KeyValue    string            `json:"keyValue"`
-	BoxList     string            `json:"boxList"`
-	WeightStore string            `json:"weightStore"`
-	Resources   string            `json:"resources"`
-	Daemons     []SiteDaemon      `json:"daemons"`
-	Engines     []SiteTarget      `json:"engines"`
-	Stores      []SiteTarget      `json:"stores"`
-	Services    []SiteTarget      `json:"services"`
+	// CA is the path of the authority's certificate; empty without TLS.
+	CA          string `json:"ca"`
+	OperatorKey string `json:"operatorKey"`
+	// CallerKeys has one key for each organisation.
+	CallerKeys map[string]string `json:"callerKeys"`
+	// KeyValue, BoxList and WeightStore are URLs.
+	KeyValue    string `json:"keyValue"`
+	BoxList     string `json:"boxList"`
+	WeightStore string `json:"weightStore"`
+	// Resources is the path of the resources file.
+	Resources string       `json:"resources"`
+	Daemons   []SiteDaemon `json:"daemons"`
+	Engines   []SiteTarget `json:"engines"`
+	Stores    []SiteTarget `json:"stores"`
+	Services  []SiteTarget `json:"services"`
 }
 
-// Names that every site uses.
+// Names of the model, its deployment and weights version, and the plain service of every site.
 const (
 	SiteModel      = "reader"
 	SiteDeployment = "reader"
@@ -161,28 +175,29 @@
 	SiteService    = "payments"
 )
 
-// Site is a whole set of running stand-ins.
+// Site is a set of running emulators.
 type Site struct {
-	o        SiteOptions
-	File     SiteFile
-	KeyValue *KeyValue
-	Boxes    *Boxes
-	Weights  *Weights
-	Engines  []*Engine
-	Stores   []*Store
-	Services []*Service
-	specs    []SiteResource
-	// port is the last that was given to a daemon.
-	port int
+	o            SiteOptions
+	File         SiteFile
+	KeyValue     *KeyValue
+	Boxes        *Boxes
+	Weights      *WeightStore
+	Engines      []*Engine
+	Stores       []*Store
+	Services     []*Service
+	resourceList []SiteResource
+	// lastPort is the last assigned port, as an offset from firstPort modulo portCount.
+	lastPort int
 }
 
+// anyPort lets the system choose a port.
 const anyPort = "127.0.0.1:0"
 
-// NewSite starts the stand-ins and writes the files of a site.
+// NewSite starts the emulators and writes the files of a site.
 func NewSite(o SiteOptions) (*Site, error) {
-	o.fill()
+	o.setDefaults()
 	s := &Site{o: o, File: SiteFile{CallerKeys: map[string]string{}, OperatorKey: certs.NewKey()}}
-	steps := []func() error{s.platform, s.targets, s.daemons, s.resources, s.save}
+	steps := []func() error{s.startPlatform, s.startTargets, s.writeDaemons, s.buildResources, s.writeSiteFile}
 	for _, step := range steps {
 		if err := step(); err != nil {
 			s.Close()
@@ -192,7 +207,7 @@
 	return s, nil
 }
 
-// Close stops all stand-ins.
+// Close stops all emulators.
 func (s *Site) Close() {
 	if s.KeyValue != nil {
 		s.KeyValue.Close()
@@ -214,14 +229,15 @@
 	}
 }
 
-func (s *Site) platform() (err error) {
+// startPlatform starts coordination store, box list and weight store.
+func (s *Site) startPlatform() (err error) {
 	if s.KeyValue, err = NewKeyValue(anyPort); err != nil {
 		return err
 	}
 	if s.Boxes, err = NewBoxes(anyPort); err != nil {
 		return err
 	}
-	if s.Weights, err = NewWeights(anyPort, s.o.WeightLoads, s.o.WeightTime); err != nil {
+	if s.Weights, err = NewWeightStore(anyPort, s.o.WeightLoads, s.o.WeightTime); err != nil {
 		return err
 	}
 	s.Boxes.Lag = s.o.BoxLag
@@ -229,13 +245,17 @@
 	return nil
 }
 
+// domain distributes numbered boxes over the failure domains in turn.
 func (s *Site) domain(i int) string { return fmt.Sprintf("domain-%d", i%s.o.Domains+1) }
 
-func (s *Site) box(name string, i int) {
+// addBox adds a target's box to the box list.
+func (s *Site) addBox(name string, i int) {
 	s.Boxes.Put(plat.Box{Name: name, Role: plat.RoleTarget, Domain: s.domain(i), State: plat.BoxLive})
 }
 
-func (s *Site) targets() error {
+// startTargets starts engines, KV-cache stores and services. Every other engine checks
+// fencing tokens.
+func (s *Site) startTargets() error {
 	for i := range s.o.Engines {
 		o := s.o.Engine
 		o.Name = fmt.Sprintf("engine-%02d", i+1)
@@ -248,7 +268,7 @@
 		}
 		s.Engines = append(s.Engines, e)
 		s.File.Engines = append(s.File.Engines, SiteTarget{o.Name, e.URL()})
-		s.box(o.Name, i)
+		s.addBox(o.Name, i)
 	}
 	for i := range s.o.Stores {
 		st, err := NewStore(anyPort, s.o.Store)
@@ -258,7 +278,7 @@
 		name := fmt.Sprintf("store-%d", i+1)
 		s.Stores = append(s.Stores, st)
 		s.File.Stores = append(s.File.Stores, SiteTarget{name, st.URL()})
-		s.box(name, i)
+		s.addBox(name, i)
 	}
 	for i := range s.o.Services {
 		name := fmt.Sprintf("payments-%d", i+1)
@@ -268,39 +288,41 @@
 		}
 		s.Services = append(s.Services, v)
 		s.File.Services = append(s.File.Services, SiteTarget{name, v.URL()})
-		s.box(name, i)
+		s.addBox(name, i)
 	}
 	return nil
 }
 
-// Ports of daemons are drawn below those that systems give to outgoing
-// connections, one of which could take the port before the daemon listens.
+// Ports of daemons are chosen below the ephemeral ports of operating systems: an outgoing
+// connection could take such a port before the daemon listens.
 const (
 	firstPort = 12000
 	portCount = 20000
 	portTries = 100
 )
 
-// freeAddress returns an address that nothing listens on now and that this
-// site did not give out before.
-func (s *Site) freeAddress() (string, error) {
-	if s.port == 0 {
-		s.port = rand.IntN(portCount)
+// unusedAddress returns an address on which nothing listens now and that this site has not
+// assigned before.
+func (s *Site) unusedAddress() (string, error) {
+	if s.lastPort == 0 {
+		s.lastPort = rand.IntN(portCount)
 	}
-	var last error
+	var lastErr error
 	for range portTries {
-		s.port++
-		address := fmt.Sprintf("127.0.0.1:%d", firstPort+s.port%portCount)
+		s.lastPort++
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+s.lastPort%portCount)
 		l, err := net.Listen("tcp", address)
 		if err == nil {
 			return address, errors.WithStack(l.Close())
 		}
-		last = err
+		lastErr = err
 	}
-	return "", errors.WithStack(last)
+	return "", errors.WithStack(lastErr)
 }
 
-func (s *Site) daemons() error {
+// writeDaemons writes the settings of all daemons, and the certificate authority unless TLS
+// is disabled.
+func (s *Site) writeDaemons() error {
 	var ca *certs.Authority
 	var err error
 	if !s.o.Plain {
@@ -310,7 +332,7 @@
 		s.File.CA = ca.CAFile()
 	}
 	for i := range s.o.Daemons {
-		if err := s.daemon(i, ca); err != nil {
+		if err := s.writeDaemon(i, ca); err != nil {
 			return err
 		}
 	}
@@ -319,12 +341,12 @@
 
 const fileMode = 0o600
 
-// daemon writes the settings of one daemon.
-func (s *Site) daemon(i int, ca *certs.Authority) error {
+// writeDaemon writes the settings of one daemon and adds its box to the box list.
+func (s *Site) writeDaemon(i int, ca *certs.Authority) error {
 	d := SiteDaemon{Name: fmt.Sprintf("entry-%02d", i+1), Domain: s.domain(i)}
 	var addr [3]string
 	for n := range addr {
-		a, err := s.freeAddress()
+		a, err := s.unusedAddress()
 		if err != nil {
 			return err
 		}
@@ -337,7 +359,7 @@
 		CA       string `yaml:"ca,omitempty"`
 		Insecure bool   `yaml:"insecure,omitempty"`
 	}
-	open, peers := tlsFiles{Insecure: true}, tlsFiles{Insecure: true}
+	clients, peers := tlsFiles{Insecure: true}, tlsFiles{Insecure: true}
 	if ca == nil {
 		scheme = "http://"
 	} else {
@@ -345,14 +367,14 @@
 		if err != nil {
 			return err
 		}
-		open, peers = tlsFiles{Cert: cert, Key: key}, tlsFiles{Cert: cert, Key: key, CA: ca.CAFile()}
+		clients, peers = tlsFiles{Cert: cert, Key: key}, tlsFiles{Cert: cert, Key: key, CA: ca.CAFile()}
 	}
 	d.Callers, d.Operators, d.Peers = scheme+addr[0], scheme+addr[1], addr[2]
 	type listener struct {
 		Address string   `yaml:"address"`
 		TLS     tlsFiles `yaml:"tls"`
 	}
-	set := struct {
+	settings := struct {
 		Name      string   `yaml:"name"`
 		Domain    string   `yaml:"domain"`
 		Callers   listener `yaml:"callers"`
@@ -368,12 +390,12 @@
 		Placement string   `yaml:"placement,omitempty"`
 		Hashes    []string `yaml:"operatorKeyHashes"`
 	}{
-		Name: d.Name, Domain: d.Domain, Callers: listener{addr[0], open}, Operators: listener{addr[1], open},
+		Name: d.Name, Domain: d.Domain, Callers: listener{addr[0], clients}, Operators: listener{addr[1], clients},
 		Peers: listener{addr[2], peers}, Placement: s.o.Placement, Hashes: []string{conf.HashKey(s.File.OperatorKey)},
 	}
-	set.Platform.KeyValue, set.Platform.BoxList = []string{s.File.KeyValue}, s.File.BoxList
-	set.Log.Level = s.o.LogLevel
-	raw, err := yaml.Marshal(set)
+	settings.Platform.KeyValue, settings.Platform.BoxList = []string{s.File.KeyValue}, s.File.BoxList
+	settings.Log.Level = s.o.LogLevel
+	raw, err := yaml.Marshal(settings)
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -390,21 +412,20 @@
 	Spec json.RawMessage
 }
 
-// Resources returns the resources of the site in the order in which
-// references need them.
+// Resources returns the resources of the site; each follows those that it refers to.
 func (s *Site) Resources() []SiteResource {
-	return append([]SiteResource(nil), s.specs...)
+	return append([]SiteResource(nil), s.resourceList...)
 }
 
-// resources writes the resources of the site.
-func (s *Site) resources() error {
-	var failed error
+// buildResources creates the resources of the site and writes their file.
+func (s *Site) buildResources() error {
+	var encodeErr error
 	add := func(kind conf.Kind, name string, spec conf.Spec) {
 		raw, err := json.Marshal(spec)
 		if err != nil {
-			failed = errors.WithStack(err)
+			encodeErr = errors.WithStack(err)
 		}
-		s.specs = append(s.specs, SiteResource{kind, name, raw})
+		s.resourceList = append(s.resourceList, SiteResource{kind, name, raw})
 	}
 	add(conf.KindDeployment, SiteDeployment, &conf.Deployment{Model: SiteModel, WeightVersion: SiteVersion, Adapters: []string{"contracts"}})
 	add(conf.KindService, SiteService, &conf.Service{Routes: []conf.Route{
@@ -435,13 +456,13 @@
 			Priority: 1, Weights: s.o.Weights, Deadline: s.o.Deadline,
 		})
 	}
-	if failed != nil {
-		return failed
+	if encodeErr != nil {
+		return encodeErr
 	}
 	return s.writeResources()
 }
 
-// writeResources writes the file for the operators' command line.
+// writeResources writes the resources file, which embctl can apply.
 func (s *Site) writeResources() error {
 	s.File.Resources = filepath.Join(s.o.Dir, "resources.yaml")
 	f, err := os.OpenFile(s.File.Resources, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
@@ -450,7 +471,7 @@
 	}
 	defer f.Close()
 	enc := yaml.NewEncoder(f)
-	for _, r := range s.specs {
+	for _, r := range s.resourceList {
 		doc := struct {
 			Kind conf.Kind `yaml:"kind"`
 			Name string    `yaml:"name"`
@@ -466,8 +487,9 @@
 	return errors.WithStack(enc.Close())
 }
 
-// save writes site.json last, so that who waits for it finds the rest.
-func (s *Site) save() error {
+// writeSiteFile writes site.json. It comes last and by renaming, so that all files are complete
+// once site.json exists.
+func (s *Site) writeSiteFile() error {
 	raw, err := json.MarshalIndent(s.File, "", "  ")
 	if err != nil {
 		return errors.WithStack(err)
@@ -479,7 +501,7 @@
 	return errors.WithStack(os.Rename(path+".new", path))
 }
 
-// ReadSite reads the file that a site wrote.
+// ReadSite reads the site.json in dir.
 func ReadSite(dir string) (SiteFile, error) {
 	var f SiteFile
 	raw, err := os.ReadFile(filepath.Join(dir, "site.json"))
@@ -489,8 +511,8 @@
 	return f, errors.WithStack(json.Unmarshal(raw, &f))
 }
 
-// Base returns the scheme and host of a URL, where a stand-in's own switches
-// are.
+// Base returns the scheme and host of a URL: the base URL of the emulator's own interface for
+// faults and records.
 func Base(raw string) string {
 	u, err := url.Parse(raw)
 	if err != nil {
--- a/embfake/fake/store.go
+++ b/embfake/fake/store.go
@@ -13,53 +13,55 @@
 	"embertally.dev/core/target"
 )
 
-// Store stands in for a store box: memory first, then disk, behind one link of
-// limited capacity.
+// Store emulates a KV-cache store: storage for blocks and manifests behind one network link
+// of limited bandwidth.
 type Store struct {
 	Server
 	o StoreOptions
 
 	storeMu    sync.Mutex
-	blocks     map[cache.Hash]*kept     // guarded by storeMu
-	manifests  map[cache.Hash]*manifest // guarded by storeMu
-	generation uint64                   // guarded by storeMu
-	// free is when the link has moved all that was asked of it so far.
+	blocks     map[cache.Hash]*storedBlock    // guarded by storeMu
+	manifests  map[cache.Hash]*storedManifest // guarded by storeMu
+	generation uint64                         // of the last write; guarded by storeMu
+	// linkFreeAt is when the link will have finished all transfers so far.
 	// Guarded by storeMu.
-	free  time.Time
-	moved int64 // bytes over the link; guarded by storeMu
-	busy  time.Duration
+	linkFreeAt time.Time
+	linkBytes  int64         // transferred; guarded by storeMu
+	linkBusy   time.Duration // total time in use; guarded by storeMu
 }
 
-// StoreOptions are the size and speed of a store.
+// StoreOptions configures the size and speed of an emulated KV-cache store.
 type StoreOptions struct {
-	// Blocks is its room in blocks.
+	// Blocks is the capacity in blocks.
 	Blocks int
-	// BlockBytes is the size of one block's cache.
+	// BlockBytes is the size of one KV-cache block.
 	BlockBytes int
-	// Latency is the time there and back of each request.
+	// Latency is the round-trip time that is added to each request.
 	Latency time.Duration
-	// LinkBytesPerSecond is the capacity of its link.
+	// LinkBytesPerSecond is the bandwidth of the link.
 	LinkBytesPerSecond float64
 }
 
-type kept struct {
+// storedBlock is one block; each write gives it the next generation.
+type storedBlock struct {
 	content    string
 	generation uint64
 }
 
-type manifest struct {
+// storedManifest is the manifest of one context, with its use.
+type storedManifest struct {
 	target.Manifest
-	used  time.Time
-	reads int
+	lastUse   time.Time // last written or read
+	readCount int
 }
 
-// Sum returns the checksum of a block's content.
-func Sum(content string) string {
+// Checksum returns the checksum of a block's content.
+func Checksum(content string) string {
 	s := sha256.Sum256([]byte(content))
 	return hex.EncodeToString(s[:16])
 }
 
-// NewStore starts a store at address.
+// NewStore starts a KV-cache store that listens at address.
 func NewStore(address string, o StoreOptions) (*Store, error) {
 	s := &Store{o: o}
 	s.Reset()
@@ -67,7 +69,7 @@
 	return s, s.start(address, func(e *echo.Echo) {
 		e.POST("/v1/blocks/read", s.read)
 		e.POST("/v1/blocks/write", s.write)
-		e.GET("/v1/manifests/:root", s.manifest)
+		e.GET("/v1/manifests/:root", s.getManifest)
 		e.PUT("/v1/manifests/:root", s.putManifest)
 		e.DELETE("/v1/manifests/:root", s.removeManifest)
 		e.GET("/v1/usage", s.usage)
@@ -87,15 +89,15 @@
 	})
 }
 
-// Reset empties the store, as when its box was replaced.
+// Reset empties the store, as the replacement of its box would.
 func (s *Store) Reset() {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	s.blocks, s.manifests = map[cache.Hash]*kept{}, map[cache.Hash]*manifest{}
+	s.blocks, s.manifests = map[cache.Hash]*storedBlock{}, map[cache.Hash]*storedManifest{}
 }
 
-// FreeAll frees every block and writes others in their place, with the
-// manifests left as they were.
+// FreeAll frees every block and reuses its space for other content. The manifests stay, so
+// that they refer to the wrong blocks.
 func (s *Store) FreeAll() {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
@@ -105,41 +107,46 @@
 	}
 }
 
-// SetLink changes the capacity of the link.
+// SetLink changes the bandwidth of the link.
 func (s *Store) SetLink(bytesPerSecond float64) {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	s.o.LinkBytesPerSecond = bytesPerSecond
 }
 
-// StoreCounts says what a store moved.
+// StoreCounts reports what a store transferred and contains.
 type StoreCounts struct {
-	LinkBytes   int64   `json:"linkBytes"`
+	// LinkBytes is the total over the link.
+	LinkBytes int64 `json:"linkBytes"`
+	// BusySeconds is how long the link was in use.
 	BusySeconds float64 `json:"busySeconds"`
-	UsedBlocks  int     `json:"usedBlocks"`
-	Contexts    int     `json:"contexts"`
+	// UsedBlocks is the number of stored blocks.
+	UsedBlocks int `json:"usedBlocks"`
+	// Contexts is the number of manifests.
+	Contexts int `json:"contexts"`
 }
 
-// Counts returns what the store moved.
+// Counts returns the current counts.
 func (s *Store) Counts() StoreCounts {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
-	return StoreCounts{s.moved, s.busy.Seconds(), len(s.blocks), len(s.manifests)}
+	return StoreCounts{s.linkBytes, s.linkBusy.Seconds(), len(s.blocks), len(s.manifests)}
 }
 
-// move takes the link for n blocks and returns when they have been moved.
-func (s *Store) move(c echo.Context, n int) {
+// transfer occupies the link with n blocks, after those already queued, and returns when they
+// have been transferred or the request is cancelled.
+func (s *Store) transfer(c echo.Context, n int) {
 	s.storeMu.Lock()
 	now := time.Now()
-	if s.free.Before(now) {
-		s.free = now
+	if s.linkFreeAt.Before(now) {
+		s.linkFreeAt = now
 	}
 	bytes := int64(n * s.o.BlockBytes)
 	took := time.Duration(float64(bytes) / s.o.LinkBytesPerSecond * float64(time.Second))
-	s.free = s.free.Add(took)
-	s.moved += bytes
-	s.busy += took
-	wait := s.free.Sub(now)
+	s.linkFreeAt = s.linkFreeAt.Add(took)
+	s.linkBytes += bytes
+	s.linkBusy += took
+	wait := s.linkFreeAt.Sub(now)
 	s.storeMu.Unlock()
 	select {
 	case <-time.After(wait):
@@ -147,16 +154,18 @@
 	}
 }
 
-// carried is one block on its way between an engine and a store.
-type carried struct {
+// transferredBlock is one block in a message between an engine and a KV-cache store.
+type transferredBlock struct {
 	target.Block
 	Content string `json:"content"`
 }
 
+// blockList is the body of requests and responses that carry blocks.
 type blockList struct {
-	Blocks []carried `json:"blocks"`
+	Blocks []transferredBlock `json:"blocks"`
 }
 
+// read responds with the requested blocks, up to the first that is not stored.
 func (s *Store) read(c echo.Context) error {
 	var body blockList
 	if err := c.Bind(&body); err != nil {
@@ -165,39 +174,40 @@
 	var out blockList
 	s.storeMu.Lock()
 	for _, b := range body.Blocks {
-		k := s.blocks[b.Hash]
-		if k == nil {
+		stored := s.blocks[b.Hash]
+		if stored == nil {
 			break
 		}
-		content := k.content
+		content := stored.content
 		if s.Take(Corrupt) {
 			content = "x" + content
 		}
-		out.Blocks = append(out.Blocks, carried{target.Block{Hash: b.Hash, Generation: k.generation}, content})
+		out.Blocks = append(out.Blocks, transferredBlock{target.Block{Hash: b.Hash, Generation: stored.generation}, content})
 	}
 	s.storeMu.Unlock()
-	s.move(c, len(out.Blocks))
+	s.transfer(c, len(out.Blocks))
 	return c.JSON(http.StatusOK, out)
 }
 
+// write stores blocks. It rejects all of them if they do not fit.
 func (s *Store) write(c echo.Context) error {
 	var body blockList
 	if err := c.Bind(&body); err != nil {
 		return err
 	}
 	s.storeMu.Lock()
-	fresh := 0
+	added := 0
 	for _, b := range body.Blocks {
 		if s.blocks[b.Hash] == nil {
-			fresh++
+			added++
 		}
 	}
-	full := len(s.blocks)+fresh > s.o.Blocks
+	full := len(s.blocks)+added > s.o.Blocks
 	s.storeMu.Unlock()
 	if full {
 		return c.String(http.StatusInsufficientStorage, "full\n")
 	}
-	s.move(c, len(body.Blocks))
+	s.transfer(c, len(body.Blocks))
 	var out blockList
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
@@ -207,19 +217,20 @@
 		if s.Take(HalfWrite) {
 			content = content[:len(content)/2]
 		}
-		s.blocks[b.Hash] = &kept{content, s.generation}
-		out.Blocks = append(out.Blocks, carried{Block: target.Block{Hash: b.Hash, Generation: s.generation}})
+		s.blocks[b.Hash] = &storedBlock{content, s.generation}
+		out.Blocks = append(out.Blocks, transferredBlock{Block: target.Block{Hash: b.Hash, Generation: s.generation}})
 	}
 	return c.JSON(http.StatusOK, out)
 }
 
-func rootOf(c echo.Context) (cache.Hash, error) {
+// rootParam parses the hash of a context's root block from the path.
+func rootParam(c echo.Context) (cache.Hash, error) {
 	var h cache.Hash
 	return h, h.UnmarshalText([]byte(c.Param("root")))
 }
 
-func (s *Store) manifest(c echo.Context) error {
-	root, err := rootOf(c)
+func (s *Store) getManifest(c echo.Context) error {
+	root, err := rootParam(c)
 	if err != nil {
 		return c.String(http.StatusBadRequest, err.Error())
 	}
@@ -229,31 +240,32 @@
 	if m == nil {
 		return c.String(http.StatusNotFound, "no manifest\n")
 	}
-	m.used = time.Now()
-	m.reads++
+	m.lastUse = time.Now()
+	m.readCount++
 	return c.JSON(http.StatusOK, m.Manifest)
 }
 
 func (s *Store) putManifest(c echo.Context) error {
-	root, err := rootOf(c)
+	root, err := rootParam(c)
 	if err != nil {
 		return c.String(http.StatusBadRequest, err.Error())
 	}
-	m := &manifest{used: time.Now()}
+	m := &storedManifest{lastUse: time.Now()}
 	if err := c.Bind(&m.Manifest); err != nil {
 		return err
 	}
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	if old := s.manifests[root]; old != nil {
-		m.reads = old.reads
+		m.readCount = old.readCount
 	}
 	s.manifests[root] = m
 	return c.NoContent(http.StatusNoContent)
 }
 
+// removeManifest deletes a manifest and the blocks that it lists.
 func (s *Store) removeManifest(c echo.Context) error {
-	root, err := rootOf(c)
+	root, err := rootParam(c)
 	if err != nil {
 		return c.String(http.StatusBadRequest, err.Error())
 	}
@@ -275,7 +287,7 @@
 	u := target.Usage{UsedBlocks: len(s.blocks), TotalBlocks: s.o.Blocks, Contexts: []target.StoredContext{}}
 	for root, m := range s.manifests {
 		u.Contexts = append(u.Contexts, target.StoredContext{
-			Root: root, Blocks: len(m.Blocks), IdleSeconds: time.Since(m.used).Seconds(), Reads: m.reads,
+			Root: root, Blocks: len(m.Blocks), IdleSeconds: time.Since(m.lastUse).Seconds(), Reads: m.readCount,
 		})
 	}
 	return c.JSON(http.StatusOK, u)
--- a/embfake/fake/stream.go
+++ b/embfake/fake/stream.go
@@ -15,7 +15,7 @@
 	"embertally.dev/core/cache"
 )
 
-// decoder generates one answer.
+// decoder generates one response.
 type decoder struct {
 	e *Engine
 	s *stream
@@ -23,7 +23,7 @@
 
 func (d decoder) run() {
 	e, s := d.e, d.s
-	gen := newAnswer(s.prompt.Model, s.version, s.prompt.Prompt, s.spoiled)
+	gen := newTextGenerator(s.prompt.Model, s.version, s.prompt.Prompt, s.corrupted)
 	for n := 0; n < s.prompt.MaxTokens && s.ctx.Err() == nil; n++ {
 		if n > 0 {
 			select {
@@ -31,31 +31,33 @@
 			case <-s.ctx.Done():
 			}
 		}
-		word := gen.next()
+		word := gen.nextWord()
 		e.engineMu.Lock()
 		s.tokens = append(s.tokens, word)
-		s.move()
+		s.notify()
 		e.engineMu.Unlock()
 	}
 	e.engineMu.Lock()
 	s.finished = true
-	s.move()
+	s.notify()
 	e.engineMu.Unlock()
-	e.ended()
-	time.AfterFunc(streamKept, func() { e.forget(s) })
+	e.streamStopped()
+	time.AfterFunc(streamRetention, func() { e.removeUnread(s) })
 }
 
-// ended counts an answer that no longer runs.
-func (e *Engine) ended() {
+// streamStopped counts a stream that is no longer in prefill or generation.
+func (e *Engine) streamStopped() {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	e.running--
 }
 
-// streamKept is how long a finished or unread stream can be taken up.
-const streamKept = 5 * time.Second
+// streamRetention is how long a stream can be resumed after it has finished or its
+// reader has disconnected.
+const streamRetention = 5 * time.Second
 
-func (e *Engine) forget(s *stream) {
+// removeUnread cancels and removes a stream that nobody reads.
+func (e *Engine) removeUnread(s *stream) {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	if e.streams[s.id] == s && s.readers == 0 {
@@ -66,45 +68,48 @@
 	}
 }
 
-func (s *stream) move() {
-	close(s.moved)
-	s.moved = make(chan struct{})
+// notify wakes the readers; the caller holds engineMu.
+func (s *stream) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Answer returns what an engine answers to a text: the judge's measure.
+// Answer returns the correct response of an engine to a prompt, for comparison in tests.
 func Answer(model, version, text string, tokens int) string {
-	gen := newAnswer(model, version, text, false)
+	gen := newTextGenerator(model, version, text, false)
 	var b strings.Builder
 	for range tokens {
-		b.WriteString(gen.next())
+		b.WriteString(gen.nextWord())
 	}
 	return b.String()
 }
 
-// answer generates words, each a function of all text before it.
-type answer struct {
+// textGenerator generates words, each a function of all text before it, so that a resumed
+// response goes on as the original would.
+type textGenerator struct {
 	h interface {
 		Write([]byte) (int, error)
 		Sum64() uint64
 	}
 }
 
-func newAnswer(model, version, text string, spoiled bool) answer {
+func newTextGenerator(model, version, text string, corrupted bool) textGenerator {
 	h := fnv.New64a()
 	h.Write([]byte(model + "@" + version + "\x00"))
-	if spoiled {
+	if corrupted {
 		h.Write([]byte("spoiled"))
 	}
 	h.Write([]byte(text))
-	return answer{h}
+	return textGenerator{h}
 }
 
-func (a answer) next() string {
+func (a textGenerator) nextWord() string {
 	word := fmt.Sprintf("%04x ", a.h.Sum64()>>48)
 	a.h.Write([]byte(word))
 	return word
 }
 
+// resume sends a stream on from the token after the number in "after".
 func (e *Engine) resume(c echo.Context) error {
 	after, err := strconv.Atoi(c.QueryParam("after"))
 	if err != nil {
@@ -116,9 +121,10 @@
 	if s == nil {
 		return c.String(http.StatusNotFound, "no such stream\n")
 	}
-	return e.send(c, s, after)
+	return e.writeStream(c, s, after)
 }
 
+// cancelStream stops the computation of a stream and removes it.
 func (e *Engine) cancelStream(c echo.Context) error {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
@@ -129,71 +135,75 @@
 	return c.NoContent(http.StatusNoContent)
 }
 
-// send writes a stream from a token on.
-func (e *Engine) send(c echo.Context, s *stream, after int) error {
+// writeStream writes a stream from token index after on.
+func (e *Engine) writeStream(c echo.Context, s *stream, after int) error {
 	e.engineMu.Lock()
 	s.readers++
 	e.engineMu.Unlock()
-	defer e.left(s)
-	w := sender{c: c, e: e, s: s, name: s.id}
+	defer e.readerLeft(s)
+	w := streamWriter{c: c, e: e, s: s, id: s.id}
 	if e.Take(Cross) {
-		w.name = "another-request"
+		w.id = "another-request"
 	}
 	for n := after; ; {
 		e.engineMu.Lock()
-		tokens, finished, moved := s.tokens, s.finished, s.moved
+		tokens, finished, changed := s.tokens, s.finished, s.changed
 		e.engineMu.Unlock()
 		for ; n < len(tokens); n++ {
 			if err := w.token(n, tokens[n]); err != nil {
 				return err
 			}
 			if e.Take(CutStream) {
-				return e.cut(c, s)
+				return e.breakStream(c, s)
 			}
 		}
 		if finished {
 			return w.end()
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-c.Request().Context().Done():
 			return nil
 		}
 	}
 }
 
-// left gives up a stream that nobody takes up.
-func (e *Engine) left(s *stream) {
+// readerLeft schedules the removal of a stream in case no reader resumes it.
+func (e *Engine) readerLeft(s *stream) {
 	e.engineMu.Lock()
 	s.readers--
 	e.engineMu.Unlock()
-	time.AfterFunc(streamKept, func() { e.forget(s) })
+	time.AfterFunc(streamRetention, func() { e.removeUnread(s) })
 }
 
-func (e *Engine) cut(c echo.Context, s *stream) error {
+// breakStream resets the connection of a stream, and makes the engine forget the stream if
+// the fault ForgetStream is on.
+func (e *Engine) breakStream(c echo.Context, s *stream) error {
 	if e.Take(ForgetStream) {
 		e.engineMu.Lock()
 		delete(e.streams, s.id)
 		s.cancel()
 		e.engineMu.Unlock()
 	}
-	return hangUp(c)
+	return resetConnection(c)
 }
 
-// sender writes a stream in the published form.
-type sender struct {
-	c     echo.Context
-	e     *Engine
-	s     *stream
-	name  string
-	begun bool
+// streamWriter writes a stream as server-sent events in the form of the completions API.
+type streamWriter struct {
+	c          echo.Context
+	e          *Engine
+	s          *stream
+	id         string // request ID in the chunks
+	headerSent bool
 }
 
+// wireChoice is part of a wireChunk.
 type wireChoice struct {
 	Text         string  `json:"text"`
 	FinishReason *string `json:"finish_reason"`
 }
 
+// wireUsage counts the tokens of a request.
 type wireUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -202,6 +212,7 @@
 	} `json:"prompt_tokens_details"`
 }
 
+// wireChunk is one message of a completion stream.
 type wireChunk struct {
 	ID          string       `json:"id"`
 	Object      string       `json:"object"`
@@ -210,7 +221,8 @@
 	Usage       *wireUsage   `json:"usage,omitempty"`
 }
 
-func (w *sender) token(n int, word string) error {
+// token writes the token with index n.
+func (w *streamWriter) token(n int, word string) error {
 	ch := w.chunk()
 	ch.Choices = []wireChoice{{Text: word}}
 	times := 1
@@ -225,11 +237,12 @@
 	return nil
 }
 
-func (w *sender) chunk() wireChunk {
-	return wireChunk{ID: w.name, Object: "text_completion", Fingerprint: w.s.version, Choices: []wireChoice{}}
+func (w *streamWriter) chunk() wireChunk {
+	return wireChunk{ID: w.id, Object: "text_completion", Fingerprint: w.s.version, Choices: []wireChoice{}}
 }
 
-func (w *sender) event(id string, v any) error {
+// event writes v as an event; an empty id is omitted.
+func (w *streamWriter) event(id string, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -244,9 +257,9 @@
 	return w.write(b.Bytes())
 }
 
-func (w *sender) write(raw []byte) error {
-	if !w.begun {
-		w.begun = true
+func (w *streamWriter) write(raw []byte) error {
+	if !w.headerSent {
+		w.headerSent = true
 		w.c.Response().Header().Set("Content-Type", "text/event-stream")
 		w.c.Response().WriteHeader(http.StatusOK)
 	}
@@ -257,7 +270,8 @@
 	return nil
 }
 
-func (w *sender) end() error {
+// end writes the finish reason, the usage and the end marker.
+func (w *streamWriter) end() error {
 	if w.e.Take(Truncate) {
 		return nil
 	}
@@ -269,7 +283,7 @@
 	}
 	ch = w.chunk()
 	ch.Usage = &wireUsage{PromptTokens: cache.Tokens(len(w.s.prompt.Prompt)), CompletionTokens: len(w.s.tokens)}
-	ch.Usage.Details.CachedTokens = w.s.cached
+	ch.Usage.Details.CachedTokens = w.s.cachedTokens
 	if err := w.event("", ch); err != nil {
 		return err
 	}
--- a/embfake/main.go
+++ b/embfake/main.go
@@ -1,4 +1,4 @@
-// Command embfake runs small stand-ins for the systems that embertally meets.
+// Command embfake runs emulators of the systems that embertally works with.
 package main
 
 import (
