--- a/embctl/internal/ctl/calibration.go
+++ b/embctl/internal/ctl/calibration.go
@@ -16,75 +16,80 @@
 	"embertally.dev/core/event"
 )
 
-// calibrationHelp says what the command does.
+// calibrationHelp is the help text of the command.
 const calibrationHelp = `Hold what decisions expected against what came, from daemons' log lines.
 
 Files of log lines are read, or standard input where there are none or for -. What stands before a line's first brace is passed over. Lines that are cut or are not the daemons' are counted and named.`
 
-// calibration adds the command.
-func (p *program) calibration(app *kingpin.Application) {
+// addCalibrationCommand adds the command that compares forecasts with outcomes.
+func (p *program) addCalibrationCommand(app *kingpin.Application) {
 	cmd := app.Command("calibration", calibrationHelp)
-	plot := cmd.Flag("svg", "File for a plot of the chances.").String()
+	plotFile := cmd.Flag("svg", "File for a plot of the chances.").String()
 	targets := cmd.Flag("targets", "List each target, not only each route.").Bool()
 	files := cmd.Arg("files", "Files of log lines; - for standard input.").Strings()
-	p.add(cmd, func() error {
+	p.addCommand(cmd, func() error {
 		c := newCalibration(*targets)
 		if err := c.readAll(*files, os.Stdin); err != nil {
 			return err
 		}
-		if err := c.print(p.out); err != nil {
+		if err := c.printTables(p.out); err != nil {
 			return err
 		}
-		if *plot == "" {
+		if *plotFile == "" {
 			return nil
 		}
-		return c.draw(*plot)
+		return c.savePlot(*plotFile)
 	})
 }
 
-// calibration holds what forecasts said beside what came.
+// calibration compares the forecasts in log lines with the observed outcomes.
 type calibration struct {
-	// byTarget tells that each target is listed.
+	// byTarget adds a group for each target of a route.
 	byTarget bool
-	// groups are in the order in which they were met.
+	// groups are in the order of their first forecasts until printTables sorts them by name.
 	groups []*forecastGroup
-	// bad names lines that are no events, the first badNamed of badCount.
-	bad      []string
+	// badLines are the places (file:line) of the first maxBadNamed lines that are too long or
+	// no events.
+	badLines []string
+	// badCount is the number of all such lines.
 	badCount int
-	lines    int
+	// lines is the number of all lines that are not blank.
+	lines int
 }
 
-// badNamed is how many bad lines are named.
-const badNamed = 5
+// maxBadNamed bounds the bad lines whose places are printed.
+const maxBadNamed = 5
 
-// forecastGroup is the forecasts of one route, or of one target of it.
+// forecastGroup has the forecasts of one route, or of one target of a route.
 type forecastGroup struct {
 	name string
 	// ratios are observed over expected times to the first answer.
 	ratios []float64
-	// bins hold the chances of an answer in time by what was said.
-	bins [chanceBins]chanceBin
+	// bins group the forecasts by the predicted probability of an answer within its
+	// latency objective.
+	bins [probabilityBins]probabilityBin
 }
 
-// chanceBins is how many bins chances fall into.
-const chanceBins = 10
+// probabilityBins is the number of bins, which divide the range 0 to 1 evenly.
+const probabilityBins = 10
 
-// chanceBin is the forecasts whose chance lies in one range.
-type chanceBin struct {
-	count, came int
-	said        float64
+// probabilityBin counts the forecasts whose predicted probability lies in one range.
+type probabilityBin struct {
+	count       int     // forecasts
+	inTime      int     // answers within their latency objective
+	forecastSum float64 // sum of the predicted probabilities
 }
 
 func newCalibration(byTarget bool) *calibration { return &calibration{byTarget: byTarget} }
 
-// readAll reads files, or in where there are none.
+// readAll reads log files, or in if there are none or for "-".
 func (c *calibration) readAll(files []string, in io.Reader) error {
 	if len(files) == 0 {
 		files = []string{"-"}
 	}
 	for _, name := range files {
 		if name == "-" {
-			if err := c.read("standard input", in); err != nil {
+			if err := c.readLines("standard input", in); err != nil {
 				return err
 			}
 			continue
@@ -102,15 +107,15 @@
 		return errors.WithStack(err)
 	}
 	defer f.Close()
-	return c.read(name, f)
+	return c.readLines(name, f)
 }
 
-// lineMost bounds one line; the rest of a longer one is passed over.
-const lineMost = 1 << 20
+// maxLogLineBytes bounds one line. A longer line is skipped and counted as bad.
+const maxLogLineBytes = 1 << 20
 
-// read takes the lines of one file.
-func (c *calibration) read(name string, in io.Reader) error {
-	r := bufio.NewReaderSize(in, lineMost)
+// readLines evaluates the lines of one file.
+func (c *calibration) readLines(name string, in io.Reader) error {
+	r := bufio.NewReaderSize(in, maxLogLineBytes)
 	for n := 1; ; n++ {
 		line, cut, err := r.ReadLine()
 		if errors.Is(err, io.EOF) {
@@ -123,40 +128,40 @@
 		for cut && err == nil {
 			_, cut, err = r.ReadLine()
 		}
-		c.line(name, n, line, long)
+		c.addLine(name, n, line, long)
 	}
 }
 
-// line takes one line.
-func (c *calibration) line(name string, n int, line []byte, long bool) {
+// addLine evaluates line n of a file; long means that it was cut.
+func (c *calibration) addLine(name string, n int, line []byte, long bool) {
 	if len(strings.TrimSpace(string(line))) == 0 {
 		return
 	}
 	c.lines++
 	ev, ok := event.ParseLine(line)
 	if !ok || long {
-		if c.badCount++; len(c.bad) < badNamed {
-			c.bad = append(c.bad, fmt.Sprintf("%s:%d", name, n))
+		if c.badCount++; len(c.badLines) < maxBadNamed {
+			c.badLines = append(c.badLines, fmt.Sprintf("%s:%d", name, n))
 		}
 		return
 	}
 	f := ev.Forecast
-	if f == nil || f.Sends == 0 || !sound(f) {
+	if f == nil || f.Sends == 0 || !isValid(f) {
 		return
 	}
-	group := f.Service + " " + ev.Resource
-	c.group(group).add(f)
+	route := f.Service + " " + ev.Resource
+	c.group(route).add(f)
 	if c.byTarget {
-		c.group(group + " " + f.Target).add(f)
+		c.group(route + " " + f.Target).add(f)
 	}
 }
 
-// sound reports whether a forecast's numbers can be such.
-func sound(f *event.Forecast) bool {
+// isValid reports whether the numbers of a forecast are in their ranges.
+func isValid(f *event.Forecast) bool {
 	return f.ExpectedMillis > 0 && f.FirstMillis >= 0 && f.InTime >= 0 && f.InTime <= 1
 }
 
-// group returns the group of a name.
+// group returns the group with a name and creates it if needed.
 func (c *calibration) group(name string) *forecastGroup {
 	for _, g := range c.groups {
 		if g.name == name {
@@ -168,7 +173,8 @@
 	return g
 }
 
-// add takes a forecast.
+// add evaluates a forecast. A request with several attempts has no ratio and never counts as
+// in time, as the forecast is for its first attempt.
 func (g *forecastGroup) add(f *event.Forecast) {
 	if f.FirstMillis > 0 && f.Sends == 1 {
 		g.ratios = append(g.ratios, f.FirstMillis/f.ExpectedMillis)
@@ -176,19 +182,19 @@
 	if f.AimMillis <= 0 {
 		return
 	}
-	b := &g.bins[min(int(f.InTime*chanceBins), chanceBins-1)]
+	b := &g.bins[min(int(f.InTime*probabilityBins), probabilityBins-1)]
 	b.count++
-	b.said += f.InTime
+	b.forecastSum += f.InTime
 	if f.FirstMillis > 0 && f.FirstMillis <= f.AimMillis && f.Sends == 1 {
-		b.came++
+		b.inTime++
 	}
 }
 
-// quantiles are those printed of observed over expected times.
+// quantiles of the ratios that are printed.
 var quantiles = []float64{0.1, 0.5, 0.9, 0.99}
 
-// print writes the tables.
-func (c *calibration) print(out io.Writer) error {
+// printTables writes the tables of ratios and probabilities, and the count of bad lines.
+func (c *calibration) printTables(out io.Writer) error {
 	slices.SortStableFunc(c.groups, func(a, b *forecastGroup) int { return strings.Compare(a.name, b.name) })
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "times to the first answer, observed over expected")
@@ -209,12 +215,12 @@
 	for _, g := range c.groups {
 		for _, b := range g.bins {
 			if b.count > 0 {
-				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\n", g.name, b.count, b.said/float64(b.count), float64(b.came)/float64(b.count))
+				fmt.Fprintf(w, "%s\t%d\t%.2f\t%.2f\n", g.name, b.count, b.forecastSum/float64(b.count), float64(b.inTime)/float64(b.count))
 			}
 		}
 	}
 	if c.badCount > 0 {
-		fmt.Fprintf(w, "\n%d of %d lines are not a daemon's or are cut, the first: %s\n", c.badCount, c.lines, strings.Join(c.bad, ", "))
+		fmt.Fprintf(w, "\n%d of %d lines are not a daemon's or are cut, the first: %s\n", c.badCount, c.lines, strings.Join(c.badLines, ", "))
 	}
 	return errors.WithStack(w.Flush())
 }
--- a/embctl/internal/ctl/calibrationplot.go
+++ b/embctl/internal/ctl/calibrationplot.go
@@ -10,15 +10,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Measures of the plot.
+// Size of the plot.
 const (
 	plotWidth  = 14 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 )
 
-// draw writes a plot of the chances that came against those that were said. A
-// sound model lies on the diagonal.
-func (c *calibration) draw(path string) error {
+// savePlot writes a plot of observed against predicted probabilities. An exact model
+// lies on the diagonal.
+func (c *calibration) savePlot(path string) error {
 	pl := plot.New()
 	pl.X.Label.Text, pl.Y.Label.Text = "chance said", "share in time"
 	pl.X.Min, pl.X.Max, pl.Y.Min, pl.Y.Max = 0, 1, 0, 1
@@ -29,7 +29,7 @@
 	diagonal.Color = color.Gray{Y: 160}
 	pl.Add(diagonal)
 	for i, g := range c.groups {
-		if err := g.draw(pl, i); err != nil {
+		if err := g.addToPlot(pl, i); err != nil {
 			return err
 		}
 	}
@@ -37,12 +37,12 @@
 	return errors.WithStack(pl.Save(plotWidth, plotHeight, path))
 }
 
-// draw adds a group's line to a plot.
-func (g *forecastGroup) draw(pl *plot.Plot, number int) error {
+// addToPlot adds the line of a group, with the colour of index number.
+func (g *forecastGroup) addToPlot(pl *plot.Plot, number int) error {
 	var points plotter.XYs
 	for _, b := range g.bins {
 		if b.count > 0 {
-			points = append(points, plotter.XY{X: b.said / float64(b.count), Y: float64(b.came) / float64(b.count)})
+			points = append(points, plotter.XY{X: b.forecastSum / float64(b.count), Y: float64(b.inTime) / float64(b.count)})
 		}
 	}
 	if len(points) == 0 {
--- a/embctl/internal/ctl/client.go
+++ b/embctl/internal/ctl/client.go
@@ -17,18 +17,19 @@
 	"embertally.dev/core/conf"
 )
 
-// client speaks the resource API.
+// client sends requests to the operators' API.
 type client struct {
-	servers []string
+	servers []string // base URLs, in order of preference
 	key     string
 	http    *http.Client
 }
 
-// callLimit bounds one call; a change waits until it is in force everywhere.
-const callLimit = 30 * time.Second
+// callTimeout bounds one call. The response to a change comes once all daemons
+// have applied it.
+const callTimeout = 30 * time.Second
 
 func newClient(servers []string, keyFile, ca string) (*client, error) {
-	c := &client{servers: servers, key: os.Getenv(keyVariable), http: &http.Client{}}
+	c := &client{servers: servers, key: os.Getenv(keyEnv), http: &http.Client{}}
 	if keyFile != "" {
 		raw, err := os.ReadFile(keyFile)
 		if err != nil {
@@ -47,12 +48,13 @@
 	return c, nil
 }
 
-// keyVariable names the environment variable with the operator's key.
-const keyVariable = "EMBERTALLY_KEY"
+// keyEnv is the environment variable with the operator's key.
+const keyEnv = "EMBERTALLY_KEY"
 
-// open sends a request to the first server that answers. A change is only
-// sent on to another server where it did not reach the first.
-func (c *client) open(ctx context.Context, method, path string, body any) (*http.Response, error) {
+// send sends a request to the first server that responds. A change goes on to the
+// next server only if the connection was refused: after any other error the server
+// may have executed it.
+func (c *client) send(ctx context.Context, method, path string, body any) (*http.Response, error) {
 	var raw []byte
 	if body != nil {
 		var err error
@@ -60,7 +62,7 @@
 			return nil, errors.WithStack(err)
 		}
 	}
-	var last error
+	var lastErr error
 	for _, s := range c.servers {
 		req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(s, "/")+path, bytes.NewReader(raw))
 		if err != nil {
@@ -72,19 +74,20 @@
 		if err == nil {
 			return resp, nil
 		}
-		last = errors.WithStack(err)
+		lastErr = errors.WithStack(err)
 		if method != http.MethodGet && !strings.Contains(err.Error(), "connection refused") {
 			break
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// do sends a request and decodes its reply. A refusal is a *conf.Rejection.
-func (c *client) do(method, path string, body, reply any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+// call sends a request and decodes the response into reply. If the daemon rejects
+// the request, the error is a *conf.Rejection.
+func (c *client) call(method, path string, body, reply any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	resp, err := c.open(ctx, method, path, body)
+	resp, err := c.send(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
@@ -94,12 +97,13 @@
 		return errors.WithStack(err)
 	}
 	if resp.StatusCode/100 != 2 {
-		return refusal(resp.Status, raw)
+		return responseError(resp.Status, raw)
 	}
 	return errors.Wrap(json.Unmarshal(raw, reply), "reply")
 }
 
-func refusal(status string, raw []byte) error {
+// responseError returns the error in a response whose status is not a success.
+func responseError(status string, raw []byte) error {
 	var e struct {
 		Error *conf.Rejection `json:"error"`
 	}
--- a/embctl/internal/ctl/ctl_test.go
+++ b/embctl/internal/ctl/ctl_test.go
@@ -18,24 +18,26 @@
 	"embertally.dev/core/event"
 )
 
-// answering is a daemon's operators' side that answers as a test wants.
-func answering(t *testing.T, h http.HandlerFunc) string {
+// newDaemon starts an HTTP server in place of a daemon's operators' API and returns its URL.
+func newDaemon(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return s.URL
 }
 
+// run executes the command line with a key and without a certificate authority.
 func run(t *testing.T, args ...string) (code int, out, errs string) {
 	t.Helper()
-	t.Setenv(keyVariable, "the key")
+	t.Setenv(keyEnv, "the key")
 	t.Setenv("EMBERTALLY_CA", "")
 	var o, e bytes.Buffer
 	code = Main(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-func write(t *testing.T, text string) string {
+// writeFile writes text to a temporary file and returns its path.
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "r.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -44,6 +46,7 @@
 	return path
 }
 
+// resourceText has a policy before the organisation that it refers to.
 const resourceText = `
 kind: policies
 name: p
@@ -54,13 +57,13 @@
 spec: {keyHashes: [x]}
 `
 
-func TestApplyOrdersResourcesAndSaysWhatBecameOfThem(t *testing.T) {
+func TestApplyOrdersResourcesAndReportsOutcome(t *testing.T) {
 	tests := []struct {
 		name   string
 		status int
 		reply  string
 		code   int
-		says   string
+		want   string
 	}{
 		{"accepted", 200, `{"kind":"k","name":"n","resourceVersion":"7","status":{"state":"accepted"}}`, exitOK, "accepted"},
 		{"pending", 202, `{"kind":"k","name":"n","resourceVersion":"7","status":{"state":"pending","notYetAt":["entry-03"]}}`, exitPending, "not yet at: entry-03"},
@@ -71,22 +74,22 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			var paths []string
-			url := answering(t, func(w http.ResponseWriter, r *http.Request) {
+			url := newDaemon(t, func(w http.ResponseWriter, r *http.Request) {
 				g.Expect(r.Header.Get("Authorization")).To(gomega.Equal("Bearer the key"))
 				paths = append(paths, r.Method+" "+r.URL.RequestURI())
 				w.WriteHeader(tc.status)
 				fmt.Fprint(w, tc.reply)
 			})
-			code, out, errs := run(t, "--server", url, "apply", "-f", write(t, resourceText))
+			code, out, errs := run(t, "--server", url, "apply", "-f", writeFile(t, resourceText))
 			g.Expect(code).To(gomega.Equal(tc.code), errs)
-			g.Expect(out + errs).To(gomega.ContainSubstring(tc.says))
-			g.Expect(paths[0]).To(gomega.Equal("PUT /v1/resources/organisations/o?force=true"), "references need it first")
+			g.Expect(out + errs).To(gomega.ContainSubstring(tc.want))
+			g.Expect(paths[0]).To(gomega.Equal("PUT /v1/resources/organisations/o?force=true"), "the policy refers to it")
 		})
 	}
 }
 
-func TestBadFilesAreRefusedBeforeAnythingIsSent(t *testing.T) {
-	tests := []struct{ name, text, says string }{
+func TestInvalidFilesSendNoRequest(t *testing.T) {
+	tests := []struct{ name, text, want string }{
 		{"unknown kind", "kind: boxes\nname: a\nspec: {a: 1}\n", `no kind "boxes"`},
 		{"unknown key", "kind: policies\nname: a\ncolour: red\nspec: {a: 1}\n", "colour"},
 		{"no name", "kind: policies\nspec: {a: 1}\n", "name and spec"},
@@ -95,18 +98,18 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			url := answering(t, func(http.ResponseWriter, *http.Request) { t.Error("something was sent") })
-			code, _, errs := run(t, "--server", url, "apply", "-f", write(t, tc.text))
+			url := newDaemon(t, func(http.ResponseWriter, *http.Request) { t.Error("a request was sent") })
+			code, _, errs := run(t, "--server", url, "apply", "-f", writeFile(t, tc.text))
 			g.Expect(code).To(gomega.Equal(exitFailed))
-			g.Expect(errs).To(gomega.ContainSubstring(tc.says))
+			g.Expect(errs).To(gomega.ContainSubstring(tc.want))
 		})
 	}
 }
 
-func TestWatchGoesOnWhereItWasCut(t *testing.T) {
+func TestWatchResumesBrokenStream(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var froms []string
-	url := answering(t, func(w http.ResponseWriter, r *http.Request) {
+	url := newDaemon(t, func(w http.ResponseWriter, r *http.Request) {
 		froms = append(froms, r.URL.Query().Get("from"))
 		line := map[string]string{"5": "6", "6": "8"}[r.URL.Query().Get("from")]
 		fmt.Fprintf(w, `{"type":"put","resource":{"kind":"policies","name":"p","resourceVersion":"%s"}}`+"\n", line)
@@ -117,12 +120,12 @@
 	g.Expect(strings.Count(out, "\n")).To(gomega.Equal(2))
 }
 
-func TestCommandLineFaults(t *testing.T) {
+func TestCommandLineErrors(t *testing.T) {
 	tests := []struct {
 		name string
 		args []string
 		code int
-		says string
+		want string
 	}{
 		{"unknown command", []string{"fly"}, exitUsage, "fly"},
 		{"no daemon named", []string{"status"}, exitFailed, "--server"},
@@ -135,25 +138,25 @@
 			t.Setenv("EMBERTALLY_SERVER", "")
 			code, _, errs := run(t, tc.args...)
 			g.Expect(code).To(gomega.Equal(tc.code))
-			g.Expect(errs).To(gomega.ContainSubstring(tc.says))
+			g.Expect(errs).To(gomega.ContainSubstring(tc.want))
 		})
 	}
 }
 
-func TestKeysAndTheirSums(t *testing.T) {
+func TestNewKeyPrintsItsHash(t *testing.T) {
 	g := gomega.NewWithT(t)
 	code, out, _ := run(t, "keys", "new")
 	g.Expect(code).To(gomega.Equal(exitOK))
-	var key, sum string
-	_, err := fmt.Sscanf(out, "key %s\nsum %s\n", &key, &sum)
+	var key, hash string
+	_, err := fmt.Sscanf(out, "key %s\nsum %s\n", &key, &hash)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(sum).To(gomega.Equal(conf.HashKey(key)))
+	g.Expect(hash).To(gomega.Equal(conf.HashKey(key)))
 }
 
 func TestExplainShowsTheDecision(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ev := event.Event{At: time.Unix(1, 0), Process: "entry-01", Name: "requestPlaced", Target: "engine-02", Text: "decided by entry-03; held 4"}
-	url := answering(t, func(w http.ResponseWriter, r *http.Request) {
+	url := newDaemon(t, func(w http.ResponseWriter, r *http.Request) {
 		g.Expect(r.URL.Query().Get("request")).To(gomega.Equal("r-1"))
 		body := struct {
 			Events []event.Event `json:"events"`
@@ -169,12 +172,12 @@
 	}
 }
 
-func TestPictureHoldsAllEvents(t *testing.T) {
+func TestTimelinePictureHasAllEvents(t *testing.T) {
 	g := gomega.NewWithT(t)
-	list := []event.Event{
+	events := []event.Event{
 		{Process: "a", Name: "peerUp", Text: "<b>"}, {Process: "b", Name: "peerDown", Level: event.Warning}, {Process: "a", Name: "peerUp"},
 	}
-	got := string(drawTimeline(list))
+	got := string(drawTimeline(events))
 	g.Expect(strings.Count(got, "<circle")).To(gomega.Equal(3))
 	g.Expect(got).NotTo(gomega.ContainSubstring("<b>"))
 }
@@ -185,7 +188,7 @@
 	log := event.NewLog("box-1", &lines, event.FormatJSON, event.Debug)
 	log.Emit(event.RequestDone, event.Ref{Request: "r1", Target: "i-1"}, "took 3ms; i-1=done")
 	log.Emit(event.RequestRefused, event.Ref{Request: "r2"}, "no")
-	file := write(t, lines.String())
+	file := writeFile(t, lines.String())
 	code, out, _ := run(t, "explain", "--logs", file, "r1")
 	g.Expect(code).To(gomega.Equal(0))
 	g.Expect(out).To(gomega.ContainSubstring("requestDone i-1"))
@@ -197,7 +200,7 @@
 	code, _, errs := run(t, "explain", "--logs", file, "r3")
 	g.Expect(code).NotTo(gomega.Equal(0))
 	g.Expect(errs).To(gomega.ContainSubstring("r3"))
-	code, _, errs = run(t, "timeline", "--logs", write(t, "not a log\n"))
+	code, _, errs = run(t, "timeline", "--logs", writeFile(t, "not a log\n"))
 	g.Expect(code).NotTo(gomega.Equal(0))
 	g.Expect(errs).To(gomega.ContainSubstring("none of the 1 lines"))
 	code, _, _ = run(t, "timeline", "--logs", filepath.Join(t.TempDir(), "none"))
--- a/embctl/internal/ctl/local.go
+++ b/embctl/internal/ctl/local.go
@@ -15,41 +15,44 @@
 	"embertally.dev/core/event"
 )
 
-func (p *program) local(app *kingpin.Application) {
+// addLocalCommands adds the commands that need no daemon.
+func (p *program) addLocalCommands(app *kingpin.Application) {
 	keys := app.Command("keys", "Keys of callers and operators.")
-	p.add(keys.Command("new", "Print a new key and its sum. Give the key to its owner and put the sum into the configuration."), p.newKey)
-	p.add(keys.Command("hash", "Read a key from standard input and print its sum."), func() error { return p.hashKey(os.Stdin) })
+	p.addCommand(keys.Command("new", "Print a new key and its sum. Give the key to its owner and put the sum into the configuration."), p.printNewKey)
+	p.addCommand(keys.Command("hash", "Read a key from standard input and print its sum."), func() error { return p.printKeyHash(os.Stdin) })
 
-	cert := app.Command("certs", "Certificates for sites without an authority of their own.")
-	init := cert.Command("init", "Make an authority in a folder.")
-	initDir := init.Flag("dir", "The folder; it must exist.").Required().String()
-	p.add(init, func() error {
+	certsCmd := app.Command("certs", "Certificates for sites without an authority of their own.")
+	initCmd := certsCmd.Command("init", "Make an authority in a folder.")
+	initDir := initCmd.Flag("dir", "The folder; it must exist.").Required().String()
+	p.addCommand(initCmd, func() error {
 		a, err := certs.NewAuthority(*initDir)
 		if err == nil {
 			fmt.Fprintln(p.out, "wrote", a.CAFile())
 		}
 		return err
 	})
-	issue := cert.Command("issue", "Make the certificate of a box.")
+	issue := certsCmd.Command("issue", "Make the certificate of a box.")
 	issueDir := issue.Flag("dir", "The authority's folder.").Required().String()
 	issueName := issue.Flag("name", "Name of the box, as in the box list.").Required().String()
 	issueIP := issue.Flag("ip", "IP number of the box; may be given several times.").Strings()
-	p.add(issue, func() error { return p.issue(*issueDir, *issueName, *issueIP) })
+	p.addCommand(issue, func() error { return p.issueCertificate(*issueDir, *issueName, *issueIP) })
 
-	p.add(app.Command("events", "Print the catalogue of all events."), p.catalogue)
+	p.addCommand(app.Command("events", "Print the catalogue of all events."), p.printCatalogue)
 }
 
-func (p *program) newKey() error {
+// printNewKey prints a new key and its hash.
+func (p *program) printNewKey() error {
 	key := certs.NewKey()
 	fmt.Fprintf(p.out, "key %s\nsum %s\n", key, conf.HashKey(key))
 	return nil
 }
 
-// maxKey bounds a key that is read.
-const maxKey = 4096
+// maxKeyBytes bounds the input from which a key is read.
+const maxKeyBytes = 4096
 
-func (p *program) hashKey(in io.Reader) error {
-	raw, err := io.ReadAll(io.LimitReader(in, maxKey))
+// printKeyHash prints the hash of the key in the input.
+func (p *program) printKeyHash(in io.Reader) error {
+	raw, err := io.ReadAll(io.LimitReader(in, maxKeyBytes))
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -61,7 +64,8 @@
 	return nil
 }
 
-func (p *program) issue(dir, name string, ips []string) error {
+// issueCertificate creates the certificate and private key of a box.
+func (p *program) issueCertificate(dir, name string, ips []string) error {
 	a, err := certs.OpenAuthority(dir)
 	if err != nil {
 		return err
@@ -81,7 +85,8 @@
 	return err
 }
 
-func (p *program) catalogue() error {
+// printCatalogue prints all events that daemons can log.
+func (p *program) printCatalogue() error {
 	for _, e := range event.Catalogue() {
 		fmt.Fprintf(p.out, "%d %-18s %-8s %s\n", e.Code, e.Name, e.Level, e.Meaning)
 	}
--- a/embctl/internal/ctl/main.go
+++ b/embctl/internal/ctl/main.go
@@ -1,6 +1,7 @@
 // Package ctl owns the operators' command line.
 //
-// It must not know more of the daemons than their resource API.
+// It must not know more of the daemons than their operators' API and the form of
+// their log lines.
 package ctl
 
 import (
@@ -19,27 +20,27 @@
 	exitFailed  = 1
 	exitUsage   = 2
 	exitRefused = 3
-	// exitPending says that a change is committed but not yet in force
-	// everywhere.
+	// exitPending means that a change is committed but not yet applied by all
+	// daemons.
 	exitPending = 4
 )
 
-// errPending says that a change is not yet in force everywhere.
+// errPending reports that a change is committed but not yet applied by all daemons.
 var errPending = errors.New("a change is not yet in force everywhere")
 
-// command is one verb of the command line.
+// command is one command of the command line.
 type command struct {
 	clause *kingpin.CmdClause
 	run    func() error
 }
 
-// program is one run of the command line.
+// program is one execution of the command line.
 type program struct {
 	out      io.Writer
-	client   *client
-	servers  []string
-	keyFile  string
-	ca       string
+	client   *client  // set by withClient
+	servers  []string // base URLs of daemons
+	keyFile  string   // path; empty for the environment variable
+	ca       string   // path; empty for the system's authorities
 	commands []command
 }
 
@@ -63,10 +64,10 @@
 	app.Flag("server", "Base URL of a daemon's operators' side; may be given several times.").Envar("EMBERTALLY_SERVER").StringsVar(&p.servers)
 	app.Flag("keyFile", "File with the operator's key.").StringVar(&p.keyFile)
 	app.Flag("ca", "File with the certificate that signs the daemons' certificates.").Envar("EMBERTALLY_CA").StringVar(&p.ca)
-	p.resources(app)
-	p.fleet(app)
-	p.local(app)
-	p.calibration(app)
+	p.addResourceCommands(app)
+	p.addFleetCommands(app)
+	p.addLocalCommands(app)
+	p.addCalibrationCommand(app)
 	selected, err := app.Parse(args)
 	if err != nil {
 		fmt.Fprintln(errs, "embctl:", err)
@@ -74,13 +75,14 @@
 	}
 	for _, c := range p.commands {
 		if c.clause.FullCommand() == selected {
-			return p.finish(c.run(), errs)
+			return p.exitCode(c.run(), errs)
 		}
 	}
 	return exitOK
 }
 
-func (p *program) finish(err error, errs io.Writer) int {
+// exitCode prints an error and returns the exit code for it.
+func (p *program) exitCode(err error, errs io.Writer) int {
 	if err == nil {
 		return exitOK
 	}
@@ -95,12 +97,12 @@
 	return exitFailed
 }
 
-func (p *program) add(clause *kingpin.CmdClause, run func() error) {
+func (p *program) addCommand(clause *kingpin.CmdClause, run func() error) {
 	p.commands = append(p.commands, command{clause, run})
 }
 
-// remote makes run reach the daemons.
-func (p *program) remote(run func() error) func() error {
+// withClient wraps run so that the client is set up first.
+func (p *program) withClient(run func() error) func() error {
 	return func() error {
 		if len(p.servers) == 0 {
 			return errors.New("name a daemon with --server")
@@ -110,7 +112,7 @@
 			return err
 		}
 		if c.key == "" {
-			return errors.Errorf("set %s or --keyFile", keyVariable)
+			return errors.Errorf("set %s or --keyFile", keyEnv)
 		}
 		p.client = c
 		return run()
--- a/embfake/fake/site.go
+++ b/embfake/fake/site.go
@@ -122,7 +122,7 @@
 		o.Engine.Latency, o.Deadline = time.Millisecond, conf.Seconds(12)
 		o.Weights = conf.Weights{FirstToken: 0.3, RecomputedSeconds: 0.1, LinkSeconds: 0.0001}
 	default:
-		return o, errors.Errorf("unknown deployment %q: want abonamente or cascade", name)
+		return o, errors.Errorf("deployment %q is not known: abonamente or cascade", name)
 	}
 	o.Store.Latency = o.Engine.Latency
 	return o, nil
