--- a/embctl/internal/ctl/calibration.go
+++ b/embctl/internal/ctl/calibration.go
@@ -63,7 +63,7 @@
 // forecastGroup has the forecasts of one route, or of one target of a route.
 type forecastGroup struct {
 	name string
-	// ratios are observed over expected times to the first answer.
+	// ratios are the observed times to the first answer, divided by the expected ones.
 	ratios []float64
 	// bins group the forecasts by the predicted probability of an answer within its
 	// latency objective.
@@ -75,9 +75,11 @@
 
 // probabilityBin counts the forecasts whose predicted probability lies in one range.
 type probabilityBin struct {
-	count       int     // forecasts
-	inTime      int     // answers within their latency objective
-	forecastSum float64 // sum of the predicted probabilities
+	// count is the number of forecasts, and inTime that of answers within their latency
+	// objective.
+	count, inTime int
+	// forecastSum is the sum of the predicted probabilities.
+	forecastSum float64
 }
 
 func newCalibration(byTarget bool) *calibration { return &calibration{byTarget: byTarget} }
@@ -190,10 +192,11 @@
 	}
 }
 
-// quantiles of the ratios that are printed.
+// quantiles are the quantiles of the ratios that printTables prints.
 var quantiles = []float64{0.1, 0.5, 0.9, 0.99}
 
-// printTables writes the tables of ratios and probabilities, and the count of bad lines.
+// printTables writes one table of ratios and one of predicted and observed probabilities,
+// and the count of bad lines.
 func (c *calibration) printTables(out io.Writer) error {
 	slices.SortStableFunc(c.groups, func(a, b *forecastGroup) int { return strings.Compare(a.name, b.name) })
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/embctl/internal/ctl/calibrationplot.go
+++ b/embctl/internal/ctl/calibrationplot.go
@@ -37,8 +37,8 @@
 	return errors.WithStack(pl.Save(plotWidth, plotHeight, path))
 }
 
-// addToPlot adds the line of a group, with the colour of index number.
-func (g *forecastGroup) addToPlot(pl *plot.Plot, number int) error {
+// addToPlot adds the line of a group to a plot, in the colour with this index.
+func (g *forecastGroup) addToPlot(pl *plot.Plot, colour int) error {
 	var points plotter.XYs
 	for _, b := range g.bins {
 		if b.count > 0 {
@@ -52,7 +52,7 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	line.Color, dots.Color = plotutil.Color(number), plotutil.Color(number)
+	line.Color, dots.Color = plotutil.Color(colour), plotutil.Color(colour)
 	pl.Add(line, dots)
 	pl.Legend.Add(g.name, line)
 	return nil
--- a/embctl/internal/ctl/client.go
+++ b/embctl/internal/ctl/client.go
@@ -28,6 +28,8 @@
 // have applied it.
 const callTimeout = 30 * time.Second
 
+// newClient returns a client whose key comes from keyFile, or from the environment if keyFile
+// is empty. It trusts the certificate authority in the file ca, or the system's if ca is empty.
 func newClient(servers []string, keyFile, ca string) (*client, error) {
 	c := &client{servers: servers, key: os.Getenv(keyEnv), http: &http.Client{}}
 	if keyFile != "" {
--- a/embctl/internal/ctl/ctl_test.go
+++ b/embctl/internal/ctl/ctl_test.go
@@ -31,9 +31,9 @@
 	t.Helper()
 	t.Setenv(keyEnv, "the key")
 	t.Setenv("EMBERTALLY_CA", "")
-	var o, e bytes.Buffer
-	code = Main(args, &o, &e)
-	return code, o.String(), e.String()
+	var stdout, stderr bytes.Buffer
+	code = Main(args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
 // writeFile writes text to a temporary file and returns its path.
--- a/embctl/internal/ctl/main.go
+++ b/embctl/internal/ctl/main.go
@@ -97,6 +97,7 @@
 	return exitFailed
 }
 
+// addCommand registers what a command runs.
 func (p *program) addCommand(clause *kingpin.CmdClause, run func() error) {
 	p.commands = append(p.commands, command{clause, run})
 }
--- a/embctl/internal/ctl/resources.go
+++ b/embctl/internal/ctl/resources.go
@@ -193,6 +193,7 @@
 	return errors.WithStack(w.Flush())
 }
 
+// printJSON prints v as indented JSON.
 func (p *program) printJSON(v any) error {
 	raw, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
--- a/embctl/internal/ctl/svg.go
+++ b/embctl/internal/ctl/svg.go
@@ -19,16 +19,16 @@
 )
 
 // drawTimeline draws one lane per process and one row per event.
-func drawTimeline(list []event.Event) []byte {
+func drawTimeline(events []event.Event) []byte {
 	var lanes []string
-	for _, ev := range list {
+	for _, ev := range events {
 		if !slices.Contains(lanes, ev.Process) {
 			lanes = append(lanes, ev.Process)
 		}
 	}
 	slices.Sort(lanes)
 	var b bytes.Buffer
-	width, height := clockWidth+laneWidth*len(lanes), headerHeight+rowHeight*(len(list)+1)
+	width, height := clockWidth+laneWidth*len(lanes), headerHeight+rowHeight*(len(events)+1)
 	fmt.Fprintf(&b, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="11">`+"\n", width, height)
 	fmt.Fprintf(&b, `<rect width="%d" height="%d" fill="white"/>`+"\n", width, height)
 	for i, name := range lanes {
@@ -36,7 +36,7 @@
 		fmt.Fprintf(&b, `<text x="%d" y="16" font-weight="bold">%s</text>`+"\n", x, html.EscapeString(name))
 		fmt.Fprintf(&b, `<line x1="%d" y1="%d" x2="%d" y2="%d" stroke="#ccc"/>`+"\n", x, headerHeight-6, x, height)
 	}
-	for row, ev := range list {
+	for row, ev := range events {
 		x, y := clockWidth+slices.Index(lanes, ev.Process)*laneWidth+dotRadius, headerHeight+rowHeight*row+rowHeight/2
 		fmt.Fprintf(&b, `<text x="4" y="%d" fill="#666">%s</text>`, y+4, ev.At.Format(clockLayout))
 		fmt.Fprintf(&b, `<circle cx="%d" cy="%d" r="%d" fill="%s"><title>%s</title></circle>`, x, y, dotRadius, levelColor(ev.Level), html.EscapeString(formatRef(ev)+" "+ev.Text))
--- a/embfake/fake/engine.go
+++ b/embfake/fake/engine.go
@@ -25,7 +25,7 @@
 	Blocks int
 	// BlockBytes is the size of one KV-cache block.
 	BlockBytes int
-	// PrefillTokensPerSecond is the prefill speed while no response is generated.
+	// PrefillTokensPerSecond is the prefill speed while no other stream runs.
 	PrefillTokensPerSecond float64
 	// TokenTime is the time between two tokens of a response.
 	TokenTime time.Duration
--- a/embfake/fake/fake_test.go
+++ b/embfake/fake/fake_test.go
@@ -12,7 +12,8 @@
 	"embertally.dev/core/plat"
 )
 
-func keyValue(t *testing.T) (*KeyValue, *plat.KV) {
+// newKeyValue starts a coordination store and returns it with a client.
+func newKeyValue(t *testing.T) (*KeyValue, *plat.KV) {
 	t.Helper()
 	k, err := NewKeyValue(anyPort)
 	if err != nil {
@@ -25,7 +26,7 @@
 func TestKeyValueProtocol(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := context.Background()
-	_, kv := keyValue(t)
+	_, kv := newKeyValue(t)
 	put := func(key string, revision int64) (plat.Outcome, error) {
 		return kv.Commit(ctx, plat.Txn{
 			Compares: []plat.Compare{{Key: key, ModRevision: revision}},
@@ -66,7 +67,7 @@
 func TestKeyValueFaultsReachTheClient(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ctx := context.Background()
-	k, kv := keyValue(t)
+	k, kv := newKeyValue(t)
 	write := plat.Txn{Puts: []plat.Put{{Key: "k", Value: []byte("v")}}}
 	k.Set(LoseAnswers, 1)
 	_, err := kv.Commit(ctx, write)
--- a/embfake/fake/site.go
+++ b/embfake/fake/site.go
@@ -339,6 +339,7 @@
 	return nil
 }
 
+// fileMode protects the keys in the written files.
 const fileMode = 0o600
 
 // writeDaemon writes the settings of one daemon and adds its box to the box list.
--- a/embfake/fake/stream.go
+++ b/embfake/fake/stream.go
@@ -15,7 +15,7 @@
 	"embertally.dev/core/cache"
 )
 
-// decoder generates one response.
+// decoder generates the tokens of one response after its prefill.
 type decoder struct {
 	e *Engine
 	s *stream
@@ -56,7 +56,8 @@
 // reader has disconnected.
 const streamRetention = 5 * time.Second
 
-// removeUnread cancels and removes a stream that nobody reads.
+// removeUnread cancels a stream that nobody reads, and removes it unless its ID is already in
+// use by another.
 func (e *Engine) removeUnread(s *stream) {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
@@ -87,6 +88,7 @@
 // textGenerator generates words, each a function of all text before it, so that a resumed
 // response goes on as the original would.
 type textGenerator struct {
+	// h hashes all text so far.
 	h interface {
 		Write([]byte) (int, error)
 		Sum64() uint64
@@ -103,9 +105,9 @@
 	return textGenerator{h}
 }
 
-func (a textGenerator) nextWord() string {
-	word := fmt.Sprintf("%04x ", a.h.Sum64()>>48)
-	a.h.Write([]byte(word))
+func (g textGenerator) nextWord() string {
+	word := fmt.Sprintf("%04x ", g.h.Sum64()>>48)
+	g.h.Write([]byte(word))
 	return word
 }
 
@@ -237,6 +239,7 @@
 	return nil
 }
 
+// chunk returns a message without choices.
 func (w *streamWriter) chunk() wireChunk {
 	return wireChunk{ID: w.id, Object: "text_completion", Fingerprint: w.s.version, Choices: []wireChoice{}}
 }
@@ -257,6 +260,7 @@
 	return w.write(b.Bytes())
 }
 
+// write writes the header if needed, then raw, and flushes.
 func (w *streamWriter) write(raw []byte) error {
 	if !w.headerSent {
 		w.headerSent = true
