--- a/embfake/fake/boxes.go
+++ b/embfake/fake/boxes.go
@@ -51,8 +51,8 @@
 	b.afterLag(func() { delete(b.boxes, name) })
 }
 
-// State changes the state of a box, after the lag.
-func (b *Boxes) State(name string, s plat.BoxState) {
+// SetState changes the state of a box, after the lag.
+func (b *Boxes) SetState(name string, s plat.BoxState) {
 	b.afterLag(func() {
 		if box, ok := b.boxes[name]; ok {
 			box.State = s
--- a/embfake/fake/engine.go
+++ b/embfake/fake/engine.go
@@ -63,7 +63,7 @@
 	maxFence      uint64                  // highest fencing token received; guarded by engineMu
 	orders        []target.Order          // accepted; guarded by engineMu
 	loadReport    target.Load             // last published, behind the current load; guarded by engineMu
-	executions    []EngineRun             // guarded by engineMu
+	executions    []EngineExecution       // guarded by engineMu
 	prefillTime   time.Duration           // total; guarded by engineMu
 	crashText     string                  // prompts that contain it crash the engine; guarded by engineMu
 	crashed       bool                    // guarded by engineMu
@@ -77,26 +77,26 @@
 	blocks []transferredBlock
 }
 
-// EngineRun records one prompt that an engine computed.
-type EngineRun struct {
+// EngineExecution records one prompt that an engine computed.
+type EngineExecution struct {
 	// Arrived is when the engine received the prompt.
 	Arrived time.Time `json:"arrived"`
-	// Began is when its prefill started.
-	Began time.Time `json:"began"`
+	// Started is when its prefill started.
+	Started time.Time `json:"began"`
 	// Request is the request ID.
 	Request string `json:"request"`
 	// Version is the weights version.
 	Version string `json:"version"`
 	// Tokens is the length of the prompt in tokens.
 	Tokens int `json:"tokens"`
-	// Cached is the number of prompt tokens taken from the cache.
-	Cached int `json:"cached"`
+	// CachedTokens is the number of prompt tokens taken from the cache.
+	CachedTokens int `json:"cached"`
 	// Salt is the prompt's cache salt.
 	Salt string `json:"salt"`
-	// Head is the start of the prompt, at most maxPromptStart bytes.
-	Head string `json:"head"`
-	// Spoiled is set if the content of a cached block did not match its hash.
-	Spoiled bool `json:"spoiled"`
+	// PromptStart is the start of the prompt, at most maxPromptStart bytes.
+	PromptStart string `json:"head"`
+	// Corrupted is set if the content of a cached block did not match its hash.
+	Corrupted bool `json:"spoiled"`
 }
 
 // stream is one response, from the receipt of its prompt until it has been read
@@ -140,7 +140,7 @@
 		r.POST("/v1/cache/export", e.exportBlocks)
 		r.POST("/v1/orders", e.order)
 		r.POST("/evict", func(c echo.Context) error { e.EvictAll(); return c.NoContent(http.StatusNoContent) })
-		r.GET("/runs", func(c echo.Context) error { return c.JSON(http.StatusOK, e.Runs()) })
+		r.GET("/runs", func(c echo.Context) error { return c.JSON(http.StatusOK, e.Executions()) })
 		r.GET("/orders", func(c echo.Context) error { return c.JSON(http.StatusOK, e.Orders()) })
 	})
 }
@@ -151,25 +151,25 @@
 	e.Server.Close()
 }
 
-// EndOf makes the engine crash, for good, when it receives a prompt that contains text.
-func (e *Engine) EndOf(text string) {
+// CrashOn makes the engine crash, for good, when it receives a prompt that contains text.
+func (e *Engine) CrashOn(text string) {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	e.crashText = text
 }
 
-// Over reports whether a prompt has crashed the engine.
-func (e *Engine) Over() bool {
+// Crashed reports whether a prompt has crashed the engine.
+func (e *Engine) Crashed() bool {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	return e.crashed
 }
 
-// Runs returns a record of every prompt that was computed.
-func (e *Engine) Runs() []EngineRun {
+// Executions returns a record of every prompt that was computed.
+func (e *Engine) Executions() []EngineExecution {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
-	return append([]EngineRun{}, e.executions...)
+	return append([]EngineExecution{}, e.executions...)
 }
 
 // Orders returns every order that was accepted.
@@ -179,8 +179,8 @@
 	return append([]target.Order{}, e.orders...)
 }
 
-// Holds reports whether this version of any model is loaded.
-func (e *Engine) Holds(version string) bool {
+// HasVersion reports whether this version of any model is loaded.
+func (e *Engine) HasVersion(version string) bool {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	return slices.ContainsFunc(e.weights, func(w target.Weights) bool { return w.Version == version })
@@ -219,8 +219,8 @@
 	e.cache.evict(len(e.cache.blocks))
 }
 
-// Blocks returns the number of cached blocks.
-func (e *Engine) Blocks() int {
+// CachedBlocks returns the number of cached blocks.
+func (e *Engine) CachedBlocks() int {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	return len(e.cache.blocks)
@@ -388,9 +388,9 @@
 	speed := e.o.PrefillTokensPerSecond / (1 + prefillSlowdownPerStream*float64(e.running))
 	took := time.Duration(float64(tokens) / speed * float64(time.Second))
 	e.prefillTime += took
-	e.executions = append(e.executions, EngineRun{
-		Arrived: s.arrived, Began: time.Now(), Request: s.id, Version: s.version, Tokens: cache.Tokens(len(s.prompt.Prompt)), Cached: s.cachedTokens, Spoiled: s.corrupted,
-		Salt: s.prompt.CacheSalt, Head: s.prompt.Prompt[:min(len(s.prompt.Prompt), maxPromptStart)],
+	e.executions = append(e.executions, EngineExecution{
+		Arrived: s.arrived, Started: time.Now(), Request: s.id, Version: s.version, Tokens: cache.Tokens(len(s.prompt.Prompt)), CachedTokens: s.cachedTokens, Corrupted: s.corrupted,
+		Salt: s.prompt.CacheSalt, PromptStart: s.prompt.Prompt[:min(len(s.prompt.Prompt), maxPromptStart)],
 	})
 	e.running++
 	return took
--- a/embfake/fake/fake_test.go
+++ b/embfake/fake/fake_test.go
@@ -69,7 +69,7 @@
 	ctx := context.Background()
 	k, kv := newKeyValue(t)
 	write := plat.Txn{Puts: []plat.Put{{Key: "k", Value: []byte("v")}}}
-	k.Set(LoseAnswers, 1)
+	k.Set(LoseResponses, 1)
 	_, err := kv.Commit(ctx, write)
 	g.Expect(errors.Is(err, plat.ErrOutcomeUnknown)).To(gomega.BeTrue())
 	stored, err := kv.Read(ctx, "k")
@@ -110,7 +110,7 @@
 	}{
 		{"first", func() {}, 1, true},
 		{"no change", func() {}, 0, false},
-		{"leaving", func() { b.State("a", plat.BoxLeaving) }, 1, true},
+		{"leaving", func() { b.SetState("a", plat.BoxLeaving) }, 1, true},
 		{"removed", func() { b.Remove("a") }, 0, true},
 	}
 	for _, s := range steps {
@@ -125,11 +125,11 @@
 // Otherwise tests could not verify resumed responses.
 func TestResumedAnswerMatchesWholeAnswer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	whole := Answer("m", "v1", "text", 10)
-	start := Answer("m", "v1", "text", 4)
+	whole := ExpectedResponse("m", "v1", "text", 10)
+	start := ExpectedResponse("m", "v1", "text", 4)
 	g.Expect(whole).To(gomega.HavePrefix(start))
-	g.Expect(start + Answer("m", "v1", "text"+start, 6)).To(gomega.Equal(whole))
-	g.Expect(Answer("m", "v2", "text", 10)).NotTo(gomega.Equal(whole))
+	g.Expect(start + ExpectedResponse("m", "v1", "text"+start, 6)).To(gomega.Equal(whole))
+	g.Expect(ExpectedResponse("m", "v2", "text", 10)).NotTo(gomega.Equal(whole))
 }
 
 func TestWeightStoreCountsConcurrentLoads(t *testing.T) {
@@ -150,6 +150,6 @@
 	for range 3 {
 		g.Expect(<-done).To(gomega.Succeed())
 	}
-	g.Expect(w.Most()).To(gomega.BeNumerically(">=", 1))
-	g.Expect(w.Most()).To(gomega.BeNumerically("<=", 3))
+	g.Expect(w.MaxConcurrentLoads()).To(gomega.BeNumerically(">=", 1))
+	g.Expect(w.MaxConcurrentLoads()).To(gomega.BeNumerically("<=", 3))
 }
--- a/embfake/fake/fault.go
+++ b/embfake/fake/fault.go
@@ -28,8 +28,8 @@
 	Down Fault = "down"
 	// Slow delays every response by the value in milliseconds.
 	Slow Fault = "slow"
-	// LoseAnswers resets the connections of so many writes after they took effect.
-	LoseAnswers Fault = "loseAnswers"
+	// LoseResponses resets the connections of so many writes after they took effect.
+	LoseResponses Fault = "loseAnswers"
 	// StallWatch keeps watches open but sends nothing on them.
 	StallWatch Fault = "stallWatch"
 	// CutStream resets the connections of so many streams after their next token.
@@ -38,8 +38,8 @@
 	ForgetStream Fault = "forgetStream"
 	// Truncate ends so many streams without finish reason, usage and end marker.
 	Truncate Fault = "truncate"
-	// Cross gives so many responses the ID of another request.
-	Cross Fault = "cross"
+	// WrongRequestID gives so many responses the ID of another request.
+	WrongRequestID Fault = "cross"
 	// Repeat sends each token of every stream twice.
 	Repeat Fault = "repeat"
 	// DropEvents omits so many cache events.
--- a/embfake/fake/keyvalue.go
+++ b/embfake/fake/keyvalue.go
@@ -69,8 +69,8 @@
 	return k.counts
 }
 
-// Waiting returns the number of open watches.
-func (k *KeyValue) Waiting() int {
+// OpenWatches returns the number of open watches.
+func (k *KeyValue) OpenWatches() int {
 	k.kvMu.Lock()
 	defer k.kvMu.Unlock()
 	return k.openWatches
@@ -154,7 +154,7 @@
 		return c.String(http.StatusBadRequest, err.Error())
 	}
 	ok, revision := k.apply(&t)
-	if k.Take(LoseAnswers) {
+	if k.Take(LoseResponses) {
 		return resetConnection(c)
 	}
 	var body struct {
--- a/embfake/fake/pushback.go
+++ b/embfake/fake/pushback.go
@@ -14,15 +14,15 @@
 	rejected   int           // guarded by pushbackMu
 }
 
-// AskRest makes the target reject requests with d as Retry-After; 0 ends that.
-func (r *pushback) AskRest(d time.Duration) {
+// SetPushback makes the target reject requests with d as Retry-After; 0 ends that.
+func (r *pushback) SetPushback(d time.Duration) {
 	r.pushbackMu.Lock()
 	defer r.pushbackMu.Unlock()
 	r.retryAfter = d
 }
 
-// TurnedAway returns how many requests the target rejected with Retry-After.
-func (r *pushback) TurnedAway() int {
+// Rejected returns how many requests the target rejected with Retry-After.
+func (r *pushback) Rejected() int {
 	r.pushbackMu.Lock()
 	defer r.pushbackMu.Unlock()
 	return r.rejected
--- a/embfake/fake/service.go
+++ b/embfake/fake/service.go
@@ -17,11 +17,11 @@
 	name string
 
 	executionMu sync.Mutex
-	executions  []ServiceRun // guarded by executionMu
+	executions  []ServiceExecution // guarded by executionMu
 }
 
-// ServiceRun records one execution of a call.
-type ServiceRun struct {
+// ServiceExecution records one execution of a call.
+type ServiceExecution struct {
 	At     time.Time `json:"at"`
 	Method string    `json:"method"`
 	Path   string    `json:"path"`
@@ -37,16 +37,16 @@
 func NewService(address, name string) (*Service, error) {
 	s := &Service{name: name}
 	return s, s.start(address, func(e *echo.Echo) {
-		e.GET("/runs", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Runs()) })
+		e.GET("/runs", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Executions()) })
 		e.Any("/*", s.serve)
 	})
 }
 
-// Runs returns a record of every execution.
-func (s *Service) Runs() []ServiceRun {
+// Executions returns a record of every execution.
+func (s *Service) Executions() []ServiceExecution {
 	s.executionMu.Lock()
 	defer s.executionMu.Unlock()
-	return append([]ServiceRun{}, s.executions...)
+	return append([]ServiceExecution{}, s.executions...)
 }
 
 // maxServiceBody bounds the bytes that are read of a call's body.
@@ -65,7 +65,7 @@
 		return c.String(http.StatusServiceUnavailable, "the service rests\n")
 	}
 	h := c.Request().Header
-	r := ServiceRun{
+	r := ServiceExecution{
 		At: time.Now(), Method: c.Request().Method, Path: c.Request().URL.Path, Key: h.Get("Idempotency-Key"),
 		Organisation: h.Get("X-Embertally-Organisation"), Request: h.Get("X-Request-Id"), Body: string(body),
 	}
@@ -86,7 +86,7 @@
 		reply.Echo = body
 	}
 	c.Response().Header().Set("X-Request-Id", r.Request)
-	if s.Take(Cross) {
+	if s.Take(WrongRequestID) {
 		c.Response().Header().Set("X-Request-Id", "another request")
 	}
 	return c.JSON(http.StatusOK, reply)
@@ -125,8 +125,8 @@
 	})
 }
 
-// Most returns the highest number of loads that ran concurrently.
-func (w *WeightStore) Most() int {
+// MaxConcurrentLoads returns the highest number of loads that ran concurrently.
+func (w *WeightStore) MaxConcurrentLoads() int {
 	w.loadMu.Lock()
 	defer w.loadMu.Unlock()
 	return w.maxLoading
--- a/embfake/fake/site.go
+++ b/embfake/fake/site.go
@@ -512,9 +512,9 @@
 	return f, errors.WithStack(json.Unmarshal(raw, &f))
 }
 
-// Base returns the scheme and host of a URL: the base URL of the emulator's own interface for
+// BaseURL returns the scheme and host of a URL: the base URL of the emulator's own interface for
 // faults and records.
-func Base(raw string) string {
+func BaseURL(raw string) string {
 	u, err := url.Parse(raw)
 	if err != nil {
 		return raw
--- a/embfake/fake/store.go
+++ b/embfake/fake/store.go
@@ -75,7 +75,7 @@
 		e.GET("/v1/usage", s.usage)
 		e.GET("/counts", func(c echo.Context) error { return c.JSON(http.StatusOK, s.Counts()) })
 		e.POST("/reset", func(c echo.Context) error { s.Reset(); return c.NoContent(http.StatusNoContent) })
-		e.POST("/free", func(c echo.Context) error { s.FreeAll(); return c.NoContent(http.StatusNoContent) })
+		e.POST("/free", func(c echo.Context) error { s.ReuseAllBlocks(); return c.NoContent(http.StatusNoContent) })
 		e.POST("/link", func(c echo.Context) error {
 			var body struct {
 				BytesPerSecond float64 `json:"bytesPerSecond"`
@@ -83,7 +83,7 @@
 			if err := c.Bind(&body); err != nil {
 				return err
 			}
-			s.SetLink(body.BytesPerSecond)
+			s.SetLinkBandwidth(body.BytesPerSecond)
 			return c.NoContent(http.StatusNoContent)
 		})
 	})
@@ -96,9 +96,9 @@
 	s.blocks, s.manifests = map[cache.Hash]*storedBlock{}, map[cache.Hash]*storedManifest{}
 }
 
-// FreeAll frees every block and reuses its space for other content. The manifests stay, so
+// ReuseAllBlocks frees every block and reuses its space for other content. The manifests stay, so
 // that they refer to the wrong blocks.
-func (s *Store) FreeAll() {
+func (s *Store) ReuseAllBlocks() {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	for _, b := range s.blocks {
@@ -107,8 +107,8 @@
 	}
 }
 
-// SetLink changes the bandwidth of the link.
-func (s *Store) SetLink(bytesPerSecond float64) {
+// SetLinkBandwidth changes the bandwidth of the link.
+func (s *Store) SetLinkBandwidth(bytesPerSecond float64) {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	s.o.LinkBytesPerSecond = bytesPerSecond
--- a/embfake/fake/stream.go
+++ b/embfake/fake/stream.go
@@ -75,8 +75,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Answer returns the correct response of an engine to a prompt, for comparison in tests.
-func Answer(model, version, text string, tokens int) string {
+// ExpectedResponse returns the correct response of an engine to a prompt, for comparison in tests.
+func ExpectedResponse(model, version, text string, tokens int) string {
 	gen := newTextGenerator(model, version, text, false)
 	var b strings.Builder
 	for range tokens {
@@ -144,7 +144,7 @@
 	e.engineMu.Unlock()
 	defer e.readerLeft(s)
 	w := streamWriter{c: c, e: e, s: s, id: s.id}
-	if e.Take(Cross) {
+	if e.Take(WrongRequestID) {
 		w.id = "another-request"
 	}
 	for n := after; ; {
--- a/embplay/internal/play/demo.go
+++ b/embplay/internal/play/demo.go
@@ -84,7 +84,7 @@
 	if r.Refused != nil {
 		return r, errors.Errorf("refused: %s: %s", r.Refused.Code, r.Refused.Message)
 	}
-	if want := fake.Answer(fake.SiteModel, fake.SiteVersion, prompt, demoTokens); !r.Whole || r.Text != want {
+	if want := fake.ExpectedResponse(fake.SiteModel, fake.SiteVersion, prompt, demoTokens); !r.Whole || r.Text != want {
 		return r, errors.Errorf("the answer is not the whole and right one: %q", r.Text)
 	}
 	return r, nil
@@ -194,7 +194,7 @@
 func (d *demo) runs(key string) (int, error) {
 	n := 0
 	for _, s := range d.site.Services {
-		var runs []fake.ServiceRun
+		var runs []fake.ServiceExecution
 		if err := d.fake(http.MethodGet, s.URL+"/runs", &runs); err != nil {
 			return 0, err
 		}
--- a/embplay/internal/play/judge.go
+++ b/embplay/internal/play/judge.go
@@ -130,7 +130,7 @@
 
 // version returns the weights that an answer came from.
 func (rec *record) version() string {
-	if rec.reply.Text == fake.Answer(fake.SiteModel, swapVersion, rec.prompt, rec.event.Tokens) {
+	if rec.reply.Text == fake.ExpectedResponse(fake.SiteModel, swapVersion, rec.prompt, rec.event.Tokens) {
 		return swapVersion
 	}
 	return fake.SiteVersion
@@ -147,7 +147,7 @@
 		f.Lost++
 		f.fail(rec, "lost")
 		return false
-	case reply.Text != fake.Answer(fake.SiteModel, rec.version(), rec.prompt, rec.event.Tokens):
+	case reply.Text != fake.ExpectedResponse(fake.SiteModel, rec.version(), rec.prompt, rec.event.Tokens):
 		f.Crossed++
 		f.fail(rec, "not the answer of the prompt")
 		return false
--- a/embplay/internal/play/play_test.go
+++ b/embplay/internal/play/play_test.go
@@ -76,7 +76,7 @@
 func answered(e Event, sent float64, cached int) record {
 	rec := record{event: e, sent: sent, prompt: e.prompt()}
 	rec.reply = Reply{
-		Whole: true, Text: fake.Answer(fake.SiteModel, fake.SiteVersion, rec.prompt, e.Tokens),
+		Whole: true, Text: fake.ExpectedResponse(fake.SiteModel, fake.SiteVersion, rec.prompt, e.Tokens),
 		First: 100 * time.Millisecond, CachedTokens: cached,
 	}
 	return rec
--- a/embplay/internal/play/run.go
+++ b/embplay/internal/play/run.go
@@ -277,7 +277,7 @@
 	case WorkerLeaves:
 		name := r.site.Engines[e.Index%len(r.site.Engines)].Name
 		box := plat.Box{Role: plat.RoleTarget, State: plat.BoxLeaving}
-		rec.reply.Err = r.fake(ctx, http.MethodPut, fake.Base(r.site.BoxList)+"/v1/boxes/"+name, box, nil)
+		rec.reply.Err = r.fake(ctx, http.MethodPut, fake.BaseURL(r.site.BoxList)+"/v1/boxes/"+name, box, nil)
 	case Swap:
 		rec.reply.Err = r.swap(ctx)
 	case BoxDies:
@@ -384,7 +384,7 @@
 func (r *replay) runs() (map[string]int, error) {
 	out := map[string]int{}
 	for _, s := range r.site.Services {
-		var list []fake.ServiceRun
+		var list []fake.ServiceExecution
 		if err := r.fake(context.Background(), http.MethodGet, s.URL+"/runs", nil, &list); err != nil {
 			return nil, err
 		}
--- a/embplay/prove/chaos_test.go
+++ b/embplay/prove/chaos_test.go
@@ -184,7 +184,7 @@
 	c.r.site.KeyValue.Set(fake.Slow, 0)
 }
 
-func (c *chaos) loseAnswers() { c.r.site.KeyValue.Set(fake.LoseAnswers, float64(1+c.intn(6))) }
+func (c *chaos) loseAnswers() { c.r.site.KeyValue.Set(fake.LoseResponses, float64(1+c.intn(6))) }
 
 func (c *chaos) stallWatch() {
 	c.r.site.KeyValue.Set(fake.StallWatch, 1)
@@ -213,8 +213,8 @@
 }
 
 func (c *chaos) crossAnswers() {
-	c.engine().Set(fake.Cross, 1)
-	c.r.site.Services[c.intn(len(c.r.site.Services))].Set(fake.Cross, 1)
+	c.engine().Set(fake.WrongRequestID, 1)
+	c.r.site.Services[c.intn(len(c.r.site.Services))].Set(fake.WrongRequestID, 1)
 }
 
 func (c *chaos) truncate() { c.engine().Set(fake.Truncate, 1) }
@@ -236,16 +236,16 @@
 }
 
 func (c *chaos) storeReset() { c.store().Reset() }
-func (c *chaos) storeFreed() { c.store().FreeAll() }
+func (c *chaos) storeFreed() { c.store().ReuseAllBlocks() }
 func (c *chaos) corrupt()    { c.store().Set(fake.Corrupt, float64(1+c.intn(40))) }
 func (c *chaos) halfWrite()  { c.store().Set(fake.HalfWrite, float64(1+c.intn(20))) }
 func (c *chaos) evict()      { c.engine().EvictAll() }
 
 func (c *chaos) slowLink() {
 	s := c.store()
-	s.SetLink(5e6)
+	s.SetLinkBandwidth(5e6)
 	time.Sleep(c.span(time.Second, 3*time.Second))
-	s.SetLink(100e6)
+	s.SetLinkBandwidth(100e6)
 }
 
 func (c *chaos) cutCalls() {
@@ -452,14 +452,14 @@
 	var out []time.Time
 	for i, t := range c.r.site.File.Engines {
 		if t.Name == target {
-			for _, run := range c.r.site.Engines[i].Runs() {
+			for _, run := range c.r.site.Engines[i].Executions() {
 				out = append(out, run.Arrived)
 			}
 		}
 	}
 	for i, t := range c.r.site.File.Services {
 		if t.Name == target {
-			for _, run := range c.r.site.Services[i].Runs() {
+			for _, run := range c.r.site.Services[i].Executions() {
 				out = append(out, run.At)
 			}
 		}
--- a/embplay/prove/judge_test.go
+++ b/embplay/prove/judge_test.go
@@ -48,8 +48,8 @@
 // judge judges what the callers and targets wrote down.
 func (vs *verdicts) judge(r *rig, l *load) {
 	for _, e := range r.site.Engines {
-		for _, run := range e.Runs() {
-			vs[1].check(!run.Spoiled, "engine answered %s with a block that was freed, partly written or foreign", run.Request)
+		for _, run := range e.Executions() {
+			vs[1].check(!run.Corrupted, "engine answered %s with a block that was freed, partly written or foreign", run.Request)
 		}
 	}
 	for _, a := range l.asks {
@@ -84,7 +84,7 @@
 
 func prefixOfAnswer(a *asked) bool {
 	for _, v := range []string{"v1", "v2", "v3", "v4"} {
-		if strings.HasPrefix(fake.Answer(fake.SiteModel, v, a.prompt, a.tokens), a.reply.Text) {
+		if strings.HasPrefix(fake.ExpectedResponse(fake.SiteModel, v, a.prompt, a.tokens), a.reply.Text) {
 			return true
 		}
 	}
@@ -102,27 +102,27 @@
 			byRequest[a.reply.Request] = a
 		}
 	}
-	first := map[string]fake.EngineRun{}
+	first := map[string]fake.EngineExecution{}
 	for _, e := range r.site.Engines {
-		for _, run := range e.Runs() {
+		for _, run := range e.Executions() {
 			if a := byRequest[run.Request[:strings.LastIndex(run.Request, "-")]]; a != nil {
 				salt := cache.Salt{Organisation: a.organisation, Model: fake.SiteModel, WeightVersion: run.Version}
 				vs[2].check(run.Salt == salt.Seed().String(), "run %s of %s bears another salt", run.Request, a.organisation)
 				vs[3].check(run.Salt == salt.Seed().String(), "run %s under %s bears another salt", run.Request, run.Version)
 			}
-			key := run.Salt + run.Head
-			if f, ok := first[key]; !ok || run.Began.Before(f.Began) {
+			key := run.Salt + run.PromptStart
+			if f, ok := first[key]; !ok || run.Started.Before(f.Started) {
 				first[key] = run
 			}
 		}
 	}
 	for _, run := range first {
-		vs[2].check(run.Cached < cache.BlockTokens, "first run %s under a salt had %d tokens cached", run.Request, run.Cached)
-		vs[3].check(run.Cached < cache.BlockTokens, "first run %s under a salt had %d tokens cached", run.Request, run.Cached)
+		vs[2].check(run.CachedTokens < cache.BlockTokens, "first run %s under a salt had %d tokens cached", run.Request, run.CachedTokens)
+		vs[3].check(run.CachedTokens < cache.BlockTokens, "first run %s under a salt had %d tokens cached", run.Request, run.CachedTokens)
 	}
 }
 
-func (vs *verdicts) judgeCall(c *called, runs []fake.ServiceRun) {
+func (vs *verdicts) judgeCall(c *called, runs []fake.ServiceExecution) {
 	vs[6].check(len(runs) <= 1, "call %s ran %d times in %d tries", c.mark, len(runs), len(c.tries))
 	for _, run := range runs {
 		vs[2].check(run.Organisation == c.organisation, "call of %s reached a target as %s", c.organisation, run.Organisation)
@@ -141,7 +141,7 @@
 
 // laterTry reports whether the run belongs to a try after one that was told
 // not run: the request that the target saw was answered later.
-func laterTry(c *called, runs []fake.ServiceRun) bool {
+func laterTry(c *called, runs []fake.ServiceExecution) bool {
 	for i, t := range c.tries {
 		if t.Refused == nil || t.Refused.Ran != "notRun" {
 			continue
--- a/embplay/prove/load_test.go
+++ b/embplay/prove/load_test.go
@@ -31,7 +31,7 @@
 // version returns the weights that the whole answer came from, or "".
 func (a *asked) version() string {
 	for _, v := range []string{"v1", "v2", "v3", "v4"} {
-		if a.reply.Text == fake.Answer(fake.SiteModel, v, a.prompt, a.tokens) {
+		if a.reply.Text == fake.ExpectedResponse(fake.SiteModel, v, a.prompt, a.tokens) {
 			return v
 		}
 	}
@@ -211,10 +211,10 @@
 }
 
 // runsByMark returns the runs at the targets by the mark in their bodies.
-func (r *rig) runsByMark() map[string][]fake.ServiceRun {
-	out := map[string][]fake.ServiceRun{}
+func (r *rig) runsByMark() map[string][]fake.ServiceExecution {
+	out := map[string][]fake.ServiceExecution{}
 	for _, s := range r.site.Services {
-		for _, run := range s.Runs() {
+		for _, run := range s.Executions() {
 			var body struct {
 				Mark string `json:"mark"`
 			}
--- a/embplay/prove/rig_test.go
+++ b/embplay/prove/rig_test.go
@@ -317,7 +317,7 @@
 // listed changes the state of a box in every daemon's list.
 func (r *rig) listed(name string, s plat.BoxState) {
 	for _, p := range r.procs {
-		p.boxes.State(name, s)
+		p.boxes.SetState(name, s)
 	}
 }
 
--- a/embplay/prove/slopes_test.go
+++ b/embplay/prove/slopes_test.go
@@ -152,7 +152,7 @@
 	wg.Wait()
 	n, secs := float64(len(r.procs)), windowTime.Seconds()
 	out := reading{X: x, KeyValueCalls: float64(after.Reads-calls.Reads+after.Writes-calls.Writes+after.Watches-calls.Watches) / secs}
-	out.WaitingWatches = float64(r.site.KeyValue.Waiting())
+	out.WaitingWatches = float64(r.site.KeyValue.OpenWatches())
 	for i := range last {
 		out.ProcessorShare += (last[i].processor - first[i].processor) / secs / n
 		out.ControlBytes += (last[i].control - first[i].control) / secs / n
--- a/embplay/prove/story_answers_test.go
+++ b/embplay/prove/story_answers_test.go
@@ -24,7 +24,7 @@
 		{"a cut stream", func(e *fake.Engine) { e.Set(fake.CutStream, 2) }},
 		{"a cut stream that the engine forgot", func(e *fake.Engine) { e.Set(fake.ForgetStream, 1); e.Set(fake.CutStream, 1) }},
 		{"a truncated stream", func(e *fake.Engine) { e.Set(fake.Truncate, 1) }},
-		{"another request's answer", func(e *fake.Engine) { e.Set(fake.Cross, 1) }},
+		{"another request's answer", func(e *fake.Engine) { e.Set(fake.WrongRequestID, 1) }},
 		{"tokens sent twice", func(e *fake.Engine) { e.Set(fake.Repeat, 1) }},
 	}
 	for _, tc := range tests {
@@ -50,7 +50,7 @@
 		var busy *fake.Engine
 		Eventually(func() *fake.Engine {
 			for _, e := range r.site.Engines {
-				if len(e.Runs()) > 0 {
+				if len(e.Executions()) > 0 {
 					busy = e
 				}
 			}
@@ -65,7 +65,7 @@
 		r := site(func(o *fake.SiteOptions) { o.Engines = 1 })
 		got := make(chan play.Reply, 1)
 		go func() { got <- r.ask(0, orgOne, longText(5), 400) }()
-		Eventually(func() int { return len(r.site.Engines[0].Runs()) }).Should(Equal(1))
+		Eventually(func() int { return len(r.site.Engines[0].Executions()) }).Should(Equal(1))
 		r.site.Engines[0].Close()
 		a := <-got
 		Expect(a.Whole).To(BeFalse())
@@ -108,7 +108,7 @@
 		}
 		Expect(r.runsByMark()[mark]).To(BeEmpty())
 		for _, e := range r.site.Engines {
-			Expect(e.Runs()).To(BeEmpty())
+			Expect(e.Executions()).To(BeEmpty())
 		}
 	})
 
--- a/embplay/prove/story_blocks_test.go
+++ b/embplay/prove/story_blocks_test.go
@@ -29,7 +29,7 @@
 	}{
 		{"freed and written again", func(r *rig) {
 			for _, s := range r.site.Stores {
-				s.FreeAll()
+				s.ReuseAllBlocks()
 			}
 		}, true},
 		{"partly written", func(r *rig) {
@@ -166,7 +166,7 @@
 	return func() int {
 		n := 0
 		for _, e := range r.site.Engines {
-			if e.Holds(version) {
+			if e.HasVersion(version) {
 				n++
 			}
 		}
@@ -186,26 +186,26 @@
 		Eventually(func() int {
 			n := 0
 			for _, e := range r.site.Engines {
-				n += len(e.Runs())
+				n += len(e.Executions())
 			}
 			return n
 		}).Should(Equal(2))
 		r.swapTo("v2")
 		Eventually(r.holding("v2")).Should(Equal(len(r.site.Engines)))
-		Expect(r.site.Weights.Most()).To(BeNumerically("<=", 2))
+		Expect(r.site.Weights.MaxConcurrentLoads()).To(BeNumerically("<=", 2))
 		expectWhole(<-spanning, "v1", "a long answer "+prompt, long)
 		Eventually(func() string { return r.ask(2, orgOne, prompt, 8).Text }).Should(
-			Equal(fake.Answer(fake.SiteModel, "v2", prompt, 8)))
-		var first *fake.EngineRun
+			Equal(fake.ExpectedResponse(fake.SiteModel, "v2", prompt, 8)))
+		var first *fake.EngineExecution
 		for _, e := range r.site.Engines {
-			for _, run := range e.Runs() {
-				if run.Version == "v2" && (first == nil || run.Began.Before(first.Began)) {
+			for _, run := range e.Executions() {
+				if run.Version == "v2" && (first == nil || run.Started.Before(first.Started)) {
 					first = &run
 				}
 			}
 		}
 		Expect(first).NotTo(BeNil())
-		Expect(first.Cached).To(BeZero(), "kept blocks of v1 are not used under v2")
+		Expect(first.CachedTokens).To(BeZero(), "kept blocks of v1 are not used under v2")
 		for n := range 12 {
 			again := fmt.Sprintf("%sAnd question %d?", prompt, n)
 			expectWhole(r.ask(n%len(r.procs), orgOne, again, 4), "v2", again, 4)
@@ -227,7 +227,7 @@
 		Eventually(r.holding("v2")).Should(Equal(len(r.site.Engines)), "the holder orders the right weights again")
 		prompt := longText(2)
 		Eventually(func() string { return r.ask(0, orgOne, prompt, 8).Text }).Should(
-			Equal(fake.Answer(fake.SiteModel, "v2", prompt, 8)))
+			Equal(fake.ExpectedResponse(fake.SiteModel, "v2", prompt, 8)))
 	})
 })
 
--- a/embplay/prove/story_conf_test.go
+++ b/embplay/prove/story_conf_test.go
@@ -46,7 +46,7 @@
 	It("through lost answers, a stalled watch and compaction", func() {
 		r := site(nil)
 		for _, harm := range []func(){
-			func() { r.site.KeyValue.Set(fake.LoseAnswers, 1) },
+			func() { r.site.KeyValue.Set(fake.LoseResponses, 1) },
 			func() { r.site.KeyValue.Set(fake.StallWatch, 1) },
 			func() { r.site.KeyValue.Compact() },
 			func() { r.site.KeyValue.Set(fake.StallWatch, 0) },
@@ -68,7 +68,7 @@
 		Expect(r.procs[3].start()).To(Succeed())
 		Eventually(sequence(r, r.procs[3])).Should(BeNumerically(">=", version))
 		prompt := "are you there?"
-		Eventually(func() string { return r.ask(3, orgOne, prompt, 4).Text }).Should(Equal(fake.Answer(fake.SiteModel, "v1", prompt, 4)))
+		Eventually(func() string { return r.ask(3, orgOne, prompt, 4).Text }).Should(Equal(fake.ExpectedResponse(fake.SiteModel, "v1", prompt, 4)))
 	})
 
 	It("is pending, by name, while a live daemon is cut off, and accepted once it is back", func() {
--- a/embplay/prove/story_ends_test.go
+++ b/embplay/prove/story_ends_test.go
@@ -20,12 +20,12 @@
 		const fatal, tries = "this prompt ends engines", 6
 		r := site(func(o *fake.SiteOptions) { o.Engines = 8 })
 		for _, e := range r.site.Engines {
-			e.EndOf(fatal)
+			e.CrashOn(fatal)
 		}
 		over := func() int {
 			n := 0
 			for _, e := range r.site.Engines {
-				if e.Over() {
+				if e.Crashed() {
 					n++
 				}
 			}
--- a/embplay/prove/story_once_test.go
+++ b/embplay/prove/story_once_test.go
@@ -47,7 +47,7 @@
 		Expect(r.runsByMark()[mark]).To(HaveLen(1))
 
 		By("settling claim writes whose answers are lost")
-		r.site.KeyValue.Set(fake.LoseAnswers, 3)
+		r.site.KeyValue.Set(fake.LoseResponses, 3)
 		key, mark = newKey(), uuid.NewString()
 		Eventually(func() bool { return r.pay(1, orgOne, key, mark).Whole }).Should(BeTrue())
 		Expect(r.runsByMark()[mark]).To(HaveLen(1))
--- a/embplay/prove/story_rest_test.go
+++ b/embplay/prove/story_rest_test.go
@@ -24,19 +24,19 @@
 		expectWhole(r.ask(0, orgOne, prompt, 5), "v1", prompt, 5)
 		// The one that holds the context is the first choice for it.
 		for _, e := range r.site.Engines {
-			if len(e.Runs()) > 0 {
-				e.AskRest(rest)
+			if len(e.Executions()) > 0 {
+				e.SetPushback(rest)
 			}
 		}
 		for range 20 {
 			expectWhole(r.ask(0, orgOne, prompt, 5), "v1", prompt, 5)
 		}
 		for _, e := range r.site.Engines {
-			Expect(e.TurnedAway()).To(BeNumerically("<=", 1))
+			Expect(e.Rejected()).To(BeNumerically("<=", 1))
 		}
 		// Where all rest, callers are told until when.
 		for _, e := range r.site.Engines {
-			e.AskRest(rest)
+			e.SetPushback(rest)
 		}
 		var last play.Reply
 		for range 6 {
@@ -54,13 +54,13 @@
 		const rest = 10 * time.Minute
 		r := site(func(o *fake.SiteOptions) { o.Services = 2 })
 		resting, other := r.site.Services[0], r.site.Services[1]
-		resting.AskRest(rest)
+		resting.SetPushback(rest)
 		for n := range 20 {
 			r.pay(0, orgOne, "", fmt.Sprintf("m%d", n))
 		}
-		Expect(resting.TurnedAway()).To(Equal(1))
-		Expect(len(other.Runs())).To(BeNumerically(">=", 19))
-		other.AskRest(rest)
+		Expect(resting.Rejected()).To(Equal(1))
+		Expect(len(other.Executions())).To(BeNumerically(">=", 19))
+		other.SetPushback(rest)
 		r.pay(0, orgOne, "", "last but one")
 		last := r.pay(0, orgOne, "", "last")
 		Expect(last.Refused).NotTo(BeNil())
--- a/embplay/prove/story_stops_test.go
+++ b/embplay/prove/story_stops_test.go
@@ -28,14 +28,14 @@
 		for _, p := range r.procs {
 			Eventually(func() bool { return r.usable(p, drained) || r.usable(p, left) }).Should(BeFalse(), p.Name)
 		}
-		services, engines := len(r.site.Services[0].Runs()), len(r.site.Engines[0].Runs())
+		services, engines := len(r.site.Services[0].Executions()), len(r.site.Engines[0].Executions())
 		for n := range 24 {
 			Expect(r.pay(n%len(r.procs), orgOne, "", uuid.NewString()).Whole).To(BeTrue())
 			prompt := fmt.Sprintf("quick question %d", n)
 			expectWhole(r.ask(n%len(r.procs), orgOne, prompt, 2), "v1", prompt, 2)
 		}
-		Expect(r.site.Services[0].Runs()).To(HaveLen(services))
-		Expect(r.site.Engines[0].Runs()).To(HaveLen(engines))
+		Expect(r.site.Services[0].Executions()).To(HaveLen(services))
+		Expect(r.site.Engines[0].Executions()).To(HaveLen(engines))
 
 		By("getting work again once both are taken back")
 		body.Leaving = false
--- a/embplay/prove/story_test.go
+++ b/embplay/prove/story_test.go
@@ -55,7 +55,7 @@
 	Expect(a.Err).NotTo(HaveOccurred())
 	Expect(a.Refused).To(BeNil())
 	Expect(a.Whole).To(BeTrue())
-	Expect(a.Text).To(Equal(fake.Answer(fake.SiteModel, version, prompt, tokens)))
+	Expect(a.Text).To(Equal(fake.ExpectedResponse(fake.SiteModel, version, prompt, tokens)))
 }
 
 // pay makes a call through one daemon.
@@ -90,7 +90,7 @@
 	GinkgoHelper()
 	seen, holding := r.count("cacheLosses"), 0
 	for _, e := range r.site.Engines {
-		if e.Blocks() > 0 {
+		if e.CachedBlocks() > 0 {
 			holding++
 		}
 		e.EvictAll()
@@ -120,8 +120,8 @@
 func (r *rig) unspoiled() {
 	GinkgoHelper()
 	for _, e := range r.site.Engines {
-		for _, run := range e.Runs() {
-			Expect(run.Spoiled).To(BeFalse())
+		for _, run := range e.Executions() {
+			Expect(run.Corrupted).To(BeFalse())
 		}
 	}
 }
