--- a/emberd/internal/host/applied.go
+++ b/emberd/internal/host/applied.go
@@ -105,7 +105,7 @@
 
 // applyPeerValue is takePeerValue without the recovery from panics.
 func (h *Host) applyPeerValue(p plat.Pair) {
-	update, err := h.decoder.Read(plat.Change{Pair: p})
+	update, err := h.decoder.Decode(plat.Change{Pair: p})
 	if err != nil {
 		h.log.Emit(event.ConfUnderived, event.Ref{Resource: p.Key}, err.Error())
 		return
@@ -126,14 +126,14 @@
 
 // applyVersioned records a configuration that is being applied, and applies desired weights. The versions
 // of both only rise.
-func (h *Host) applyVersioned(p plat.Pair, update platform.News) {
+func (h *Host) applyVersioned(p plat.Pair, update platform.Update) {
 	switch {
 	case update.Table != nil:
 		h.applied.Set(p, update.Table.Version())
-	case update.Named != nil:
-		h.applied.Set(p, update.Named.Version)
-		h.desired.set(update.Named.Model, update.Named.Version)
-		h.log.Emit(event.ConfApplied, event.Ref{Resource: p.Key}, "desired weights: version "+itoa(update.Named.Version))
+	case update.DesiredWeights != nil:
+		h.applied.Set(p, update.DesiredWeights.Version)
+		h.desired.set(update.DesiredWeights.Model, update.DesiredWeights.Version)
+		h.log.Emit(event.ConfApplied, event.Ref{Resource: p.Key}, "desired weights: version "+itoa(update.DesiredWeights.Version))
 	}
 }
 
@@ -150,12 +150,12 @@
 
 // applyEvacuation starts or ends the evacuation of a failure domain.
 func (h *Host) applyEvacuation(p plat.Pair, e *platform.Evacuation) {
-	if e.On {
+	if e.Active {
 		h.applied.Set(p, 0)
 	} else {
 		h.applied.Remove(p.Key)
 	}
-	h.roster.Evacuate(e.Domain, e.On, time.Now())
+	h.roster.Evacuate(e.Domain, e.Active, time.Now())
 }
 
 // restoredGrace is how long an evacuation that is missing from a restored store stays applied, since
--- a/emberd/internal/host/assignments.go
+++ b/emberd/internal/host/assignments.go
@@ -49,7 +49,7 @@
 	h.leaderships = append(h.leaderships, leadership)
 	h.rollouts = canary.NewController(canary.Options{
 		Guard: &h.canary, Fleet: h.fleet, Incarnation: owner, Leadership: leadership, Store: h.store, Mirror: h.watchCache,
-		Holder: h.rolloutHolder, Status: platform.RolloutSays, Log: h.log,
+		Holder: h.rolloutHolder, Status: platform.RolloutStatus, Log: h.log,
 	})
 }
 
--- a/emberd/internal/host/changes.go
+++ b/emberd/internal/host/changes.go
@@ -42,22 +42,22 @@
 func (h *Host) applyChange(c plat.Change) *table.Table {
 	h.poison.Observe(c)
 	h.rollouts.Observe(c)
-	update, err := h.decoder.Read(c)
+	update, err := h.decoder.Decode(c)
 	h.logUnreadable(c.Key, err)
 	switch {
-	case update.Unusable != "":
-		h.removeUnusable(update.Unusable)
+	case update.UnusableTarget != "":
+		h.removeUnusable(update.UnusableTarget)
 	case err != nil:
 	case update.Target != nil:
 		if former := h.roster.Put(*update.Target); former != nil {
 			h.pool.CloseIdle(former.Entry().Address)
 		}
-	case update.Gone != "" && c.LeftShard:
-		h.roster.MakeExternal(update.Gone)
-	case update.Gone != "" && c.DeletedByRestore:
-		h.roster.RecordMissing(update.Gone)
-	case update.Gone != "":
-		h.removeTarget(update.Gone)
+	case update.RemovedTarget != "" && c.LeftShard:
+		h.roster.MakeExternal(update.RemovedTarget)
+	case update.RemovedTarget != "" && c.DeletedByRestore:
+		h.roster.RecordMissing(update.RemovedTarget)
+	case update.RemovedTarget != "":
+		h.removeTarget(update.RemovedTarget)
 	case update.Evacuation != nil && c.DeletedByRestore:
 		h.endEvacuationLater(update.Evacuation.Domain, c.Key)
 	case update.Evacuation != nil:
@@ -74,7 +74,7 @@
 
 // parseEntry returns the target's entry in a pair of the store; false if the pair holds none.
 func (h *Host) parseEntry(p plat.Pair) (spread.Entry, bool) {
-	e, ok := h.decoder.Entry(p)
+	e, ok := h.decoder.DecodeEntry(p)
 	if !ok {
 		return spread.Entry{}, false
 	}
--- a/emberd/internal/host/host.go
+++ b/emberd/internal/host/host.go
@@ -128,14 +128,14 @@
 	h.applied.ShuttingDown = h.roster.RecentShutdowns
 	h.applied.OnShuttingDown = func(targetIncarnation string) { h.roster.RecordShutdown(targetIncarnation, roster.ByPeer) }
 	h.watchCache.FirstPrefix, h.watchCacheSync.EntryParser = keyBoxes, h.parseEntry
-	h.store.Hold = h.watchCacheSync.WatchWait
+	h.store.WatchWait = h.watchCacheSync.WatchWait
 	h.workerCaches.Capacity = h.workerCapacity
 	h.fleet.Attach("where", &h.workerCaches)
 	h.fleet.Attach("links", &h.links)
 	h.fleet.Attach("targets", &h.targetStats)
 	h.fleet.Attach("retention", &h.retention)
 	engines := platform.NewEngines(newClient())
-	engines.Leaves = func(targetIncarnation string) { h.roster.RecordShutdown(targetIncarnation, roster.ByResponse) }
+	engines.OnShuttingDown = func(targetIncarnation string) { h.roster.RecordShutdown(targetIncarnation, roster.ByResponse) }
 	h.storeIndexSync = spread.NewStoreIndexes(engines, h.fleet)
 	h.storeIndexes = cache.NewStoreIndexes(h.storeIndexSync, h.log)
 	h.storeIndexSync.Serve(h.storeIndexes)
