--- a/core/fleet/cells.go
+++ b/core/fleet/cells.go
@@ -8,10 +8,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// domainCells is the mean number of cells per failure domain from which on each cell lies within
-// one domain. Cells are lost together with their domain; with fewer of them the other cells
-// would each have to take over a large part of its work, and in a domain with few targets each
-// cell would have few.
+// domainCells is the smallest mean number of cells per failure domain at which each cell lies
+// within one domain. Such cells are lost together with their domain: with fewer of them, each
+// remaining cell would have to take over a large part of the work, and in a domain with few
+// targets each cell would have few.
 const domainCells = 8
 
 // cellPlan assigns daemons, targets and keys to the cells of a fleet. It is immutable.
@@ -96,8 +96,8 @@
 	return out
 }
 
-// cellCache caches the cells of daemons under one plan: the view is rebuilt with each first
-// heartbeat of a daemon. The zero value is empty; set must be called before of.
+// cellCache caches the cells of daemons under one plan, since the view is rebuilt at the first
+// heartbeat of each daemon. The zero value is empty; set must be called before of.
 type cellCache struct {
 	plan   *cellPlan
 	byName map[string]int
@@ -181,8 +181,8 @@
 	return v.plan.of(name, domain)
 }
 
-// CellLabel returns the name of this daemon's cell; it stays the same when other cells are added or
-// removed.
+// CellLabel returns the name of this daemon's cell. It stays the same when other cells are added
+// or removed.
 func (v *View) CellLabel() string { return v.label(v.cell) }
 
 // nextKeyPrefix, followed by a cell's label, is the key that ranks the cells to try after it.
--- a/core/fleet/cells_test.go
+++ b/core/fleet/cells_test.go
@@ -120,22 +120,22 @@
 	list := boxesIn(6, 156)
 	before, after := viewOf(list, 0), viewOf(append(list, boxesIn(6, 157)[156]), 0)
 	g.Expect(after.Cells()).To(gomega.Equal(before.Cells() + 1))
-	name := func(v *View, cell int) string { return v.label(cell) }
-	moved, contexts := 0, 0
+	label := func(v *View, cell int) string { return v.label(cell) }
+	movedTargets, movedContexts := 0, 0
 	for i := range 2000 {
 		target, domain := fmt.Sprint("target ", i), fmt.Sprint("domain-", i%6)
-		if name(before, before.TargetCell(target, domain)) != name(after, after.TargetCell(target, domain)) {
-			moved++
+		if label(before, before.TargetCell(target, domain)) != label(after, after.TargetCell(target, domain)) {
+			movedTargets++
 		}
-		if key := Key(fmt.Sprint("context ", i)); name(before, before.WeightedCell(key)) != name(after, after.WeightedCell(key)) {
-			contexts++
+		if key := Key(fmt.Sprint("context ", i)); label(before, before.WeightedCell(key)) != label(after, after.WeightedCell(key)) {
+			movedContexts++
 		}
 	}
-	g.Expect(moved).To(gomega.BeNumerically("<=", 2000/6/13*2))
+	g.Expect(movedTargets).To(gomega.BeNumerically("<=", 2000/6/13*2))
 	// The other cells of the domain give the new cell its daemons, and contexts in that
 	// proportion.
 	_, cells := after.plan.rangeOf("domain-0")
-	g.Expect(contexts).To(gomega.BeNumerically("<=", 2000/6/cells*4))
+	g.Expect(movedContexts).To(gomega.BeNumerically("<=", 2000/6/cells*4))
 }
 
 func TestRankFirstMatchesRank(t *testing.T) {
--- a/core/fleet/drain.go
+++ b/core/fleet/drain.go
@@ -9,7 +9,7 @@
 	"embertally.dev/core/event"
 )
 
-// maxDrainOrders bounds the drain orders that are stored. Orders for further targets are
+// maxDrainOrders is the maximum number of drain orders stored. Orders for further targets are
 // ignored.
 const maxDrainOrders = 4096
 
@@ -30,21 +30,21 @@
 // any.
 func (f *Fleet) merge(orders map[string]DrainOrder) bool {
 	f.fleetMu.Lock()
-	var taken []string
+	var accepted []string
 	for target, order := range orders {
 		old, recorded := f.drainOrders[target]
 		if order.Stamp <= old.Stamp || (!recorded && len(f.drainOrders) >= maxDrainOrders) {
 			continue
 		}
 		f.drainOrders[target] = order
-		taken = append(taken, target)
+		accepted = append(accepted, target)
 	}
 	f.fleetMu.Unlock()
-	if len(taken) == 0 {
+	if len(accepted) == 0 {
 		return false
 	}
 	f.rebuild()
-	for _, target := range taken {
+	for _, target := range accepted {
 		code := event.TargetReturning
 		if orders[target].Drain {
 			code = event.TargetLeaving
--- a/core/fleet/fleet.go
+++ b/core/fleet/fleet.go
@@ -31,16 +31,16 @@
 	Name        string
 	Incarnation string
 	// Address is this daemon's peer address and Domain its failure domain. Full heartbeats carry
-	// them, so that a peer that cannot read the box list finds this daemon; with an empty
-	// address such a peer does not find it.
+	// them, so that a peer that cannot read the box list finds this daemon. With an empty
+	// address such a peer cannot find it.
 	Address string
 	Domain  string
 	// Seeds are the peers named in the settings. They are used until the box list has been read,
-	// and afterwards where the list names them or their heartbeats arrive.
+	// and afterwards only those that the list names or whose heartbeats arrive.
 	Seeds []Peer
 	// HeartbeatInterval is the interval between heartbeats.
 	HeartbeatInterval time.Duration
-	// SuspectAfter is how long a peer may be silent before it counts as lost.
+	// SuspectAfter is how long a peer may send no heartbeat before it counts as lost.
 	SuspectAfter time.Duration
 	// BoxPollInterval is the interval between reads of the box list.
 	BoxPollInterval time.Duration
@@ -78,7 +78,7 @@
 	// lostUntil is until when a peer of another cell counts as lost, by name. Guarded by
 	// fleetMu.
 	lostUntil map[string]clock.Time
-	// lastContact is when a peer or the box list was last heard from. Guarded by fleetMu.
+	// lastContact is when a heartbeat or the box list was last received. Guarded by fleetMu.
 	lastContact clock.Time
 }
 
@@ -101,7 +101,7 @@
 func (f *Fleet) Attach(name string, p Part) { f.parts = append(f.parts, namedPart{name, p}) }
 
 // OnResume registers g to be called after this process was stopped or suspended for longer than
-// Options.Suspect. It must be called before Run.
+// Options.SuspectAfter. It must be called before Run.
 func (f *Fleet) OnResume(g func(gap time.Duration)) { f.onResume = append(f.onResume, g) }
 
 // View returns the current view of the fleet.
--- a/core/fleet/fleet_test.go
+++ b/core/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// When a name is removed, only the keys that it ranked first for move.
+// When a name is removed, only the keys for which it ranked first move.
 func TestFirstMovesOnlyKeysOfRemovedName(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(rapid.IntRange(2, 20).Draw(t, "names"))
@@ -196,15 +196,15 @@
 	})
 }
 
-// A system suspend must reach the OnWake functions, like a stop of the process: Go's timers and
-// monotonic clock do not advance meanwhile.
-func TestSuspendCallsOnWake(t *testing.T) {
+// A system suspend must be reported to the functions registered with OnResume, like a stop of the
+// process, although Go's timers and monotonic clock do not advance meanwhile.
+func TestSuspendCallsOnResume(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := New(Options{Name: "a", Incarnation: "a-1", HeartbeatInterval: 10 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: &event.Log{}})
-	woke := make(chan time.Duration, 1)
+	resumed := make(chan time.Duration, 1)
 	f.OnResume(func(gap time.Duration) {
 		select {
-		case woke <- gap:
+		case resumed <- gap:
 		default:
 		}
 	})
@@ -217,7 +217,7 @@
 	g.Eventually(func() time.Duration {
 		clock.Suspend(time.Minute)
 		select {
-		case gap := <-woke:
+		case gap := <-resumed:
 			return gap
 		case <-time.After(100 * time.Millisecond):
 			return 0
--- a/core/fleet/heartbeat.go
+++ b/core/fleet/heartbeat.go
@@ -11,7 +11,7 @@
 	"embertally.dev/core/wire"
 )
 
-// Part supplies one component's share of the heartbeats. If it has a method Told, that is called
+// Part supplies one component's part of the heartbeats. If it has a method Told, that is called
 // after each round of heartbeats.
 type Part interface {
 	// Collect returns the body for one heartbeat, or nil for none. With full it covers the whole
@@ -36,11 +36,11 @@
 	Draining    bool
 	// Full means that the parts carry the whole state, not only what changed.
 	Full bool
-	// Taken acknowledges a full heartbeat: the incarnation of the receiver that the sender last
-	// received one from. Until the receiver sees its own incarnation here, it keeps sending full
-	// ones.
-	Taken string
-	Parts []heartbeatPart
+	// AckedIncarnation acknowledges a full heartbeat: it is the incarnation of the receiver that
+	// the sender last received one from. Until the receiver sees its own incarnation here, it
+	// keeps sending full ones.
+	AckedIncarnation string
+	Parts            []heartbeatPart
 	// Address and Domain are the sender's peer address and failure domain; set in full
 	// heartbeats only.
 	Address string
@@ -60,23 +60,24 @@
 	lastHeartbeat clock.Time
 	incarnation   string
 	draining      bool
-	alive         bool // false once it was silent for longer than Options.Suspect
+	alive         bool // false once no heartbeat arrived for longer than Options.SuspectAfter
 	// address and domain are the peer's, from its last full heartbeat; empty if that carried
 	// none.
 	address string
 	domain  string
 	// fullIncarnation is the incarnation of the peer that sent its last full heartbeat.
 	fullIncarnation string
-	// ackedIncarnation is the incarnation of this daemon that the peer acknowledges a full
-	// heartbeat from.
+	// ackedIncarnation is the incarnation of this daemon from which the peer last acknowledged a
+	// full heartbeat.
 	ackedIncarnation string
 	// sinceFull counts the heartbeats sent to the peer since the last full one.
 	sinceFull int
 }
 
-// batchDelay is the delay of heartbeats after Kick, so that changes made together go out in one.
+// batchDelay is the delay of heartbeats after TriggerHeartbeat, so that changes made
+// together go out in one.
 // It is short because with regular heartbeats alone load reports are 75 ms old on average, and
-// daemons that choose on loads of that age all pick the same worker.
+// daemons that choose by loads of that age all pick the same worker.
 const batchDelay = 5 * time.Millisecond
 
 // loop sends heartbeats and detects lost peers until ctx ends.
@@ -108,7 +109,7 @@
 	// less often. Changes are sent at once.
 	largeFleetCells  = 3
 	largeFleetFactor = 2
-	// minHeartbeats is how many heartbeats are sent at least within Options.Suspect, and
+	// minHeartbeats is the minimum number of heartbeats within Options.SuspectAfter, and
 	// minHeartbeatsDomains the same where cells lie within failure domains: in fleets of that
 	// size, most of a daemon's wakeups are due to heartbeats.
 	minHeartbeats        = 4
@@ -127,8 +128,8 @@
 	return max(f.opts.HeartbeatInterval, min(largeFleetFactor*f.opts.HeartbeatInterval, f.opts.SuspectAfter/minHeartbeats))
 }
 
-// resumed restarts the silence of all live peers, since their heartbeats could not arrive while
-// this process was stopped, and calls the OnWake functions.
+// resumed restarts the timeouts of all live peers, since their heartbeats could not arrive while
+// this process was stopped or suspended, and calls the functions registered with OnResume.
 func (f *Fleet) resumed(gap time.Duration) {
 	f.fleetMu.Lock()
 	now := clock.Now()
@@ -143,10 +144,10 @@
 	}
 }
 
-// forgetAfter is how long the state of a silent peer is kept.
+// forgetAfter is how long the state of a peer is kept after its last heartbeat.
 const forgetAfter = 10 * time.Minute
 
-// detectLost marks peers as lost that were silent for longer than Options.Suspect.
+// detectLost marks the peers as lost whose last heartbeat is older than Options.SuspectAfter.
 func (f *Fleet) detectLost(now clock.Time) {
 	f.fleetMu.Lock()
 	var lost []string
@@ -184,7 +185,7 @@
 			continue
 		}
 		msg := &partial
-		wantsFull, taken := f.wantsFull(p)
+		wantsFull, received := f.wantsFull(p)
 		if wantsFull {
 			msg = &full
 		}
@@ -192,7 +193,7 @@
 			*msg = f.collect(wantsFull)
 		}
 		own := **msg
-		own.Taken = taken
+		own.AckedIncarnation = received
 		go sender{f, p, &own}.run(ctx)
 	}
 	for _, p := range f.parts {
@@ -202,9 +203,9 @@
 	}
 }
 
-// wantsFull reports whether the peer's next heartbeat is a full one, and which incarnation of
-// the peer sent the last full one received.
-func (f *Fleet) wantsFull(p Peer) (full bool, taken string) {
+// wantsFull reports whether the next heartbeat to the peer is a full one, and which incarnation
+// of the peer sent the last full one received.
+func (f *Fleet) wantsFull(p Peer) (full bool, received string) {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
 	h := f.peerStates[p.Name]
@@ -219,7 +220,7 @@
 	return true, h.fullIncarnation
 }
 
-// collect assembles a heartbeat from all parts. A part that cannot be encoded is left out.
+// collect assembles a heartbeat from all parts, without the parts that cannot be encoded.
 func (f *Fleet) collect(full bool) *heartbeat {
 	f.fleetMu.Lock()
 	b := &heartbeat{Incarnation: f.opts.Incarnation, Draining: f.draining, Full: full}
@@ -270,7 +271,7 @@
 	return struct{}{}, nil
 }
 
-// record stores a heartbeat's content and reports whether the view changes by it.
+// record stores a heartbeat's content and reports whether it changes the view.
 func (f *Fleet) record(from string, b *heartbeat) bool {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
@@ -283,7 +284,7 @@
 	}
 	changed := !h.alive || h.incarnation != b.Incarnation || h.draining != b.Draining
 	h.lastHeartbeat, h.alive = now, true
-	h.incarnation, h.draining, h.ackedIncarnation = b.Incarnation, b.Draining, b.Taken
+	h.incarnation, h.draining, h.ackedIncarnation = b.Incarnation, b.Draining, b.AckedIncarnation
 	if b.Full {
 		h.fullIncarnation = b.Incarnation
 		changed = changed || h.address != b.Address
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -41,7 +41,7 @@
 		v.eligible = append(v.eligible, f.opts.Name)
 		v.expected = append(v.expected, f.opts.Name)
 	}
-	v.listed = sync.OnceValue(v.allListed)
+	v.notDraining = sync.OnceValue(v.listNotDraining)
 	v.domains = sync.OnceValue(func() map[string][]string { return v.byDomain(f.opts.Domain) })
 	sort.Strings(v.eligible)
 	sort.Strings(v.expected)
@@ -58,8 +58,7 @@
 	return sizes
 }
 
-// closeLinks closes the links to peers that a view no longer names. It is called
-// with fleetMu held.
+// closeLinks closes the links to peers that are not in v. It is called with fleetMu held.
 func (f *Fleet) closeLinks(v *View) {
 	for name, l := range f.links {
 		if _, ok := v.peer(name); !ok {
--- a/core/fleet/rank.go
+++ b/core/fleet/rank.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders names for key by rendezvous hashing: when a name is removed, only the keys that it
-// ranked first for get another first name.
+// Rank orders names for key by rendezvous hashing: when a name is removed, only the keys for which
+// it ranked first get another first name.
 func Rank(key uint64, names []string) []string {
 	type scored struct {
 		name  string
@@ -94,8 +94,8 @@
 	return d.Sum64()
 }
 
-// cellSize is the mean number of daemons in a cell. Rendezvous hashing spreads
-// daemons unevenly; this mean keeps nearly all cells under 20.
+// cellSize is the mean number of daemons in a cell. Rendezvous hashing spreads daemons unevenly;
+// this mean keeps nearly all cells under 20.
 const cellSize = 12
 
 // maxSingleCell is the largest number of daemons that form a single cell.
--- a/core/fleet/place_test.go
+++ b/core/fleet/rank_test.go
@@ -6,7 +6,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestPlaceRanksDaemons(t *testing.T) {
+func TestSelfRankAgreesAcrossDaemons(t *testing.T) {
 	g := gomega.NewWithT(t)
 	names := []string{"a", "b", "c", "d", "e"}
 	view := func(self string, boxesLoaded bool) *View {
--- a/core/fleet/view.go
+++ b/core/fleet/view.go
@@ -41,7 +41,7 @@
 	// domain is the failure domain of this daemon.
 	domain string
 	// cells is the number of cells of the fleet, and plan maps names and keys to them. plan is
-	// nil in tests only, for cells that are shared by all domains.
+	// nil only in tests, for cells that all domains share.
 	cells int
 	plan  *cellPlan
 	// shard is the shard of this daemon's cell.
@@ -51,16 +51,18 @@
 	// eligible are the daemons of this cell that take assignments, ordered by name: the live
 	// ones that do not drain, and this one unless it drains.
 	eligible []string
-	// domains returns the daemons that Listed returns by failure domain; computed at the first
-	// call.
+	// domains returns the daemons that NotDraining returns by failure domain; computed at the
+	// first call.
 	domains func() map[string][]string
-	// listed returns the daemons that Listed returns; computed at the first call.
-	listed func() []string
+	// notDraining returns the daemons that NotDraining returns; computed at the first call.
+	notDraining func() []string
 	// expected are the eligible daemons and those of this cell that do not drain and have not
 	// sent a heartbeat yet, ordered by name.
 	expected []string
+	// draining means that this daemon takes no new assignments.
 	draining bool
-	builtAt  clock.Time
+	// builtAt is when the view was built.
+	builtAt clock.Time
 }
 
 // Self returns this daemon's name.
@@ -98,8 +100,8 @@
 // Assignee returns the daemon of this cell that holds the assignment named by key.
 func (v *View) Assignee(key uint64) string { return First(key, v.eligible) }
 
-// FleetAssignee returns the daemon of the whole fleet that holds the assignment named by key, according
-// to this view.
+// FleetAssignee returns the daemon of the whole fleet that holds the assignment named by key,
+// according to this view.
 func (v *View) FleetAssignee(key uint64) string {
 	return First(key, v.cellEligible(v.KeyCell(key)))
 }
@@ -121,19 +123,19 @@
 // Eligible returns the daemons of this cell that take assignments. The result must not be changed.
 func (v *View) Eligible() []string { return v.eligible }
 
-// ExpectedEligible returns the daemons of this cell that take assignments or are about to: those that
-// have not sent a heartbeat since this daemon started are included, so that daemons that start
-// together agree before their first heartbeats. The result must not be changed.
+// ExpectedEligible returns the daemons of this cell that take assignments or are expected to:
+// those that have not sent a heartbeat since this daemon started are included, so that daemons
+// that start together agree before their first heartbeats. The result must not be changed.
 func (v *View) ExpectedEligible() []string { return v.expected }
 
 // NotDraining returns the daemons of the whole fleet that are not known to drain, ordered by name,
 // with this one at the end if it does not drain. Daemons agree on it as far as they have the
 // same box list; whether a daemon of another cell is alive is not considered. The result must
 // not be changed.
-func (v *View) NotDraining() []string { return v.listed() }
+func (v *View) NotDraining() []string { return v.notDraining() }
 
-// allListed computes the result of Listed.
-func (v *View) allListed() []string {
+// listNotDraining computes the result of NotDraining.
+func (v *View) listNotDraining() []string {
 	names := make([]string, 0, len(v.peers)+1)
 	for _, p := range v.peers {
 		if !p.Draining {
@@ -163,9 +165,9 @@
 	return names
 }
 
-// SelfRank returns this daemon's rank for key, from 0, among the daemons of its cell or of the
-// whole fleet, and the number of these daemons. Peers that have not sent a heartbeat are
-// included, so that a daemon that is cut off does not consider itself the first. Until the box
+// SelfRank returns this daemon's rank for key, from 0, among the daemons of its cell or, if cell
+// is false, of the whole fleet, and the number of these daemons. Peers that have not sent a
+// heartbeat are included, so that an isolated daemon does not consider itself the first. Until the box
 // list was read, both results are 0.
 func (v *View) SelfRank(key uint64, cell bool) (rank, count int) {
 	if !v.boxesLoaded {
@@ -185,7 +187,7 @@
 	return rank, count
 }
 
-// TopRanked returns the first n of the daemons that Place ranks, without this one.
+// TopRanked returns the first n of the daemons that SelfRank ranks this one among.
 func (v *View) TopRanked(key uint64, cell bool, n int) []string {
 	var names []string
 	for _, p := range v.peers {
@@ -196,11 +198,11 @@
 	return RankFirst(key, names, n)
 }
 
-// DaemonsByDomain returns the daemons that Listed returns by failure domain. The result must not be
-// changed.
+// DaemonsByDomain returns the daemons that NotDraining returns by failure domain. The result must
+// not be changed.
 func (v *View) DaemonsByDomain() map[string][]string { return v.domains() }
 
-// byDomain computes the result of Domains. own is this daemon's domain.
+// byDomain computes the result of DaemonsByDomain. own is this daemon's domain.
 func (v *View) byDomain(own string) map[string][]string {
 	out := map[string][]string{}
 	for _, p := range v.peers {
@@ -218,7 +220,7 @@
 const cellsPerContext = 3
 
 // OwnerCells returns the cells whose daemons may own the context with prefix hash root, best
-// first. A later cell is used where those before it have no worker for the request.
+// first. A later cell is used if those before it have no worker for the request.
 func (v *View) OwnerCells(root uint64) []int { return v.rank(root, cellsPerContext) }
 
 // WeightedCell returns the cell that a key falls into by weighted rendezvous hashing, so that the
@@ -301,7 +303,7 @@
 	return Rank(shareKey, names)[from:to]
 }
 
-// ShareCell returns the cell that uses name where Share divides names.
+// ShareCell returns the cell that uses name where CellShare divides names.
 func (v *View) ShareCell(names []string, name string) int {
 	if v.cells <= 1 || len(names) < v.cells {
 		return v.cell
@@ -315,7 +317,7 @@
 	return v.cell
 }
 
-// shareKey is the key by which Share ranks names.
+// shareKey is the key by which CellShare ranks names.
 var shareKey = Key("share")
 
 // shareRange returns which of a number of ranked names a cell uses, as a half-open range of
