--- a/core/certs/certs.go
+++ b/core/certs/certs.go
@@ -90,7 +90,7 @@
 	return block.Bytes, nil
 }
 
-// Pool reads the CA certificates that peers' certificates are verified with from a PEM file.
+// Pool reads from a PEM file the CA certificates that verify the certificates of peers.
 func Pool(path string) (*x509.CertPool, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -126,6 +126,7 @@
 	return certFile, keyFile, write(certFile, keyFile, raw, key)
 }
 
+// serialBits is the size of a certificate's random serial number, in bits.
 const serialBits = 120
 
 func sign(tmpl, parent *x509.Certificate, pub *ecdsa.PublicKey, key *ecdsa.PrivateKey) ([]byte, error) {
@@ -139,6 +140,7 @@
 	return raw, errors.WithStack(err)
 }
 
+// secretMode is the file mode of private keys and their certificates.
 const secretMode = 0o600
 
 func write(certFile, keyFile string, cert []byte, key *ecdsa.PrivateKey) error {
@@ -153,6 +155,7 @@
 	return errors.WithStack(os.WriteFile(certFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: cert}), secretMode))
 }
 
+// keyBytes is the number of random bytes of an API key.
 const keyBytes = 24
 
 // NewKey returns a random API key for a caller or operator.
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock owns the clock that ages, leases and periods of silence are measured with. It
-// keeps running while the system is suspended, and does not jump when the time of day is set.
+// Package clock owns the clock that ages, leases and timeouts are measured with. It keeps running
+// while the system is suspended, and does not jump when the time of day is set.
 //
 // It must not know what is measured. For times of day and timers use package time.
 package clock
@@ -12,10 +12,10 @@
 )
 
 // Time is a point in time on this box, valid until its next boot and meaningless on other boxes.
-// The zero value means never and is before all others.
+// The zero value means "never" and is before all others.
 //
-// It is a separate type so that it cannot be confused with time.Time: the monotonic reading in
-// that stops during a system suspend, so that data would seem no older after it than before.
+// It is a separate type so that it cannot be confused with time.Time, whose monotonic reading stops
+// during a system suspend, so that data would seem no older after the suspend than before.
 type Time struct{ boot time.Duration }
 
 // testOffset is the time in ns that Suspend has added to the clock.
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -145,16 +145,17 @@
 	g.Expect(d.store.Snapshot().Seq()).To(gomega.BeZero())
 }
 
-// Several daemons write at once, and commits are answered, lost, dropped or late.
-// Every write reported as committed is present once and not undone by another.
+// Several daemons write at once, and commits succeed, lose their request or response,
+// or are delayed. Every write reported as committed is present once and not undone by
+// another.
 func TestConcurrentWritersLoseNoCommittedWrite(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			rnd := rand.New(rand.NewPCG(seed, 2))
+			random := rand.New(rand.NewPCG(seed, 2))
 			kv := &memkv.KV{}
-			fates := []memkv.Fault{memkv.NoFault, memkv.NoFault, memkv.NoFault, memkv.LostResponse, memkv.LostRequest, memkv.Delayed}
-			kv.SetFault(func() memkv.Fault { return fates[rnd.IntN(len(fates))] })
+			faults := []memkv.Fault{memkv.NoFault, memkv.NoFault, memkv.NoFault, memkv.LostResponse, memkv.LostRequest, memkv.Delayed}
+			kv.SetFault(func() memkv.Fault { return faults[random.IntN(len(faults))] })
 			const daemons, writes = 3, 8
 			var wg sync.WaitGroup
 			var mu sync.Mutex
@@ -169,7 +170,7 @@
 							continue
 						}
 						mu.Lock()
-						if other, taken := committed[c.Seq]; taken {
+						if other, duplicate := committed[c.Seq]; duplicate {
 							t.Errorf("%s and %s both got sequence %d", name, other, c.Seq)
 						}
 						committed[c.Seq] = name
@@ -191,8 +192,9 @@
 	}
 }
 
-// A store that receives changes out of order, twice and with gaps never goes back
-// to an older sequence or skips a change, and ends with the committed configuration.
+// A store that receives changes out of order, repeatedly and with gaps never goes
+// back to an older sequence or skips a change, and ends with the committed
+// configuration.
 func TestStoreSequenceNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kv := &memkv.KV{}
--- a/core/conf/fault.go
+++ b/core/conf/fault.go
@@ -121,7 +121,8 @@
 
 var unknownFieldPattern = regexp.MustCompile(`unknown field "([^"]+)"`)
 
-// fieldOfError returns the field that a decoding error refers to, below prefix.
+// fieldOfError returns the path, below prefix, of the field that a decoding error
+// refers to; prefix itself if the error names none.
 func fieldOfError(prefix string, err error) string {
 	var typ *json.UnmarshalTypeError
 	if errors.As(err, &typ) && typ.Field != "" {
--- a/core/conf/snap.go
+++ b/core/conf/snap.go
@@ -109,8 +109,8 @@
 
 // HashKey returns the hexadecimal SHA-256 hash by which a key is stored.
 func HashKey(key string) string {
-	sum := sha256.Sum256([]byte(key))
-	return hex.EncodeToString(sum[:])
+	hash := sha256.Sum256([]byte(key))
+	return hex.EncodeToString(hash[:])
 }
 
 // OrganisationOfKey returns the organisation that a caller's key belongs to, if any.
@@ -149,9 +149,9 @@
 	return "", nil
 }
 
-// with returns a snapshot that includes the changes, which must follow s without
-// a gap. A change whose content cannot be decoded leaves the resource as it was;
-// its error is returned in undecodable.
+// with returns a snapshot that includes the changes, which must follow s without a gap.
+// A change whose content cannot be decoded leaves the resource as it was, and its error
+// is returned in undecodable.
 func (s *Snapshot) with(changes []Change) (next *Snapshot, undecodable []error) {
 	next = &Snapshot{
 		seq: s.seq, headRevision: s.headRevision,
--- a/core/conf/store.go
+++ b/core/conf/store.go
@@ -17,13 +17,14 @@
 	"embertally.dev/core/event"
 )
 
-// maxRecentChanges is the number of latest changes kept for resumed watches and for
-// peers that are behind.
+// maxRecentChanges is the number of latest changes kept in memory for resumed watches
+// and for peers that lack them.
 const maxRecentChanges = 1024
 
 // Store holds the applied snapshot; in the zero value it is empty.
 //
-// Lock order: storeMu is taken before the locks of log, and with no others.
+// Lock order: storeMu is taken before the locks of log. No other lock is taken while it
+// is held.
 type Store struct {
 	log *event.Log
 
@@ -87,8 +88,8 @@
 	return s.confirmed
 }
 
-// Apply applies changes and skips those already applied. It returns false and
-// changes nothing if the rest does not follow the snapshot without a gap.
+// Apply applies changes, except those already applied. It returns false and changes
+// nothing if the remaining ones do not follow the snapshot without a gap.
 func (s *Store) Apply(changes []Change) bool {
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
--- a/core/conf/sync.go
+++ b/core/conf/sync.go
@@ -24,7 +24,7 @@
 	// HoldsWatch reports whether this daemon watches the coordination store for
 	// its cell.
 	HoldsWatch() bool
-	// Wake returns a channel that receives when a peer may be ahead.
+	// Wake returns a channel that receives when a peer may have applied more.
 	Wake() <-chan struct{}
 }
 
@@ -48,14 +48,14 @@
 	return Delta{Full: &full}, err
 }
 
-// pollInterval is how often a daemon that does not watch reads the head, so that
-// a stalled watch of another daemon delays a change by no more than this.
+// pollInterval is how often a daemon that does not watch reads keyHead, so that a
+// stalled watch of another daemon delays a change by no more than this.
 const pollInterval = 5 * time.Second
 
 // syncRetryDelay is the delay before the retry of a failed synchronisation.
 const syncRetryDelay = 500 * time.Millisecond
 
-// watchStallTimeout is how long a watch may be silent before it is reopened.
+// watchStallTimeout is how long a watch may deliver nothing before it is reopened.
 const watchStallTimeout = 4 * time.Second
 
 // Syncer keeps a Store up to date from the coordination store and from peers.
@@ -96,7 +96,7 @@
 // everything from the coordination store, which has little capacity.
 const peerConfigWait = 1500 * time.Millisecond
 
-// awaitPeers waits until the store is loaded, at most for peerConfigWait.
+// awaitPeers waits until the store is loaded, for at most peerConfigWait.
 func (s *Syncer) awaitPeers(ctx context.Context) {
 	deadline := time.Now().Add(peerConfigWait)
 	for !s.store.Loaded() && time.Now().Before(deadline) && ctx.Err() == nil {
@@ -118,8 +118,8 @@
 	s.log.Emit(event.ServiceUp, event.Ref{}, "")
 }
 
-// step brings the store up to date with the coordination store. If this daemon is
-// the cell's watch holder, it then follows the changes until the watch ends.
+// step brings the store up to date with the coordination store. If this daemon is the
+// cell's watch holder, it then watches for changes until the watch ends.
 func (s *Syncer) step(ctx context.Context) error {
 	if err := s.catchUp(ctx); err != nil {
 		return err
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// catchUp reads the head and applies what is missing up to it.
+// catchUp reads keyHead and applies what is missing up to it.
 func (s *Syncer) catchUp(ctx context.Context) error {
 	requestedAt := clock.Now()
 	head, err := s.head(ctx)
@@ -187,8 +187,8 @@
 // garbage.
 const largeConfig = 2000
 
-// replace applies a full configuration. After a large one it returns freed memory
-// to the operating system, as the daemon does not need it again.
+// replace applies a full configuration. After a large one it returns the freed memory
+// to the operating system, since the daemon does not need it again.
 func (s *Syncer) replace(full Full) {
 	if s.store.Replace(full) && len(full.Resources) > largeConfig {
 		debug.FreeOSMemory()
--- a/core/conf/write.go
+++ b/core/conf/write.go
@@ -69,8 +69,8 @@
 	Name string
 	// Spec is the new content; nil deletes the resource.
 	Spec []byte
-	// Version is the version that the resource must have; zero means that it
-	// must not exist. It is ignored when Any is set.
+	// Version is the version that the resource must have; zero means that it must not
+	// exist. It is ignored if Any is set.
 	Version uint64
 	// Any lets the write replace any version, or create the resource.
 	Any bool
@@ -122,10 +122,10 @@
 	w.log.Emit(event.ConfWritten, event.Ref{Resource: string(c.Kind) + "/" + c.Name}, "sequence "+version(c.Seq))
 }
 
-// tryCommit commits change on top of snap. It returns committed false when another
-// change was committed first, after applying that one. A write whose response was
-// lost may be sent again: every attempt compares the same revision of the head, so
-// at most one takes effect, and the log shows whether one did.
+// tryCommit commits change on top of snap. If another change was committed first, it
+// applies that one and returns committed false. A write whose response was lost may be
+// sent again: every attempt compares the same revision of keyHead, so at most one takes
+// effect, and the log shows whether one did.
 func (w *Writer) tryCommit(ctx context.Context, snap *Snapshot, change *Change) (committed bool, err error) {
 	encoded, err := json.Marshal(change)
 	if err != nil {
--- a/core/memkv/memkv.go
+++ b/core/memkv/memkv.go
@@ -38,7 +38,7 @@
 	revision int64
 	data     map[string]plat.Pair
 	history  []plat.Change // in order
-	delayed  []plat.Txn    // commits with the fault Late
+	delayed  []plat.Txn    // commits with the fault Delayed
 	changed  chan struct{} // closed at the next change; nil while no watch waits
 	writes   int           // commits that took effect
 	down     bool          // true while every call fails
@@ -104,7 +104,7 @@
 // in reports whether a span contains a key; a span To "\x00" contains all later keys.
 func in(s plat.Span, key string) bool { return key >= s.From && (key < s.To || s.To == "\x00") }
 
-// Commit executes t with the fault that the function set by SetFate chooses.
+// Commit executes t with the fault that the function set by SetFault chooses.
 func (k *KV) Commit(_ context.Context, t plat.Txn) (plat.Outcome, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/core/plat/boxes.go
+++ b/core/plat/boxes.go
@@ -74,7 +74,7 @@
 	var body struct {
 		Boxes []Box `json:"boxes"`
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(&body); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&body); err != nil {
 		return nil, false, errors.Wrap(err, "box list")
 	}
 	b.tag = resp.Header.Get("ETag")
--- a/core/plat/contact.go
+++ b/core/plat/contact.go
@@ -8,88 +8,88 @@
 )
 
 // recordPeerContact records when the store last answered a peer.
-func (m *WatchCache) recordPeerContact(at clock.Time) {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	if at.After(m.peerContact) {
-		m.peerContact = at
-		m.wakeWaiters()
+func (w *WatchCache) recordPeerContact(at clock.Time) {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	if at.After(w.peerContact) {
+		w.peerContact = at
+		w.wakeWaiters()
 	}
 }
 
-// FreshAsOf returns when the store last answered this daemon or a peer that this daemon has applied
-// the state of.
-func (m *WatchCache) FreshAsOf() clock.Time {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	if m.peerContact.After(m.lastContact) {
-		return m.peerContact
+// FreshAsOf returns when the store last answered this daemon, or a peer whose state this daemon has
+// applied.
+func (w *WatchCache) FreshAsOf() clock.Time {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	if w.peerContact.After(w.lastContact) {
+		return w.peerContact
 	}
-	return m.lastContact
+	return w.lastContact
 }
 
 // recordContact records a response of the store.
-func (m *WatchCache) recordContact() {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
+func (w *WatchCache) recordContact() {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
 	now := clock.Now()
-	if gap := now.Sub(m.lastContact); !m.lastContact.IsZero() && (gap > outageAfter || m.down) {
-		m.outageEnd, m.outageLength = now, gap
-		m.log.Emit(event.ServiceUp, event.Ref{}, "silent for "+gap.Round(time.Millisecond).String())
+	if gap := now.Sub(w.lastContact); !w.lastContact.IsZero() && (gap > outageAfter || w.down) {
+		w.outageEnd, w.outageLength = now, gap
+		w.log.Emit(event.ServiceUp, event.Ref{}, "silent for "+gap.Round(time.Millisecond).String())
 	}
-	m.down = false
-	m.lastContact = now
-	m.wakeWaiters()
+	w.down = false
+	w.lastContact = now
+	w.wakeWaiters()
 }
 
-// recordFailure records that a read or watch failed, which counts as an outage once the store
-// has been silent for outageAfter.
-func (m *WatchCache) recordFailure(err error) {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	if m.down || clock.Since(m.lastContact) < outageAfter {
+// recordFailure records that a read or watch failed, which counts as an outage once the store has
+// not answered for outageAfter.
+func (w *WatchCache) recordFailure(err error) {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	if w.down || clock.Since(w.lastContact) < outageAfter {
 		return
 	}
-	m.down = true
+	w.down = true
 	text := "no response"
 	if err != nil {
 		text = err.Error()
 	}
-	m.log.Emit(event.ServiceDown, event.Ref{}, text)
+	w.log.Emit(event.ServiceDown, event.Ref{}, text)
 }
 
-// peersReport reports whether peers currently pass on what they receive from the store.
-func (m *WatchCache) peersReport() bool {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return clock.Since(m.peerContact) < peerReportMaxAge
+// peersReport reports whether peers currently forward what they receive from the store.
+func (w *WatchCache) peersReport() bool {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return clock.Since(w.peerContact) < peerReportMaxAge
 }
 
-// silentFor returns how long the store has been silent.
-func (m *WatchCache) silentFor() time.Duration {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return clock.Since(m.lastContact)
+// sinceContact returns the time since the store last answered this daemon.
+func (w *WatchCache) sinceContact() time.Duration {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return clock.Since(w.lastContact)
 }
 
 // Down reports whether the store is in an outage, as seen by this daemon.
-func (m *WatchCache) Down() bool {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return m.down
+func (w *WatchCache) Down() bool {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return w.down
 }
 
-// LastContact returns when the store last answered this daemon; zero before the first response, and
-// while this daemon takes changes from peers.
-func (m *WatchCache) LastContact() clock.Time {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return m.lastContact
+// LastContact returns when the store last answered this daemon; zero before the first response
+// and while this daemon takes changes from peers.
+func (w *WatchCache) LastContact() clock.Time {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return w.lastContact
 }
 
 // LastOutage returns when the last outage ended, and how long it was.
-func (m *WatchCache) LastOutage() (clock.Time, time.Duration) {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return m.outageEnd, m.outageLength
+func (w *WatchCache) LastOutage() (clock.Time, time.Duration) {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return w.outageEnd, w.outageLength
 }
--- a/core/plat/interfaces.go
+++ b/core/plat/interfaces.go
@@ -25,8 +25,8 @@
 
 // Writer commits transactions.
 type Writer interface {
-	// Commit executes t. An error that is ErrUnknown means that t may have taken effect, or may
-	// still do so while its compares hold.
+	// Commit executes t. An error that is ErrOutcomeUnknown means that t may have taken
+	// effect, or may still do so while its compares hold.
 	Commit(ctx context.Context, t Txn) (Outcome, error)
 }
 
@@ -35,7 +35,7 @@
 type Sessions interface {
 	// Open starts a session that lasts for ttl after each renewal.
 	Open(ctx context.Context, ttl time.Duration) (Session, error)
-	// Renew extends a session. It fails with ErrSessionOver if the session has ended or the
+	// Renew extends a session. It fails with ErrSessionEnded if the session has ended or the
 	// store is in a later store incarnation.
 	Renew(ctx context.Context, session Session) error
 	// End ends a session and deletes its keys. The store must be in the session's store
--- a/core/plat/kv.go
+++ b/core/plat/kv.go
@@ -2,7 +2,7 @@
 // service, here "the store") and the box list, and a watch cache of the store.
 //
 // It must not know what is kept in the store or why. It never repeats a write whose outcome is
-// unknown; its callers settle that by reading back.
+// unknown; its callers find out the outcome by reading back.
 package plat
 
 import (
@@ -93,13 +93,13 @@
 type Change struct {
 	Pair
 	Deleted bool
-	// LeftShard is set on a deletion where the key only left the cache, as its shard changed; it
-	// may still exist in the store.
+	// LeftShard is set on a deletion where the key only left the cache, because the cache's shard
+	// changed; the key may still exist in the store.
 	LeftShard bool
-	// Unfetched means that the value is missing since it is large; it is fetched separately.
+	// Unfetched means that the value is omitted because it is large; it is fetched separately.
 	Unfetched bool
-	// DeletedByRestore is set on a deletion where the key was found missing after the store came back
-	// from an older copy; its writer may be about to write it again.
+	// DeletedByRestore is set on a deletion where the key was found missing after the store was
+	// restored from an older copy; its writer may be about to write it again.
 	DeletedByRestore bool
 }
 
@@ -159,19 +159,19 @@
 
 // Range returns the keys of span, ordered by key, and the revision they were read at.
 func (k *KV) Range(ctx context.Context, span Span) ([]Pair, int64, error) {
-	var reply struct {
+	var response struct {
 		Header wireHeader `json:"header"`
 		Kvs    []wireKV   `json:"kvs"`
 	}
-	err := k.call(ctx, "/v3/kv/range", wireSpan{Key: []byte(span.From), RangeEnd: []byte(span.To)}, &reply)
+	err := k.call(ctx, "/v3/kv/range", wireSpan{Key: []byte(span.From), RangeEnd: []byte(span.To)}, &response)
 	if err != nil {
 		return nil, 0, errors.Wrap(err, "range")
 	}
-	pairs := make([]Pair, len(reply.Kvs))
-	for i, kv := range reply.Kvs {
+	pairs := make([]Pair, len(response.Kvs))
+	for i, kv := range response.Kvs {
 		pairs[i] = Pair{Key: string(kv.Key), Value: kv.Value, ModRevision: kv.ModRevision}
 	}
-	return pairs, reply.Header.Revision, nil
+	return pairs, response.Header.Revision, nil
 }
 
 // Read returns one key, or nil if it does not exist.
@@ -183,8 +183,8 @@
 	return &pairs[0], nil
 }
 
-// Commit executes t. An error that is ErrUnknown means that t may have taken effect; any other
-// error means that it did not.
+// Commit executes t. An error that is ErrOutcomeUnknown means that t may have taken effect; any
+// other error means that it did not.
 func (k *KV) Commit(ctx context.Context, t Txn) (Outcome, error) {
 	var body struct {
 		Compare []wireCompare `json:"compare"`
@@ -205,20 +205,20 @@
 	if r := t.DeleteRange; r != nil {
 		body.Success = append(body.Success, wireOp{RequestDeleteRange: &wireSpan{Key: []byte(r.From), RangeEnd: []byte(r.To)}})
 	}
-	var reply struct {
+	var response struct {
 		Header    wireHeader `json:"header"`
 		Succeeded bool       `json:"succeeded"`
 	}
-	if err := k.call(ctx, "/v3/kv/txn", body, &reply); err != nil {
+	if err := k.call(ctx, "/v3/kv/txn", body, &response); err != nil {
 		return Outcome{}, errors.Wrapf(ErrOutcomeUnknown, "txn: %v", err)
 	}
-	return Outcome{Succeeded: reply.Succeeded, Revision: reply.Header.Revision}, nil
+	return Outcome{Succeeded: response.Succeeded, Revision: response.Header.Revision}, nil
 }
 
-// maxReply bounds the body of one response, in bytes.
-const maxReply = 64 << 20
+// maxResponseBytes bounds the body of one response.
+const maxResponseBytes = 64 << 20
 
-func (k *KV) call(ctx context.Context, path string, body, reply any) error {
+func (k *KV) call(ctx context.Context, path string, body, response any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return errors.WithStack(err)
@@ -230,12 +230,12 @@
 		return idle.Cause(err)
 	}
 	defer resp.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(idle.Reader(resp.Body), maxReply))
+	got, err := io.ReadAll(io.LimitReader(idle.Reader(resp.Body), maxResponseBytes))
 	k.bytes.Add(int64(len(got)))
 	if err != nil {
 		return idle.Cause(errors.WithStack(err))
 	}
-	return errors.Wrap(json.Unmarshal(got, reply), "decode response of coordination store")
+	return errors.Wrap(json.Unmarshal(got, response), "decode response of coordination store")
 }
 
 func (k *KV) post(ctx context.Context, path string, raw []byte) (*http.Response, error) {
@@ -326,6 +326,6 @@
 	return f(changes, msg.Result.Header.Revision)
 }
 
-// CallTimeout bounds one small call of the store, which normally answers within milliseconds,
-// and the silence within the response to a large one.
+// CallTimeout bounds one small call of the store, which normally answers within milliseconds, and
+// any time without data within the response to a large one.
 const CallTimeout = 2 * time.Second
--- a/core/plat/kv_test.go
+++ b/core/plat/kv_test.go
@@ -15,29 +15,29 @@
 	"embertally.dev/core/wait"
 )
 
-// A response may take longer than CallTimeout in total, as long as the store is never silent for
-// that long.
-func TestCallFailsOnSilenceOnly(t *testing.T) {
-	const reply = `{"header":{"revision":"7"},"kvs":[{"key":"YQ==","value":"eA==","mod_revision":"3"}]}`
+// A response may take longer than CallTimeout in total, as long as no gap between its bytes is that
+// long.
+func TestCallFailsOnlyWhenDataStalls(t *testing.T) {
+	const response = `{"header":{"revision":"7"},"kvs":[{"key":"YQ==","value":"eA==","mod_revision":"3"}]}`
 	tests := []struct {
 		name string
 		// bytes is how many bytes of the response are sent.
 		bytes int
 		err   error
 	}{
-		{"slow", len(reply), nil},
-		{"stalls midway", len(reply) / 2, wait.ErrIdleTimeout},
+		{"slow", len(response), nil},
+		{"stalls midway", len(response) / 2, wait.ErrIdleTimeout},
 		{"never begins", 0, wait.ErrIdleTimeout},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := gomega.NewWithT(t)
-			pause := plat.CallTimeout * 5 / 4 / time.Duration(len(reply))
+			interval := plat.CallTimeout * 5 / 4 / time.Duration(len(response))
 			done := make(chan struct{})
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				for _, char := range strings.Split(reply, "")[:tc.bytes] {
-					wait.For(r.Context(), pause)
+				for _, char := range strings.Split(response, "")[:tc.bytes] {
+					wait.For(r.Context(), interval)
 					// An error means that the caller has disconnected, and is ignored.
 					_, _ = w.Write([]byte(char))
 					w.(http.Flusher).Flush()
--- a/core/plat/restore_test.go
+++ b/core/plat/restore_test.go
@@ -24,7 +24,7 @@
 			r := plat.Revision(incarnation, number)
 			g.Expect(plat.StoreIncarnation(r)).To(gomega.Equal(incarnation))
 			g.Expect(plat.StoreRevision(r)).To(gomega.Equal(number))
-			g.Expect(int64(float64(r))).To(gomega.Equal(r), "fencing numbers must be exact in a float64")
+			g.Expect(int64(float64(r))).To(gomega.Equal(r), "fencing tokens must be exact in a float64")
 		}
 	}
 	g.Expect(plat.StoreRevision(-1)).To(gomega.Equal(int64(-1)))
@@ -33,7 +33,7 @@
 
 // After a random schedule of writes and restores of any former copy, the cache and its observers
 // end up with what the store has.
-func TestMirrorFollowsRestoredStore(t *testing.T) {
+func TestWatchCacheFollowsRestoredStore(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -92,23 +92,23 @@
 	return out
 }
 
-func TestEnteredIsCalledOncePerIncarnation(t *testing.T) {
+func TestOnStoreIncarnationIsCalledOncePerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/old", "1")
 	old := kv.Copy()
 	w := watch(kv)
-	var entered atomic.Int64
-	w.OnStoreIncarnation = func() { entered.Add(1) }
+	var calls atomic.Int64
+	w.OnStoreIncarnation = func() { calls.Add(1) }
 	w.start(t)
-	g.Eventually(entered.Load, "60s", "1ms").Should(gomega.Equal(int64(1)))
+	g.Eventually(calls.Load, "60s", "1ms").Should(gomega.Equal(int64(1)))
 	put(t, kv, "a/new", "1")
 	g.Eventually(w.value("a/new"), "60s", "1ms").Should(gomega.Equal("1"))
-	g.Expect(entered.Load()).To(gomega.Equal(int64(1)))
-	// Entered is called even if the snapshot has the same content as the cache.
+	g.Expect(calls.Load()).To(gomega.Equal(int64(1)))
+	// OnStoreIncarnation is called even if the snapshot has the same content as the cache.
 	for incarnation := int64(1); incarnation <= 2; incarnation++ {
 		kv.Restore(old)
-		g.Eventually(entered.Load, "60s", "1ms").Should(gomega.Equal(incarnation + 1))
+		g.Eventually(calls.Load, "60s", "1ms").Should(gomega.Equal(incarnation + 1))
 		g.Expect(w.StoreIncarnation()).To(gomega.Equal(incarnation))
 	}
 }
@@ -148,30 +148,30 @@
 	pair := func(key string, incarnation, number int64) plat.Change {
 		return plat.Change{Pair: plat.Pair{Key: key, Value: []byte("v"), ModRevision: plat.Revision(incarnation, number)}}
 	}
-	m := plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), &event.Log{})
+	cache := plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), &event.Log{})
 	at := clock.Now()
-	m.ApplySnapshot([]plat.Change{pair("a", 2, 5)}, plat.Revision(2, 9), "", "", at)
-	g.Expect(m.FreshAsOf()).To(gomega.Equal(at))
+	cache.ApplySnapshot([]plat.Change{pair("a", 2, 5)}, plat.Revision(2, 9), "", "", at)
+	g.Expect(cache.FreshAsOf()).To(gomega.Equal(at))
 	later := at.Add(time.Second)
 
-	m.ApplyChanges([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), later)
-	m.ApplySnapshot([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "", later)
-	m.ApplySnapshot([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", later)
-	m.SwitchShard([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", func(plat.Pair) bool { return false }, later)
-	m.ApplyChanges([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), later)
-	g.Expect(m.FreshAsOf()).To(gomega.Equal(at), "of another store incarnation")
-	g.Expect(m.Shard()).To(gomega.BeEmpty())
-	_, there := m.Pair("b")
-	g.Expect(there).To(gomega.BeFalse())
-	g.Expect(m.Revision()).To(gomega.Equal(plat.Revision(2, 9)))
+	cache.ApplyChanges([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), later)
+	cache.ApplySnapshot([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "", later)
+	cache.ApplySnapshot([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", later)
+	cache.SwitchShard([]plat.Change{pair("b", 1, 90)}, plat.Revision(1, 99), "", "another shard", func(plat.Pair) bool { return false }, later)
+	cache.ApplyChanges([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), later)
+	g.Expect(cache.FreshAsOf()).To(gomega.Equal(at), "of another store incarnation")
+	g.Expect(cache.Shard()).To(gomega.BeEmpty())
+	_, cached := cache.Pair("b")
+	g.Expect(cached).To(gomega.BeFalse())
+	g.Expect(cache.Revision()).To(gomega.Equal(plat.Revision(2, 9)))
 
-	m.ApplySnapshot([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), "", "", later)
-	g.Expect(m.FreshAsOf()).To(gomega.Equal(later))
-	_, there = m.Pair("a")
-	g.Expect(there).To(gomega.BeFalse())
+	cache.ApplySnapshot([]plat.Change{pair("b", 3, 1)}, plat.Revision(3, 2), "", "", later)
+	g.Expect(cache.FreshAsOf()).To(gomega.Equal(later))
+	_, cached = cache.Pair("a")
+	g.Expect(cached).To(gomega.BeFalse())
 	// A request for the changes after a revision of the former incarnation needs a snapshot.
-	_, _, whole := m.ChangesSince(plat.Revision(2, 9))
-	g.Expect(whole).To(gomega.BeFalse())
+	_, _, complete := cache.ChangesSince(plat.Revision(2, 9))
+	g.Expect(complete).To(gomega.BeFalse())
 }
 
 func remove(t *testing.T, kv *memkv.KV, key string) {
--- a/core/plat/revision.go
+++ b/core/plat/revision.go
@@ -1,6 +1,6 @@
 package plat
 
-// The store's revisions increase within one store incarnation only: a store that comes back from
+// The store's revisions increase within one store incarnation only: a store that is restored from
 // an older copy starts another incarnation, in which it assigns the same revision numbers again.
 // A revision in this package is one number that combines the store incarnation, in its upper
 // bits, and the store's own revision number, so that comparisons of revisions are valid across
@@ -9,8 +9,8 @@
 const (
 	// incarnationShift is the number of bits of a revision that hold the store's own number.
 	incarnationShift = 40
-	// MaxStoreIncarnation is the highest store incarnation that a revision can hold. Revisions serve as
-	// fencing numbers, which are sent as numbers that must be exact in a float64.
+	// MaxStoreIncarnation is the highest store incarnation that a revision can hold. Revisions
+	// serve as fencing tokens, which are sent as numbers that must be exact in a float64.
 	MaxStoreIncarnation = 1<<(53-incarnationShift) - 1
 )
 
@@ -20,8 +20,8 @@
 // StoreIncarnation returns the store incarnation of a revision; 0 where the store has none.
 func StoreIncarnation(revision int64) int64 { return max(0, revision) >> incarnationShift }
 
-// StoreRevision returns the store's own number of a revision. Negative revisions, which no key has, are
-// returned unchanged.
+// StoreRevision returns the store's own revision number of a revision. Negative revisions, which no
+// key has, are returned unchanged.
 func StoreRevision(revision int64) int64 {
 	if revision < 0 {
 		return revision
@@ -32,7 +32,7 @@
 // Session identifies a session of the store. The zero value means no session.
 type Session struct {
 	ID int64
-	// StoreIncarnation is the store incarnation in which the session was opened. In a later one the same ID
-	// may belong to another session.
+	// StoreIncarnation is the store incarnation in which the session was opened. In a later one
+	// the same ID may belong to another session.
 	StoreIncarnation int64
 }
--- a/core/plat/unfetched.go
+++ b/core/plat/unfetched.go
@@ -16,7 +16,7 @@
 // IsLarge reports whether a value is sent to peers separately.
 func IsLarge(value []byte) bool { return len(value) >= largeValue }
 
-// unfetchedValue describes a value that is known to exist and was not received yet.
+// unfetchedValue describes a changed value that was not received yet.
 type unfetchedValue struct {
 	// revision is the lowest mod revision that the value must have.
 	revision int64
@@ -24,7 +24,7 @@
 	since clock.Time
 }
 
-// withoutLarge returns the change with its value removed and marked as late if it is large.
+// withoutLarge returns the change; if its value is large, without the value and marked as unfetched.
 func (c Change) withoutLarge() Change {
 	if !IsLarge(c.Value) {
 		return c
@@ -33,35 +33,35 @@
 }
 
 // markUnfetched records that a value was not received yet. It is called with cacheMu held.
-func (m *WatchCache) markUnfetched(key string, revision int64) {
-	v, waiting := m.unfetched[key]
-	if !waiting {
+func (w *WatchCache) markUnfetched(key string, revision int64) {
+	v, pending := w.unfetched[key]
+	if !pending {
 		v.since = clock.Now()
 	}
 	v.revision = revision
-	m.unfetched[key] = v
+	w.unfetched[key] = v
 }
 
-// ApplyFetched applies a value that was fetched separately. It does nothing if the value is older than
-// required or the key no longer waits for one.
-func (m *WatchCache) ApplyFetched(p Pair) {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	m.cacheMu.Lock()
-	wanted, waiting := m.unfetched[p.Key]
-	if !waiting || p.ModRevision < wanted.revision {
-		m.cacheMu.Unlock()
+// ApplyFetched applies a value that was fetched separately. It does nothing if the value is older
+// than required or the key's value is no longer unfetched.
+func (w *WatchCache) ApplyFetched(p Pair) {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	w.cacheMu.Lock()
+	wanted, pending := w.unfetched[p.Key]
+	if !pending || p.ModRevision < wanted.revision {
+		w.cacheMu.Unlock()
 		return
 	}
-	delete(m.unfetched, p.Key)
-	m.pairs[p.Key] = p
-	m.cacheMu.Unlock()
-	m.notify([]Change{{Pair: p}})
+	delete(w.unfetched, p.Key)
+	w.pairs[p.Key] = p
+	w.cacheMu.Unlock()
+	w.notify([]Change{{Pair: p}})
 }
 
 // Fetch reads one key from the store. It returns false if the key does not exist.
-func (m *WatchCache) Fetch(ctx context.Context, key string) (Pair, bool, error) {
-	pairs, _, err := m.reader.Range(ctx, Prefix(key))
+func (w *WatchCache) Fetch(ctx context.Context, key string) (Pair, bool, error) {
+	pairs, _, err := w.reader.Range(ctx, Prefix(key))
 	if err != nil {
 		return Pair{}, false, err
 	}
@@ -73,31 +73,32 @@
 	return Pair{}, false, nil
 }
 
-// HasUnfetched reports whether a value is missing that is known to exist.
-func (m *WatchCache) HasUnfetched() bool {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return len(m.unfetched) > 0
+// HasUnfetched reports whether any changed value was not received yet.
+func (w *WatchCache) HasUnfetched() bool {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return len(w.unfetched) > 0
 }
 
-// Unfetched returns the keys whose values were not received yet, without values; each revision is the
-// lowest that the value must have.
-func (m *WatchCache) Unfetched() []Pair {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
+// Unfetched returns the keys whose values were not received yet, without values; each revision is
+// the lowest that the value must have.
+func (w *WatchCache) Unfetched() []Pair {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
 	var out []Pair
-	for key, v := range m.unfetched {
+	for key, v := range w.unfetched {
 		out = append(out, Pair{Key: key, ModRevision: v.revision})
 	}
 	return out
 }
 
-// UnfetchedSince returns since when a value has been missing; zero where none is.
-func (m *WatchCache) UnfetchedSince() clock.Time {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
+// UnfetchedSince returns since when a cached value has been outdated because the new one was not
+// received yet; zero if there is none.
+func (w *WatchCache) UnfetchedSince() clock.Time {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
 	var first clock.Time
-	for _, v := range m.unfetched {
+	for _, v := range w.unfetched {
 		if first.IsZero() || v.since.Before(first) {
 			first = v.since
 		}
--- a/core/plat/watchcache.go
+++ b/core/plat/watchcache.go
@@ -17,8 +17,8 @@
 	"embertally.dev/core/wait"
 )
 
-// WatchCache is a watch cache: it keeps a local copy of a span of the store's keys current, with one
-// watch of the store or with changes from peers. Use NewMirror.
+// WatchCache keeps a local copy of a span of the store's keys current, with one watch of the store
+// or with changes from peers. Create it with NewWatchCache.
 //
 // Lock order: notifyMu before cacheMu and before the locks that observers take.
 type WatchCache struct {
@@ -31,16 +31,16 @@
 	// others take changes from peers. It is set before Run.
 	WatchesStore func() bool
 	// IsStandby, if set, reports whether this daemon reads the store only because the daemons that
-	// should do so seem silent. It is set before Run.
+	// should do so seem unreachable. It is set before Run.
 	IsStandby func() bool
 	// BatchTime, if set, returns how long to wait for further changes after one, so that a response
 	// carries several. It is set before Run.
 	BatchTime func() time.Duration
 	// FirstPrefix, if set, is the prefix of the keys that are read first where not all keys fit one
-	// page, since Follows may depend on them. It is set before Run.
+	// page, since WatchesStore may depend on them. It is set before Run.
 	FirstPrefix string
-	// OnStoreIncarnation, if set, is called at the first snapshot of each store incarnation, with cacheMu
-	// held; it must not block. It is set before Run.
+	// OnStoreIncarnation, if set, is called at the first snapshot of each store incarnation, with
+	// cacheMu held; it must not block. It is set before Run.
 	OnStoreIncarnation func()
 
 	// notifyMu serialises changes of the cache and the calls of observers: the store and a peer
@@ -49,16 +49,16 @@
 
 	cacheMu sync.Mutex
 	pairs   map[string]Pair // by key; guarded by cacheMu
-	// unfetched holds the keys whose values are known to exist and were not received yet; pairs
-	// holds their former values. Guarded by cacheMu.
+	// unfetched holds the keys whose values have changed but were not received yet; pairs holds
+	// their former values. Guarded by cacheMu.
 	unfetched map[string]unfetchedValue
 	// editCount counts the changes of pairs. Guarded by cacheMu.
 	editCount int64
 	// shard is the ID of the shard that the cache contains; "" means all keys. Guarded by
 	// cacheMu.
 	shard string
-	// watchable means that a watch can continue from revision: this daemon has read all keys,
-	// has them cached, and the store has not discarded their history. Guarded by cacheMu.
+	// watchable means that a watch can continue from revision: this daemon has read and cached
+	// all keys, and the store has not discarded their history. Guarded by cacheMu.
 	watchable bool
 	// revision is the highest revision seen; 0 before the first snapshot. Guarded by cacheMu.
 	revision int64
@@ -95,165 +95,165 @@
 }
 
 // Changed returns a channel that is closed when the cache or its freshness changes.
-func (m *WatchCache) Changed() <-chan struct{} {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return m.changed
+func (w *WatchCache) Changed() <-chan struct{} {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return w.changed
 }
 
-// wakeWaiters closes the channel that News returned. It is called with cacheMu held.
-func (m *WatchCache) wakeWaiters() {
-	close(m.changed)
-	m.changed = make(chan struct{})
+// wakeWaiters closes the channel that Changed returned. It is called with cacheMu held.
+func (w *WatchCache) wakeWaiters() {
+	close(w.changed)
+	w.changed = make(chan struct{})
 }
 
 // Observe registers f to be called with all changes, one call at a time. It must be called
 // before Run.
-func (m *WatchCache) Observe(f func([]Change)) { m.observers = append(m.observers, f) }
+func (w *WatchCache) Observe(f func([]Change)) { w.observers = append(w.observers, f) }
 
-// Intervals and timeouts of a Mirror.
+// Intervals and timeouts of a WatchCache.
 const (
-	// retryPause and maxRetryPause are the shortest and longest pause between attempts while the
+	// retryDelay and maxRetryDelay are the shortest and longest delay between attempts while the
 	// store does not answer. The platform charges for each call, rejected ones included, and a
 	// daemon must be current again well within the 3 s that the users' rules allow.
-	retryPause    = 150 * time.Millisecond
-	maxRetryPause = 500 * time.Millisecond
-	// relayedRetryPause is the pause while peers pass on what the store reports: rejected calls
-	// are charged too.
-	relayedRetryPause = 1200 * time.Millisecond
-	// reservePause is the pause of a daemon that reads the store only because others seem
-	// silent.
-	reservePause = 2 * time.Second
+	retryDelay    = 150 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// relayedRetryDelay is the delay while peers forward the store's changes: rejected calls are
+	// charged too.
+	relayedRetryDelay = 1200 * time.Millisecond
+	// standbyRetryDelay is the delay of a daemon that reads the store only because others seem
+	// unreachable.
+	standbyRetryDelay = 2 * time.Second
 	// peerReportMaxAge is the age up to which a peer's contact with the store counts as current.
 	peerReportMaxAge = 2 * time.Second
-	// followerPause is how often a daemon that takes changes from peers checks whether it must
+	// followerInterval is how often a daemon that takes changes from peers checks whether it must
 	// read the store itself.
-	followerPause = 200 * time.Millisecond
-	// outageAfter is the silence that counts as an outage: a watch gets a response at least
-	// every two seconds.
+	followerInterval = 200 * time.Millisecond
+	// outageAfter is the time without a response that counts as an outage: a watch gets a
+	// response at least every two seconds.
 	outageAfter = 2500 * time.Millisecond
 )
 
 // Run keeps the cache current until ctx ends.
-func (m *WatchCache) Run(ctx context.Context) {
-	pause := retryPause
+func (w *WatchCache) Run(ctx context.Context) {
+	delay := retryDelay
 	for ctx.Err() == nil {
-		if m.WatchesStore != nil && !m.WatchesStore() {
-			m.clearContact()
-			wait.For(ctx, followerPause)
+		if w.WatchesStore != nil && !w.WatchesStore() {
+			w.clearContact()
+			wait.For(ctx, followerInterval)
 			continue
 		}
-		err := m.readAndWatch(ctx)
+		err := w.readAndWatch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if errors.Is(err, errFollowsPeers) {
 			continue
 		}
-		if m.silentFor() < retryPause {
-			pause = retryPause
+		if w.sinceContact() < retryDelay {
+			delay = retryDelay
 		}
-		m.recordFailure(err)
+		w.recordFailure(err)
 		switch {
-		case m.peersReport():
-			pause = relayedRetryPause
-		case m.IsStandby != nil && m.IsStandby():
-			pause = reservePause
+		case w.peersReport():
+			delay = relayedRetryDelay
+		case w.IsStandby != nil && w.IsStandby():
+			delay = standbyRetryDelay
 		}
-		wait.For(ctx, pause/2+rand.N(pause/2))
-		pause = min(2*pause, maxRetryPause)
+		wait.For(ctx, delay/2+rand.N(delay/2))
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
 // clearContact clears the time of the last contact: this daemon takes changes from peers now, so
-// that the store's silence towards it is no outage. Fresh is not affected.
-func (m *WatchCache) clearContact() {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	if m.lastContact.After(m.peerContact) {
-		m.peerContact = m.lastContact
-	}
-	m.lastContact, m.down = clock.Time{}, false
+// that missing responses of the store are no outage. FreshAsOf is not affected.
+func (w *WatchCache) clearContact() {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	if w.lastContact.After(w.peerContact) {
+		w.peerContact = w.lastContact
+	}
+	w.lastContact, w.down = clock.Time{}, false
 }
 
-func (m *WatchCache) gather() time.Duration {
-	if m.BatchTime == nil {
+func (w *WatchCache) batchTime() time.Duration {
+	if w.BatchTime == nil {
 		return 0
 	}
-	return m.BatchTime()
+	return w.BatchTime()
 }
 
 // errFollowsPeers ends the watch of a daemon that takes changes from peers from now on.
 var errFollowsPeers = errors.New("changes are taken from peers")
 
 // readAndWatch reads all keys where needed, then watches them.
-func (m *WatchCache) readAndWatch(ctx context.Context) error {
-	if !m.isWatchable() {
-		if err := m.readAll(ctx); err != nil {
+func (w *WatchCache) readAndWatch(ctx context.Context) error {
+	if !w.isWatchable() {
+		if err := w.readAll(ctx); err != nil {
 			return err
 		}
 		// By now the view of the fleet may contain other daemons that watch the store.
-		if wait.For(ctx, m.gather()); m.followsPeers() {
+		if wait.For(ctx, w.batchTime()); w.followsPeers() {
 			return errors.WithStack(errFollowsPeers)
 		}
 	}
-	err := m.reader.Watch(ctx, m.span, m.Revision()+1, func(changes []Change, revision int64) error {
-		m.recordContact()
-		m.apply(changes, revision)
+	err := w.reader.Watch(ctx, w.span, w.Revision()+1, func(changes []Change, revision int64) error {
+		w.recordContact()
+		w.apply(changes, revision)
 		if len(changes) > 0 {
 			// Changes often come in series, and the platform charges for each response.
-			wait.For(ctx, m.gather())
+			wait.For(ctx, w.batchTime())
 		}
-		if m.followsPeers() {
+		if w.followsPeers() {
 			return errors.WithStack(errFollowsPeers)
 		}
 		return nil
 	})
 	if errors.Is(err, ErrCompacted) {
-		m.cacheMu.Lock()
-		m.watchable = false
-		m.cacheMu.Unlock()
-		m.log.Emit(event.ConfResynced, event.Ref{}, "the store has compacted the history; reading all keys again")
+		w.cacheMu.Lock()
+		w.watchable = false
+		w.cacheMu.Unlock()
+		w.log.Emit(event.ConfResynced, event.Ref{}, "the store has compacted the history; reading all keys again")
 	}
 	return err
 }
 
 // followsPeers reports whether this daemon takes changes from peers at present.
-func (m *WatchCache) followsPeers() bool { return m.WatchesStore != nil && !m.WatchesStore() }
+func (w *WatchCache) followsPeers() bool { return w.WatchesStore != nil && !w.WatchesStore() }
 
 // isWatchable reports whether a watch can continue from the cache's revision.
-func (m *WatchCache) isWatchable() bool {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return m.watchable
+func (w *WatchCache) isWatchable() bool {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return w.watchable
 }
 
 // readAll reads all keys and notifies the observers of the differences. It ends early if the
-// outline shows that this daemon takes changes from peers.
-func (m *WatchCache) readAll(ctx context.Context) error {
-	if done, err := m.readFirst(ctx); done || err != nil {
+// outline (the keys with FirstPrefix) shows that this daemon takes changes from peers.
+func (w *WatchCache) readAll(ctx context.Context) error {
+	if done, err := w.readFirst(ctx); done || err != nil {
 		return err
 	}
-	pairs, revision, err := m.reader.Range(ctx, m.span)
+	pairs, revision, err := w.reader.Range(ctx, w.span)
 	if err != nil {
 		return err
 	}
-	m.applyRead(pairs, revision)
+	w.applyRead(pairs, revision)
 	return nil
 }
 
 // applyRead applies a snapshot that was read from the store.
-func (m *WatchCache) applyRead(pairs []Pair, revision int64) {
-	if StoreIncarnation(revision) >= m.StoreIncarnation() {
-		// Must precede the notification: observers look up how long the store was silent.
-		m.recordContact()
+func (w *WatchCache) applyRead(pairs []Pair, revision int64) {
+	if StoreIncarnation(revision) >= w.StoreIncarnation() {
+		// Must precede the notification: observers look up how long the outage was.
+		w.recordContact()
 	}
-	if !m.replace(changesOf(pairs), revision, "") {
+	if !w.replace(changesOf(pairs), revision, "") {
 		return
 	}
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	m.watchable = m.shard == ""
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	w.watchable = w.shard == ""
 }
 
 // changesOf converts the pairs of a snapshot to changes.
@@ -267,49 +267,49 @@
 
 // replace applies a snapshot of a shard, unless a newer state of the same shard is cached. It
 // reports whether the snapshot is of the cache's store incarnation or a later one.
-func (m *WatchCache) replace(all []Change, revision int64, shard string) bool {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	return m.replaceLocked(all, revision, shard)
+func (w *WatchCache) replace(all []Change, revision int64, shard string) bool {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	return w.replaceLocked(all, revision, shard)
 }
 
 // replaceLocked is replace with notifyMu held.
-func (m *WatchCache) replaceLocked(all []Change, revision int64, shard string) bool {
-	m.cacheMu.Lock()
-	otherShard := shard != m.shard
-	if StoreIncarnation(revision) < StoreIncarnation(m.revision) || (revision < m.revision && !otherShard) {
-		cached := m.revision
-		m.cacheMu.Unlock()
-		m.log.Emit(event.ConfDropped, event.Ref{}, "revision "+strconv.FormatInt(revision, 10)+", cached up to "+strconv.FormatInt(cached, 10))
+func (w *WatchCache) replaceLocked(all []Change, revision int64, shard string) bool {
+	w.cacheMu.Lock()
+	otherShard := shard != w.shard
+	if StoreIncarnation(revision) < StoreIncarnation(w.revision) || (revision < w.revision && !otherShard) {
+		cached := w.revision
+		w.cacheMu.Unlock()
+		w.log.Emit(event.ConfDropped, event.Ref{}, "revision "+strconv.FormatInt(revision, 10)+", cached up to "+strconv.FormatInt(cached, 10))
 		return StoreIncarnation(revision) == StoreIncarnation(cached)
 	}
-	changes := m.differences(all, revision, otherShard)
-	m.noteIncarnation(revision)
-	m.update(changes)
-	m.shard, m.watchable = shard, m.watchable && shard == ""
-	m.revision, m.historyStart, m.history = revision, revision, nil
-	m.wakeWaiters()
-	m.cacheMu.Unlock()
-	m.notify(changes)
+	changes := w.differences(all, revision, otherShard)
+	w.recordIncarnation(revision)
+	w.update(changes)
+	w.shard, w.watchable = shard, w.watchable && shard == ""
+	w.revision, w.historyStart, w.history = revision, revision, nil
+	w.wakeWaiters()
+	w.cacheMu.Unlock()
+	w.notify(changes)
 	return true
 }
 
 // differences returns the changes from the cache to a snapshot. If the snapshot is of another
 // shard, keys that it lacks may still exist in the store. It is called with cacheMu held.
-func (m *WatchCache) differences(all []Change, revision int64, otherShard bool) []Change {
+func (w *WatchCache) differences(all []Change, revision int64, otherShard bool) []Change {
 	missing := map[string]bool{}
-	for key, p := range m.pairs {
+	for key, p := range w.pairs {
 		// A value that was fetched separately may be newer than the snapshot.
 		missing[key] = p.ModRevision <= revision
 	}
-	for key := range m.unfetched {
+	for key := range w.unfetched {
 		missing[key] = true
 	}
-	restored := m.revision > 0 && StoreIncarnation(revision) > StoreIncarnation(m.revision)
+	restored := w.revision > 0 && StoreIncarnation(revision) > StoreIncarnation(w.revision)
 	var changes []Change
 	for _, c := range all {
 		missing[c.Key] = false
-		if c.ModRevision > m.pairs[c.Key].ModRevision {
+		if c.ModRevision > w.pairs[c.Key].ModRevision {
 			changes = append(changes, c)
 		}
 	}
@@ -325,207 +325,207 @@
 // apply applies changes that lead to a revision. Changes already cached are skipped, since both
 // the store and peers may report them. It reports whether the changes are of the cache's store
 // incarnation.
-func (m *WatchCache) apply(changes []Change, revision int64) bool {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	m.cacheMu.Lock()
-	if StoreIncarnation(revision) != StoreIncarnation(m.revision) && m.revision > 0 {
+func (w *WatchCache) apply(changes []Change, revision int64) bool {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	w.cacheMu.Lock()
+	if StoreIncarnation(revision) != StoreIncarnation(w.revision) && w.revision > 0 {
 		// Only a snapshot shows which keys are missing in another store incarnation.
-		m.cacheMu.Unlock()
+		w.cacheMu.Unlock()
 		return false
 	}
 	var newer []Change
 	for _, c := range changes {
-		if c.ModRevision > m.revision && c.ModRevision > m.pairs[c.Key].ModRevision {
+		if c.ModRevision > w.revision && c.ModRevision > w.pairs[c.Key].ModRevision {
 			newer = append(newer, c)
 		}
 	}
-	m.update(newer)
-	m.appendHistory(newer)
-	if revision > m.revision {
-		m.revision = revision
-		m.wakeWaiters()
+	w.update(newer)
+	w.appendHistory(newer)
+	if revision > w.revision {
+		w.revision = revision
+		w.wakeWaiters()
 	}
-	m.cacheMu.Unlock()
-	m.notify(newer)
+	w.cacheMu.Unlock()
+	w.notify(newer)
 	return true
 }
 
 // update writes changes to the cache. It is called with cacheMu held.
-func (m *WatchCache) update(changes []Change) {
-	m.editCount += int64(len(changes))
+func (w *WatchCache) update(changes []Change) {
+	w.editCount += int64(len(changes))
 	for _, c := range changes {
 		if c.Unfetched {
-			m.markUnfetched(c.Key, c.ModRevision)
+			w.markUnfetched(c.Key, c.ModRevision)
 			continue
 		}
-		delete(m.unfetched, c.Key)
+		delete(w.unfetched, c.Key)
 		if c.Deleted {
-			delete(m.pairs, c.Key)
+			delete(w.pairs, c.Key)
 		} else {
-			m.pairs[c.Key] = c.Pair
+			w.pairs[c.Key] = c.Pair
 		}
 	}
 }
 
 // appendHistory adds changes to the history, without large values, which peers request
 // separately. It is called with cacheMu held.
-func (m *WatchCache) appendHistory(changes []Change) {
+func (w *WatchCache) appendHistory(changes []Change) {
 	for _, c := range changes {
-		m.history = append(m.history, c.withoutLarge())
+		w.history = append(w.history, c.withoutLarge())
 	}
-	if over := len(m.history) - max(minHistory, len(m.pairs)); over > 0 {
-		m.historyStart = m.history[over-1].ModRevision
-		m.history = append([]Change(nil), m.history[over:]...)
+	if over := len(w.history) - max(minHistory, len(w.pairs)); over > 0 {
+		w.historyStart = w.history[over-1].ModRevision
+		w.history = append([]Change(nil), w.history[over:]...)
 	}
 }
 
-// notify calls the observers. For an unfetched value they are called once it is there. It is
-// called with notifyMu held, so that observers get changes in order.
-func (m *WatchCache) notify(changes []Change) {
+// notify calls the observers with the changes, except unfetched ones, which they get once the value
+// was fetched. It is called with notifyMu held, so that observers get changes in order.
+func (w *WatchCache) notify(changes []Change) {
 	fetched := slices.DeleteFunc(slices.Clone(changes), func(c Change) bool { return c.Unfetched })
 	if len(fetched) == 0 {
 		return
 	}
-	for _, f := range m.observers {
+	for _, f := range w.observers {
 		f(fetched)
 	}
 }
 
-// ChangesSince returns the changes after a revision, for a peer, and the revision that they lead to.
-// whole is false if the history no longer covers them. Large values are left out and marked as
-// late.
-func (m *WatchCache) ChangesSince(after int64) (changes []Change, revision int64, whole bool) {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	if after < m.historyStart || m.revision == 0 {
-		return nil, m.revision, false
-	}
-	from := sort.Search(len(m.history), func(i int) bool { return m.history[i].ModRevision > after })
-	return slices.Clone(m.history[from:]), m.revision, true
+// ChangesSince returns the changes after a revision, for a peer, and the revision that they lead
+// to. complete is false if the history no longer covers them. Large values are left out and marked
+// as unfetched.
+func (w *WatchCache) ChangesSince(after int64) (changes []Change, revision int64, complete bool) {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	if after < w.historyStart || w.revision == 0 {
+		return nil, w.revision, false
+	}
+	from := sort.Search(len(w.history), func(i int) bool { return w.history[i].ModRevision > after })
+	return slices.Clone(w.history[from:]), w.revision, true
 }
 
-// Snapshot returns a snapshot for a peer, ordered by key, and its revision: the keys after the given
-// one whose pairs keep accepts, or all if keep is nil. Large values are left out and marked as
-// late.
-func (m *WatchCache) Snapshot(after string, keep func(Pair) bool) ([]Change, int64) {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
+// Snapshot returns a snapshot for a peer, ordered by key, and its revision. It contains the keys
+// after the given one whose pairs keep accepts, or all of them if keep is nil. Large values are
+// left out and marked as unfetched.
+func (w *WatchCache) Snapshot(after string, keep func(Pair) bool) ([]Change, int64) {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
 	var out []Change
-	for key, p := range m.pairs {
-		if _, waiting := m.unfetched[key]; !waiting && key > after && (keep == nil || keep(p)) {
+	for key, p := range w.pairs {
+		if _, pending := w.unfetched[key]; !pending && key > after && (keep == nil || keep(p)) {
 			out = append(out, Change{Pair: p}.withoutLarge())
 		}
 	}
-	for key, v := range m.unfetched {
+	for key, v := range w.unfetched {
 		if key > after {
 			out = append(out, Change{Pair: Pair{Key: key, ModRevision: v.revision}, Unfetched: true})
 		}
 	}
 	slices.SortFunc(out, func(a, b Change) int { return strings.Compare(a.Key, b.Key) })
-	return out, m.revision
+	return out, w.revision
 }
 
 // ApplyChanges applies changes from a peer. contact is when the store last answered that peer.
-func (m *WatchCache) ApplyChanges(changes []Change, revision int64, contact clock.Time) {
-	if m.apply(changes, revision) {
-		m.recordPeerContact(contact)
+func (w *WatchCache) ApplyChanges(changes []Change, revision int64, contact clock.Time) {
+	if w.apply(changes, revision) {
+		w.recordPeerContact(contact)
 	}
 }
 
-// ApplySnapshot applies a peer's snapshot of a shard, "" for all keys. contact is when the store last
-// answered that peer. fromShard is the shard that the cache contained when the snapshot was
+// ApplySnapshot applies a peer's snapshot of a shard, "" for all keys. contact is when the store
+// last answered that peer. fromShard is the shard that the cache contained when the snapshot was
 // requested; if it contains another one by now, the snapshot is discarded.
-func (m *WatchCache) ApplySnapshot(all []Change, revision int64, fromShard, shard string, contact clock.Time) {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	if m.Shard() != fromShard {
+func (w *WatchCache) ApplySnapshot(all []Change, revision int64, fromShard, shard string, contact clock.Time) {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	if w.Shard() != fromShard {
 		return
 	}
-	if m.replaceLocked(all, revision, shard) {
-		m.recordPeerContact(contact)
+	if w.replaceLocked(all, revision, shard) {
+		w.recordPeerContact(contact)
 	}
 }
 
 // Revision returns the highest revision seen; 0 before the first snapshot.
-func (m *WatchCache) Revision() int64 {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return m.revision
+func (w *WatchCache) Revision() int64 {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return w.revision
 }
 
-// SwitchShard switches the cache to another shard by a peer's changes, which are what the cache
-// lacks of that shard. Pairs that remove accepts are removed from the cache. fromShard and
-// contact are as in TakeAll.
-func (m *WatchCache) SwitchShard(changes []Change, revision int64, fromShard, shard string, remove func(Pair) bool, contact clock.Time) {
-	m.notifyMu.Lock()
-	defer m.notifyMu.Unlock()
-	if m.Shard() != fromShard {
+// SwitchShard switches the cache to another shard. changes come from a peer and are what the cache
+// lacks of that shard; pairs that remove accepts are removed from the cache. fromShard and contact
+// are as in ApplySnapshot.
+func (w *WatchCache) SwitchShard(changes []Change, revision int64, fromShard, shard string, remove func(Pair) bool, contact clock.Time) {
+	w.notifyMu.Lock()
+	defer w.notifyMu.Unlock()
+	if w.Shard() != fromShard {
 		return
 	}
-	if m.switchShard(changes, revision, shard, remove) {
-		m.recordPeerContact(contact)
+	if w.switchShard(changes, revision, shard, remove) {
+		w.recordPeerContact(contact)
 	}
 }
 
 // switchShard switches the cache to another shard, unless the changes are of another store
 // incarnation. It is called with notifyMu held.
-func (m *WatchCache) switchShard(changes []Change, revision int64, shard string, remove func(Pair) bool) bool {
-	m.cacheMu.Lock()
-	if StoreIncarnation(revision) != StoreIncarnation(m.revision) {
+func (w *WatchCache) switchShard(changes []Change, revision int64, shard string, remove func(Pair) bool) bool {
+	w.cacheMu.Lock()
+	if StoreIncarnation(revision) != StoreIncarnation(w.revision) {
 		// The response to the next request will be a full snapshot.
-		m.cacheMu.Unlock()
+		w.cacheMu.Unlock()
 		return false
 	}
 	var newer []Change
 	for _, c := range changes {
-		if c.ModRevision > m.pairs[c.Key].ModRevision {
+		if c.ModRevision > w.pairs[c.Key].ModRevision {
 			newer = append(newer, c)
 		}
 	}
-	for key, p := range m.pairs {
+	for key, p := range w.pairs {
 		if remove(p) {
 			newer = append(newer, Change{Pair: Pair{Key: key, ModRevision: revision}, Deleted: true, LeftShard: true})
 		}
 	}
-	m.update(newer)
+	w.update(newer)
 	// Peers with the former shard must request a full snapshot.
-	m.historyStart, m.history = revision, nil
-	m.shard, m.watchable, m.revision = shard, false, max(m.revision, revision)
-	m.wakeWaiters()
-	m.cacheMu.Unlock()
-	m.notify(newer)
+	w.historyStart, w.history = revision, nil
+	w.shard, w.watchable, w.revision = shard, false, max(w.revision, revision)
+	w.wakeWaiters()
+	w.cacheMu.Unlock()
+	w.notify(newer)
 	return true
 }
 
 // Shard returns the ID of the shard that the cache contains; "" means all keys.
-func (m *WatchCache) Shard() string {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return m.shard
+func (w *WatchCache) Shard() string {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return w.shard
 }
 
 // EditCount returns the number of changes made to the cache.
-func (m *WatchCache) EditCount() int64 {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	return m.editCount
+func (w *WatchCache) EditCount() int64 {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	return w.editCount
 }
 
 // Pair returns the cached pair of a key.
-func (m *WatchCache) Pair(key string) (Pair, bool) {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
-	p, ok := m.pairs[key]
+func (w *WatchCache) Pair(key string) (Pair, bool) {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
+	p, ok := w.pairs[key]
 	return p, ok
 }
 
 // WithPrefix returns the cached pairs whose keys begin with prefix, in no order.
-func (m *WatchCache) WithPrefix(prefix string) []Pair {
-	m.cacheMu.Lock()
-	defer m.cacheMu.Unlock()
+func (w *WatchCache) WithPrefix(prefix string) []Pair {
+	w.cacheMu.Lock()
+	defer w.cacheMu.Unlock()
 	var out []Pair
-	for key, p := range m.pairs {
+	for key, p := range w.pairs {
 		if strings.HasPrefix(key, prefix) {
 			out = append(out, p)
 		}
--- a/core/plat/watchcache_test.go
+++ b/core/plat/watchcache_test.go
@@ -16,7 +16,7 @@
 	"embertally.dev/core/plat"
 )
 
-// watched is a Mirror with the changes that its observer received.
+// watched is a WatchCache with the changes that its observer received.
 type watched struct {
 	*plat.WatchCache
 	mu       sync.Mutex
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestMirrorAppliesChangesOfTheStore(t *testing.T) {
+func TestWatchCacheAppliesChangesOfTheStore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/1", "x")
@@ -73,7 +73,7 @@
 	g.Expect(m.WithPrefix("a/")).To(gomega.BeEmpty())
 }
 
-func TestMirrorKeepsItsCacheInAnOutage(t *testing.T) {
+func TestWatchCacheKeepsItsCacheInAnOutage(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/1", "x")
@@ -109,7 +109,7 @@
 	return f.KV.Watch(ctx, span, from, h)
 }
 
-func TestMirrorReadsAllAfterCompaction(t *testing.T) {
+func TestWatchCacheReadsAllAfterCompaction(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &compactedOnce{KV: &memkv.KV{}}
 	put(t, kv.KV, "a/1", "x")
@@ -122,7 +122,7 @@
 	g.Expect(m.received).To(gomega.ContainElement(gomega.HaveField("Deleted", true)))
 }
 
-func TestMirrorAppliesPeerChangesOnce(t *testing.T) {
+func TestWatchCacheAppliesPeerChangesOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/1", "x")
@@ -140,8 +140,8 @@
 
 	put(t, kv, "a/1", "y")
 	g.Eventually(peer.value("a/1"), "10s", "5ms").Should(gomega.Equal("y"))
-	changes, revision, whole := peer.ChangesSince(follower.Revision())
-	g.Expect(whole).To(gomega.BeTrue())
+	changes, revision, complete := peer.ChangesSince(follower.Revision())
+	g.Expect(complete).To(gomega.BeTrue())
 	follower.ApplyChanges(changes, revision, now)
 	follower.ApplyChanges(changes, revision, now)
 	g.Expect(follower.received).To(gomega.HaveLen(2))
@@ -149,8 +149,8 @@
 	// An older snapshot changes nothing.
 	follower.ApplySnapshot(all, all[0].ModRevision, "", "", now)
 	g.Expect(follower.value("a/1")()).To(gomega.Equal("y"))
-	_, _, whole = peer.ChangesSince(-1)
-	g.Expect(whole).To(gomega.BeFalse())
+	_, _, complete = peer.ChangesSince(-1)
+	g.Expect(complete).To(gomega.BeFalse())
 }
 
 // change returns a change of a key to a value.
@@ -166,11 +166,11 @@
 func TestFormerValueStaysCachedUntilNewOneIsFetched(t *testing.T) {
 	tests := []struct {
 		name string
-		// then runs after the value of the key at revision 5 was reported as unfetched.
-		then     func(m *watched)
-		value    string
-		behind   bool
-		received int
+		// then is called after the value of the key at revision 5 was reported as unfetched.
+		then         func(m *watched)
+		value        string
+		hasUnfetched bool
+		received     int
 	}{
 		{"nothing", func(*watched) {}, "former", true, 1},
 		{"it is fetched", func(m *watched) { m.ApplyFetched(change("a/1", "new", 5).Pair) }, "new", false, 2},
@@ -209,22 +209,22 @@
 			m.ApplyChanges([]plat.Change{unfetched("a/1", 5)}, 5, clock.Now())
 			tc.then(m)
 			g.Expect(m.value("a/1")()).To(gomega.Equal(tc.value))
-			g.Expect(m.HasUnfetched()).To(gomega.Equal(tc.behind))
+			g.Expect(m.HasUnfetched()).To(gomega.Equal(tc.hasUnfetched))
 			g.Expect(m.received).To(gomega.HaveLen(tc.received))
 		})
 	}
 }
 
-// Peers are told of a large or unfetched value without the value itself, so that they can fetch
+// Peers are notified of a large or unfetched value without the value itself, so that they can fetch
 // it separately.
-func TestPeersGetLargeOrUnfetchedValuesAsLate(t *testing.T) {
+func TestPeersGetLargeValuesAsUnfetched(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := watch(&memkv.KV{})
 	large := strings.Repeat("x", 32<<10)
 	m.ApplyChanges([]plat.Change{change("a/1", "small", 2), change("a/2", large, 3), unfetched("a/3", 4)}, 4, clock.Now())
 	want := []plat.Change{change("a/1", "small", 2), unfetched("a/2", 3), unfetched("a/3", 4)}
-	changes, revision, whole := m.ChangesSince(1)
-	g.Expect(whole).To(gomega.BeTrue())
+	changes, revision, complete := m.ChangesSince(1)
+	g.Expect(complete).To(gomega.BeTrue())
 	g.Expect(revision).To(gomega.Equal(int64(4)))
 	g.Expect(changes).To(gomega.Equal(want))
 	all, revision := m.Snapshot("", nil)
@@ -271,6 +271,6 @@
 	m.SwitchShard([]plat.Change{pair("c", 6)}, 6, "one", "two", func(p plat.Pair) bool { return p.Key == "a" }, later)
 	g.Expect(m.Shard()).To(gomega.Equal("two"))
 	g.Expect(m.FreshAsOf()).To(gomega.Equal(later))
-	_, holds := m.Pair("a")
-	g.Expect(holds).To(gomega.BeFalse())
+	_, cached := m.Pair("a")
+	g.Expect(cached).To(gomega.BeFalse())
 }
--- a/core/wire/frame.go
+++ b/core/wire/frame.go
@@ -16,7 +16,7 @@
 // Kind identifies the type of a message.
 type Kind string
 
-// MaxFrame is the largest body of a frame, in bytes. The largest message is a whole
+// MaxFrame is the largest body of a frame, in bytes. The largest message is a full
 // configuration.
 const MaxFrame = 32 << 20
 
@@ -53,17 +53,17 @@
 	return append(frame, body...), nil
 }
 
-// firstRead bounds the memory in bytes that is allocated before any of a frame's body has
+// firstRead is the maximum memory in bytes that is allocated before any of a frame's body has
 // arrived, so that a sender that states a false length must send bytes before more is allocated.
 const firstRead = 64 << 10
 
-// decode reads one frame from r and returns its content and its size in bytes.
+// decode reads one frame from r and returns its content and the frame's size in bytes.
 func decode(r io.Reader) (*envelope, int, error) {
-	var head [headerSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, 0, errors.WithStack(err)
 	}
-	size := int(binary.BigEndian.Uint32(head[:]))
+	size := int(binary.BigEndian.Uint32(header[:]))
 	if size > MaxFrame {
 		return nil, 0, errors.WithStack(ErrTooLarge)
 	}
--- a/core/wire/link.go
+++ b/core/wire/link.go
@@ -14,11 +14,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrRemote wraps errors returned by the peer's handler. Every other error of a call, ErrNotSent
-// excepted, leaves unknown whether the peer handled it.
+// ErrRemote wraps errors returned by the peer's handler. After any other error of a call except
+// ErrNotSent it is unknown whether the peer handled the message.
 var ErrRemote = errors.New("peer returned an error")
 
-// ErrNotSent means that a message did not leave this daemon.
+// ErrNotSent means that a message was not sent, not even in part.
 var ErrNotSent = errors.New("message was not sent")
 
 // Link makes calls to one peer over one connection, which it opens when needed.
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.drop(id)
+	defer d.remove(id)
 	if err := l.send(d, &envelope{ID: id, Kind: kind}, req); err != nil {
 		return err
 	}
@@ -117,8 +117,8 @@
 	return err
 }
 
-// redialPause is the shortest time from a failure to open a connection to the next attempt.
-const redialPause = 100 * time.Millisecond
+// redialDelay is the shortest time from a failure to open a connection to the next attempt.
+const redialDelay = 100 * time.Millisecond
 
 func (l *Link) open(ctx context.Context) (*clientConn, error) {
 	l.linkMu.Lock()
@@ -129,7 +129,7 @@
 	if l.conn != nil && l.conn.alive() {
 		return l.conn, nil
 	}
-	if time.Since(l.lastFailure) < redialPause {
+	if time.Since(l.lastFailure) < redialDelay {
 		return nil, errors.Errorf("connection to %s failed just now", l.address)
 	}
 	d, err := l.dial(ctx)
@@ -187,8 +187,8 @@
 
 	callsMu sync.Mutex
 	calls   map[uint64]*call // guarded by callsMu
-	next    uint64           // ID of the last call; guarded by callsMu
-	ended   bool             // guarded by callsMu
+	lastID  uint64           // ID of the last call; guarded by callsMu
+	closed  bool             // true once broken is closed; guarded by callsMu
 }
 
 // maxCalls bounds the calls that wait for a response on one connection.
@@ -197,15 +197,15 @@
 func (d *clientConn) add(c *call) (uint64, error) {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
-	if d.ended || len(d.calls) >= maxCalls {
+	if d.closed || len(d.calls) >= maxCalls {
 		return 0, errors.Wrap(ErrNotSent, "connection is closed or has too many waiting calls")
 	}
-	d.next++
-	d.calls[d.next] = c
-	return d.next, nil
+	d.lastID++
+	d.calls[d.lastID] = c
+	return d.lastID, nil
 }
 
-func (d *clientConn) drop(id uint64) {
+func (d *clientConn) remove(id uint64) {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
 	delete(d.calls, id)
@@ -214,14 +214,14 @@
 func (d *clientConn) alive() bool {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
-	return !d.ended
+	return !d.closed
 }
 
 func (d *clientConn) fail() {
 	d.callsMu.Lock()
 	defer d.callsMu.Unlock()
-	if !d.ended {
-		d.ended = true
+	if !d.closed {
+		d.closed = true
 		close(d.broken)
 		d.conn.Close()
 	}
@@ -238,7 +238,7 @@
 	return n, errors.WithStack(err)
 }
 
-// run passes responses to their calls until the connection breaks.
+// run delivers responses to their calls until the connection breaks.
 func (d *clientConn) run(bytes *atomic.Int64) {
 	defer d.fail()
 	r := bufio.NewReaderSize(d.conn, readBuffer)
--- a/core/wire/mux.go
+++ b/core/wire/mux.go
@@ -16,8 +16,8 @@
 	"embertally.dev/core/bugs"
 )
 
-// Handler handles one kind of message and returns the response. from is the sender's name, which
-// with TLS its certificate contains. body is the encoded message.
+// Handler handles one kind of message and returns the response. from is the sender's name; with
+// TLS it was checked against the sender's certificate. body is the encoded message.
 type Handler func(ctx context.Context, from string, body []byte) (any, error)
 
 // Handle returns a Handler that decodes the message and passes it to f.
@@ -43,7 +43,7 @@
 	connsMu sync.Mutex
 	// conns are the open connections. Guarded by connsMu.
 	conns map[net.Conn]bool
-	// closed means that no more connections are accepted. Guarded by connsMu.
+	// closed means that no further connections are accepted. Guarded by connsMu.
 	closed bool
 }
 
@@ -79,7 +79,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if !m.add(c) {
@@ -91,12 +91,12 @@
 	}
 }
 
-// acceptPause is the pause after an error of Accept, such as too many open files.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay after an error of Accept, such as too many open files.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// add records a connection and reports whether it is to be served. A connection accepted while
-// the others are closed must not be served: it would be until its peer closes it, and if the
-// peer is stopping too and waits in the same way, both would wait for ever.
+// add records a connection and reports whether it is to be served. A connection accepted while the
+// others are being closed must not be served: serving would last until the peer closes it, and if
+// the peer is stopping too and waits in the same way, both would wait forever.
 func (m *Mux) add(c net.Conn) bool {
 	m.connsMu.Lock()
 	defer m.connsMu.Unlock()
@@ -216,11 +216,11 @@
 
 // callHandler calls h and converts a panic to an error. If the panic ended the process, the
 // sender would repeat its request to other daemons, which would crash in turn.
-func callHandler(ctx context.Context, h Handler, from string, e *envelope) (reply any, err error) {
+func callHandler(ctx context.Context, h Handler, from string, e *envelope) (response any, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			bugs.Report("message %s from %s: %v", e.Kind, from, reason)
-			reply, err = nil, errors.WithStack(errInternal)
+			response, err = nil, errors.WithStack(errInternal)
 		}
 	}()
 	return h(ctx, from, e.Body)
@@ -228,18 +228,18 @@
 
 func (s *serverConn) respond(ctx context.Context, e *envelope) {
 	h := s.mux.handlers[e.Kind]
-	reply := &envelope{ID: e.ID}
+	response := &envelope{ID: e.ID}
 	if h == nil {
-		reply.Err = "no handler for " + string(e.Kind)
+		response.Err = "no handler for " + string(e.Kind)
 	} else if v, err := callHandler(ctx, h, s.from, e); err != nil {
-		reply.Err = err.Error()
-	} else if reply.Body, err = msgpack.Marshal(v); err != nil {
-		reply.Err = err.Error()
+		response.Err = err.Error()
+	} else if response.Body, err = msgpack.Marshal(v); err != nil {
+		response.Err = err.Error()
 	}
 	if e.ID == 0 {
 		return
 	}
-	frame, err := encode(reply)
+	frame, err := encode(response)
 	if err != nil {
 		frame, err = encode(&envelope{ID: e.ID, Err: err.Error()})
 	}
--- a/core/wire/stop_test.go
+++ b/core/wire/stop_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// lateListener returns one connection at once, and another one when the first was closed.
+// lateListener accepts one connection at once, and another one after the first was closed.
 type lateListener struct {
 	net.Listener
 	first, late         net.Conn
--- a/core/wire/wire_test.go
+++ b/core/wire/wire_test.go
@@ -94,9 +94,9 @@
 func TestLostConnectionFailsCallsAndIsReopened(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var m Mux
-	entered := make(chan struct{}, 1)
+	handling := make(chan struct{}, 1)
 	m.Register("hang", func(ctx context.Context, _ string, _ []byte) (any, error) {
-		entered <- struct{}{}
+		handling <- struct{}{}
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
@@ -105,7 +105,7 @@
 	defer link.Close()
 	failed := make(chan error, 1)
 	go func() { failed <- link.Call(context.Background(), "hang", hello{}, nil) }()
-	<-entered
+	<-handling
 	m.closeAll()
 	g.Eventually(failed, "20s").Should(gomega.Receive(gomega.HaveOccurred()))
 	var got hello
