--- a/core/admin/admin.go
+++ b/core/admin/admin.go
@@ -33,7 +33,7 @@
 	// Assignments are the names of the assignments that the status shows.
 	Assignments []string
 	// OperatorKeyHashes are the SHA-256 hashes of operators' keys from the settings. They
-	// give access also while the configuration has no operator.
+	// give access even while the configuration has no operator.
 	OperatorKeyHashes []string
 	// NotReadyReason returns the reason why no requests are accepted, or "".
 	NotReadyReason func() string
@@ -44,7 +44,7 @@
 // Server handles operators' requests.
 type Server struct{ o Options }
 
-// New returns a server and registers its handler of peers' messages with the fleet.
+// New returns a server and registers its handler for peers' messages with the fleet.
 func New(o Options) *Server {
 	s := &Server{o}
 	o.Fleet.Mux().Register(kindEvents, wire.Handle(func(_ context.Context, _ string, f *event.Filter) ([]event.Event, error) {
--- a/core/admin/resources.go
+++ b/core/admin/resources.go
@@ -105,7 +105,7 @@
 
 // watchEvent is the JSON form of one line of a watch.
 type watchEvent struct {
-	// Type is "put", "delete" or "progress"; progress only advances the version.
+	// Type is "put", "delete" or "progress", which only advances the version.
 	Type     string   `json:"type"`
 	Resource Resource `json:"resource"`
 }
@@ -148,8 +148,9 @@
 	}
 }
 
-// awaitChange flushes the watch and waits for a change. After progressInterval without
-// one it writes a progress line. It reports whether the watch goes on.
+// awaitChange flushes the response of a watch and waits for a change. After
+// progressInterval without one it writes a progress line. It reports whether the watch
+// continues.
 func (s *Server) awaitChange(c echo.Context, enc *json.Encoder, kind conf.Kind, from uint64, changed <-chan struct{}) bool {
 	c.Response().Flush()
 	t := time.NewTimer(progressInterval)
--- a/core/admin/status.go
+++ b/core/admin/status.go
@@ -16,9 +16,9 @@
 	"embertally.dev/core/fleet"
 )
 
-// drain orders that a target gets no new work, or withdraws that order. The order
-// reaches other daemons without the coordination store; it is also written to the
-// configuration, so that it persists.
+// drain drains a target, so that it gets no new work, or cancels that. The order reaches
+// other daemons without the coordination store; it is also written to the configuration,
+// so that it persists.
 func (s *Server) drain(c echo.Context) error {
 	var body struct {
 		Leaving bool `json:"leaving"`
@@ -96,7 +96,7 @@
 		Running  int64   `json:"running"`
 		Sequence uint64  `json:"sequence"`
 		Status   *Status `json:"configuration"`
-		// Confirmed is the time since the configuration was verified to be the
+		// Confirmed is the time since the configuration was last verified to be the
 		// latest, as a Go duration; empty if it never was.
 		Confirmed string         `json:"confirmedAgo"`
 		Cells     int            `json:"cells"`
--- a/core/event/codes.go
+++ b/core/event/codes.go
@@ -4,7 +4,8 @@
 // so that logs of different versions can be read together.
 type Code int
 
-// The codes of all events. docs/EVENTS.md is generated from the catalogue below.
+// The codes of all events. docs/EVENTS.md is generated from the catalogue below, which describes
+// them.
 const (
 	DaemonStarted    Code = 1001
 	DaemonReady      Code = 1002
@@ -116,18 +117,18 @@
 
 var catalogue = []Entry{
 	{DaemonStarted, "daemonStarted", Info, "The daemon has read its settings and opened its listeners."},
-	{DaemonReady, "daemonReady", Info, "The daemon has a configuration that it may serve under, and accepts requests."},
+	{DaemonReady, "daemonReady", Info, "The daemon has a configuration that it may use, and accepts requests."},
 	{DaemonNotReady, "daemonNotReady", Warning, "The daemon accepts no requests; the text has the reason."},
-	{DaemonDraining, "daemonDraining", Info, "A planned shutdown has begun: no new requests are accepted, running ones continue."},
+	{DaemonDraining, "daemonDraining", Info, "A graceful shutdown has started: the daemon stops accepting requests, and running ones continue."},
 	{DaemonStopped, "daemonStopped", Info, "The last request has finished, or the drain limit has passed; the process exits."},
 	{KeysReloaded, "keysReloaded", Info, "Changed TLS files were read and are in use."},
-	{KeysRejected, "keysRejected", Error, "Changed TLS files do not match each other; the former ones stay in use."},
+	{KeysRejected, "keysRejected", Error, "Changed TLS files could not be loaded; the former ones stay in use."},
 	{InvariantBroken, "invariantBroken", Error, "The program has reached a state that its invariants exclude. Please report it with the stack."},
 	{SettingsReloaded, "settingsReloaded", Info, "A changed settings file was read; the text lists the settings that are applied."},
 	{SettingsRejected, "settingsRejected", Error, "A changed settings file is invalid; the former settings stay applied."},
 
 	{PeerUp, "peerUp", Info, "Heartbeats of another daemon arrive."},
-	{PeerDown, "peerDown", Warning, "No heartbeat of another daemon arrived within the suspicion time."},
+	{PeerDown, "peerDown", Warning, "No heartbeat of another daemon arrived within the time that the setting suspect allows."},
 	{PeerRefused, "peerRefused", Error, "A connection to the peer port did not prove that it comes from a daemon."},
 	{BoxAppeared, "boxAppeared", Info, "The box list has a new box."},
 	{BoxLeaving, "boxLeaving", Info, "The box list reports that a box is shutting down; its target gets no new work."},
@@ -159,16 +160,16 @@
 	{ConfUnderived, "confUnderived", Error, "A stored resource cannot be decoded; its former state stays applied."},
 	{PeerNotTold, "peerNotTold", Info, "Changes of the coordination store could not be received from a peer; the text has the peer, the elapsed time and the reason."},
 	{ValueFetched, "valueFetched", Info, "A large value was fetched separately; the text has its revision and size, its source and the elapsed time."},
-	{RolloutStep, "rolloutStep", Info, "This daemon has moved a roll-out to its next phase; the resource is the service, the text has the phase, the version and the reason."},
+	{RolloutStep, "rolloutStep", Info, "This daemon has moved a rollout to its next phase; the resource is the service, the text has the phase, the version and the reason."},
 	{ListShardTaken, "listShardTaken", Info, "This daemon caches another shard of the list of targets than before; the text has the peer that sent it, the cell and the number of entries."},
 	{ConfDropped, "confDropped", Info, "A received copy of the coordination store's data was older than the cached data and was discarded; the text has both revisions."},
-	{ServiceRestored, "serviceRestored", Warning, "The coordination store was restored from an older copy; the text has the store incarnation and revision of the copy, and the highest revision seen before: what was written in between is lost until its writers write it again."},
+	{ServiceRestored, "serviceRestored", Warning, "The coordination store was restored from an older copy; the text has the store incarnation and revision of the copy, and the highest revision seen before: what was written after the copy was made is lost until its writers write it again."},
 	{ValueInForce, "valueInForce", Warning, "The coordination store has an older value than the one that a peer has applied; the text has the version taken from the peer."},
 
 	{RequestAccepted, "requestAccepted", Debug, "A caller's request was authenticated and read."},
 	{RequestPlaced, "requestPlaced", Info, "A target was chosen; the text has the reasons and the candidates that were compared."},
-	{RequestDone, "requestDone", Info, "The whole response was sent to the caller."},
-	{RequestRefused, "requestRefused", Info, "The request was rejected; the text has the code and whether the request ran."},
+	{RequestDone, "requestDone", Info, "The full response was sent to the caller."},
+	{RequestRefused, "requestRefused", Info, "The request was refused; the text has the code and whether the request ran."},
 	{RequestRetried, "requestRetried", Warning, "The chosen target failed before its response began; another one is chosen."},
 	{StreamResumed, "streamResumed", Warning, "A broken stream continues after the last token that was delivered."},
 	{StreamBroken, "streamBroken", Warning, "A stream could not be resumed and was ended with an explicit error."},
@@ -196,14 +197,14 @@
 	{CallUnknown, "callUnknown", Warning, "A call that must not be repeated was interrupted; whether it ran is unknown."},
 
 	{LeaseTaken, "leaseTaken", Info, "This daemon has acquired a lease; the text has its name and epoch."},
-	{LeaseLost, "leaseLost", Warning, "A lease of this daemon was given back or found to have passed to another daemon."},
+	{LeaseLost, "leaseLost", Warning, "A lease of this daemon was released or found to have passed to another daemon."},
 	{OrderSent, "orderSent", Info, "An order with a fencing token was sent to a worker."},
 	{OrderDone, "orderDone", Info, "A worker reports that it has reached the ordered state."},
 	{OrderRejected, "orderRejected", Warning, "A worker or the coordination store rejected an order, for example for its fencing token."},
-	{OrderDeferred, "orderDeferred", Debug, "An order waits because enough workers are loading weights."},
+	{OrderDeferred, "orderDeferred", Debug, "An order waits because as many workers as allowed are loading weights."},
 }
 
-// Catalogue returns a copy of the entries of all events, in numeric order.
+// Catalogue returns a copy of the entries of all events, ordered by code.
 func Catalogue() []Entry {
 	return append([]Entry(nil), catalogue...)
 }
--- a/core/event/event.go
+++ b/core/event/event.go
@@ -47,7 +47,7 @@
 	Resource     string
 }
 
-// ringSize is the number of events kept for the timeline, about 1 MB.
+// ringSize is the number of events kept for the timeline; they take about 1 MB.
 const ringSize = 4096
 
 // Log writes events as log lines and keeps the latest events in memory. The zero
@@ -92,7 +92,7 @@
 }
 
 // SetLineLimiter limits the rate of log lines. It must be called before the first event.
-func (l *Log) SetLineLimiter(p *LineLimiter) { l.limiter = p }
+func (l *Log) SetLineLimiter(limiter *LineLimiter) { l.limiter = limiter }
 
 // SetLineRate changes how many lines of one code are written per second; 0 means no
 // limit.
@@ -178,8 +178,8 @@
 	}
 }
 
-// Since returns at most limit of the kept events with a sequence of at least
-// from, oldest first.
+// Since returns the kept events with a sequence of at least from, oldest first and at
+// most limit of them.
 func (l *Log) Since(from uint64, limit int) []Event {
 	l.ringMu.Lock()
 	defer l.ringMu.Unlock()
--- a/core/event/forecast.go
+++ b/core/event/forecast.go
@@ -10,10 +10,10 @@
 	// ExpectedMillis is the predicted time to the first response, in milliseconds.
 	ExpectedMillis float64 `json:"expectedMillis"`
 	// InTime is the predicted probability of a first response within the latency
-	// objective, and Served that of one before the caller gives up.
+	// objective, and Served the predicted probability of one before the caller gives up.
 	InTime float64 `json:"inTime"`
 	Served float64 `json:"served"`
-	// AimMillis is the remaining part of the latency objective at the decision, in
+	// AimMillis is the time that remained of the latency objective at the decision, in
 	// milliseconds; negative if the objective was already missed.
 	AimMillis float64 `json:"aimMillis"`
 	// FirstMillis is the time from the decision to the first response, in
--- a/core/event/limiter.go
+++ b/core/event/limiter.go
@@ -9,8 +9,9 @@
 // stays bounded under load. Warnings and errors have a higher limit. The zero value
 // sets no limit.
 type LineLimiter struct {
-	// LinesPerSecond is how many lines of one code are written per second; 0 means no
-	// limit. It is set before the first event and guarded by limiterMu afterwards.
+	// LinesPerSecond is the maximum number of lines of one code written per second; 0
+	// means no limit. It is set before the first event and guarded by limiterMu
+	// afterwards.
 	LinesPerSecond int
 
 	limiterMu sync.Mutex
@@ -21,46 +22,46 @@
 	skipped map[Code]int
 }
 
-// setRate changes PerSecond; it has no effect on a nil p.
-func (p *LineLimiter) setRate(perSecond int) {
-	if p == nil {
+// setRate changes LinesPerSecond; it has no effect on a nil l.
+func (l *LineLimiter) setRate(perSecond int) {
+	if l == nil {
 		return
 	}
-	p.limiterMu.Lock()
-	defer p.limiterMu.Unlock()
-	p.LinesPerSecond = perSecond
+	l.limiterMu.Lock()
+	defer l.limiterMu.Unlock()
+	l.LinesPerSecond = perSecond
 }
 
-// urgentFactor multiplies PerSecond for warnings and errors.
+// urgentFactor multiplies LinesPerSecond for warnings and errors.
 const urgentFactor = 5
 
 // allow reports whether a line may be written, and how many lines of its code were
 // omitted since the last one written.
-func (p *LineLimiter) allow(code Code, level Level, now time.Time) (bool, int) {
-	if p == nil {
+func (l *LineLimiter) allow(code Code, level Level, now time.Time) (bool, int) {
+	if l == nil {
 		return true, 0
 	}
-	p.limiterMu.Lock()
-	defer p.limiterMu.Unlock()
-	if p.LinesPerSecond == 0 {
+	l.limiterMu.Lock()
+	defer l.limiterMu.Unlock()
+	if l.LinesPerSecond == 0 {
 		return true, 0
 	}
-	if second := now.Unix(); second != p.second || p.counts == nil {
-		p.second, p.counts = second, map[Code]int{}
+	if second := now.Unix(); second != l.second || l.counts == nil {
+		l.second, l.counts = second, map[Code]int{}
 	}
-	if p.skipped == nil {
-		p.skipped = map[Code]int{}
+	if l.skipped == nil {
+		l.skipped = map[Code]int{}
 	}
-	limit := p.LinesPerSecond
+	limit := l.LinesPerSecond
 	if level == Warning || level == Error {
 		limit *= urgentFactor
 	}
-	p.counts[code]++
-	if p.counts[code] > limit {
-		p.skipped[code]++
+	l.counts[code]++
+	if l.counts[code] > limit {
+		l.skipped[code]++
 		return false, 0
 	}
-	skipped := p.skipped[code]
-	p.skipped[code] = 0
+	skipped := l.skipped[code]
+	l.skipped[code] = 0
 	return true, skipped
 }
--- a/core/event/lines.go
+++ b/core/event/lines.go
@@ -14,8 +14,8 @@
 const maxLineBytes = 1 << 20
 
 // ReadLines reads the events of log lines in JSON format, one list for each
-// process. Text before a line's first brace is ignored, as log collectors put
-// times and names there. Lines that are not events are counted in foreign.
+// process. Text before a line's first brace is ignored, since log collectors put times
+// and names there. foreign is the number of lines that are not events.
 func ReadLines(r io.Reader) (lists [][]Event, foreign int, err error) {
 	index := map[string]int{}
 	scan := bufio.NewScanner(r)
--- a/emberd/internal/daemon/daemon.go
+++ b/emberd/internal/daemon/daemon.go
@@ -57,8 +57,8 @@
 	// The TLS keys of the listeners; nil for a listener without TLS.
 	callerKeys, operatorKeys, peerKeys *tlsKeys
 
-	// platformMeter counts the bytes to and from the platform's services, and targetMeter
-	// those to and from targets that don't belong to callers' requests.
+	// platformMeter counts the bytes to and from the platform's services, and targetMeter those
+	// to and from targets, except for callers' requests.
 	platformMeter, targetMeter plat.Meter
 
 	// draining is set when the shutdown begins.
@@ -98,7 +98,7 @@
 	return d, nil
 }
 
-// newIncarnation returns a random name for this incarnation of the daemon.
+// newIncarnation returns a random identifier for this incarnation of the daemon.
 func newIncarnation() string {
 	const digits = 12
 	return strings.ReplaceAll(uuid.NewString(), "-", "")[:digits]
@@ -205,7 +205,8 @@
 	return ""
 }
 
-// isolated reports whether peers, box list and key-value service have been silent for Limits.IsolationTimeout.
+// isolated reports whether nothing was received from peers, box list and key-value service for
+// Limits.IsolationTimeout.
 func (d *Daemon) isolated() bool {
 	last := d.fleet.LastContact()
 	if at := d.config.Confirmed(); at.After(last) {
@@ -214,10 +215,10 @@
 	return !last.IsZero() && clock.Since(last) > d.settings.Limits.IsolationTimeout
 }
 
-// confirmedSinceResume reports whether the configuration has been confirmed since the
-// process noticed that it had been suspended. If the key-value service is down, it is
-// enough to have received from peers for as long as one may be silent (Peers.Suspect):
-// none of them had a newer configuration.
+// confirmedSinceResume reports whether the configuration has been confirmed since the process
+// noticed that it had been suspended. If the key-value service is down, it is enough that a live
+// peer has loaded a configuration and Peers.Suspect has passed: in that time each live peer of the
+// cell has sent a heartbeat, and none of them had a newer configuration.
 func (d *Daemon) confirmedSinceResume() bool {
 	at := d.resumedAt.Load()
 	if at == nil {
@@ -359,14 +360,14 @@
 
 // Times of a graceful shutdown.
 const (
-	// noticeTime is how long the daemon still accepts new connections, so that the load balancer can
-	// notice the shutdown. Requests are refused as not executed.
+	// noticeTime is how long the daemon still accepts new connections, so that the load balancer
+	// can notice the shutdown. Requests on them are refused as not executed.
 	noticeTime = time.Second
 	// drainPollInterval is the interval at which drain checks for running requests.
 	drainPollInterval = 50 * time.Millisecond
 )
 
-// drain waits until the running requests have ended, at most for Limits.DrainTimeout.
+// drain waits until the running requests have ended, for at most Limits.DrainTimeout.
 func (d *Daemon) drain() {
 	d.draining.Store(true)
 	d.fleet.Drain()
--- a/emberd/internal/daemon/keys.go
+++ b/emberd/internal/daemon/keys.go
@@ -24,7 +24,7 @@
 // loadedKeys is the content of the files at one time.
 type loadedKeys struct {
 	cert tls.Certificate
-	pool *x509.CertPool // certificates that peers must be signed by; nil without a CA file
+	pool *x509.CertPool // CA certificates that peers' certificates must be signed by; nil without a CA file
 	// modTime is the latest modification time of the files.
 	modTime time.Time
 }
@@ -71,8 +71,8 @@
 // reloadInterval is the interval at which the files are checked for changes.
 const reloadInterval = 2 * time.Second
 
-// run loads the files again when they change, until ctx is cancelled. Files that cannot be loaded are
-// logged, and the keys loaded before stay in use.
+// run loads the files again when they change, until ctx is cancelled. Files that cannot be loaded
+// are logged, and the keys loaded before stay in use.
 func (k *tlsKeys) run(ctx context.Context) {
 	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
@@ -125,11 +125,11 @@
 		// checks the chain instead, and package wire the name of the box.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(s tls.ConnectionState) error {
-			pool := x509.NewCertPool()
+			intermediates := x509.NewCertPool()
 			for _, c := range s.PeerCertificates[1:] {
-				pool.AddCert(c)
+				intermediates.AddCert(c)
 			}
-			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: current.pool, Intermediates: pool})
+			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: current.pool, Intermediates: intermediates})
 			return errors.WithStack(err)
 		},
 	}
--- a/emberd/internal/daemon/main.go
+++ b/emberd/internal/daemon/main.go
@@ -67,9 +67,9 @@
 	return exitOK
 }
 
-// gcPercent is the heap growth that starts a collection, as GOGC. It is below Go's
-// default of 100 because a daemon may use 32 MB and its heap is small: memory
-// matters more than the time for collections.
+// gcPercent is the heap growth that starts a garbage collection, as in GOGC. It is below Go's
+// default of 100 because a daemon may use only 32 MB and its heap is small: memory matters more
+// than the time for collections.
 const gcPercent = 50
 
 // runDaemon runs a daemon until SIGTERM or an interrupt, and returns the exit code.
@@ -98,7 +98,7 @@
 // EventPage returns the page docs/EVENTS.md.
 func EventPage() string {
 	var b strings.Builder
-	b.WriteString("# Events\n\nEvery log line and every entry of the time line is one of these. Numbers keep their meaning for ever. ")
+	b.WriteString("# Events\n\nEvery log line and every entry of the timeline is one of these. The meaning of a number never changes. ")
 	b.WriteString("This page is written by `emberd events`; a test keeps it true.\n\n| code | event | level | meaning |\n| --- | --- | --- | --- |\n")
 	for _, e := range event.Catalogue() {
 		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", e.Code, e.Name, e.Level, e.Meaning)
--- a/emberd/internal/daemon/settings.go
+++ b/emberd/internal/daemon/settings.go
@@ -156,8 +156,8 @@
 	c.Positive("limits.loadPause", l.LoadInterval)
 }
 
-// tls checks the TLS files of one listener. Without files, insecure must be set; a listener for peers
-// needs a CA file.
+// tls checks the TLS settings of one listener. Without files, insecure must be set; a listener for
+// peers needs a CA file.
 func (c *checker) tls(field string, t TLS, peers bool) {
 	if t.Cert == "" && t.Key == "" && t.CA == "" {
 		c.Need(t.Insecure, field, "needs cert and key, or insecure: true")
--- a/emberd/internal/host/applied.go
+++ b/emberd/internal/host/applied.go
@@ -15,24 +15,24 @@
 	"embertally.dev/platform"
 )
 
-// firstTable holds the first configuration of a store that may have been restored from an older copy.
-// It is applied once peers have been queried for a newer one.
+// firstTable holds the first configuration that was read from a store which may have been restored
+// from an older copy. It is applied once peers have been queried for a newer one.
 type firstTable struct {
 	mu      sync.Mutex
 	pending *table.Table // the configuration until then, else nil; guarded by mu
 }
 
 const (
-	// peersPollInterval is the interval at which awaitPeers looks for peers, and peersTimeout bounds its
-	// wait for the fleet to read the box list.
+	// peersPollInterval is the interval at which awaitPeers looks for peers, and peersTimeout
+	// bounds its wait for the fleet to read the box list.
 	peersPollInterval = 50 * time.Millisecond
 	peersTimeout      = 500 * time.Millisecond
-	// pullRetryDelay is the pause before peers are queried again when none has answered.
+	// pullRetryDelay is the delay before peers are queried again when none has responded.
 	pullRetryDelay = time.Second
 )
 
-// watchStoreIncarnations queries peers when the first copy of each store incarnation has been read, until
-// ctx is cancelled.
+// watchStoreIncarnations queries peers for newer values when the first snapshot of each store
+// incarnation has been read, until ctx is cancelled.
 func (h *Host) watchStoreIncarnations(ctx context.Context) {
 	for {
 		select {
@@ -43,7 +43,7 @@
 		if h.watchCache.StoreIncarnation() == 0 {
 			continue
 		}
-		for end := time.Now().Add(restoredGrace); !h.pullApplied(ctx) && time.Now().Before(end); {
+		for deadline := time.Now().Add(restoredGrace); !h.pullApplied(ctx) && time.Now().Before(deadline); {
 			if !wait.For(ctx, pullRetryDelay) {
 				return
 			}
@@ -51,20 +51,20 @@
 	}
 }
 
-// wakeIncarnationWatch makes watchStoreIncarnations query the peers. It never blocks, since the watch cache
-// calls it with its lock held.
-func (h *Host) wakeIncarnationWatch() {
+// triggerIncarnationCheck makes watchStoreIncarnations query the peers. It never blocks, since the
+// watch cache calls it with its lock held.
+func (h *Host) triggerIncarnationCheck() {
 	select {
 	case h.incarnationCheck <- struct{}{}:
 	default:
-		// A wake-up is already pending.
+		// A check is already pending.
 	}
 }
 
 // pullApplied queries peers for values that are newer than the store's, and applies the first
-// configuration if it is still pending. It returns false if there are peers and none has answered.
+// configuration if it is still pending. It returns false if there are peers and none has responded.
 func (h *Host) pullApplied(ctx context.Context) bool {
-	done := !h.awaitPeers(ctx) || h.applied.Pull(ctx, h.takePeerValue) > 0
+	done := !h.awaitPeers(ctx) || h.applied.Pull(ctx, h.receivePeerValue) > 0
 	h.firstTable.mu.Lock()
 	h.applied.MarkReady()
 	pending := h.firstTable.pending
@@ -78,11 +78,11 @@
 
 // awaitPeers waits until the fleet has peers, and reports whether there are any.
 func (h *Host) awaitPeers(ctx context.Context) bool {
-	for end := time.Now().Add(peersTimeout); ; {
+	for deadline := time.Now().Add(peersTimeout); ; {
 		if len(h.fleet.View().Peers()) > 0 {
 			return true
 		}
-		if h.isOnlyBox() || !time.Now().Before(end) || !wait.For(ctx, peersPollInterval) {
+		if h.isOnlyBox() || !time.Now().Before(deadline) || !wait.For(ctx, peersPollInterval) {
 			return false
 		}
 	}
@@ -98,12 +98,12 @@
 	return true
 }
 
-// takePeerValue applies a value of a peer that is newer than the store's or that the store lacks.
-func (h *Host) takePeerValue(p plat.Pair) {
+// receivePeerValue applies a value of a peer that is newer than the store's or that the store lacks.
+func (h *Host) receivePeerValue(p plat.Pair) {
 	recoverPanic(p.Key, func() { h.applyPeerValue(p) })
 }
 
-// applyPeerValue is takePeerValue without the recovery from panics.
+// applyPeerValue is receivePeerValue without the recovery from panics.
 func (h *Host) applyPeerValue(p plat.Pair) {
 	update, err := h.decoder.Read(plat.Change{Pair: p})
 	if err != nil {
@@ -124,8 +124,8 @@
 	}
 }
 
-// applyVersioned records a configuration that is being applied, and applies desired weights. The versions
-// of both only rise.
+// applyVersioned records a configuration that is being applied, and records and applies desired
+// weights. The versions of both only increase.
 func (h *Host) applyVersioned(p plat.Pair, update platform.News) {
 	switch {
 	case update.Table != nil:
@@ -137,7 +137,7 @@
 	}
 }
 
-// applyRollout applies operators' rollout of a version; the order's revision is 0 if they withdrew it.
+// applyRollout applies operators' order to roll out a version. Its revision is 0 if they withdrew it.
 func (h *Host) applyRollout(p plat.Pair, o *canary.Order) {
 	if o.Revision == 0 {
 		h.applied.Remove(p.Key)
@@ -159,11 +159,11 @@
 }
 
 // restoredGrace is how long an evacuation that is missing from a restored store stays applied, since
-// operators write again what the store has lost. It also bounds the retries to query peers.
+// operators write again what the store has lost. It also bounds how long querying peers is retried.
 const restoredGrace = 10 * time.Second
 
-// endEvacuationLater ends an evacuation that is missing from a restored store after restoredGrace, unless
-// it has been written again.
+// endEvacuationLater ends an evacuation that is missing from a restored store. It does so after
+// restoredGrace, unless the evacuation has been written again by then.
 func (h *Host) endEvacuationLater(domain, key string) {
 	time.AfterFunc(restoredGrace, func() {
 		if _, present := h.watchCache.Pair(key); !present {
@@ -173,16 +173,16 @@
 	})
 }
 
-// applyFromStore applies a configuration of the store. If the store may have been restored from a copy, the
-// first one stays pending until peers have been queried.
+// applyFromStore applies a configuration of the store. If the store may have been restored from a
+// copy, the first one stays pending until peers have been queried.
 func (h *Host) applyFromStore(t *table.Table) {
 	h.firstTable.mu.Lock()
-	defers := !h.applied.Ready() && h.watchCache.StoreIncarnation() > 0
-	if defers {
+	mustWait := !h.applied.Ready() && h.watchCache.StoreIncarnation() > 0
+	if mustWait {
 		h.firstTable.pending = t
 	}
 	h.firstTable.mu.Unlock()
-	if !defers {
+	if !mustWait {
 		h.applyTable(t)
 	}
 }
--- a/emberd/internal/host/applied_test.go
+++ b/emberd/internal/host/applied_test.go
@@ -17,8 +17,8 @@
 		`"Limits":{"MaxBodyBytes":9,"IdleTimeoutMs":9},"Tenants":[{"Name":"org","ApiKeys":["k"],"Priority":1}]}`)}
 }
 
-// takeFullCopy gives the daemon's watch cache a full copy of the store.
-func takeFullCopy(h *Host, revision int64, pairs ...plat.Pair) {
+// applyFullCopy gives the daemon's watch cache a full copy of the store.
+func applyFullCopy(h *Host, revision int64, pairs ...plat.Pair) {
 	var changes []plat.Change
 	for _, p := range pairs {
 		changes = append(changes, plat.Change{Pair: p})
@@ -29,18 +29,18 @@
 // Only a store that reports its incarnation may have been restored from a copy.
 func TestFirstConfigIsAppliedAtOnceIfTheStoreReportsNoIncarnation(t *testing.T) {
 	g, h := newHost(t)
-	takeFullCopy(h, 1, configPair("3", 1))
+	applyFullCopy(h, 1, configPair("3", 1))
 	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(3)))
 }
 
 // A restored store may hold an older configuration than one that peers have applied.
 func TestFirstConfigOfAStoreWithIncarnationsWaitsForThePeers(t *testing.T) {
 	g, h := newHost(t)
-	takeFullCopy(h, plat.Revision(1, 1), configPair("3", plat.Revision(1, 1)))
+	applyFullCopy(h, plat.Revision(1, 1), configPair("3", plat.Revision(1, 1)))
 	g.Expect(h.relay.Table()).To(gomega.BeNil())
 	g.Expect(h.notReadyReason()).NotTo(gomega.BeEmpty())
 	// A peer's newer configuration is applied at once, and stays applied.
-	h.takePeerValue(configPair("5", 0))
+	h.receivePeerValue(configPair("5", 0))
 	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(5)))
 	h.pullApplied(context.Background())
 	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(5)))
@@ -51,25 +51,25 @@
 
 func TestFirstConfigIsAppliedIfThereAreNoPeers(t *testing.T) {
 	g, h := newHost(t)
-	takeFullCopy(h, plat.Revision(1, 1), configPair("3", plat.Revision(1, 1)))
+	applyFullCopy(h, plat.Revision(1, 1), configPair("3", plat.Revision(1, 1)))
 	g.Expect(h.pullApplied(context.Background())).To(gomega.BeTrue())
 	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(3)))
 }
 
 func TestOperatorsRequestsAreAppliedFromAPeer(t *testing.T) {
 	g, h := newHost(t)
-	h.takePeerValue(plat.Pair{Key: "op/rollout/app", Value: []byte(`{"Service":"app","TargetVersion":"v2","DurationS":20}`), ModRevision: 7})
+	h.receivePeerValue(plat.Pair{Key: "op/rollout/app", Value: []byte(`{"Service":"app","TargetVersion":"v2","DurationS":20}`), ModRevision: 7})
 	g.Expect(h.canary.Undecided()).To(gomega.Equal(1))
-	h.takePeerValue(plat.Pair{Key: "op/evacuate/z1"})
+	h.receivePeerValue(plat.Pair{Key: "op/evacuate/z1"})
 	_, evacuated := h.roster.Evacuated("z1", time.Now())
 	g.Expect(evacuated).To(gomega.BeTrue())
-	h.takePeerValue(plat.Pair{Key: "op/version/m", Value: []byte(`{"Model":"m","Version":4}`)})
+	h.receivePeerValue(plat.Pair{Key: "op/version/m", Value: []byte(`{"Model":"m","Version":4}`)})
 	g.Expect(h.desired.version("m")).To(gomega.Equal(int64(4)))
 }
 
 func TestInvalidValuesFromAPeerAreIgnored(t *testing.T) {
 	g, h := newHost(t)
-	takeFullCopy(h, 1, configPair("3", 1))
+	applyFullCopy(h, 1, configPair("3", 1))
 	for _, p := range []plat.Pair{
 		{Key: "op/config", Value: []byte("{")},
 		{Key: "op/config", Value: []byte(`{"Version":9,"Routes":7}`)},
@@ -78,7 +78,7 @@
 		{Key: "servers/i-1", Value: []byte("{}")},
 		{Key: "other"},
 	} {
-		h.takePeerValue(p)
+		h.receivePeerValue(p)
 	}
 	g.Expect(h.relay.Table().Version()).To(gomega.Equal(int64(3)))
 	g.Expect(h.canary.Undecided()).To(gomega.BeZero())
--- a/emberd/internal/host/assignments.go
+++ b/emberd/internal/host/assignments.go
@@ -14,14 +14,14 @@
 	"embertally.dev/platform"
 )
 
-// buildAssignments creates the work that only some daemons do at a time, with the leases for it, and the
-// key by which other daemons find this one.
+// buildAssignments creates the components for work that only some daemons do at a time, with the
+// leases for it, and the leased key by which other daemons find this one.
 func (h *Host) buildAssignments(incarnation string, engines *platform.Engines) {
 	var leaderships []order.Leadership
 	for partition := range updatePartitions {
-		t := h.newLeadership(partition, incarnation)
-		h.leaderships = append(h.leaderships, t)
-		leaderships = append(leaderships, t)
+		leadership := h.newLeadership(partition, incarnation)
+		h.leaderships = append(h.leaderships, leadership)
+		leaderships = append(leaderships, leadership)
 	}
 	h.cellLeadership = &cellLeadership{host: h, owner: h.settings.Name + ownerSeparator + incarnation}
 	h.weightUpdater = order.NewWeightUpdater(order.WeightUpdaterOptions{
@@ -76,7 +76,7 @@
 }
 
 // boxTTL is how long a daemon that no longer renews its key stays in the box list. Heartbeats
-// detect its loss earlier; one renewal costs a tenth of a platform call.
+// detect its loss earlier, and each renewal costs a tenth of a platform call.
 const boxTTL = 12 * time.Second
 
 // assignmentRank returns this daemon's rank, from 0, for an assignment that only daemons which watch the
--- a/emberd/internal/host/box_list_test.go
+++ b/emberd/internal/host/box_list_test.go
@@ -66,8 +66,8 @@
 	return out
 }
 
-// A store restored from an older copy lacks the keys of later boxes. If they left the list at once, daemons
-// would lose their peers until all had written their keys again.
+// A store restored from an older copy lacks the keys of later boxes. If they were removed from the
+// list at once, daemons would lose their peers until all had written their keys again.
 func TestBoxesMissingFromARestoredStoreStayForAGracePeriod(t *testing.T) {
 	r := newBoxListRig(t)
 	r.write("a")
--- a/emberd/internal/host/changes.go
+++ b/emberd/internal/host/changes.go
@@ -10,8 +10,8 @@
 	"embertally.dev/core/table"
 )
 
-// applyChanges applies changes of the coordination store, in order. Of several configurations only the
-// last one is applied.
+// applyChanges applies changes of the coordination store, in order. Of several configurations only
+// the last one is applied, after all other changes.
 func (h *Host) applyChanges(changes []plat.Change) {
 	var newest *table.Table
 	for _, c := range changes {
@@ -72,7 +72,7 @@
 	return update.Table
 }
 
-// parseEntry returns the target's entry in a pair of the store; false if the pair holds none.
+// parseEntry returns the target's entry in a pair of the store; false if the pair is not one.
 func (h *Host) parseEntry(p plat.Pair) (spread.Entry, bool) {
 	e, ok := h.decoder.Entry(p)
 	if !ok {
@@ -81,8 +81,8 @@
 	return spread.Entry{Name: e.Name, Service: e.Service, Domain: e.Domain}, true
 }
 
-// logUnreadable logs why a key's value cannot be parsed, and not again until it could be parsed, because
-// targets write their entries with each heartbeat. Only applyChange calls it.
+// logUnreadable logs why a key's value cannot be parsed. It does so once until the value can be parsed
+// again, because targets write their entries with each heartbeat. Only applyChange calls it.
 func (h *Host) logUnreadable(key string, err error) {
 	if err == nil {
 		delete(h.unreadable, key)
@@ -123,7 +123,7 @@
 	}
 }
 
-// storeInfo describes a KV-cache store to the cache package. tokenBytes is the size of one cached token.
+// storeInfo describes a KV-cache store for package cache. tokenBytes is the size of one cached token.
 func storeInfo(s *table.Store, tokenBytes int) cache.StoreInfo {
 	return cache.StoreInfo{
 		Address: s.Address, Domain: s.Domain, Capacity: s.CapacityTokens, FirstByteDelay: s.FirstByteLatency,
--- a/emberd/internal/host/config_current_test.go
+++ b/emberd/internal/host/config_current_test.go
@@ -35,8 +35,8 @@
 	return plat.Change{Pair: plat.Pair{Key: key, ModRevision: revision}, Unfetched: true}
 }
 
-// A daemon that is waiting for a newer configuration must not claim that something does not exist: the newer
-// one may hold it.
+// A daemon that is waiting for a newer configuration must not claim that something does not exist:
+// the newer one may contain it.
 func TestConfigIsNotCurrentUntilANewerOneArrives(t *testing.T) {
 	g, h := newCurrentHost(t)
 	g.Expect(h.configCurrent()).To(gomega.BeTrue())
@@ -60,9 +60,9 @@
 	g.Expect(h.configOverdue(since.Add(maxAge))).To(gomega.BeZero())
 }
 
-// The time of a system suspend counts towards the age of the watch cache and of replaced weights. Without
-// that, a resumed daemon would claim that a key does not exist, or let prompt segments be copied, on the
-// basis of an old view.
+// The time of a system suspend counts towards the age of the watch cache and of replaced weights.
+// Without that, a resumed daemon would claim that a key does not exist, or let prompt segments be
+// copied, on the basis of an old view.
 func TestViewAgesDuringASystemSuspend(t *testing.T) {
 	g, h := newCurrentHost(t)
 	h.desired.set("m", 1)
@@ -76,8 +76,8 @@
 	g.Expect(h.configCurrent()).To(gomega.BeTrue())
 }
 
-// A change whose handler panics is reported and skipped. All daemons read the same changes, so otherwise
-// all would crash, and again at each start.
+// A change whose handler panics is reported and skipped. All daemons read the same changes, so
+// otherwise all would crash, and again at each start.
 func TestAChangeThatPanicsIsSkipped(t *testing.T) {
 	g, h := newCurrentHost(t)
 	reported := 0
--- a/emberd/internal/host/fleet_bench_test.go
+++ b/emberd/internal/host/fleet_bench_test.go
@@ -57,8 +57,8 @@
 const (
 	// idleTime is how long the fleet is measured without load.
 	idleTime = 10 * time.Second
-	// startMax bounds the processor time of the start of all daemons.
-	startMax = 100 * time.Second
+	// maxStartTime bounds the processor time of the start of all daemons.
+	maxStartTime = 100 * time.Second
 )
 
 // measureFleet starts a fleet and reports its processor time and its calls to the store.
@@ -90,7 +90,7 @@
 	}
 	for _, h := range hosts {
 		for len(h.fleet.View().Peers()) < daemons-1 || h.notReadyReason() != "" {
-			if processorTime(b)-start > startMax {
+			if processorTime(b)-start > maxStartTime {
 				b.Fatalf("%s has found %d peers; not ready: %q", h.settings.Name, len(h.fleet.View().Peers()), h.notReadyReason())
 			}
 			time.Sleep(20 * time.Millisecond)
--- a/emberd/internal/host/host.go
+++ b/emberd/internal/host/host.go
@@ -86,7 +86,8 @@
 	desired          desiredWeights
 	applied          *spread.AppliedValues
 	firstTable       firstTable
-	// incarnationCheck receives when the first copy of a store incarnation has been read; its capacity is 1.
+	// incarnationCheck receives when the first snapshot of a store incarnation has been read; its
+	// capacity is 1.
 	incarnationCheck chan struct{}
 	daemonCounter    daemonCounter
 
@@ -115,7 +116,7 @@
 	h.watchCache = plat.NewWatchCache(h.store, plat.Prefix(""), h.log)
 	h.watchCache.Observe(h.applyChanges)
 	h.incarnationCheck = make(chan struct{}, 1)
-	h.watchCache.OnStoreIncarnation = h.wakeIncarnationWatch
+	h.watchCache.OnStoreIncarnation = h.triggerIncarnationCheck
 	h.roster = roster.New(h.log, h.watchCache.LastOutage)
 	h.fleet = fleet.New(fleet.Options{
 		Name: settings.Name, Incarnation: incarnation, Address: settings.Peers, Domain: settings.Domain,
@@ -155,8 +156,8 @@
 	return h
 }
 
-// targetRank returns this daemon's rank, from 0, among the daemons that may choose a target, and their
-// number.
+// targetRank returns this daemon's rank, from 0, among the daemons that may choose a target, and the
+// number of these daemons.
 func (h *Host) targetRank(t *roster.Target) (rank, daemons int) {
 	return h.fleet.View().SelfRank(fleet.Key(t.ID()), h.chosenWithinCell(t))
 }
@@ -190,7 +191,7 @@
 	}}
 }
 
-// viewAge returns how old the watch cache of the coordination store is.
+// viewAge returns how old the content of the watch cache is.
 func (h *Host) viewAge() time.Duration { return clock.Since(h.watchCache.FreshAsOf()) }
 
 // configCurrent reports whether the applied configuration is known to be the newest.
@@ -198,13 +199,13 @@
 	return h.viewAge() < h.settings.Bounds.StoreSilence && !h.watchCache.HasUnfetched()
 }
 
-// overdueShare is the share of Bounds.OldConfiguration for which a daemon keeps using the
-// applied configuration after it learned that a newer one exists. The rest may have passed
-// before it learned that: a watch relay reads 1 MB over 10 Mbit/s in 1.1 s.
+// overdueShare is the share of Bounds.OldConfiguration for which a daemon keeps using the applied
+// configuration after it was notified that a newer one exists. The rest may have passed before
+// that: a watch relay reads 1 MB over 10 Mbit/s in 1.1 s.
 const overdueShare = 0.5
 
-// configOverdue returns how long a newer configuration has been known but not received, if that
-// is too long to handle requests by the applied one; else 0.
+// configOverdue returns how long a newer configuration has been known to exist without being
+// received, if that is too long to handle requests by the applied one; else 0.
 func (h *Host) configOverdue(now clock.Time) time.Duration {
 	since := h.watchCache.UnfetchedSince()
 	if since.IsZero() {
@@ -221,7 +222,7 @@
 // during it no request is sent to a worker with replaced weights.
 const oldWeightsMargin = 4 * time.Second
 
-// workerCapacity returns how many tokens a worker's cache holds; 0 if that is not known.
+// workerCapacity returns how many tokens a worker's cache has room for; 0 if that is not known.
 func (h *Host) workerCapacity(worker string) int {
 	target, t := h.roster.Target(worker), h.relay.Table()
 	if target == nil || t == nil {
--- a/emberd/internal/host/leaderships.go
+++ b/emberd/internal/host/leaderships.go
@@ -16,14 +16,14 @@
 
 // updatePartitions is the number of partitions of the workers for weight updates. The loss of a
 // daemon delays the workers of its partitions by about four seconds. With more partitions than
-// workers may load at a time (2 to 12 on the users' sites), too many would load.
+// workers that may load at a time (2 to 12 on the users' sites), too many would load.
 const updatePartitions = 4
 
 // ownerSeparator separates the name and the incarnation of the daemon that holds a lease.
 const ownerSeparator = "/"
 
-// newLeadership returns the lease to send weight updates to one partition of the workers. A
-// daemon ranks later for each other such lease it holds, so that they spread over the daemons.
+// newLeadership returns the lease to send weight updates to one partition of the workers. A daemon
+// ranks lower with each other such lease it holds, so that the leases spread over the daemons.
 func (h *Host) newLeadership(partition int, incarnation string) *lease.Timed {
 	key := keyWeightUpdates + strconv.Itoa(partition)
 	return lease.NewTimed(lease.TimedOptions{
@@ -35,8 +35,8 @@
 	})
 }
 
-// cellLeadership holds the lease to send weight updates to the workers of this daemon's cell, for services
-// whose workers are divided among the cells. The cell may change.
+// cellLeadership holds the lease to send weight updates to the workers of this daemon's cell, for
+// services whose workers are divided among the cells. The cell may change.
 type cellLeadership struct {
 	host  *Host
 	owner string // name and incarnation of this daemon
@@ -56,21 +56,22 @@
 	return t
 }
 
-// run keeps the lease that of the cell this daemon is in, until ctx is cancelled.
+// run holds the lease of the cell that this daemon is in, and switches leases when the cell changes,
+// until ctx is cancelled.
 func (c *cellLeadership) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	label, stop := "", context.CancelFunc(func() {})
 	defer func() { stop() }()
 	for wait.For(ctx, cellPollInterval) {
-		if now := c.host.fleet.View().CellLabel(); now != label {
+		if current := c.host.fleet.View().CellLabel(); current != label {
 			stop()
-			label = now
-			t := c.newLease(label)
+			label = current
+			timed := c.newLease(label)
 			leaseCtx, cancel := context.WithCancel(ctx)
 			stop = cancel
-			c.lease.Store(t)
-			wg.Go(func() { t.Run(leaseCtx) })
+			c.lease.Store(timed)
+			wg.Go(func() { timed.Run(leaseCtx) })
 		}
 	}
 }
@@ -87,16 +88,16 @@
 	})
 }
 
-// ineligible reports whether this daemon must not take a lease.
+// ineligible reports whether this daemon must not acquire a lease.
 func (h *Host) ineligible() bool { return h.draining.Load() || time.Since(h.started) < startupDelay }
 
-// startupDelay is how long after its start a daemon takes no lease. Until daemons
-// that start together have found each other, each ranks first for all leases and
-// tries to take them, which costs about fifteen billed calls a daemon. The users'
-// boxes start within 0.3 s; a daemon is found once its key has been written and read.
+// startupDelay is how long after its start a daemon acquires no lease. Until daemons that start
+// together have found each other, each ranks first for all leases and tries to acquire them, which
+// costs about fifteen billed calls per daemon. The users' boxes start within 0.3 s; a
+// daemon is found once its key has been written and read.
 const startupDelay = 1500 * time.Millisecond
 
-// ranksPerLeadership is by how many ranks a daemon comes later for each lease it holds.
+// ranksPerLeadership is how many ranks a daemon moves down for each partition lease that it holds.
 const ranksPerLeadership = 3
 
 // heldLeaderships counts the partition leases that this daemon holds according to the watch cache.
--- a/emberd/internal/host/main.go
+++ b/emberd/internal/host/main.go
@@ -21,16 +21,16 @@
 
 // Parameters of the garbage collector.
 const (
-	// gcPercent is the heap growth that starts a collection, as GOGC. It is below Go's
+	// gcPercent is the heap growth that starts a garbage collection, as in GOGC. It is below Go's
 	// default of 100 because peak memory is billed and a daemon's heap is small.
 	gcPercent = 60
-	// heapShare is the share of Settings.MemoryMB that becomes the soft memory limit of the Go
-	// runtime. Thread stacks, libraries and sockets need the rest.
+	// heapShare is the share of Settings.MemoryMB that is the soft memory limit of the Go runtime.
+	// Thread stacks, libraries and sockets need the rest.
 	heapShare = 0.6
 )
 
-// Main runs a hosted daemon with the settings file at path until SIGTERM or an interrupt, and returns the
-// exit code.
+// Main runs a hosted daemon with the settings file at path until SIGTERM or an interrupt, and returns
+// the exit code.
 func Main(path string) int {
 	settings, err := ReadSettings(path)
 	if err != nil {
--- a/emberd/internal/host/ready.go
+++ b/emberd/internal/host/ready.go
@@ -44,8 +44,8 @@
 
 // Times of a graceful shutdown.
 const (
-	// noticeTime is how long the platform may take to stop sending new
-	// connections: two readiness probes, a second apart.
+	// noticeTime is how long the platform may take to stop sending new connections: two
+	// readiness probes, a second apart.
 	noticeTime = 2600 * time.Millisecond
 	// stopMargin is the part of Bounds.Stop that is reserved for the exit of the process.
 	stopMargin = 700 * time.Millisecond
@@ -54,8 +54,8 @@
 )
 
 // drain serves new requests until the platform has stopped sending connections. Then it refuses
-// requests on connections that stayed open, since a long answer might not finish in
-// time, and waits for running requests.
+// requests on connections that stayed open, since a long answer might not finish before the
+// deadline, and waits for running requests.
 func (h *Host) drain(callers *http.Server) {
 	started := time.Now()
 	h.draining.Store(true)
@@ -72,7 +72,7 @@
 		}
 		time.Sleep(drainPollInterval)
 	}
-	// What is left are idle connections, and requests that run longer than the shutdown may take.
+	// What remains are idle connections, and requests that run longer than the shutdown may take.
 	callers.SetKeepAlivesEnabled(false)
 	time.Sleep(drainPollInterval)
 }
--- a/emberd/internal/host/serve.go
+++ b/emberd/internal/host/serve.go
@@ -41,8 +41,8 @@
 const (
 	// headerTimeout is longer than the header time that the users' configurations allow callers (3 s).
 	headerTimeout = 6 * time.Second
-	// idleTimeout is longer than the users' idle timeouts (15 s), so that the caller closes
-	// an idle connection and the daemon doesn't close it as a request arrives.
+	// idleTimeout is longer than the users' idle timeouts (15 s), so that the caller closes an
+	// idle connection first: if the daemon did, a request could arrive at the same time and fail.
 	idleTimeout = 2 * time.Minute
 )
 
--- a/emberd/internal/host/settings.go
+++ b/emberd/internal/host/settings.go
@@ -11,8 +11,8 @@
 	"embertally.dev/emberd/internal/settings"
 )
 
-// Settings is the content of a hosted daemon's settings file. The yaml tags name its keys, and the doc tags
-// are the descriptions in docs/SETTINGS.md.
+// Settings is the content of a hosted daemon's settings file. The yaml tags name its keys, and the
+// doc tags are the descriptions in docs/SETTINGS.md.
 type Settings struct {
 	Name   string `yaml:"name" doc:"Name of the box. Required."`
 	Domain string `yaml:"domain" doc:"Failure domain of the box. Required."`
@@ -35,7 +35,8 @@
 	Disabled  relay.Disabled    `yaml:"without" doc:"Mechanisms that are switched off, to measure what each is worth."`
 }
 
-// Costs holds the weights of the utility that placement maximises, in units of the answer to a plain call.
+// Costs holds the weights of the utility that placement maximises. The unit is the utility of the
+// answer to a call of a plain service.
 type Costs struct {
 	UtilityPerThousand   float64 `yaml:"token" doc:"What a thousand tokens of a prompt add to the worth of its answer."`
 	PastObjectiveShare   float64 `yaml:"late" doc:"Part of its worth that an answer after its aim keeps."`
@@ -84,13 +85,13 @@
 	}
 }
 
-// Bounds holds the guarantees that a deployment asks of the daemons.
+// Bounds holds the guarantees that a deployment requires of the daemons.
 type Bounds struct {
 	Stop         time.Duration `yaml:"stop" doc:"How long a planned stop may take."`
 	OrderGap     time.Duration `yaml:"orderApart" doc:"Least time between orders of two holders of the right to give them."`
 	OldWeights   time.Duration `yaml:"weights" doc:"How long after newer weights were named a request may begin on the older ones."`
 	StoreSilence time.Duration `yaml:"contact" doc:"Silence of the store after which the configuration may be old."`
-	// OldConfiguration counts from the store's acknowledgement of the newer configuration.
+	// OldConfiguration is measured from the store's acknowledgement of the newer configuration.
 	OldConfiguration time.Duration `yaml:"configuration" doc:"How long a request may be handled by a configuration that was replaced."`
 	WarmUpFactor     float64       `yaml:"coldOver" doc:"How many times what a service says that its cold targets bear in a second they may get from all daemons together."`
 	WarmUpExtra      float64       `yaml:"coldExtra" doc:"How many requests a second they may get beside."`
--- a/emberd/internal/host/state.go
+++ b/emberd/internal/host/state.go
@@ -18,18 +18,19 @@
 // itoa formats a number in decimal.
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-// desiredWeights records which versions of each model's weights operators have asked for. The zero value is
-// ready for use.
+// desiredWeights records which versions of each model's weights operators have requested. The zero
+// value is ready for use.
 type desiredWeights struct {
 	mu sync.Mutex
-	// versions holds the latest maxVersionsPerModel versions of each model, in rising order. Guarded by mu.
+	// versions holds the latest maxVersionsPerModel versions of each model, in ascending order.
+	// Guarded by mu.
 	versions map[string][]desiredVersion
 }
 
 // maxVersionsPerModel bounds the recorded versions of one model.
 const maxVersionsPerModel = 32
 
-// desiredVersion is one version that operators have asked for.
+// desiredVersion is one version that operators have requested.
 type desiredVersion struct {
 	version int64
 	// since is when this daemon received it.
@@ -84,8 +85,8 @@
 	return clock.Since(since)
 }
 
-// supersededSince returns when this daemon received the first version that is newer than the one in a
-// cache salt; false if there is none or the salt names no version.
+// supersededSince returns when this daemon received the first version that is newer than the one in
+// a cache salt; false if there is none or the salt names no version.
 func (d *desiredWeights) supersededSince(salt string) (clock.Time, bool) {
 	model, version, ok := cache.SaltVersion(salt)
 	if !ok {
@@ -94,27 +95,28 @@
 	return d.replacedSince(model, version)
 }
 
-// boxList reads the list of daemons' boxes from the watch cache of the coordination store. It is not safe
-// for concurrent use.
+// boxList reads the list of daemons' boxes from the watch cache of the coordination store. It is not
+// safe for concurrent use.
 type boxList struct {
 	watchCache *plat.WatchCache
-	// edits is the watch cache's edit count at the last read, and state that of the boxes' keys.
+	// edits is the watch cache's edit count at the last read, and state the state of the boxes'
+	// keys.
 	edits int64
 	state boxKeysState
 	// last holds the boxes of the last read by key, and incarnation is the store incarnation then.
 	last        map[string]plat.Box
 	incarnation int64
-	// missing holds the boxes of the last read before the store incarnation rose. They stay in the list
-	// until missingUntil.
+	// missing holds the boxes of the last read before the latest restore of the store. They stay
+	// in the list until missingUntil.
 	missing      map[string]plat.Box
 	missingUntil clock.Time
 }
 
-// boxGrace is how long a box that is missing from a restored store stays in the list: each daemon writes
-// its key again within a quarter of boxTTL.
+// boxGrace is how long a box that is missing from a restored store stays in the list. Each daemon
+// writes its key again within a quarter of boxTTL.
 const boxGrace = boxTTL / 2
 
-// boxKeysState shows whether the boxes' keys have changed: a new or changed one raises the latest
+// boxKeysState shows whether the boxes' keys have changed: a new or changed key raises the latest
 // revision, and a removed one changes the count.
 type boxKeysState struct {
 	read   bool // false before the first read
@@ -122,8 +124,8 @@
 	count  int
 }
 
-// Read returns the list, and false if it has not changed since the last read. Most changes of the watch
-// cache are of targets; they don't make it parse the boxes again.
+// Read returns the list, or nil and false if it has not changed since the last read. Most changes of
+// the watch cache are of targets; after them the boxes are not parsed again.
 func (b *boxList) Read(context.Context) ([]plat.Box, bool, error) {
 	expired := b.missing != nil && !clock.Now().Before(b.missingUntil)
 	if expired {
@@ -168,20 +170,20 @@
 
 	mu        sync.Mutex
 	highest   int        // guarded by mu
-	countedAt clock.Time // when highest was counted; guarded by mu
+	countedAt clock.Time // when highest was last counted; guarded by mu
 }
 
-// countMaxAge is how long the highest count is used: a daemon that sends no heartbeats
-// may still use its connections.
+// countMaxAge is how long the highest count is used after it was last reached: a daemon that sends
+// no heartbeats may still use its connections.
 const countMaxAge = 15 * time.Second
 
 // count returns the highest recent count of daemons, this one included.
 func (d *daemonCounter) count() int {
-	now := len(d.view().Peers()) + 1
+	current := len(d.view().Peers()) + 1
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now >= d.highest || clock.Since(d.countedAt) > countMaxAge {
-		d.highest, d.countedAt = now, clock.Now()
+	if current >= d.highest || clock.Since(d.countedAt) > countMaxAge {
+		d.highest, d.countedAt = current, clock.Now()
 	}
 	return d.highest
 }
--- a/emberd/internal/settings/settings.go
+++ b/emberd/internal/settings/settings.go
@@ -15,8 +15,8 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Read reads and checks a settings file. Keys that are missing in it keep their value in
-// defaults. The error lists all faults.
+// Read reads and checks a settings file. Keys that it lacks have their value in defaults. The
+// error lists all faults.
 func Read[T any](path string, defaults T, check func(*T) []string) (T, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return Parse(raw, defaults, check)
 }
 
-// Parse parses and checks settings in YAML. Missing keys keep their value in defaults, and
-// unknown keys are faults. check returns further faults. The error lists all faults.
+// Parse parses and checks settings in YAML. Missing keys have their value in defaults, and unknown
+// keys are faults. check returns further faults. The error lists all faults.
 func Parse[T any](raw []byte, defaults T, check func(*T) []string) (T, error) {
 	s := defaults
 	dec := yaml.NewDecoder(bytes.NewReader(raw))
--- a/emberd/internal/settings/settings_test.go
+++ b/emberd/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/gomega"
 )
 
-// fileSettings stands for the settings of a daemon.
+// fileSettings is an example of a daemon's settings.
 type fileSettings struct {
 	Address  string        `yaml:"address"`
 	Interval time.Duration `yaml:"pause"`
