--- a/core/event/codes.go
+++ b/core/event/codes.go
@@ -201,7 +201,7 @@
 	{OrderSent, "orderSent", Info, "An order with a fencing token was sent to a worker."},
 	{OrderDone, "orderDone", Info, "A worker reports that it has reached the ordered state."},
 	{OrderRejected, "orderRejected", Warning, "A worker or the coordination store rejected an order, for example for its fencing token."},
-	{OrderDeferred, "orderDeferred", Debug, "An order waits because as many workers as allowed are loading weights."},
+	{OrderDeferred, "orderDeferred", Debug, "An order waits: as many workers as allowed are loading weights, or an order of the former lease holder may still reach a worker that checks no fencing tokens."},
 }
 
 // Catalogue returns a copy of the entries of all events, ordered by code.
--- a/core/fleet/heartbeat.go
+++ b/core/fleet/heartbeat.go
@@ -133,9 +133,9 @@
 func (f *Fleet) resumed(gap time.Duration) {
 	f.fleetMu.Lock()
 	now := clock.Now()
-	for _, h := range f.peerStates {
-		if h.alive {
-			h.lastHeartbeat = now
+	for _, state := range f.peerStates {
+		if state.alive {
+			state.lastHeartbeat = now
 		}
 	}
 	f.fleetMu.Unlock()
@@ -151,12 +151,12 @@
 func (f *Fleet) detectLost(now clock.Time) {
 	f.fleetMu.Lock()
 	var lost []string
-	for name, h := range f.peerStates {
-		if h.alive && now.Sub(h.lastHeartbeat) > f.opts.SuspectAfter {
-			h.alive = false
+	for name, state := range f.peerStates {
+		if state.alive && now.Sub(state.lastHeartbeat) > f.opts.SuspectAfter {
+			state.alive = false
 			lost = append(lost, name)
 		}
-		if !h.alive && now.Sub(h.lastHeartbeat) > forgetAfter {
+		if !state.alive && now.Sub(state.lastHeartbeat) > forgetAfter {
 			delete(f.peerStates, name)
 		}
 	}
@@ -208,24 +208,24 @@
 func (f *Fleet) wantsFull(p Peer) (full bool, received string) {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
-	h := f.peerStates[p.Name]
-	if h == nil {
+	state := f.peerStates[p.Name]
+	if state == nil {
 		return true, ""
 	}
-	h.sinceFull++
-	if h.ackedIncarnation == f.opts.Incarnation && h.sinceFull < fullEvery {
-		return false, h.fullIncarnation
+	state.sinceFull++
+	if state.ackedIncarnation == f.opts.Incarnation && state.sinceFull < fullEvery {
+		return false, state.fullIncarnation
 	}
-	h.sinceFull = 0
-	return true, h.fullIncarnation
+	state.sinceFull = 0
+	return true, state.fullIncarnation
 }
 
 // collect assembles a heartbeat from all parts, without the parts that cannot be encoded.
 func (f *Fleet) collect(full bool) *heartbeat {
 	f.fleetMu.Lock()
-	b := &heartbeat{Incarnation: f.opts.Incarnation, Draining: f.draining, Full: full}
+	msg := &heartbeat{Incarnation: f.opts.Incarnation, Draining: f.draining, Full: full}
 	if full {
-		b.Address, b.Domain = f.opts.Address, f.opts.Domain
+		msg.Address, msg.Domain = f.opts.Address, f.opts.Domain
 	}
 	f.fleetMu.Unlock()
 	for _, p := range f.parts {
@@ -235,10 +235,10 @@
 		}
 		raw, err := msgpack.Marshal(v)
 		if err == nil {
-			b.Parts = append(b.Parts, heartbeatPart{Name: p.name, Body: raw})
+			msg.Parts = append(msg.Parts, heartbeatPart{Name: p.name, Body: raw})
 		}
 	}
-	return b
+	return msg
 }
 
 // sender sends one heartbeat to one peer.
@@ -256,15 +256,15 @@
 }
 
 // receive handles a peer's heartbeat.
-func (f *Fleet) receive(_ context.Context, from string, b *heartbeat) (struct{}, error) {
-	if f.record(from, b) {
+func (f *Fleet) receive(_ context.Context, from string, msg *heartbeat) (struct{}, error) {
+	if f.record(from, msg) {
 		f.opts.Log.Emit(event.PeerUp, event.Ref{}, from)
 		f.rebuild()
 	}
-	for _, bp := range b.Parts {
+	for _, received := range msg.Parts {
 		for _, p := range f.parts {
-			if p.name == bp.Name {
-				p.part.Receive(from, bp.Body)
+			if p.name == received.Name {
+				p.part.Receive(from, received.Body)
 			}
 		}
 	}
@@ -272,23 +272,23 @@
 }
 
 // record stores a heartbeat's content and reports whether it changes the view.
-func (f *Fleet) record(from string, b *heartbeat) bool {
+func (f *Fleet) record(from string, msg *heartbeat) bool {
 	f.fleetMu.Lock()
 	defer f.fleetMu.Unlock()
 	now := clock.Now()
 	f.lastContact = now
-	h := f.peerStates[from]
-	if h == nil {
-		h = &peerState{}
-		f.peerStates[from] = h
+	state := f.peerStates[from]
+	if state == nil {
+		state = &peerState{}
+		f.peerStates[from] = state
 	}
-	changed := !h.alive || h.incarnation != b.Incarnation || h.draining != b.Draining
-	h.lastHeartbeat, h.alive = now, true
-	h.incarnation, h.draining, h.ackedIncarnation = b.Incarnation, b.Draining, b.AckedIncarnation
-	if b.Full {
-		h.fullIncarnation = b.Incarnation
-		changed = changed || h.address != b.Address
-		h.address, h.domain = b.Address, b.Domain
+	changed := !state.alive || state.incarnation != msg.Incarnation || state.draining != msg.Draining
+	state.lastHeartbeat, state.alive = now, true
+	state.incarnation, state.draining, state.ackedIncarnation = msg.Incarnation, msg.Draining, msg.AckedIncarnation
+	if msg.Full {
+		state.fullIncarnation = msg.Incarnation
+		changed = changed || state.address != msg.Address
+		state.address, state.domain = msg.Address, msg.Domain
 	}
 	return changed
 }
--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -72,8 +72,8 @@
 // held.
 func (f *Fleet) fill(p *Peer, v *View) {
 	p.Cell = f.cells.of(p.Name, p.Domain)
-	if h := f.peerStates[p.Name]; h != nil {
-		p.Alive, p.Incarnation, p.Draining = h.alive, h.incarnation, h.draining
+	if state := f.peerStates[p.Name]; state != nil {
+		p.Alive, p.Incarnation, p.Draining = state.alive, state.incarnation, state.draining
 	}
 	if p.Cell != v.cell {
 		p.Alive = v.builtAt.After(f.lostUntil[p.Name])
@@ -114,9 +114,9 @@
 // addFromHeartbeats adds the live peers whose heartbeats carried an address. It is called with
 // fleetMu held.
 func (f *Fleet) addFromHeartbeats(byName map[string]Peer) {
-	for name, h := range f.peerStates {
-		if _, ok := byName[name]; !ok && h.alive && h.address != "" {
-			byName[name] = Peer{Name: name, Address: h.address, Domain: h.domain}
+	for name, state := range f.peerStates {
+		if _, ok := byName[name]; !ok && state.alive && state.address != "" {
+			byName[name] = Peer{Name: name, Address: state.address, Domain: state.domain}
 		}
 	}
 }
--- a/core/plat/restore_test.go
+++ b/core/plat/restore_test.go
@@ -115,7 +115,7 @@
 
 // Keys that are missing in a restored store are reported as restored; keys deleted later are
 // not.
-func TestKeysMissingAfterRestoreAreMarked(t *testing.T) {
+func TestKeysMissingAfterRestoreAreReportedAsRestored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	put(t, kv, "a/old", "1")
--- a/core/wire/stop_test.go
+++ b/core/wire/stop_test.go
@@ -9,23 +9,23 @@
 	"github.com/onsi/gomega"
 )
 
-// lateListener accepts one connection at once, and another one after the first was closed.
-type lateListener struct {
+// twoConnListener accepts one connection at once, and another one after the first was closed.
+type twoConnListener struct {
 	net.Listener
-	first, late         net.Conn
-	closed              <-chan struct{}
-	firstOnce, lateOnce sync.Once
+	first, second         net.Conn
+	closed                <-chan struct{}
+	firstOnce, secondOnce sync.Once
 }
 
-func (l *lateListener) Accept() (net.Conn, error) {
+func (l *twoConnListener) Accept() (net.Conn, error) {
 	var out net.Conn
 	l.firstOnce.Do(func() { out = l.first })
 	if out != nil {
 		return out, nil
 	}
-	l.lateOnce.Do(func() {
+	l.secondOnce.Do(func() {
 		<-l.closed
-		out = l.late
+		out = l.second
 	})
 	if out != nil {
 		return out, nil
@@ -40,8 +40,8 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	first, firstPeer := net.Pipe()
-	late, latePeer := net.Pipe()
-	defer latePeer.Close()
+	second, secondPeer := net.Pipe()
+	defer secondPeer.Close()
 	closed := make(chan struct{})
 	go func() {
 		// The Mux closes the first connection together with all others it has recorded.
@@ -52,7 +52,7 @@
 	stopped := make(chan struct{})
 	var m Mux
 	go func() {
-		m.Serve(ctx, &lateListener{Listener: l, first: first, late: late, closed: closed})
+		m.Serve(ctx, &twoConnListener{Listener: l, first: first, second: second, closed: closed})
 		close(stopped)
 	}()
 	g.Eventually(func() int {
@@ -61,11 +61,11 @@
 		return len(m.conns)
 	}, "30s", "1ms").Should(gomega.Equal(1))
 	cancel()
-	// Reading the hello would take up to handshakeTimeout if the late peer did not send one.
+	// Without a hello from the second peer, reading it would take up to handshakeTimeout.
 	go func() {
 		frame, err := encode(&envelope{Kind: kindHello, Body: []byte{0xa1, 'p'}})
 		if err == nil {
-			latePeer.Write(frame)
+			secondPeer.Write(frame)
 		}
 	}()
 	g.Eventually(stopped, "30s", "1ms").Should(gomega.BeClosed())
--- a/core/wire/wire_test.go
+++ b/core/wire/wire_test.go
@@ -37,7 +37,7 @@
 	return l.Addr().String()
 }
 
-func TestCallsAreAnswered(t *testing.T) {
+func TestCallsReturnResponses(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var m Mux
 	m.Register("echo", Handle(func(_ context.Context, from string, h *hello) (*hello, error) {
@@ -56,7 +56,7 @@
 		kind             Kind
 		err              error
 	}{
-		{"answer", "hi", "me:hi", "echo", nil},
+		{"response", "hi", "me:hi", "echo", nil},
 		{"error", "fail", "", "echo", ErrRemote},
 		{"nil", "nothing", "", "echo", nil},
 		{"unknown kind", "hi", "", "other", ErrRemote},
