--- a/emberd/internal/host/fleet_bench_test.go
+++ b/emberd/internal/host/fleet_bench_test.go
@@ -22,7 +22,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// fleetHost returns daemon number n of a fleet that runs in one process, each on a loopback address of its own.
+// fleetHost returns daemon number n of a fleet that runs in one process. Each daemon has its own
+// loopback address.
 func fleetHost(b *testing.B, n int, store string) *Host {
 	ip := fmt.Sprintf("127.8.%d.%d", n/200, 1+n%200)
 	settings := Defaults()
