--- a/core/fleet/peers.go
+++ b/core/fleet/peers.go
@@ -41,7 +41,7 @@
 		v.eligible = append(v.eligible, f.opts.Name)
 		v.expected = append(v.expected, f.opts.Name)
 	}
-	v.listed = sync.OnceValue(v.allListed)
+	v.notDraining = sync.OnceValue(v.listNotDraining)
 	v.domains = sync.OnceValue(func() map[string][]string { return v.byDomain(f.opts.Domain) })
 	sort.Strings(v.eligible)
 	sort.Strings(v.expected)
@@ -58,8 +58,7 @@
 	return sizes
 }
 
-// closeLinks closes the links to peers that a view no longer names. It is called
-// with fleetMu held.
+// closeLinks closes the links to peers that are not in v. It is called with fleetMu held.
 func (f *Fleet) closeLinks(v *View) {
 	for name, l := range f.links {
 		if _, ok := v.peer(name); !ok {
@@ -73,8 +72,8 @@
 // held.
 func (f *Fleet) fill(p *Peer, v *View) {
 	p.Cell = f.cells.of(p.Name, p.Domain)
-	if h := f.peerStates[p.Name]; h != nil {
-		p.Alive, p.Incarnation, p.Draining = h.alive, h.incarnation, h.draining
+	if state := f.peerStates[p.Name]; state != nil {
+		p.Alive, p.Incarnation, p.Draining = state.alive, state.incarnation, state.draining
 	}
 	if p.Cell != v.cell {
 		p.Alive = v.builtAt.After(f.lostUntil[p.Name])
@@ -115,9 +114,9 @@
 // addFromHeartbeats adds the live peers whose heartbeats carried an address. It is called with
 // fleetMu held.
 func (f *Fleet) addFromHeartbeats(byName map[string]Peer) {
-	for name, h := range f.peerStates {
-		if _, ok := byName[name]; !ok && h.alive && h.address != "" {
-			byName[name] = Peer{Name: name, Address: h.address, Domain: h.domain}
+	for name, state := range f.peerStates {
+		if _, ok := byName[name]; !ok && state.alive && state.address != "" {
+			byName[name] = Peer{Name: name, Address: state.address, Domain: state.domain}
 		}
 	}
 }
