--- a/embplay/internal/play/caller.go
+++ b/embplay/internal/play/caller.go
@@ -16,15 +16,15 @@
 	"embertally.dev/core/certs"
 )
 
-// Caller calls entry boxes as an organisation's program would.
+// Caller sends requests to entry boxes as an organisation's program would.
 type Caller struct {
 	client *http.Client
 }
 
 const idleConns = 64
 
-// NewCaller returns a caller that trusts the certificates signed by the one in
-// the file ca; an empty name trusts nothing but plain connections.
+// NewCaller returns a caller that trusts certificates signed by the one in the
+// file ca. Without a file, it uses the system's certificate authorities.
 func NewCaller(ca string) (*Caller, error) {
 	t := &http.Transport{MaxIdleConnsPerHost: idleConns, DisableCompression: true}
 	if ca != "" {
@@ -37,11 +37,11 @@
 	return &Caller{client: &http.Client{Transport: t}}, nil
 }
 
-// HTTP returns the client that the caller uses.
+// HTTP returns the caller's HTTP client.
 func (c *Caller) HTTP() *http.Client { return c.client }
 
-// Refused is the typed refusal of an entry box.
-type Refused struct {
+// Refusal is the JSON error with which an entry box refuses a request.
+type Refusal struct {
 	Status           int    `json:"-"`
 	Code             string `json:"code"`
 	Ran              string `json:"ran"`
@@ -49,26 +49,26 @@
 	RetryAfterMillis int64  `json:"retryAfterMillis"`
 }
 
-// Reply is what came of one request.
+// Reply is the result of one request.
 type Reply struct {
 	Request string
 	Text    string
-	// Whole tells that the answer ended as a whole one does.
-	Whole  bool
-	Status int
-	// First is the time to the first token, and Took the time to the end.
-	First, Took time.Duration
-	// PromptTokens, CachedTokens and Tokens are the answer's own figures.
+	// Complete reports whether the answer was received to its end.
+	Complete bool
+	Status   int
+	// FirstToken is the time from sending to the first token, Elapsed to the end.
+	FirstToken, Elapsed time.Duration
+	// PromptTokens, CachedTokens and Tokens are the usage that the answer states.
 	PromptTokens, CachedTokens, Tokens int
 	Body                               []byte
-	// Replayed tells that a call's answer was recorded from an earlier run.
+	// Replayed reports whether the answer was recorded from an earlier execution.
 	Replayed bool
-	Refused  *Refused
-	// Err is a failure of the connection.
+	Refusal  *Refusal
+	// Err is a connection failure, or a response that cannot be read.
 	Err error
 }
 
-// Prompt asks for a streamed answer.
+// Prompt sends a prompt and reads the streamed answer.
 func (c *Caller) Prompt(ctx context.Context, box, key, model, prompt string, tokens int) Reply {
 	body := struct {
 		Model         string `json:"model"`
@@ -84,35 +84,35 @@
 	if err != nil {
 		return Reply{Err: errors.WithStack(err)}
 	}
-	began := time.Now()
+	start := time.Now()
 	resp, err := c.send(ctx, http.MethodPost, box+"/v1/completions", key, "", "", raw)
 	if err != nil {
-		return Reply{Err: err, Took: time.Since(began)}
+		return Reply{Err: err, Elapsed: time.Since(start)}
 	}
 	defer resp.Body.Close()
 	r := Reply{Request: resp.Header.Get("X-Request-Id"), Status: resp.StatusCode}
 	if resp.StatusCode != http.StatusOK {
-		r.refusal(resp)
-		r.Took = time.Since(began)
+		r.readRefusal(resp)
+		r.Elapsed = time.Since(start)
 		return r
 	}
-	r.stream(resp.Body, began)
-	r.Took = time.Since(began)
+	r.readStream(resp.Body, start)
+	r.Elapsed = time.Since(start)
 	return r
 }
 
-// Call calls a plain service, with an idempotency key if that is not empty.
+// Call calls a plain service, with an idempotency key unless it is empty.
 func (c *Caller) Call(ctx context.Context, box, key, method, path, idempotency string, body []byte) Reply {
 	return c.CallWith(ctx, box, key, method, path, "Idempotency-Key", idempotency, body)
 }
 
-// CallWith calls a plain service with one more header, if its value is not
+// CallWith calls a plain service with an additional header, unless its value is
 // empty.
 func (c *Caller) CallWith(ctx context.Context, box, key, method, path, header, value string, body []byte) Reply {
-	began := time.Now()
+	start := time.Now()
 	resp, err := c.send(ctx, method, box+path, key, header, value, body)
 	if err != nil {
-		return Reply{Err: err, Took: time.Since(began)}
+		return Reply{Err: err, Elapsed: time.Since(start)}
 	}
 	defer resp.Body.Close()
 	r := Reply{
@@ -120,11 +120,11 @@
 		Replayed: resp.Header.Get("X-Embertally-Replayed") == "true",
 	}
 	if resp.StatusCode != http.StatusOK {
-		r.refusal(resp)
+		r.readRefusal(resp)
 	} else if r.Body, r.Err = io.ReadAll(resp.Body); r.Err == nil {
-		r.Whole = true
+		r.Complete = true
 	}
-	r.Took = time.Since(began)
+	r.Elapsed = time.Since(start)
 	return r
 }
 
@@ -137,24 +137,24 @@
 	req.Header.Set("Content-Type", "application/json")
 	if value != "" {
 		req.Header.Set(header, value)
-		// The transport must not repeat the call by itself.
+		// The transport must not retry the call by itself.
 		req.GetBody = nil
 	}
 	resp, err := c.client.Do(req)
 	return resp, errors.WithStack(err)
 }
 
-func (r *Reply) refusal(resp *http.Response) {
+func (r *Reply) readRefusal(resp *http.Response) {
 	raw, err := io.ReadAll(resp.Body)
 	var body struct {
-		Error *Refused `json:"error"`
+		Error *Refusal `json:"error"`
 	}
 	if err != nil || json.Unmarshal(raw, &body) != nil || body.Error == nil {
 		r.Err = errors.Errorf("status %d without a typed refusal: %.100s", resp.StatusCode, raw)
 		return
 	}
 	body.Error.Status = resp.StatusCode
-	r.Refused = body.Error
+	r.Refusal = body.Error
 }
 
 // streamChunk is one message of a streamed answer.
@@ -170,10 +170,10 @@
 			CachedTokens int `json:"cached_tokens"`
 		} `json:"prompt_tokens_details"`
 	} `json:"usage"`
-	Error *Refused `json:"error"`
+	Error *Refusal `json:"error"`
 }
 
-func (r *Reply) stream(body io.Reader, began time.Time) {
+func (r *Reply) readStream(body io.Reader, start time.Time) {
 	lines := bufio.NewScanner(body)
 	var text strings.Builder
 	finished := false
@@ -183,7 +183,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			r.Whole = finished
+			r.Complete = finished
 			break
 		}
 		var c streamChunk
@@ -192,15 +192,15 @@
 			return
 		}
 		if c.Error != nil {
-			r.Refused = c.Error
+			r.Refusal = c.Error
 			break
 		}
 		if c.Usage != nil {
 			r.PromptTokens, r.CachedTokens, r.Tokens = c.Usage.PromptTokens, c.Usage.Details.CachedTokens, c.Usage.CompletionTokens
 		}
 		for _, ch := range c.Choices {
-			if ch.Text != "" && r.First == 0 {
-				r.First = time.Since(began)
+			if ch.Text != "" && r.FirstToken == 0 {
+				r.FirstToken = time.Since(start)
 			}
 			text.WriteString(ch.Text)
 			finished = finished || ch.FinishReason != nil
--- a/embplay/internal/play/compare.go
+++ b/embplay/internal/play/compare.go
@@ -16,15 +16,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// saved is the figures of one replay with the points of its plot.
-type saved struct {
+// savedFigures is the file format of the figures of one replay: it includes the
+// points of the plot.
+type savedFigures struct {
 	Figures
-	AllFirsts []float64 `json:"allFirsts"`
+	AllFirstTokens []float64 `json:"allFirsts"`
 }
 
-// saveFigures writes the figures of one replay.
+// saveFigures writes the figures of one replay to the file path.
 func saveFigures(path string, f *Figures) error {
-	raw, err := json.MarshalIndent(saved{*f, f.Firsts}, "", "  ")
+	raw, err := json.MarshalIndent(savedFigures{*f, f.FirstTokens}, "", "  ")
 	if err != nil {
 		return errors.WithStack(err)
 	}
@@ -33,8 +34,8 @@
 
 const fileMode = 0o644
 
-// runCompare joins the figures of several replays: compare.json, a table and a
-// plot of the first-token times.
+// runCompare writes the figures of several replays to compare.json, plots their
+// first-token times in compare.svg and prints a table.
 func runCompare(files []string, dir string, out io.Writer) error {
 	var list []Figures
 	for _, path := range files {
@@ -42,11 +43,11 @@
 		if err != nil {
 			return errors.WithStack(err)
 		}
-		var s saved
+		var s savedFigures
 		if err := json.Unmarshal(raw, &s); err != nil {
 			return errors.Wrap(err, path)
 		}
-		s.Firsts = s.AllFirsts
+		s.FirstTokens = s.AllFirstTokens
 		list = append(list, s.Figures)
 	}
 	raw, err := json.MarshalIndent(list, "", "  ")
@@ -56,7 +57,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "compare.json"), raw, fileMode); err != nil {
 		return errors.WithStack(err)
 	}
-	if err := drawFirsts(list, filepath.Join(dir, "compare.svg")); err != nil {
+	if err := plotFirstTokens(list, filepath.Join(dir, "compare.svg")); err != nil {
 		return err
 	}
 	return printTable(list, out)
@@ -69,7 +70,7 @@
 		fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.3f\t%.3f\t%.1f\t%.2f\t%d\t%d\t%d\t%d\t%d\t\n",
 			f.Placement, f.Requests, f.FirstTokenP50, f.FirstTokenP95, f.FirstTokenP99, f.ReturnP95, f.DeskP95,
 			f.RecomputedShare, f.RecomputedBound, float64(f.LinkBytes)/1e9, f.LinkBusyShare,
-			f.Refused, f.Late, f.Lost, f.Doubled, f.Crossed)
+			f.Refused, f.PastObjective, f.Lost, f.Duplicated, f.Mismatched)
 	}
 	return errors.WithStack(w.Flush())
 }
@@ -84,24 +85,24 @@
 }
 
 const (
-	plotWide = 18 * vg.Centimeter
-	plotHigh = 11 * vg.Centimeter
-	lineWide = 1.5
+	plotWidth  = 18 * vg.Centimeter
+	plotHeight = 11 * vg.Centimeter
+	lineWidth  = 1.5
 )
 
-// drawFirsts plots the distributions of first-token times.
-func drawFirsts(list []Figures, path string) error {
+// plotFirstTokens plots the distribution of first-token times of each replay.
+func plotFirstTokens(list []Figures, path string) error {
 	p := plot.New()
 	p.Title.Text = "Time to first token"
 	p.X.Label.Text = "milliseconds"
 	p.Y.Label.Text = "share of requests at most this late"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	for i, f := range list {
-		firsts := slices.Clone(f.Firsts)
-		slices.Sort(firsts)
-		points := make(plotter.XYs, len(firsts))
-		for n, v := range firsts {
-			points[n].X, points[n].Y = max(1, v), float64(n+1)/float64(len(firsts))
+		times := slices.Clone(f.FirstTokens)
+		slices.Sort(times)
+		points := make(plotter.XYs, len(times))
+		for n, v := range times {
+			points[n].X, points[n].Y = max(1, v), float64(n+1)/float64(len(times))
 		}
 		if len(points) == 0 {
 			continue
@@ -110,10 +111,10 @@
 		if err != nil {
 			return errors.WithStack(err)
 		}
-		line.Color, line.Width = plotColors[i%len(plotColors)], vg.Points(lineWide)
+		line.Color, line.Width = plotColors[i%len(plotColors)], vg.Points(lineWidth)
 		p.Add(line)
 		p.Legend.Add(f.Placement, line)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
-	return errors.WithStack(p.Save(plotWide, plotHigh, path))
+	return errors.WithStack(p.Save(plotWidth, plotHeight, path))
 }
--- a/embplay/internal/play/judge.go
+++ b/embplay/internal/play/judge.go
@@ -10,7 +10,7 @@
 	"embertally.dev/embfake/fake"
 )
 
-// Figures are what one replay is judged by. Times are in milliseconds.
+// Figures are the results of one replay. Times are in milliseconds.
 type Figures struct {
 	Placement     string  `json:"placement"`
 	Requests      int     `json:"requests"`
@@ -21,32 +21,39 @@
 	// ReturnP95 that of long prompts that were seen before.
 	DeskP95   float64 `json:"deskP95"`
 	ReturnP95 float64 `json:"returnP95"`
-	// RecomputedShare is the prompt tokens that were computed although they
-	// had been seen before, over all that had been seen before.
+	// RecomputedShare is the share of prompt tokens seen before that were
+	// nevertheless computed again.
 	RecomputedShare float64 `json:"recomputedShare"`
-	// RecomputedBound is the share that an all-knowing placement with
-	// unlimited room reaches: what was seen before, but is still computed by
-	// another request when it comes.
+	// RecomputedBound is the lowest share that any placement can reach, even
+	// with unlimited capacity: the tokens seen before that another request was
+	// still computing when the prompt was sent.
 	RecomputedBound float64 `json:"recomputedBound"`
 	LinkBytes       int64   `json:"linkBytes"`
 	LinkBusyShare   float64 `json:"linkBusyShare"`
 	Refused         int     `json:"refused"`
-	Late            int     `json:"late"`
-	LateShare       float64 `json:"lateShare"`
-	Lost            int     `json:"lost"`
-	Doubled         int     `json:"doubled"`
-	Crossed         int     `json:"crossed"`
-	// Failures describe the first of what was lost, doubled or crossed.
+	// PastObjective counts first tokens after the latency objective;
+	// PastObjectiveShare is over all requests from CountFrom on.
+	PastObjective      int     `json:"late"`
+	PastObjectiveShare float64 `json:"lateShare"`
+	// Lost counts requests without a complete answer or refusal, and calls that
+	// were refused as not executed and were. Duplicated counts calls executed more
+	// than once. Mismatched counts answers that do not belong to their request.
+	Lost       int `json:"lost"`
+	Duplicated int `json:"doubled"`
+	Mismatched int `json:"crossed"`
+	// Failures describe the first maxFailures of the requests that count in
+	// Lost, Duplicated or Mismatched.
 	Failures []string `json:"failures,omitempty"`
-	// Firsts are all first-token times, for the plot.
-	Firsts []float64 `json:"-"`
+	// FirstTokens are all first-token times, for the plot.
+	FirstTokens []float64 `json:"-"`
 }
 
 // maxFailures bounds the failures that are described.
 const maxFailures = 10
 
-// judge computes the figures from the callers' and targets' records alone.
-func judge(r *replay, before, after []fake.StoreCounts, runs map[string]int) *Figures {
+// evaluate computes the figures from the callers' and targets' records alone;
+// runs has the number of executions of each idempotency key.
+func evaluate(r *replay, before, after []fake.StoreCounts, runs map[string]int) *Figures {
 	f := &Figures{}
 	busy := 0.0
 	for i := range after {
@@ -55,26 +62,27 @@
 	}
 	f.LinkBusyShare = busy / (r.trace.Header.Seconds * float64(len(after)))
 	slices.SortStableFunc(r.records, func(a, b record) int { return cmp.Compare(a.sent, b.sent) })
-	f.prompts(r)
-	f.calls(r, runs)
+	f.addPrompts(r)
+	f.addCalls(r, runs)
 	return f
 }
 
-func (f *Figures) fail(rec *record, why string) {
+func (f *Figures) addFailure(rec *record, why string) {
 	if len(f.Failures) < maxFailures {
 		f.Failures = append(f.Failures, why+": "+rec.String())
 	}
 }
 
-// span is when a chain of blocks was first computed: known from a prompt's
-// first token on.
-type span struct{ sent, known float64 }
+// firstSeen is the prompt that first contained a block: the times, in seconds of
+// the trace, when it was sent and when its first token showed the block computed.
+type firstSeen struct{ sent, ready float64 }
 
-func (f *Figures) prompts(r *replay) {
-	late := shapes[r.trace.Header.Deployment].lateSeconds
-	seen := map[cache.Hash]span{}
+// addPrompts adds the figures of all prompts.
+func (f *Figures) addPrompts(r *replay) {
+	objective := loadProfiles[r.trace.Header.Deployment].objectiveSeconds
+	seen := map[cache.Hash]firstSeen{}
 	var desk, returns []float64
-	var seenTokens, again, bound float64
+	var seenTokens, recomputed, bound float64
 	timed := 0
 	for i := range r.records {
 		rec := &r.records[i]
@@ -82,80 +90,83 @@
 			continue
 		}
 		f.Requests++
-		known, unready := f.learn(seen, rec)
-		if !f.sound(rec) {
+		seenCount, notReady := f.countSeen(seen, rec)
+		if !f.checkAnswer(rec) {
 			continue
 		}
-		seenTokens += float64(known)
-		bound += float64(unready)
-		again += max(0, float64(known-rec.reply.CachedTokens))
+		seenTokens += float64(seenCount)
+		bound += float64(notReady)
+		recomputed += max(0, float64(seenCount-rec.reply.CachedTokens))
 		if rec.event.At < r.trace.Header.CountFrom {
 			continue
 		}
 		timed++
-		first := milliseconds(rec.reply.First)
-		f.Firsts = append(f.Firsts, first)
+		first := milliseconds(rec.reply.FirstToken)
+		f.FirstTokens = append(f.FirstTokens, first)
 		if rec.event.Kind == Desk {
 			desk = append(desk, first)
-		} else if known > 0 {
+		} else if seenCount > 0 {
 			returns = append(returns, first)
 		}
-		if rec.reply.First.Seconds() > late {
-			f.Late++
+		if rec.reply.FirstToken.Seconds() > objective {
+			f.PastObjective++
 		}
 	}
-	f.FirstTokenP50, f.FirstTokenP95, f.FirstTokenP99 = percentile(f.Firsts, 50), percentile(f.Firsts, 95), percentile(f.Firsts, 99)
+	f.FirstTokenP50, f.FirstTokenP95, f.FirstTokenP99 = percentile(f.FirstTokens, 50), percentile(f.FirstTokens, 95), percentile(f.FirstTokens, 99)
 	f.DeskP95, f.ReturnP95 = percentile(desk, 95), percentile(returns, 95)
-	f.RecomputedShare, f.RecomputedBound = share(again, seenTokens), share(bound, seenTokens)
-	f.LateShare = share(float64(f.Late), float64(timed))
+	f.RecomputedShare, f.RecomputedBound = share(recomputed, seenTokens), share(bound, seenTokens)
+	f.PastObjectiveShare = share(float64(f.PastObjective), float64(timed))
 }
 
-// learn returns how many tokens of a prompt had been seen before it was sent,
-// and how many of those were not computed yet.
-func (f *Figures) learn(seen map[cache.Hash]span, rec *record) (known, unready int) {
+// countSeen returns how many tokens of a prompt had been in earlier prompts, and
+// how many of those were not computed yet when it was sent.
+func (f *Figures) countSeen(seen map[cache.Hash]firstSeen, rec *record) (seenCount, notReady int) {
 	seed := cache.Salt{Organisation: rec.event.Organisation, Model: fake.SiteModel, WeightVersion: rec.version()}.Seed()
-	ready := rec.sent + rec.reply.First.Seconds()
+	ready := rec.sent + rec.reply.FirstToken.Seconds()
 	for _, h := range cache.Chain(seed, rec.prompt) {
 		if s, ok := seen[h]; ok {
-			known += cache.BlockTokens
-			if s.known > rec.sent {
-				unready += cache.BlockTokens
+			seenCount += cache.BlockTokens
+			if s.ready > rec.sent {
+				notReady += cache.BlockTokens
 			}
 			continue
 		}
-		seen[h] = span{rec.sent, ready}
+		seen[h] = firstSeen{rec.sent, ready}
 	}
-	return known, unready
+	return seenCount, notReady
 }
 
-// version returns the weights that an answer came from.
+// version returns the version of the weights that gave an answer.
 func (rec *record) version() string {
-	if rec.reply.Text == fake.Answer(fake.SiteModel, swapVersion, rec.prompt, rec.event.Tokens) {
-		return swapVersion
+	if rec.reply.Text == fake.Answer(fake.SiteModel, updatedVersion, rec.prompt, rec.event.Tokens) {
+		return updatedVersion
 	}
 	return fake.SiteVersion
 }
 
-// sound counts what became of a prompt and reports whether it was answered.
-func (f *Figures) sound(rec *record) bool {
+// checkAnswer counts a refused or failed prompt and reports whether it was
+// answered correctly.
+func (f *Figures) checkAnswer(rec *record) bool {
 	reply := &rec.reply
 	switch {
-	case reply.Refused != nil && reply.Text == "":
+	case reply.Refusal != nil && reply.Text == "":
 		f.Refused++
 		return false
-	case reply.Err != nil || !reply.Whole:
+	case reply.Err != nil || !reply.Complete:
 		f.Lost++
-		f.fail(rec, "lost")
+		f.addFailure(rec, "lost")
 		return false
 	case reply.Text != fake.Answer(fake.SiteModel, rec.version(), rec.prompt, rec.event.Tokens):
-		f.Crossed++
-		f.fail(rec, "not the answer of the prompt")
+		f.Mismatched++
+		f.addFailure(rec, "not the answer of the prompt")
 		return false
 	}
 	return true
 }
 
-func (f *Figures) calls(r *replay, runs map[string]int) {
+// addCalls adds the figures of all calls of plain services; runs has the number of
+// executions of each idempotency key.
+func (f *Figures) addCalls(r *replay, runs map[string]int) {
 	for i := range r.records {
 		rec := &r.records[i]
 		if rec.event.Kind != Pay && rec.event.Kind != Look {
@@ -166,20 +177,20 @@
 		reply := &rec.reply
 		switch {
 		case rec.key != "" && n > 1:
-			f.Doubled++
-			f.fail(rec, fmt.Sprintf("ran %d times", n))
-		case reply.Whole && reply.Err == nil && (rec.key == "" || n == 1):
-		case reply.Whole:
-			f.Crossed++
-			f.fail(rec, "answered without a run, or differently")
-		case reply.Refused != nil && reply.Refused.Ran == "notRun" && n > 0:
+			f.Duplicated++
+			f.addFailure(rec, fmt.Sprintf("ran %d times", n))
+		case reply.Complete && reply.Err == nil && (rec.key == "" || n == 1):
+		case reply.Complete:
+			f.Mismatched++
+			f.addFailure(rec, "answered without a run, or differently")
+		case reply.Refusal != nil && reply.Refusal.Ran == "notRun" && n > 0:
 			f.Lost++
-			f.fail(rec, "said not run, but ran")
-		case reply.Refused != nil:
+			f.addFailure(rec, "said not run, but ran")
+		case reply.Refusal != nil:
 			f.Refused++
 		default:
 			f.Lost++
-			f.fail(rec, "lost")
+			f.addFailure(rec, "lost")
 		}
 	}
 }
@@ -193,7 +204,7 @@
 	return part / whole
 }
 
-// percentile returns the value below which p of 100 lie.
+// percentile returns the p-th percentile, or 0 for an empty list.
 func percentile(list []float64, p float64) float64 {
 	if len(list) == 0 {
 		return 0
@@ -203,22 +214,22 @@
 	return sorted[min(len(sorted)-1, int(p/100*float64(len(sorted))))]
 }
 
-// figure returns a figure by the name that stated outcomes use.
+// figure returns a figure by its name in an Outcome.
 func (f *Figures) figure(name string) (float64, bool) {
 	switch name {
 	case "lost":
 		return float64(f.Lost), true
 	case "doubled":
-		return float64(f.Doubled), true
+		return float64(f.Duplicated), true
 	case "crossed":
-		return float64(f.Crossed), true
+		return float64(f.Mismatched), true
 	case "lateShare":
-		return f.LateShare, true
+		return f.PastObjectiveShare, true
 	}
 	return 0, false
 }
 
-// unmet returns the stated outcomes that the figures do not meet.
+// unmet describes the expected outcomes that the figures do not meet.
 func (f *Figures) unmet(list []Outcome) []string {
 	var out []string
 	for _, o := range list {
--- a/embplay/internal/play/main.go
+++ b/embplay/internal/play/main.go
@@ -1,9 +1,9 @@
 // Package play owns the callers' side of demonstrations and measurements: it
-// calls entry boxes, writes and replays traces, and judges from the callers'
-// and targets' own records.
+// calls entry boxes, generates and replays traces, and evaluates the results
+// from the callers' and targets' own records.
 //
-// It must not read anything that the daemons claim of themselves, but for the
-// figures that a measurement is about.
+// It must not rely on anything that the daemons report about themselves, except
+// for the figures that are being measured.
 package play
 
 import (
@@ -85,13 +85,14 @@
 	worth := app.Command("worth", "Print what mechanisms are worth, from the lines that scripts/ablate.sh writes.")
 	worthFile := worth.Arg("file", "The lines.").Required().ExistingFile()
 	return []command{
-		{worth, func() error { return printWorth(*worthFile, out) }},
+		{worth, func() error { return printUtilities(*worthFile, out) }},
 		{trace, func() error { return writeTrace(*deployment, *seed, *length, *faults, *traceOut) }},
 		{run, func() error { return playTrace(*runDir, *runFile, *runPlacement, *runOut, out) }},
 		{compare, func() error { return runCompare(*compareFiles, *compareDir, out) }},
 	}
 }
 
+// writeTrace generates a trace and writes it to the file path.
 func writeTrace(deployment string, seed uint64, length time.Duration, faults bool, path string) error {
 	t, err := NewTrace(deployment, seed, length, faults)
 	if err != nil {
@@ -105,6 +106,8 @@
 	return t.Write(f)
 }
 
+// playTrace replays the trace in file, prints the figures and fails if an
+// expected outcome is not met.
 func playTrace(dir, file, placement, save string, out io.Writer) error {
 	f, err := os.Open(file)
 	if err != nil {
--- a/embplay/internal/play/run.go
+++ b/embplay/internal/play/run.go
@@ -24,30 +24,30 @@
 
 // replay plays one trace against a running site.
 type replay struct {
-	trace  *Trace
-	site   fake.SiteFile
-	dir    string
-	caller *Caller
-	began  time.Time
-	turn   atomic.Uint64
+	trace      *Trace
+	site       fake.SiteFile
+	dir        string // of the site
+	caller     *Caller
+	start      time.Time
+	boxCounter atomic.Uint64
 
 	recordMu sync.Mutex
 	records  []record // guarded by recordMu
-	// dead are the boxes that the balancer leaves out. Guarded by recordMu.
-	dead map[int]bool
+	// unreachable has the boxes that the load balancer skips. Guarded by recordMu.
+	unreachable map[int]bool
 }
 
-// record is what the callers know of one event.
+// record is the result of one event as its caller saw it.
 type record struct {
 	event Event
 	reply Reply
-	// sent is when it was sent, in seconds of the trace.
+	// sent is when it was first sent, in seconds of the trace.
 	sent   float64
 	prompt string
-	// key is the whole idempotency key of a call.
+	// key is the complete idempotency key of a call.
 	key string
-	// tries is how often it was sent.
-	tries int
+	// attempts is how often the request was sent.
+	attempts int
 }
 
 // runTrace replays a trace and returns its figures.
@@ -60,164 +60,167 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &replay{trace: t, site: site, dir: dir, caller: caller, dead: map[int]bool{}}
-	before, err := r.stores()
+	r := &replay{trace: t, site: site, dir: dir, caller: caller, unreachable: map[int]bool{}}
+	before, err := r.storeCounts()
 	if err != nil {
 		return nil, err
 	}
 	r.play()
-	after, err := r.stores()
+	after, err := r.storeCounts()
 	if err != nil {
 		return nil, err
 	}
-	runs, err := r.runs()
+	runs, err := r.executions()
 	if err != nil {
 		return nil, err
 	}
-	return judge(r, before, after, runs), nil
+	return evaluate(r, before, after, runs), nil
 }
 
-// replayLimit bounds what goes on after the last event.
-const replayLimit = 40 * time.Second
+// replayGrace bounds the time that requests may take after the end of the trace.
+const replayGrace = 40 * time.Second
 
 func (r *replay) play() {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(r.trace.Header.Seconds*float64(time.Second))+replayLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(r.trace.Header.Seconds*float64(time.Second))+replayGrace)
 	defer cancel()
 	var wg sync.WaitGroup
-	r.began = time.Now()
+	r.start = time.Now()
 	for i := range r.trace.Events {
 		e := r.trace.Events[i]
-		wait := time.Until(r.began.Add(time.Duration(e.At * float64(time.Second))))
+		wait := time.Until(r.start.Add(time.Duration(e.At * float64(time.Second))))
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
 		}
-		wg.Go(func() { r.one(ctx, e) })
+		wg.Go(func() { r.playEvent(ctx, e) })
 	}
 	wg.Wait()
 }
 
-// box returns the next box of the balancer.
+// box returns the index of the next box, as a round-robin load balancer does. It
+// skips unreachable boxes unless all are.
 func (r *replay) box() int {
 	r.recordMu.Lock()
 	defer r.recordMu.Unlock()
 	for {
-		i := int(r.turn.Add(1)) % len(r.site.Daemons)
-		if !r.dead[i] || len(r.dead) == len(r.site.Daemons) {
+		i := int(r.boxCounter.Add(1)) % len(r.site.Daemons)
+		if !r.unreachable[i] || len(r.unreachable) == len(r.site.Daemons) {
 			return i
 		}
 	}
 }
 
-func (r *replay) one(ctx context.Context, e Event) {
+func (r *replay) playEvent(ctx context.Context, e Event) {
 	switch e.Kind {
 	case Review, Desk:
-		r.ask(ctx, e)
+		r.sendPrompt(ctx, e)
 	case Pay, Look:
-		r.call(ctx, e)
+		r.sendCall(ctx, e)
 	case Rewrite:
 		r.rewrite(ctx, e)
 	default:
-		r.fault(ctx, e)
+		r.injectFault(ctx, e)
 	}
 }
 
-func (r *replay) add(rec record) {
+func (r *replay) addRecord(rec record) {
 	r.recordMu.Lock()
 	defer r.recordMu.Unlock()
 	r.records = append(r.records, rec)
 }
 
-func (r *replay) since() float64 { return time.Since(r.began).Seconds() }
+func (r *replay) seconds() float64 { return time.Since(r.start).Seconds() }
 
-// boxTries is how many boxes the balancer tries where one does not answer or
-// takes no requests.
-const boxTries = 4
+// maxBoxAttempts bounds the attempts of a prompt while boxes are unreachable or not
+// ready.
+const maxBoxAttempts = 4
 
-// ask sends a prompt. Where a box cannot be reached, or says that it is not
-// ready and the request did not run, the balancer leads to another.
-func (r *replay) ask(ctx context.Context, e Event) {
-	rec := record{event: e, sent: r.since(), prompt: e.prompt()}
+// sendPrompt sends a prompt, and retries through other boxes while a box cannot be
+// reached or refuses the request because it is not ready.
+func (r *replay) sendPrompt(ctx context.Context, e Event) {
+	rec := record{event: e, sent: r.seconds(), prompt: e.prompt()}
 	key := r.site.CallerKeys[e.Organisation]
-	began := time.Now()
-	for rec.tries < boxTries {
-		rec.tries++
+	start := time.Now()
+	for rec.attempts < maxBoxAttempts {
+		rec.attempts++
 		box := r.box()
 		rec.reply = r.caller.Prompt(ctx, r.site.Daemons[box].Callers, key, fake.SiteDeployment, rec.prompt, e.Tokens)
-		if !r.elsewhere(box, &rec.reply) {
+		if !r.retryOtherBox(box, &rec.reply) {
 			break
 		}
 	}
-	if rec.reply.First > 0 {
-		rec.reply.First += time.Since(began) - rec.reply.Took
+	if rec.reply.FirstToken > 0 {
+		rec.reply.FirstToken += time.Since(start) - rec.reply.Elapsed
 	}
-	r.add(rec)
+	r.addRecord(rec)
 }
 
-// elsewhere reports whether a balancer would lead to another box.
-func (r *replay) elsewhere(box int, reply *Reply) bool {
+// retryOtherBox reports whether a load balancer would retry through another box,
+// and marks a box that refuses connections as unreachable.
+func (r *replay) retryOtherBox(box int, reply *Reply) bool {
 	if reply.Err != nil && reply.Status == 0 && errors.Is(reply.Err, syscall.ECONNREFUSED) {
 		r.recordMu.Lock()
-		r.dead[box] = true
+		r.unreachable[box] = true
 		r.recordMu.Unlock()
 		return true
 	}
-	return reply.Refused != nil && reply.Refused.Code == "notReady"
+	return reply.Refusal != nil && reply.Refusal.Code == "notReady"
 }
 
-// callTries is how often a caller sends a call with a key until it knows the
-// outcome.
-const callTries = 12
+// maxCallAttempts bounds how often a caller sends a call until its outcome is
+// recorded.
+const maxCallAttempts = 12
 
-// call sends a call until its outcome is known, as a careful client does.
-func (r *replay) call(ctx context.Context, e Event) {
-	rec := record{event: e, sent: r.since()}
+// sendCall sends a call until its outcome is recorded, and once more after that
+// where the event asks for it. A repeated call must get the same answer.
+func (r *replay) sendCall(ctx context.Context, e Event) {
+	rec := record{event: e, sent: r.seconds()}
 	key := r.site.CallerKeys[e.Organisation]
 	method, path, body := http.MethodGet, "/status", []byte(nil)
 	if e.Kind == Pay {
 		rec.key = e.idempotency(time.Now())
 		method, path, body = http.MethodPost, "/renewals", []byte(`{"account":"`+rec.key+`"}`)
 	}
-	began := time.Now()
-	for rec.tries < callTries {
-		rec.tries++
+	start := time.Now()
+	for rec.attempts < maxCallAttempts {
+		rec.attempts++
 		box := r.box()
 		rec.reply = r.caller.Call(ctx, r.site.Daemons[box].Callers, key, method, "/services/"+fake.SiteService+path, rec.key, body)
-		if rec.reply.Whole || !r.again(box, &rec.reply) {
+		if rec.reply.Complete || !r.waitForRetry(box, &rec.reply) {
 			break
 		}
 	}
-	rec.reply.Took = time.Since(began)
-	r.add(rec)
-	if e.Resend && rec.reply.Whole {
-		again := record{event: e, sent: r.since(), key: rec.key, tries: 1}
-		again.reply = r.caller.Call(ctx, r.site.Daemons[r.box()].Callers, key, method, "/services/"+fake.SiteService+path, rec.key, body)
-		if again.reply.Whole && string(again.reply.Body) != string(rec.reply.Body) {
-			again.reply.Err = errors.New("a repeated call got another answer")
+	rec.reply.Elapsed = time.Since(start)
+	r.addRecord(rec)
+	if e.Resend && rec.reply.Complete {
+		repeated := record{event: e, sent: r.seconds(), key: rec.key, attempts: 1}
+		repeated.reply = r.caller.Call(ctx, r.site.Daemons[r.box()].Callers, key, method, "/services/"+fake.SiteService+path, rec.key, body)
+		if repeated.reply.Complete && string(repeated.reply.Body) != string(rec.reply.Body) {
+			repeated.reply.Err = errors.New("a repeated call got another answer")
 		}
-		r.add(again)
+		r.addRecord(repeated)
 	}
 }
 
-// again waits as the refusal says and reports whether the call may be sent
-// again: always with a key.
-func (r *replay) again(box int, reply *Reply) bool {
-	if r.elsewhere(box, reply) {
+// waitForRetry waits for the time that the refusal states and reports whether the
+// call should be sent again.
+func (r *replay) waitForRetry(box int, reply *Reply) bool {
+	if r.retryOtherBox(box, reply) {
 		return true
 	}
-	pause := 200 * time.Millisecond
-	if reply.Refused != nil {
-		if reply.Refused.RetryAfterMillis == 0 {
+	delay := 200 * time.Millisecond
+	if reply.Refusal != nil {
+		if reply.Refusal.RetryAfterMillis == 0 {
 			return false
 		}
-		pause = time.Duration(reply.Refused.RetryAfterMillis) * time.Millisecond
+		delay = time.Duration(reply.Refusal.RetryAfterMillis) * time.Millisecond
 	}
-	time.Sleep(pause)
+	time.Sleep(delay)
 	return true
 }
 
-// operator sends a request to a daemon's operators' side.
-func (r *replay) operator(ctx context.Context, method, path string, body, reply any) error {
+// callOperatorAPI sends a request to the operator API of the next daemon.
+func (r *replay) callOperatorAPI(ctx context.Context, method, path string, body, reply any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return errors.WithStack(err)
@@ -240,52 +243,54 @@
 	return errors.WithStack(json.Unmarshal(got, reply))
 }
 
-// operated is a resource as the operators' side gives it.
-type operated struct {
+// operatorResource is a resource as the operator API returns it.
+type operatorResource struct {
 	ResourceVersion string          `json:"resourceVersion"`
 	Spec            json.RawMessage `json:"spec"`
 }
 
-// rewrite reads a policy and writes it again, as automation does.
+// rewrite reads a policy and writes it back unchanged, as automation does.
 func (r *replay) rewrite(ctx context.Context, e Event) {
 	path := "/v1/resources/policies/" + e.Organisation
-	var got operated
-	err := r.operator(ctx, http.MethodGet, path, nil, &got)
+	var got operatorResource
+	err := r.callOperatorAPI(ctx, http.MethodGet, path, nil, &got)
 	if err == nil {
-		err = r.operator(ctx, http.MethodPut, path, got, nil)
+		err = r.callOperatorAPI(ctx, http.MethodPut, path, got, nil)
 	}
-	rec := record{event: e, sent: r.since()}
+	rec := record{event: e, sent: r.seconds()}
 	rec.reply.Err = err
-	r.add(rec)
+	r.addRecord(rec)
 }
 
-// Lengths of faults.
+// Durations and extent of faults.
 const (
-	slowFor   = 3 * time.Second
-	lostFor   = 3 * time.Second
-	slowShare = 10
+	slowLinkDuration = 3 * time.Second
+	storeOutage      = 3 * time.Second
+	linkSlowdown     = 10
 )
 
-// fault brings about one fault.
-func (r *replay) fault(ctx context.Context, e Event) {
-	rec := record{event: e, sent: r.since()}
+// injectFault injects the fault of an event.
+func (r *replay) injectFault(ctx context.Context, e Event) {
+	rec := record{event: e, sent: r.seconds()}
 	switch e.Kind {
 	case LinkSlow:
 		rec.reply.Err = r.slowLink(ctx, r.site.Stores[e.Index%len(r.site.Stores)].URL)
-	case StoreLost:
-		rec.reply.Err = r.loseStore(ctx, r.site.Stores[e.Index%len(r.site.Stores)].URL)
+	case StoreRestart:
+		rec.reply.Err = r.restartStoreEmpty(ctx, r.site.Stores[e.Index%len(r.site.Stores)].URL)
 	case WorkerLeaves:
 		name := r.site.Engines[e.Index%len(r.site.Engines)].Name
 		box := plat.Box{Role: plat.RoleTarget, State: plat.BoxLeaving}
-		rec.reply.Err = r.fake(ctx, http.MethodPut, fake.Base(r.site.BoxList)+"/v1/boxes/"+name, box, nil)
-	case Swap:
-		rec.reply.Err = r.swap(ctx)
-	case BoxDies:
-		rec.reply.Err = r.kill(e.Index % len(r.site.Daemons))
+		rec.reply.Err = r.control(ctx, http.MethodPut, fake.Base(r.site.BoxList)+"/v1/boxes/"+name, box, nil)
+	case WeightUpdate:
+		rec.reply.Err = r.updateWeights(ctx)
+	case BoxKilled:
+		rec.reply.Err = r.killDaemon(e.Index % len(r.site.Daemons))
 	}
-	r.add(rec)
+	r.addRecord(rec)
 }
 
+// slowLink divides the bandwidth of a store's link by linkSlowdown for
+// slowLinkDuration.
 func (r *replay) slowLink(ctx context.Context, url string) error {
 	preset, err := fake.SitePreset(r.trace.Header.Deployment)
 	if err != nil {
@@ -295,45 +300,46 @@
 	type link struct {
 		BytesPerSecond float64 `json:"bytesPerSecond"`
 	}
-	if err := r.fake(ctx, http.MethodPost, url+"/link", link{rate / slowShare}, nil); err != nil {
+	if err := r.control(ctx, http.MethodPost, url+"/link", link{rate / linkSlowdown}, nil); err != nil {
 		return err
 	}
-	time.Sleep(slowFor)
-	return r.fake(ctx, http.MethodPost, url+"/link", link{rate}, nil)
+	time.Sleep(slowLinkDuration)
+	return r.control(ctx, http.MethodPost, url+"/link", link{rate}, nil)
 }
 
-// loseStore stops a store that comes back empty.
-func (r *replay) loseStore(ctx context.Context, url string) error {
+// restartStoreEmpty empties a store and makes it unreachable for storeOutage.
+func (r *replay) restartStoreEmpty(ctx context.Context, url string) error {
 	type fault struct {
 		Name  fake.Fault `json:"name"`
 		Value float64    `json:"value"`
 	}
-	if err := r.fake(ctx, http.MethodPost, url+"/reset", nil, nil); err != nil {
+	if err := r.control(ctx, http.MethodPost, url+"/reset", nil, nil); err != nil {
 		return err
 	}
-	if err := r.fake(ctx, http.MethodPost, url+"/fault", fault{fake.Down, 2}, nil); err != nil {
+	if err := r.control(ctx, http.MethodPost, url+"/fault", fault{fake.Down, 2}, nil); err != nil {
 		return err
 	}
-	time.Sleep(lostFor)
-	return r.fake(ctx, http.MethodPost, url+"/fault", fault{fake.Down, 0}, nil)
+	time.Sleep(storeOutage)
+	return r.control(ctx, http.MethodPost, url+"/fault", fault{fake.Down, 0}, nil)
 }
 
-// swap gives the deployment weights of the next version.
-func (r *replay) swap(ctx context.Context) error {
+// updateWeights changes the weight version of the deployment to updatedVersion.
+func (r *replay) updateWeights(ctx context.Context) error {
 	path := "/v1/resources/deployments/" + fake.SiteDeployment
-	var got operated
-	if err := r.operator(ctx, http.MethodGet, path, nil, &got); err != nil {
+	var got operatorResource
+	if err := r.callOperatorAPI(ctx, http.MethodGet, path, nil, &got); err != nil {
 		return err
 	}
-	got.Spec = bytes.Replace(got.Spec, []byte(`"`+fake.SiteVersion+`"`), []byte(`"`+swapVersion+`"`), 1)
-	return r.operator(ctx, http.MethodPut, path, got, nil)
+	got.Spec = bytes.Replace(got.Spec, []byte(`"`+fake.SiteVersion+`"`), []byte(`"`+updatedVersion+`"`), 1)
+	return r.callOperatorAPI(ctx, http.MethodPut, path, got, nil)
 }
 
-// swapVersion is the weight version that a swap leads to.
-const swapVersion = "v2"
+// updatedVersion is the weight version after a weight update.
+const updatedVersion = "v2"
 
-// kill kills a daemon, whose process the script that started it wrote down.
-func (r *replay) kill(i int) error {
+// killDaemon kills a daemon; the script that started it wrote its process ID to a
+// file in the site's folder.
+func (r *replay) killDaemon(i int) error {
 	raw, err := os.ReadFile(filepath.Join(r.dir, r.site.Daemons[i].Name+".pid"))
 	if err != nil {
 		return errors.WithStack(err)
@@ -345,8 +351,8 @@
 	return errors.WithStack(syscall.Kill(pid, syscall.SIGKILL))
 }
 
-// fake uses a switch of a stand-in.
-func (r *replay) fake(ctx context.Context, method, url string, body, reply any) error {
+// control sends a request to the control API of a fake target.
+func (r *replay) control(ctx context.Context, method, url string, body, reply any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return errors.WithStack(err)
@@ -370,22 +376,23 @@
 	return errors.WithStack(json.NewDecoder(resp.Body).Decode(reply))
 }
 
-func (r *replay) stores() ([]fake.StoreCounts, error) {
+// storeCounts returns the counters of each KV-cache store.
+func (r *replay) storeCounts() ([]fake.StoreCounts, error) {
 	out := make([]fake.StoreCounts, len(r.site.Stores))
 	for i, s := range r.site.Stores {
-		if err := r.fake(context.Background(), http.MethodGet, s.URL+"/counts", nil, &out[i]); err != nil {
+		if err := r.control(context.Background(), http.MethodGet, s.URL+"/counts", nil, &out[i]); err != nil {
 			return nil, err
 		}
 	}
 	return out, nil
 }
 
-// runs returns how often each key ran at the targets.
-func (r *replay) runs() (map[string]int, error) {
+// executions returns how often the targets executed the call with each key.
+func (r *replay) executions() (map[string]int, error) {
 	out := map[string]int{}
 	for _, s := range r.site.Services {
 		var list []fake.ServiceRun
-		if err := r.fake(context.Background(), http.MethodGet, s.URL+"/runs", nil, &list); err != nil {
+		if err := r.control(context.Background(), http.MethodGet, s.URL+"/runs", nil, &list); err != nil {
 			return nil, err
 		}
 		for _, run := range list {
@@ -395,14 +402,14 @@
 	return out, nil
 }
 
-// String describes a record in a report.
+// String describes a record for Figures.Failures.
 func (rec *record) String() string {
 	what := fmt.Sprintf("%.2fs %s %s/%d", rec.event.At, rec.event.Kind, rec.event.Organisation, rec.event.Context)
 	switch {
 	case rec.reply.Err != nil:
 		return what + ": " + rec.reply.Err.Error()
-	case rec.reply.Refused != nil:
-		return what + ": " + rec.reply.Refused.Code + " (" + rec.reply.Refused.Ran + "): " + rec.reply.Refused.Message
+	case rec.reply.Refusal != nil:
+		return what + ": " + rec.reply.Refusal.Code + " (" + rec.reply.Refusal.Ran + "): " + rec.reply.Refusal.Message
 	}
 	return what
 }
--- a/embplay/internal/play/trace.go
+++ b/embplay/internal/play/trace.go
@@ -18,26 +18,26 @@
 	"embertally.dev/embfake/fake"
 )
 
-// Trace is a recorded load with its stated outcomes. It is written as one line
-// with the header and one line for each event.
+// Trace is a load with its expected outcomes. It is written as JSON lines: the
+// header, then one line for each event.
 type Trace struct {
 	Header Header
 	Events []Event
 }
 
-// Header says what a trace stands for.
+// Header describes a trace.
 type Header struct {
 	Deployment string `json:"deployment"`
 	Seed       uint64 `json:"seed"`
-	// Seconds is the length of the trace as it is replayed.
+	// Seconds is the duration of the replay.
 	Seconds float64 `json:"seconds"`
-	// Scale is how much longer the time is that a second stands for.
+	// Scale is the number of real seconds that one second of the trace represents.
 	Scale float64 `json:"scale"`
-	// CountFrom is the second from which first-token times count.
+	// CountFrom is the second from which first-token times are counted.
 	CountFrom float64 `json:"countFrom"`
 	// Contexts is the number of long contexts.
 	Contexts int `json:"contexts"`
-	// Outcomes are what the replay is judged by.
+	// Outcomes are the bounds that the replay has to keep.
 	Outcomes []Outcome `json:"outcomes"`
 }
 
@@ -47,194 +47,201 @@
 	AtMost float64 `json:"atMost"`
 }
 
-// EventKind names what happens at one moment of a trace.
+// EventKind is the kind of an event.
 type EventKind string
 
 // The kinds of events.
 const (
-	// Review is a long context with a question; it returns.
+	// Review is a prompt of a long context and a question. Contexts are repeated
+	// with other questions.
 	Review EventKind = "review"
-	// Desk is a short question.
+	// Desk is a short prompt.
 	Desk EventKind = "desk"
-	// Pay is a call that may not be repeated, under a key.
+	// Pay is a non-idempotent call with an idempotency key.
 	Pay EventKind = "pay"
-	// Look is a call that may be repeated.
+	// Look is an idempotent call.
 	Look EventKind = "look"
-	// Rewrite writes a policy anew, as automation does.
+	// Rewrite writes a policy back unchanged, as automation does.
 	Rewrite EventKind = "rewrite"
-	// Swap gives the deployment other weights.
-	Swap EventKind = "swap"
-	// StoreLost empties and stops a store for a while.
-	StoreLost EventKind = "storeLost"
-	// LinkSlow slows a store's link for a while.
+	// WeightUpdate changes the weight version of the deployment.
+	WeightUpdate EventKind = "swap"
+	// StoreRestart empties a KV-cache store and makes it unreachable for a while.
+	StoreRestart EventKind = "storeLost"
+	// LinkSlow reduces the bandwidth of a KV-cache store's link for a while.
 	LinkSlow EventKind = "linkSlow"
-	// WorkerLeaves marks a worker as leaving in the box list.
+	// WorkerLeaves marks a worker as shutting down in the box list.
 	WorkerLeaves EventKind = "workerLeaves"
-	// BoxDies kills an entry box.
-	BoxDies EventKind = "boxDies"
+	// BoxKilled kills an entry box.
+	BoxKilled EventKind = "boxDies"
 )
 
 // Event is one line of a trace.
 type Event struct {
-	// At is seconds from the start.
+	// At is the time in seconds from the start of the trace.
 	At           float64   `json:"at"`
 	Kind         EventKind `json:"kind"`
 	Organisation string    `json:"organisation,omitempty"`
-	// Context numbers a long context of the organisation.
+	// Context is the number of a long context.
 	Context int `json:"context,omitempty"`
-	// Clauses is the length of the context's text.
+	// Clauses is the length of the context's text in clauses.
 	Clauses int `json:"clauses,omitempty"`
-	// Question tells requests on one context apart.
+	// Question distinguishes prompts with the same context. Tokens is the length of
+	// the answer.
 	Question int `json:"question,omitempty"`
 	Tokens   int `json:"tokens,omitempty"`
-	// Key is a call's idempotency key; Resend tells that it is sent again
-	// through another box right after its answer.
+	// Key is the random part of a call's idempotency key. With Resend the call is
+	// sent again through another box right after its answer.
 	Key    string `json:"key,omitempty"`
 	Resend bool   `json:"resend,omitempty"`
-	// Index numbers what a fault strikes.
+	// Index selects the box or target that a fault affects, modulo their number.
 	Index int `json:"index,omitempty"`
 }
 
-// shape is the load of one deployment, per second.
-type shape struct {
+// loadProfile describes the load of one deployment; rates are per second.
+type loadProfile struct {
 	review, desk, pay, look float64
-	// contexts is how many long contexts there are.
+	// contexts is the expected number of long contexts.
 	contexts int
-	// minClauses and maxClauses bound the length of a context.
+	// minClauses and maxClauses bound the length of a context in clauses.
 	minClauses, maxClauses int
-	// peak multiplies the calls in the middle third: midnight.
+	// peak multiplies the rate of payments in the middle third of the trace, as at
+	// midnight.
 	peak     float64
 	rewrites float64
-	// lateSeconds is when a first token counts as late.
-	lateSeconds float64
+	// objectiveSeconds is the latency objective of the first token.
+	objectiveSeconds float64
 }
 
-var shapes = map[string]shape{
+var loadProfiles = map[string]loadProfile{
 	fake.Abonamente: {
 		review: 12, desk: 24, pay: 4, look: 3, contexts: 90, minClauses: 130, maxClauses: 500,
-		peak: 2, rewrites: 0.3, lateSeconds: 4,
+		peak: 2, rewrites: 0.3, objectiveSeconds: 4,
 	},
 	fake.Cascade: {
 		review: 9, desk: 18, pay: 5, look: 3, contexts: 60, minClauses: 250, maxClauses: 600,
-		peak: 4, rewrites: 0.3, lateSeconds: 6,
+		peak: 4, rewrites: 0.3, objectiveSeconds: 6,
 	},
 }
 
-// newShare is how many long prompts are about a context that was not seen
-// before, once all contexts of the first part were seen.
-const newShare = 0.03
+// newContextShare is the share of long prompts with a new context, after the
+// opening part of the trace.
+const newContextShare = 0.03
 
-// firstPart is the share of the trace in which the contexts are first seen. It
-// stands for the hours and days before: its first-token times do not count,
-// since at any moment nearly all contexts were seen long ago.
-const firstPart = 0.3
+// openingShare is the share of the trace in which most contexts appear for the first
+// time. It represents the hours and days before: its first-token times are not
+// counted, since in operation nearly all contexts have been seen long ago.
+const openingShare = 0.3
 
-// scale is how many seconds one second of a trace stands for.
+// scale is the number of real seconds that one second of a trace represents.
 const scale = 240
 
-// writer of one trace.
-type tracer struct {
+// generator generates one trace.
+type generator struct {
 	rnd   *rand.Rand
-	shape shape
+	load  loadProfile
 	trace Trace
-	// seen are the contexts so far, and when each was last asked about.
+	// seen has the contexts so far.
 	seen []seenContext
 }
 
+// seenContext is a context that occurred in the trace; lastAsked is the second of its
+// last prompt.
 type seenContext struct {
 	organisation    string
 	number, clauses int
-	lastAt          float64
+	lastAsked       float64
 	questions       int
 }
 
 const organisations = 10
 
-// organisation draws one of the organisations, of which a few are large.
-func (t *tracer) organisation() string {
+// organisation returns a random organisation; a few get most of the requests.
+func (t *generator) organisation() string {
 	rank := int(math.Floor(math.Pow(t.rnd.Float64(), 2.2) * organisations))
 	return fmt.Sprintf("org-%02d", rank+1)
 }
 
-// NewTrace writes a trace; the same seed gives the same trace.
+// NewTrace generates a trace; the same arguments give the same trace.
 func NewTrace(deployment string, seed uint64, length time.Duration, faults bool) (*Trace, error) {
-	sh, ok := shapes[deployment]
+	profile, ok := loadProfiles[deployment]
 	if !ok {
 		return nil, errors.Errorf("deployment %q is not known: abonamente or cascade", deployment)
 	}
-	t := &tracer{rnd: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), shape: sh}
+	t := &generator{rnd: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), load: profile}
 	secs := length.Seconds()
 	t.trace.Header = Header{
-		Deployment: deployment, Seed: seed, Seconds: secs, Scale: scale, CountFrom: firstPart * secs, Contexts: sh.contexts,
+		Deployment: deployment, Seed: seed, Seconds: secs, Scale: scale, CountFrom: openingShare * secs, Contexts: profile.contexts,
 		Outcomes: []Outcome{{"lost", 0}, {"doubled", 0}, {"crossed", 0}, {"lateShare", 0.05}},
 	}
-	t.reviews(secs)
-	t.spread(secs, sh.desk, func(at float64) Event {
+	t.addReviews(secs)
+	t.addRandomly(secs, profile.desk, func(at float64) Event {
 		return Event{At: at, Kind: Desk, Organisation: t.organisation(), Question: t.rnd.IntN(1 << 20), Tokens: 12 + t.rnd.IntN(20)}
 	})
-	t.calls(secs)
-	t.spread(secs, sh.rewrites, func(at float64) Event { return Event{At: at, Kind: Rewrite, Organisation: t.organisation()} })
+	t.addCalls(secs)
+	t.addRandomly(secs, profile.rewrites, func(at float64) Event { return Event{At: at, Kind: Rewrite, Organisation: t.organisation()} })
 	if faults {
-		t.faults(secs)
+		t.addFaults(secs)
 	}
 	slices.SortStableFunc(t.trace.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return &t.trace, nil
 }
 
-// spread adds events at random times with a mean rate.
-func (t *tracer) spread(secs, rate float64, next func(at float64) Event) {
+// addRandomly adds events as a Poisson process with the given rate per second.
+func (t *generator) addRandomly(secs, rate float64, next func(at float64) Event) {
 	for at := t.rnd.ExpFloat64() / rate; at < secs; at += t.rnd.ExpFloat64() / rate {
 		t.trace.Events = append(t.trace.Events, next(at))
 	}
 }
 
-// reviews adds the long prompts: first the contexts of the first part, then
-// mostly returns.
-func (t *tracer) reviews(secs float64) {
-	opening := int(float64(t.shape.contexts) * (1 - newShare))
-	for i := range opening {
-		at := (float64(i) + t.rnd.Float64()) / float64(opening) * firstPart * secs
-		t.fresh(at)
+// addReviews adds the long prompts: new contexts in the opening part, then mostly
+// prompts with contexts seen before.
+func (t *generator) addReviews(secs float64) {
+	count := int(float64(t.load.contexts) * (1 - newContextShare))
+	for i := range count {
+		at := (float64(i) + t.rnd.Float64()) / float64(count) * openingShare * secs
+		t.addNewContext(at)
 	}
-	slices.SortFunc(t.seen, func(a, b seenContext) int { return cmp.Compare(a.lastAt, b.lastAt) })
-	for at := firstPart * secs; at < secs; at += t.rnd.ExpFloat64() / t.shape.review {
-		if t.rnd.Float64() < newShare {
-			t.fresh(at)
+	slices.SortFunc(t.seen, func(a, b seenContext) int { return cmp.Compare(a.lastAsked, b.lastAsked) })
+	for at := openingShare * secs; at < secs; at += t.rnd.ExpFloat64() / t.load.review {
+		if t.rnd.Float64() < newContextShare {
+			t.addNewContext(at)
 			continue
 		}
-		t.returning(at)
+		t.addReturn(at)
 	}
 }
 
-func (t *tracer) fresh(at float64) {
+// addNewContext adds a prompt with a new context.
+func (t *generator) addNewContext(at float64) {
 	c := seenContext{
-		organisation: t.organisation(), number: len(t.seen) + 1, lastAt: at,
-		clauses: t.shape.minClauses + t.rnd.IntN(t.shape.maxClauses-t.shape.minClauses),
+		organisation: t.organisation(), number: len(t.seen) + 1, lastAsked: at,
+		clauses: t.load.minClauses + t.rnd.IntN(t.load.maxClauses-t.load.minClauses),
 	}
 	t.seen = append(t.seen, c)
-	t.ask(&t.seen[len(t.seen)-1], at)
+	t.addReview(&t.seen[len(t.seen)-1], at)
 }
 
-// minGap is the least time after which a context returns, in seconds of the
-// trace.
-const minGap = 2.5
+// minReturnDelay is the least time between two prompts with one context, in seconds
+// of the trace.
+const minReturnDelay = 2.5
 
-// returning asks about a context again that was not asked about for a while.
-func (t *tracer) returning(at float64) {
+// addReturn adds a prompt with a random context that had none for minReturnDelay.
+func (t *generator) addReturn(at float64) {
 	var ready []int
 	for i := range t.seen {
-		if t.seen[i].lastAt < at-minGap {
+		if t.seen[i].lastAsked < at-minReturnDelay {
 			ready = append(ready, i)
 		}
 	}
 	if len(ready) == 0 {
 		return
 	}
-	t.ask(&t.seen[ready[t.rnd.IntN(len(ready))]], at)
+	t.addReview(&t.seen[ready[t.rnd.IntN(len(ready))]], at)
 }
 
-func (t *tracer) ask(c *seenContext, at float64) {
-	c.lastAt = at
+// addReview adds the next prompt with a context.
+func (t *generator) addReview(c *seenContext, at float64) {
+	c.lastAsked = at
 	c.questions++
 	t.trace.Events = append(t.trace.Events, Event{
 		At: at, Kind: Review, Organisation: c.organisation, Context: c.number, Clauses: c.clauses,
@@ -242,31 +249,32 @@
 	})
 }
 
-// calls adds the calls of plain services, with a peak in the middle third.
-func (t *tracer) calls(secs float64) {
+// addCalls adds the calls of plain services, with a peak of payments in the middle
+// third.
+func (t *generator) addCalls(secs float64) {
 	pay := func(at float64) Event {
-		return Event{At: at, Kind: Pay, Organisation: t.organisation(), Key: t.key(), Resend: t.rnd.Float64() < 0.2}
+		return Event{At: at, Kind: Pay, Organisation: t.organisation(), Key: t.randomKey(), Resend: t.rnd.Float64() < 0.2}
 	}
-	t.spread(secs, t.shape.pay, pay)
-	t.spread(secs, t.shape.pay*(t.shape.peak-1)*3, func(at float64) Event {
+	t.addRandomly(secs, t.load.pay, pay)
+	t.addRandomly(secs, t.load.pay*(t.load.peak-1)*3, func(at float64) Event {
 		return pay(secs/3 + at/3)
 	})
-	t.spread(secs, t.shape.look, func(at float64) Event { return Event{At: at, Kind: Look, Organisation: t.organisation()} })
+	t.addRandomly(secs, t.load.look, func(at float64) Event { return Event{At: at, Kind: Look, Organisation: t.organisation()} })
 }
 
-// key draws the random part of an idempotency key; its time is that of the
-// replay.
-func (t *tracer) key() string { return fmt.Sprintf("%016x", t.rnd.Uint64()) }
+// randomKey returns the random part of an idempotency key. Its time part is set in
+// the replay.
+func (t *generator) randomKey() string { return fmt.Sprintf("%016x", t.rnd.Uint64()) }
 
-// faults adds one of each fault, spread over the later part.
-func (t *tracer) faults(secs float64) {
-	for i, kind := range []EventKind{LinkSlow, Swap, WorkerLeaves, StoreLost, BoxDies} {
+// addFaults adds one of each fault, from 0.4 of the trace on.
+func (t *generator) addFaults(secs float64) {
+	for i, kind := range []EventKind{LinkSlow, WeightUpdate, WorkerLeaves, StoreRestart, BoxKilled} {
 		at := secs * (0.4 + 0.1*float64(i) + 0.05*t.rnd.Float64())
 		t.trace.Events = append(t.trace.Events, Event{At: at, Kind: kind, Index: t.rnd.IntN(64)})
 	}
 }
 
-// Write writes a trace.
+// Write writes the trace as JSON lines.
 func (t *Trace) Write(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	if err := enc.Encode(t.Header); err != nil {
@@ -280,7 +288,7 @@
 	return nil
 }
 
-// ReadTrace reads what Write wrote.
+// ReadTrace reads a trace in the format of Write. It rejects unknown fields.
 func ReadTrace(r io.Reader) (*Trace, error) {
 	dec := json.NewDecoder(bufio.NewReader(r))
 	dec.DisallowUnknownFields()
@@ -301,19 +309,20 @@
 	}
 }
 
-// prompt returns the text of an event.
+// prompt returns the prompt of an event.
 func (e *Event) prompt() string {
 	if e.Kind == Desk {
-		return deskHead + fmt.Sprintf("Guest %d asks whether the pool is open.", e.Question)
+		return deskPrefix + fmt.Sprintf("Guest %d asks whether the pool is open.", e.Question)
 	}
 	head := contract(fmt.Sprintf("%s member %d", e.Organisation, e.Context), e.Clauses)
 	return head + fmt.Sprintf("Question %d: may the member cancel, and from when on?", e.Question)
 }
 
-// deskHead begins every short question.
-var deskHead = strings.Repeat("You answer guests at the front desk in one short sentence. ", 5)
+// deskPrefix is the common beginning of all short prompts.
+var deskPrefix = strings.Repeat("You answer guests at the front desk in one short sentence. ", 5)
 
-// idempotency returns the key of a call that is sent now.
+// idempotency returns the idempotency key of a call that is sent now: a version 7
+// UUID.
 func (e *Event) idempotency(now time.Time) string {
 	var u uuid.UUID
 	ms := now.UnixMilli()
--- a/embplay/internal/play/worth.go
+++ b/embplay/internal/play/worth.go
@@ -14,70 +14,70 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// allOn is the variant that the others are held against.
-const allOn = "all"
+// baseline is the variant with all mechanisms on, to which others are compared.
+const baseline = "all"
 
-// worthLine is what one day was worth under one variant.
-type worthLine struct {
+// utilityLine is the utility of one simulated day under one variant.
+type utilityLine struct {
 	variant, site, day, seed string
-	worth                    float64
+	utility                  float64
 }
 
-// draw names the day that variants are compared on.
-func (l *worthLine) draw() string { return l.site + " " + l.day + " " + l.seed }
+// sample identifies the day on which variants are compared.
+func (l *utilityLine) sample() string { return l.site + " " + l.day + " " + l.seed }
 
-// readWorth reads lines of five fields, tabs between: variant, site, day, seed
-// and worth. Days without a worth are counted as missing.
-func readWorth(in io.Reader) (lines []worthLine, missing int, err error) {
+// readUtilities reads lines of five fields, separated by tabs: variant, site, day,
+// seed and utility. Days without a utility are counted as missing.
+func readUtilities(in io.Reader) (lines []utilityLine, missing int, err error) {
 	scan := bufio.NewScanner(in)
 	for n := 1; scan.Scan(); n++ {
 		f := strings.Split(scan.Text(), "\t")
 		if len(f) != 5 {
 			return nil, 0, errors.Errorf("line %d has %d fields, not 5", n, len(f))
 		}
-		worth, err := strconv.ParseFloat(f[4], 64)
-		if err != nil || math.IsNaN(worth) {
+		utility, err := strconv.ParseFloat(f[4], 64)
+		if err != nil || math.IsNaN(utility) {
 			missing++
 			continue
 		}
-		lines = append(lines, worthLine{f[0], f[1], f[2], f[3], worth})
+		lines = append(lines, utilityLine{f[0], f[1], f[2], f[3], utility})
 	}
 	return lines, missing, errors.WithStack(scan.Err())
 }
 
-// worthTable is what variants are worth on sites.
-type worthTable struct {
+// utilityTable has the utilities of variants by site.
+type utilityTable struct {
 	variants, sites []string
-	// all holds the worth of each draw with everything on.
-	all map[string]float64
-	// lost holds, by variant and site, by how much each draw was worth less than
-	// with everything on.
-	lost map[[2]string][]float64
-	// worths holds all worths, by variant and site.
-	worths map[[2]string][]float64
+	// baselines has the utility of each sample under the baseline.
+	baselines map[string]float64
+	// losses has, by variant and site, how much lower the utility of each sample
+	// was than under the baseline.
+	losses map[[2]string][]float64
+	// utilities has the utilities of all samples, by variant and site.
+	utilities map[[2]string][]float64
 }
 
-// newWorthTable orders lines.
-func newWorthTable(lines []worthLine) *worthTable {
-	t := &worthTable{all: map[string]float64{}, lost: map[[2]string][]float64{}, worths: map[[2]string][]float64{}}
+// newUtilityTable groups lines by variant and site.
+func newUtilityTable(lines []utilityLine) *utilityTable {
+	t := &utilityTable{baselines: map[string]float64{}, losses: map[[2]string][]float64{}, utilities: map[[2]string][]float64{}}
 	for _, l := range lines {
-		if l.variant == allOn {
-			t.all[l.draw()] = l.worth
+		if l.variant == baseline {
+			t.baselines[l.sample()] = l.utility
 		}
 	}
 	for _, l := range lines {
 		t.variants = appendNew(t.variants, l.variant)
 		t.sites = appendNew(t.sites, l.site)
 		key := [2]string{l.variant, l.site}
-		t.worths[key] = append(t.worths[key], l.worth)
-		if base, found := t.all[l.draw()]; found {
-			t.lost[key] = append(t.lost[key], base-l.worth)
+		t.utilities[key] = append(t.utilities[key], l.utility)
+		if utility, found := t.baselines[l.sample()]; found {
+			t.losses[key] = append(t.losses[key], utility-l.utility)
 		}
 	}
 	return t
 }
 
-// appendNew appends a name that is not in the list.
+// appendNew appends a name unless the list has it.
 func appendNew(list []string, name string) []string {
 	for _, have := range list {
 		if have == name {
@@ -87,19 +87,19 @@
 	return append(list, name)
 }
 
-// printWorth writes the table of a file: for each variant and site what the
-// variant switches off is worth, with the standard error over the draws.
-func printWorth(path string, out io.Writer) error {
+// printUtilities prints the table of a file: for each variant and site the utility
+// that is lost without the mechanism, with the standard error over the samples.
+func printUtilities(path string, out io.Writer) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	defer f.Close()
-	lines, missing, err := readWorth(f)
+	lines, missing, err := readUtilities(f)
 	if err != nil {
 		return errors.Wrap(err, path)
 	}
-	t := newWorthTable(lines)
+	t := newUtilityTable(lines)
 	w := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	fmt.Fprint(w, "| without\t")
 	for _, site := range t.sites {
@@ -120,19 +120,20 @@
 	return errors.WithStack(w.Flush())
 }
 
-// cell is what a variant lost on a site, or with everything on the mean worth.
-func (t *worthTable) cell(variant, site string) string {
+// cell returns the mean loss of a variant on a site, or the mean utility under the
+// baseline.
+func (t *utilityTable) cell(variant, site string) string {
 	key := [2]string{variant, site}
-	if variant == allOn {
-		if len(t.worths[key]) == 0 {
+	if variant == baseline {
+		if len(t.utilities[key]) == 0 {
 			return "not played"
 		}
-		return fmt.Sprintf("worth %.3f over %d days", stat.Mean(t.worths[key], nil), len(t.worths[key]))
+		return fmt.Sprintf("worth %.3f over %d days", stat.Mean(t.utilities[key], nil), len(t.utilities[key]))
 	}
-	lost := t.lost[key]
-	if len(lost) < 2 {
+	losses := t.losses[key]
+	if len(losses) < 2 {
 		return "not played"
 	}
-	mean, deviation := stat.MeanStdDev(lost, nil)
-	return fmt.Sprintf("%+.3f ± %.3f", mean, stat.StdErr(deviation, float64(len(lost))))
+	mean, deviation := stat.MeanStdDev(losses, nil)
+	return fmt.Sprintf("%+.3f ± %.3f", mean, stat.StdErr(deviation, float64(len(losses))))
 }
--- a/embplay/internal/play/worth_test.go
+++ b/embplay/internal/play/worth_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestWorthOfWhatIsSwitchedOff(t *testing.T) {
+func TestWorthTable(t *testing.T) {
 	tests := []struct {
 		name  string
 		lines string
@@ -24,7 +24,7 @@
 		},
 		{"a day without a figure", "all\ts\td1\t1\t0.8\nlinks\ts\td1\t1\tmissing\n", []string{"worth 0.800 over 1 days", "1 days gave no figure"}, ""},
 		{"a variant with one pair", "all\ts\td1\t1\t0.8\nlinks\ts\td1\t1\t0.7\n", []string{"not played"}, ""},
-		{"a cut line", "all\ts\td1\n", nil, "line 1 has 3 fields"},
+		{"a truncated line", "all\ts\td1\n", nil, "line 1 has 3 fields"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/embplay/main.go
+++ b/embplay/main.go
@@ -1,5 +1,5 @@
-// Command embplay plays callers: it shows the main job, writes and replays
-// traces, and judges what came of them.
+// Command embplay simulates callers: it demonstrates a running site, generates
+// and replays traces, and evaluates the results.
 package main
 
 import (
--- a/embplay/prove/added_test.go
+++ b/embplay/prove/added_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		prompt := longText(1)
-		through := firsts(rate, func(n int) time.Duration { return r.ask(n%len(r.procs), orgOne, prompt, 1).First })
+		through := firsts(rate, func(n int) time.Duration { return r.ask(n%len(r.procs), orgOne, prompt, 1).FirstToken })
 		direct := firsts(rate, func(n int) time.Duration { return r.direct(n, prompt) })
 		r.close()
 		fmt.Printf("%d requests a second: direct p50 %v p99 %v, through a daemon p50 %v p99 %v, added p50 %v p99 %v\n", rate,
@@ -132,10 +132,10 @@
 			a := r.pay(n%len(r.procs), orgOne, id.String(), id.String())
 			mu.Lock()
 			defer mu.Unlock()
-			if a.Whole {
+			if a.Complete {
 				served++
 			}
-			return a.Took
+			return a.Elapsed
 		})
 		writes := float64(r.site.KeyValue.Counts().Writes-before) / time.Since(began).Seconds()
 		fmt.Printf("%d calls with keys a second: %.0f writes a second, %d of %d served, p50 %v p99 %v\n",
--- a/embplay/prove/chaos_test.go
+++ b/embplay/prove/chaos_test.go
@@ -433,7 +433,7 @@
 		c.vs[7].check(true, "")
 	}
 	for _, a := range c.l.asks {
-		stopped := a.reply.Refused != nil && a.reply.Refused.Code == "notReady"
+		stopped := a.reply.Refusal != nil && a.reply.Refusal.Code == "notReady"
 		c.vs[8].check(!stopped || a.reply.Text == "", "a stopping daemon cut an answer")
 	}
 	logs, err := c.r.logs()
--- a/embplay/prove/judge_test.go
+++ b/embplay/prove/judge_test.go
@@ -65,14 +65,14 @@
 func (vs *verdicts) judgePrompt(a *asked) {
 	r := &a.reply
 	switch {
-	case r.Whole:
+	case r.Complete:
 		vs[1].check(a.version() != "", "prompt got an answer that no weights give: %q", r.Text)
 		vs[3].check(a.version() != "", "prompt got an answer of mixed weights: %q", r.Text)
 		vs[4].check(a.version() != "", "answer %s is not that of its prompt", r.Request)
-	case r.Refused != nil && r.Text == "":
+	case r.Refusal != nil && r.Text == "":
 		// A prompt may be repeated, so a refused one was thrown away.
-		vs[5].check(r.Refused.Ran != "ran", "refused prompt %s says that it ran", r.Request)
-	case r.Refused != nil:
+		vs[5].check(r.Refusal.Ran != "ran", "refused prompt %s says that it ran", r.Request)
+	case r.Refusal != nil:
 		vs[4].check(prefixOfAnswer(a), "broken answer %s is not the beginning of the right one", r.Request)
 	case r.Err != nil:
 		// The connection broke, as when a daemon dies: the caller knows.
@@ -129,11 +129,11 @@
 	}
 	for _, t := range c.tries {
 		switch {
-		case t.Whole:
+		case t.Complete:
 			vs[4].check(len(runs) >= 1 && strings.Contains(string(t.Body), c.mark), "call %s was answered %s with %d runs", c.mark, t.Body, len(runs))
-		case t.Refused != nil && t.Refused.Ran == "notRun":
-			vs[5].check(len(runs) == 0 || laterTry(c, runs), "call %s was told %s not run, and ran", c.mark, t.Refused.Code)
-		case t.Refused != nil && t.Refused.Ran == "ran":
+		case t.Refusal != nil && t.Refusal.Ran == "notRun":
+			vs[5].check(len(runs) == 0 || laterTry(c, runs), "call %s was told %s not run, and ran", c.mark, t.Refusal.Code)
+		case t.Refusal != nil && t.Refusal.Ran == "ran":
 			vs[5].check(len(runs) == 1, "call %s was told that it ran, and ran %d times", c.mark, len(runs))
 		}
 	}
@@ -143,7 +143,7 @@
 // not run: the request that the target saw was answered later.
 func laterTry(c *called, runs []fake.ServiceRun) bool {
 	for i, t := range c.tries {
-		if t.Refused == nil || t.Refused.Ran != "notRun" {
+		if t.Refusal == nil || t.Refusal.Ran != "notRun" {
 			continue
 		}
 		for _, run := range runs {
--- a/embplay/prove/load_test.go
+++ b/embplay/prove/load_test.go
@@ -155,7 +155,7 @@
 
 // elsewhere reports whether a balancer leads to another daemon.
 func elsewhere(r *play.Reply) bool {
-	return (r.Err != nil && errors.Is(r.Err, syscall.ECONNREFUSED)) || (r.Refused != nil && r.Refused.Code == "notReady")
+	return (r.Err != nil && errors.Is(r.Err, syscall.ECONNREFUSED)) || (r.Refusal != nil && r.Refusal.Code == "notReady")
 }
 
 // callLimit bounds one try of a call: shorter than a freeze, so that callers
@@ -181,10 +181,10 @@
 		for range 8 {
 			r := l.try(c)
 			c.tries = append(c.tries, r)
-			if c.key == "" || (r.Whole && !again) || (r.Refused != nil && r.Refused.RetryAfterMillis == 0) {
+			if c.key == "" || (r.Complete && !again) || (r.Refusal != nil && r.Refusal.RetryAfterMillis == 0) {
 				return
 			}
-			if r.Whole {
+			if r.Complete {
 				again = false
 			}
 			time.Sleep(300 * time.Millisecond)
--- a/embplay/prove/story_answers_test.go
+++ b/embplay/prove/story_answers_test.go
@@ -68,8 +68,8 @@
 		Eventually(func() int { return len(r.site.Engines[0].Runs()) }).Should(Equal(1))
 		r.site.Engines[0].Close()
 		a := <-got
-		Expect(a.Whole).To(BeFalse())
-		Expect(a.Refused).NotTo(BeNil())
+		Expect(a.Complete).To(BeFalse())
+		Expect(a.Refusal).NotTo(BeNil())
 	})
 })
 
@@ -119,25 +119,25 @@
 		}
 		key, mark := newKey(), uuid.NewString()
 		got := r.pay(0, orgOne, key, mark)
-		Expect(got.Refused).NotTo(BeNil())
-		Expect(got.Refused.Code).To(Equal("noTarget"))
-		Expect(got.Refused.Ran).To(Equal("notRun"))
-		Expect(got.Refused.RetryAfterMillis).To(BeNumerically(">", 0))
+		Expect(got.Refusal).NotTo(BeNil())
+		Expect(got.Refusal.Code).To(Equal("noTarget"))
+		Expect(got.Refusal.Ran).To(Equal("notRun"))
+		Expect(got.Refusal.RetryAfterMillis).To(BeNumerically(">", 0))
 		for _, e := range r.site.File.Engines {
 			r.listed(e.Name, plat.BoxLeaving)
 		}
 		Eventually(func() string {
 			a := r.ask(0, orgOne, "anyone?", 2)
-			if a.Refused == nil {
+			if a.Refusal == nil {
 				return ""
 			}
-			return a.Refused.Code + " " + a.Refused.Ran
+			return a.Refusal.Code + " " + a.Refusal.Ran
 		}).Should(Equal("noTarget notRun"))
 	})
 })
 
 // refused sends a request that is to be refused and returns its refusal.
-func (r *rig) refused(key, idempotency, path, body string) play.Refused {
+func (r *rig) refused(key, idempotency, path, body string) play.Refusal {
 	GinkgoHelper()
 	req, err := http.NewRequest(http.MethodPost, r.procs[0].Callers+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -149,7 +149,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	defer resp.Body.Close()
 	var got struct {
-		Error play.Refused `json:"error"`
+		Error play.Refusal `json:"error"`
 	}
 	Expect(json.NewDecoder(resp.Body).Decode(&got)).To(Succeed())
 	return got.Error
--- a/embplay/prove/story_blocks_test.go
+++ b/embplay/prove/story_blocks_test.go
@@ -92,13 +92,13 @@
 			if box == 0 {
 				Expect(other.CachedTokens).To(BeNumerically("<", cache.BlockTokens))
 			}
-			Expect(other.Whole).To(BeTrue())
+			Expect(other.Complete).To(BeTrue())
 		}
 
 		key, mark := newKey(), uuid.NewString()
 		first, second := r.pay(0, orgOne, key, mark), r.pay(1, orgTwo, key, mark)
-		Expect(first.Whole).To(BeTrue())
-		Expect(second.Whole).To(BeTrue())
+		Expect(first.Complete).To(BeTrue())
+		Expect(second.Complete).To(BeTrue())
 		Expect(second.Replayed).To(BeFalse())
 		runs := r.runsByMark()[mark]
 		Expect(runs).To(HaveLen(2))
@@ -114,7 +114,7 @@
 		r := site(nil)
 		prompt := "the secret of member 4711. " + longText(3)
 		answer := r.ask(0, orgOne, prompt, 8)
-		Expect(answer.Whole).To(BeTrue())
+		Expect(answer.Complete).To(BeTrue())
 		var line json.RawMessage
 		_, err := r.operate(r.procs[1], http.MethodGet, "/v1/timeline", nil, &line)
 		Expect(err).NotTo(HaveOccurred())
--- a/embplay/prove/story_ends_test.go
+++ b/embplay/prove/story_ends_test.go
@@ -38,10 +38,10 @@
 		}
 		Expect(over()).To(BeNumerically(">=", 3))
 		Expect(over()).To(BeNumerically("<=", 4))
-		Expect(last.Refused).NotTo(BeNil())
-		Expect(last.Refused.Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(last.Refused.Ran).To(Equal("notRun"))
-		Expect(last.Refused.RetryAfterMillis).To(BeNumerically(">", time.Minute.Milliseconds()))
+		Expect(last.Refusal).NotTo(BeNil())
+		Expect(last.Refusal.Status).To(Equal(http.StatusServiceUnavailable))
+		Expect(last.Refusal.Ran).To(Equal("notRun"))
+		Expect(last.Refusal.RetryAfterMillis).To(BeNumerically(">", time.Minute.Milliseconds()))
 		prompt := fmt.Sprintf("%s, and no other", longText(2))
 		expectWhole(r.ask(1, orgOne, prompt, 30), "v1", prompt, 30)
 
--- a/embplay/prove/story_once_test.go
+++ b/embplay/prove/story_once_test.go
@@ -22,13 +22,13 @@
 		By("answering a repeated call from its record")
 		key, mark := newKey(), uuid.NewString()
 		first := r.pay(0, orgOne, key, mark)
-		Expect(first.Whole).To(BeTrue())
+		Expect(first.Complete).To(BeTrue())
 		Eventually(func() bool { return r.pay(1, orgOne, key, mark).Replayed }).Should(BeTrue())
 		Expect(r.runsByMark()[mark]).To(HaveLen(1))
 
 		By("refusing the key for another call")
 		other := r.pay(2, orgOne, key, uuid.NewString())
-		Expect(other.Refused.Code).To(Equal("keyReused"))
+		Expect(other.Refusal.Code).To(Equal("keyReused"))
 		Expect(ranOf(other)).To(Equal("notRun"))
 
 		By("saying unknown where the answer was cut, and never running again")
@@ -49,17 +49,17 @@
 		By("settling claim writes whose answers are lost")
 		r.site.KeyValue.Set(fake.LoseAnswers, 3)
 		key, mark = newKey(), uuid.NewString()
-		Eventually(func() bool { return r.pay(1, orgOne, key, mark).Whole }).Should(BeTrue())
+		Eventually(func() bool { return r.pay(1, orgOne, key, mark).Complete }).Should(BeTrue())
 		Expect(r.runsByMark()[mark]).To(HaveLen(1))
 
 		By("running nothing while the service is down")
 		r.site.KeyValue.Set(fake.Down, 1)
 		key, mark = newKey(), uuid.NewString()
 		down := r.pay(0, orgOne, key, mark)
-		Expect(down.Refused.Code).To(Equal("claimUnavailable"))
+		Expect(down.Refusal.Code).To(Equal("claimUnavailable"))
 		Expect(r.runsByMark()[mark]).To(BeEmpty())
 		r.site.KeyValue.Set(fake.Down, 0)
-		Eventually(func() bool { return r.pay(1, orgOne, key, mark).Whole }).Should(BeTrue())
+		Eventually(func() bool { return r.pay(1, orgOne, key, mark).Complete }).Should(BeTrue())
 		Expect(r.runsByMark()[mark]).To(HaveLen(1))
 	})
 
@@ -112,9 +112,9 @@
 			for box := range r.procs {
 				tries = append(tries, r.payWith(box, "X-Embertally-Ticket", ticket, mark))
 			}
-			Expect(tries[0].Whole).To(BeTrue(), "%+v", tries[0].Refused)
+			Expect(tries[0].Complete).To(BeTrue(), "%+v", tries[0].Refusal)
 			for _, t := range tries[1:] {
-				Expect(t.Replayed || (t.Refused != nil && t.Refused.Code == "inProgress")).To(BeTrue())
+				Expect(t.Replayed || (t.Refusal != nil && t.Refusal.Code == "inProgress")).To(BeTrue())
 			}
 			Expect(r.runsByMark()[mark]).To(HaveLen(1))
 		}
@@ -151,10 +151,10 @@
 
 // ranOf returns what a refusal says of the run, or "answered".
 func ranOf(a play.Reply) string {
-	if a.Refused == nil {
+	if a.Refusal == nil {
 		return "answered"
 	}
-	return a.Refused.Ran
+	return a.Refusal.Ran
 }
 
 // ticket draws a ticket at a daemon.
@@ -195,8 +195,8 @@
 // claimState returns the code that a repeated call gets, while it runs.
 func (r *rig) claimState(box int, key, mark string) string {
 	a := r.pay(box, orgOne, key, mark)
-	if a.Refused == nil {
+	if a.Refusal == nil {
 		return "answered"
 	}
-	return a.Refused.Code
+	return a.Refusal.Code
 }
--- a/embplay/prove/story_overload_test.go
+++ b/embplay/prove/story_overload_test.go
@@ -42,12 +42,12 @@
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case a.Whole:
+				case a.Complete:
 					whole[org]++
-				case a.Refused != nil:
+				case a.Refusal != nil:
 					refused[org]++
-					Expect(a.Refused.Ran).To(Equal("notRun"))
-					Expect(a.Refused.RetryAfterMillis).To(BeNumerically(">", 0))
+					Expect(a.Refusal.Ran).To(Equal("notRun"))
+					Expect(a.Refusal.RetryAfterMillis).To(BeNumerically(">", 0))
 				default:
 					Expect(a.Err).NotTo(HaveOccurred())
 				}
@@ -57,7 +57,7 @@
 		Expect(refused[orgOne]).To(BeNumerically(">", 0), "the load is too much")
 		Expect(whole[orgTwo]).To(BeNumerically(">", whole[orgOne]), "urgent prompts go first: %v, refused %v", whole, refused)
 		retried := r.count("requestsRetried")
-		Eventually(func() bool { return r.ask(0, orgOne, "quick", 2).Whole }).Should(BeTrue())
+		Eventually(func() bool { return r.ask(0, orgOne, "quick", 2).Complete }).Should(BeTrue())
 		Expect(retried).To(BeNumerically("<=", perSecond*secs/5), "no storm of retries")
 	})
 })
--- a/embplay/prove/story_rest_test.go
+++ b/embplay/prove/story_rest_test.go
@@ -42,9 +42,9 @@
 		for range 6 {
 			last = r.ask(0, orgOne, prompt, 5)
 		}
-		Expect(last.Refused).NotTo(BeNil())
-		Expect(last.Refused.Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(last.Refused.RetryAfterMillis).To(BeNumerically(">", time.Minute.Milliseconds()))
+		Expect(last.Refusal).NotTo(BeNil())
+		Expect(last.Refusal.Status).To(Equal(http.StatusServiceUnavailable))
+		Expect(last.Refusal.RetryAfterMillis).To(BeNumerically(">", time.Minute.Milliseconds()))
 	})
 })
 
@@ -63,8 +63,8 @@
 		other.AskRest(rest)
 		r.pay(0, orgOne, "", "last but one")
 		last := r.pay(0, orgOne, "", "last")
-		Expect(last.Refused).NotTo(BeNil())
-		Expect(last.Refused.Ran).To(Equal("notRun"))
-		Expect(last.Refused.RetryAfterMillis).To(BeNumerically(">", time.Minute.Milliseconds()))
+		Expect(last.Refusal).NotTo(BeNil())
+		Expect(last.Refusal.Ran).To(Equal("notRun"))
+		Expect(last.Refusal.RetryAfterMillis).To(BeNumerically(">", time.Minute.Milliseconds()))
 	})
 })
--- a/embplay/prove/story_stops_test.go
+++ b/embplay/prove/story_stops_test.go
@@ -30,7 +30,7 @@
 		}
 		services, engines := len(r.site.Services[0].Runs()), len(r.site.Engines[0].Runs())
 		for n := range 24 {
-			Expect(r.pay(n%len(r.procs), orgOne, "", uuid.NewString()).Whole).To(BeTrue())
+			Expect(r.pay(n%len(r.procs), orgOne, "", uuid.NewString()).Complete).To(BeTrue())
 			prompt := fmt.Sprintf("quick question %d", n)
 			expectWhole(r.ask(n%len(r.procs), orgOne, prompt, 2), "v1", prompt, 2)
 		}
@@ -89,7 +89,7 @@
 		Expect(len(l.asks)).To(BeNumerically(">", 20))
 		for _, a := range l.asks {
 			Expect(a.reply.Err).NotTo(HaveOccurred())
-			Expect(a.reply.Refused).To(BeNil())
+			Expect(a.reply.Refusal).To(BeNil())
 			expectWhole(a.reply, "v1", a.prompt, a.tokens)
 		}
 		runs := r.runsByMark()
--- a/embplay/prove/story_test.go
+++ b/embplay/prove/story_test.go
@@ -53,8 +53,8 @@
 func expectWhole(a play.Reply, version, prompt string, tokens int) {
 	GinkgoHelper()
 	Expect(a.Err).NotTo(HaveOccurred())
-	Expect(a.Refused).To(BeNil())
-	Expect(a.Whole).To(BeTrue())
+	Expect(a.Refusal).To(BeNil())
+	Expect(a.Complete).To(BeTrue())
 	Expect(a.Text).To(Equal(fake.Answer(fake.SiteModel, version, prompt, tokens)))
 }
 
