--- a/embplay/prove/chaos_test.go
+++ b/embplay/prove/chaos_test.go
@@ -15,37 +15,37 @@
 	"embertally.dev/embfake/fake"
 )
 
-// chaos brings about faults, singly, together and twice, while a load runs.
+// chaos injects faults, one or several at a time and repeatedly, while a load runs.
 type chaos struct {
-	r   *rig
+	r   *testbed
 	l   *load
 	rnd *rand.Rand
 	vs  *verdicts
 
 	chaosMu sync.Mutex
-	// busy are the daemons that a fault has in hand. Guarded by chaosMu.
+	// busy has the daemons that a running fault affects. Guarded by chaosMu.
 	busy map[int]bool
-	// accepted is the highest sequence that was said to be in force
-	// everywhere, and when. Guarded by chaosMu.
-	accepted []acceptedAt
-	// leaving are the spans in which targets were to get no new work. Guarded
-	// by chaosMu.
-	leaving []leavingSpan
-	version int // last weight version; guarded by chaosMu
-	work    sync.WaitGroup
+	// converged has the configuration sequences that were reported as applied in
+	// all live daemons. Guarded by chaosMu.
+	converged []convergedAt
+	// shutdowns has the periods in which targets must get no new work. Guarded by
+	// chaosMu.
+	shutdowns []shutdownSpan
+	version   int // last weight version; guarded by chaosMu
+	work      sync.WaitGroup
 }
 
-type acceptedAt struct {
+type convergedAt struct {
 	seq uint64
 	at  time.Time
 }
 
-type leavingSpan struct {
+type shutdownSpan struct {
 	target   string
 	from, to time.Time
 }
 
-func newChaos(r *rig, l *load, rnd *rand.Rand, vs *verdicts) *chaos {
+func newChaos(r *testbed, l *load, rnd *rand.Rand, vs *verdicts) *chaos {
 	return &chaos{r: r, l: l, rnd: rnd, vs: vs, busy: map[int]bool{}, version: 1}
 }
 
@@ -55,19 +55,19 @@
 	return c.rnd.IntN(n)
 }
 
-func (c *chaos) span(least, most time.Duration) time.Duration {
-	return least + time.Duration(c.intn(int(most-least)))
+func (c *chaos) randomDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(c.intn(int(maximum-minimum)))
 }
 
-// daemon takes a daemon that no other fault has in hand, or -1: at most a
-// third of them at a time.
-func (c *chaos) daemon() int {
+// acquireDaemon returns a random daemon that no other fault affects and marks it as
+// busy, or -1 if it is busy or a third of all daemons are.
+func (c *chaos) acquireDaemon() int {
 	c.chaosMu.Lock()
 	defer c.chaosMu.Unlock()
-	if len(c.busy) >= len(c.r.procs)/3 {
+	if len(c.busy) >= len(c.r.daemons)/3 {
 		return -1
 	}
-	i := c.rnd.IntN(len(c.r.procs))
+	i := c.rnd.IntN(len(c.r.daemons))
 	if c.busy[i] {
 		return -1
 	}
@@ -75,176 +75,177 @@
 	return i
 }
 
-func (c *chaos) free(i int) {
+func (c *chaos) releaseDaemon(i int) {
 	c.chaosMu.Lock()
 	defer c.chaosMu.Unlock()
 	delete(c.busy, i)
 }
 
-// run brings about faults until the end, then heals everything.
+// run injects faults until end, then waits until all have been reverted.
 func (c *chaos) run(end time.Time) {
 	faults := []func(){
-		c.killDaemon, c.freezeDaemon, c.stopDaemon, c.cutPeers, c.cutService, c.serviceDown, c.serviceSlow,
-		c.loseAnswers, c.stallWatch, c.compact, c.engineDown, c.cutStreams, c.crossAnswers, c.truncate,
-		c.repeatTokens, c.dropEvents, c.storeDown, c.storeReset, c.storeFreed, c.corrupt, c.halfWrite, c.slowLink,
-		c.cutCalls, c.drainTarget, c.boxLeaves, c.swap, c.rewrite, c.rewrite, c.rewrite, c.evict,
+		c.killDaemon, c.freezeDaemon, c.stopDaemon, c.cutPeerLink, c.cutCoordinationStore, c.coordinationStoreDown, c.coordinationStoreSlow,
+		c.loseStoreResponses, c.stallWatch, c.compactStore, c.engineDown, c.cutStreams, c.swapAnswers, c.truncateStream,
+		c.repeatTokens, c.dropEvents, c.storeDown, c.storeReset, c.storeFreed, c.corruptBlocks, c.writePartially, c.slowLink,
+		c.cutCalls, c.drainTarget, c.markShuttingDown, c.updateWeights, c.rewrite, c.rewrite, c.rewrite, c.evictBlocks,
 	}
 	stop := make(chan struct{})
-	c.work.Go(func() { watcher{c}.run(stop) })
+	c.work.Go(func() { configWatcher{c}.run(stop) })
 	order := c.rnd.Perm(len(faults))
 	for n := 0; time.Now().Before(end); n++ {
-		f := faults[order[n%len(order)]]
+		fault := faults[order[n%len(order)]]
 		c.work.Go(func() {
-			c.vs.faultAll()
-			f()
+			c.vs.countFaultForAll()
+			fault()
 		})
-		time.Sleep(c.span(300*time.Millisecond, 1500*time.Millisecond))
+		time.Sleep(c.randomDuration(300*time.Millisecond, 1500*time.Millisecond))
 	}
 	close(stop)
 	c.work.Wait()
 }
 
-// killDaemon kills a daemon and starts it again, as a replaced box.
+// killDaemon kills a daemon and restarts it, as when a box is replaced.
 func (c *chaos) killDaemon() {
-	i := c.daemon()
+	i := c.acquireDaemon()
 	if i < 0 {
 		return
 	}
-	defer c.free(i)
-	p := c.r.procs[i]
+	defer c.releaseDaemon(i)
+	p := c.r.daemons[i]
 	p.kill()
-	time.Sleep(c.span(500*time.Millisecond, 3*time.Second))
+	time.Sleep(c.randomDuration(500*time.Millisecond, 3*time.Second))
 	if err := p.start(); err != nil {
-		c.vs[8].check(false, "%s could not be started again: %v", p.Name, err)
+		c.vs[8].check(false, "%s could not be restarted: %v", p.Name, err)
 	}
 	time.Sleep(time.Second)
 }
 
-// freezeDaemon stops a daemon's process for longer than peers may be silent.
+// freezeDaemon suspends a daemon for longer than peers may be unreachable.
 func (c *chaos) freezeDaemon() {
-	i := c.daemon()
+	i := c.acquireDaemon()
 	if i < 0 {
 		return
 	}
-	defer c.free(i)
-	c.r.procs[i].freeze()
-	time.Sleep(c.span(2*time.Second, 6*time.Second))
-	c.r.procs[i].wake()
+	defer c.releaseDaemon(i)
+	c.r.daemons[i].suspend()
+	time.Sleep(c.randomDuration(2*time.Second, 6*time.Second))
+	c.r.daemons[i].resume()
 }
 
-// stopDaemon stops a daemon as planned, while the balancer leads to it until
-// the daemon says that it is not ready.
+// stopDaemon shuts a daemon down gracefully and restarts it. The load balancer
+// excludes it only after 200 ms, so that requests arrive while it shuts down.
 func (c *chaos) stopDaemon() {
-	i := c.daemon()
+	i := c.acquireDaemon()
 	if i < 0 {
 		return
 	}
-	defer c.free(i)
-	p := c.r.procs[i]
+	defer c.releaseDaemon(i)
+	p := c.r.daemons[i]
 	p.signal(syscall.SIGTERM)
 	time.Sleep(200 * time.Millisecond)
-	c.l.leaveOut(i, true)
-	err := p.end()
-	c.vs[8].check(err == nil, "%s did not stop as planned: %v", p.Name, err)
+	c.l.exclude(i, true)
+	err := p.awaitExit()
+	c.vs[8].check(err == nil, "%s did not shut down gracefully: %v", p.Name, err)
 	if err := p.start(); err != nil {
-		c.vs[8].check(false, "%s could not be started again: %v", p.Name, err)
+		c.vs[8].check(false, "%s could not be restarted: %v", p.Name, err)
 	}
 	time.Sleep(time.Second)
-	c.l.leaveOut(i, false)
+	c.l.exclude(i, false)
 }
 
-// cutPeers cuts one direction between two daemons, or holds back one side.
-func (c *chaos) cutPeers() {
-	a, b := c.intn(len(c.r.procs)), c.intn(len(c.r.procs))
+// cutPeerLink cuts or stalls the connections from one daemon to another, or stalls
+// the responses only.
+func (c *chaos) cutPeerLink() {
+	a, b := c.intn(len(c.r.daemons)), c.intn(len(c.r.daemons))
 	if a == b {
 		return
 	}
-	link := c.r.procs[a].peers[c.r.procs[b].Name]
-	link.set([]flow{cut, hang, hangAnswers}[c.intn(3)])
-	time.Sleep(c.span(time.Second, 6*time.Second))
-	link.set(pass)
+	link := c.r.daemons[a].peerProxies[c.r.daemons[b].Name]
+	link.set([]proxyMode{cutOff, stall, stallResponses}[c.intn(3)])
+	time.Sleep(c.randomDuration(time.Second, 6*time.Second))
+	link.set(forward)
 }
 
-func (c *chaos) cutService() {
-	p := c.r.procs[c.intn(len(c.r.procs))]
-	p.kv.set([]flow{cut, hang, hangAnswers}[c.intn(3)])
-	time.Sleep(c.span(time.Second, 5*time.Second))
-	p.kv.set(pass)
+func (c *chaos) cutCoordinationStore() {
+	p := c.r.daemons[c.intn(len(c.r.daemons))]
+	p.storeProxy.set([]proxyMode{cutOff, stall, stallResponses}[c.intn(3)])
+	time.Sleep(c.randomDuration(time.Second, 5*time.Second))
+	p.storeProxy.set(forward)
 }
 
-func (c *chaos) serviceDown() {
+func (c *chaos) coordinationStoreDown() {
 	c.r.site.KeyValue.Set(fake.Down, float64(1+c.intn(2)))
-	time.Sleep(c.span(time.Second, 6*time.Second))
+	time.Sleep(c.randomDuration(time.Second, 6*time.Second))
 	c.r.site.KeyValue.Set(fake.Down, 0)
 }
 
-func (c *chaos) serviceSlow() {
+func (c *chaos) coordinationStoreSlow() {
 	c.r.site.KeyValue.Set(fake.Slow, 300)
-	time.Sleep(c.span(time.Second, 4*time.Second))
+	time.Sleep(c.randomDuration(time.Second, 4*time.Second))
 	c.r.site.KeyValue.Set(fake.Slow, 0)
 }
 
-func (c *chaos) loseAnswers() { c.r.site.KeyValue.Set(fake.LoseAnswers, float64(1+c.intn(6))) }
+func (c *chaos) loseStoreResponses() { c.r.site.KeyValue.Set(fake.LoseAnswers, float64(1+c.intn(6))) }
 
 func (c *chaos) stallWatch() {
 	c.r.site.KeyValue.Set(fake.StallWatch, 1)
-	time.Sleep(c.span(time.Second, 8*time.Second))
+	time.Sleep(c.randomDuration(time.Second, 8*time.Second))
 	c.r.site.KeyValue.Set(fake.StallWatch, 0)
 }
 
-func (c *chaos) compact() { c.r.site.KeyValue.Compact() }
+func (c *chaos) compactStore() { c.r.site.KeyValue.Compact() }
 
-func (c *chaos) engine() *fake.Engine { return c.r.site.Engines[c.intn(len(c.r.site.Engines))] }
-func (c *chaos) store() *fake.Store   { return c.r.site.Stores[c.intn(len(c.r.site.Stores))] }
+func (c *chaos) randomEngine() *fake.Engine { return c.r.site.Engines[c.intn(len(c.r.site.Engines))] }
+func (c *chaos) randomStore() *fake.Store   { return c.r.site.Stores[c.intn(len(c.r.site.Stores))] }
 
 func (c *chaos) engineDown() {
-	e := c.engine()
+	e := c.randomEngine()
 	e.Set(fake.Down, float64(1+c.intn(2)))
-	time.Sleep(c.span(time.Second, 4*time.Second))
+	time.Sleep(c.randomDuration(time.Second, 4*time.Second))
 	e.Set(fake.Down, 0)
 }
 
 func (c *chaos) cutStreams() {
-	e := c.engine()
+	e := c.randomEngine()
 	if c.intn(2) == 0 {
 		e.Set(fake.ForgetStream, 1)
 	}
 	e.Set(fake.CutStream, float64(1+c.intn(3)))
 }
 
-func (c *chaos) crossAnswers() {
-	c.engine().Set(fake.Cross, 1)
+func (c *chaos) swapAnswers() {
+	c.randomEngine().Set(fake.Cross, 1)
 	c.r.site.Services[c.intn(len(c.r.site.Services))].Set(fake.Cross, 1)
 }
 
-func (c *chaos) truncate() { c.engine().Set(fake.Truncate, 1) }
+func (c *chaos) truncateStream() { c.randomEngine().Set(fake.Truncate, 1) }
 
 func (c *chaos) repeatTokens() {
-	e := c.engine()
+	e := c.randomEngine()
 	e.Set(fake.Repeat, 1)
-	time.Sleep(c.span(time.Second, 4*time.Second))
+	time.Sleep(c.randomDuration(time.Second, 4*time.Second))
 	e.Set(fake.Repeat, 0)
 }
 
-func (c *chaos) dropEvents() { c.engine().Set(fake.DropEvents, float64(1+c.intn(8))) }
+func (c *chaos) dropEvents() { c.randomEngine().Set(fake.DropEvents, float64(1+c.intn(8))) }
 
 func (c *chaos) storeDown() {
-	s := c.store()
+	s := c.randomStore()
 	s.Set(fake.Down, float64(1+c.intn(2)))
-	time.Sleep(c.span(time.Second, 4*time.Second))
+	time.Sleep(c.randomDuration(time.Second, 4*time.Second))
 	s.Set(fake.Down, 0)
 }
 
-func (c *chaos) storeReset() { c.store().Reset() }
-func (c *chaos) storeFreed() { c.store().FreeAll() }
-func (c *chaos) corrupt()    { c.store().Set(fake.Corrupt, float64(1+c.intn(40))) }
-func (c *chaos) halfWrite()  { c.store().Set(fake.HalfWrite, float64(1+c.intn(20))) }
-func (c *chaos) evict()      { c.engine().EvictAll() }
+func (c *chaos) storeReset()     { c.randomStore().Reset() }
+func (c *chaos) storeFreed()     { c.randomStore().FreeAll() }
+func (c *chaos) corruptBlocks()  { c.randomStore().Set(fake.Corrupt, float64(1+c.intn(40))) }
+func (c *chaos) writePartially() { c.randomStore().Set(fake.HalfWrite, float64(1+c.intn(20))) }
+func (c *chaos) evictBlocks()    { c.randomEngine().EvictAll() }
 
 func (c *chaos) slowLink() {
-	s := c.store()
+	s := c.randomStore()
 	s.SetLink(5e6)
-	time.Sleep(c.span(time.Second, 3*time.Second))
+	time.Sleep(c.randomDuration(time.Second, 3*time.Second))
 	s.SetLink(100e6)
 }
 
@@ -254,70 +255,74 @@
 	s.Set(fake.CutAfter, 2)
 }
 
-// leaveGrace is the few seconds after which a leaving target gets no new work.
-const leaveGrace = 4 * time.Second
+// shutdownGrace is the time after which a target that is shutting down must get no
+// new work.
+const shutdownGrace = 4 * time.Second
 
-func (c *chaos) left(target string, from time.Time) {
+// addShutdown records that a target was shutting down from a time until now.
+func (c *chaos) addShutdown(target string, from time.Time) {
 	c.chaosMu.Lock()
 	defer c.chaosMu.Unlock()
-	c.leaving = append(c.leaving, leavingSpan{target, from.Add(leaveGrace), time.Now()})
+	c.shutdowns = append(c.shutdowns, shutdownSpan{target, from.Add(shutdownGrace), time.Now()})
 }
 
-// targets are the names of engines and services, of which a few may leave.
-func (c *chaos) target() string {
+// randomTarget returns the name of a random engine or service target.
+func (c *chaos) randomTarget() string {
 	if c.intn(2) == 0 {
 		return c.r.site.File.Services[c.intn(len(c.r.site.File.Services))].Name
 	}
 	return c.r.site.File.Engines[c.intn(len(c.r.site.File.Engines))].Name
 }
 
-const leaveFor = 8 * time.Second
+const shutdownDuration = 8 * time.Second
 
-// drainTarget gives an operator's order through one daemon.
+// drainTarget drains a target through one daemon for shutdownDuration.
 func (c *chaos) drainTarget() {
-	target := c.target()
+	target := c.randomTarget()
 	body := struct {
 		Leaving bool `json:"leaving"`
 	}{true}
-	if _, err := c.anyDaemon(http.MethodPost, "/v1/drains/"+target, body, nil); err != nil {
+	if _, err := c.callAnyDaemon(http.MethodPost, "/v1/drains/"+target, body, nil); err != nil {
 		return
 	}
 	from := time.Now()
-	time.Sleep(leaveFor)
-	c.left(target, from)
+	time.Sleep(shutdownDuration)
+	c.addShutdown(target, from)
 	body.Leaving = false
 	for range 20 {
-		if _, err := c.anyDaemon(http.MethodPost, "/v1/drains/"+target, body, nil); err == nil {
+		if _, err := c.callAnyDaemon(http.MethodPost, "/v1/drains/"+target, body, nil); err == nil {
 			return
 		}
 	}
 }
 
-// boxLeaves makes the box list say that a target's box is leaving.
-func (c *chaos) boxLeaves() {
-	target := c.target()
-	c.r.listed(target, plat.BoxLeaving)
+// markShuttingDown marks a target's box as shutting down in all box lists for
+// shutdownDuration.
+func (c *chaos) markShuttingDown() {
+	target := c.randomTarget()
+	c.r.setBoxState(target, plat.BoxLeaving)
 	from := time.Now()
-	time.Sleep(leaveFor)
-	c.left(target, from)
-	c.r.listed(target, plat.BoxLive)
+	time.Sleep(shutdownDuration)
+	c.addShutdown(target, from)
+	c.r.setBoxState(target, plat.BoxLive)
 }
 
-// anyDaemon sends an operator's request to a daemon that no fault has in hand.
-func (c *chaos) anyDaemon(method, path string, body, reply any) (int, error) {
-	i := c.intn(len(c.r.procs))
+// callAnyDaemon sends an operator's request to a daemon that no fault affects.
+func (c *chaos) callAnyDaemon(method, path string, body, reply any) (int, error) {
+	i := c.intn(len(c.r.daemons))
 	c.chaosMu.Lock()
-	for n := 0; c.busy[i] && n < len(c.r.procs); n++ {
-		i = (i + 1) % len(c.r.procs)
+	for n := 0; c.busy[i] && n < len(c.r.daemons); n++ {
+		i = (i + 1) % len(c.r.daemons)
 	}
 	c.chaosMu.Unlock()
-	return c.r.operate(c.r.procs[i], method, path, body, reply)
+	return c.r.callOperatorAPI(c.r.daemons[i], method, path, body, reply)
 }
 
-// write changes a resource and writes down when it was said to be accepted.
-func (c *chaos) write(path string, change func(spec []byte) []byte) {
+// changeResource changes a resource and records its sequence once the change is
+// reported as applied in all live daemons.
+func (c *chaos) changeResource(path string, change func(spec []byte) []byte) {
 	var got resource
-	if _, err := c.anyDaemon(http.MethodGet, path, nil, &got); err != nil {
+	if _, err := c.callAnyDaemon(http.MethodGet, path, nil, &got); err != nil {
 		return
 	}
 	body := struct {
@@ -325,32 +330,32 @@
 		Spec            json.RawMessage `json:"spec"`
 	}{got.ResourceVersion, change(got.Spec)}
 	var done resource
-	status, err := c.anyDaemon(http.MethodPut, path, body, &done)
+	status, err := c.callAnyDaemon(http.MethodPut, path, body, &done)
 	if err != nil || status != http.StatusOK {
 		return
 	}
 	seq, err := strconv.ParseUint(done.ResourceVersion, 10, 64)
 	if err != nil {
-		c.vs[9].check(false, "accepted with version %q", done.ResourceVersion)
+		c.vs[9].check(false, "converged with version %q", done.ResourceVersion)
 		return
 	}
 	c.chaosMu.Lock()
 	defer c.chaosMu.Unlock()
-	c.accepted = append(c.accepted, acceptedAt{seq, time.Now()})
+	c.converged = append(c.converged, convergedAt{seq, time.Now()})
 }
 
-// rewrite races two writers for the same policy.
+// rewrite starts two concurrent writes of the same policy.
 func (c *chaos) rewrite() {
 	path := "/v1/resources/policies/" + organisation(c.intn(2))
 	var wg sync.WaitGroup
 	for range 2 {
-		wg.Go(func() { c.write(path, func(spec []byte) []byte { return spec }) })
+		wg.Go(func() { c.changeResource(path, func(spec []byte) []byte { return spec }) })
 	}
 	wg.Wait()
 }
 
-// swap gives the deployment the next weights.
-func (c *chaos) swap() {
+// updateWeights changes the deployment to the next weight version.
+func (c *chaos) updateWeights() {
 	c.chaosMu.Lock()
 	if c.version >= 4 {
 		c.chaosMu.Unlock()
@@ -359,7 +364,7 @@
 	c.version++
 	next := fmt.Sprintf("v%d", c.version)
 	c.chaosMu.Unlock()
-	c.write("/v1/resources/deployments/"+fake.SiteDeployment, func(spec []byte) []byte {
+	c.changeResource("/v1/resources/deployments/"+fake.SiteDeployment, func(spec []byte) []byte {
 		var d struct {
 			Model         string   `json:"model"`
 			WeightVersion string   `json:"weightVersion"`
@@ -379,76 +384,77 @@
 	})
 }
 
-// watcher reads what each daemon has in force, as a caller of its API would.
-type watcher struct{ c *chaos }
+// configWatcher polls the configuration sequence that each daemon has applied, from
+// its operator API.
+type configWatcher struct{ c *chaos }
 
-func (w watcher) run(stop <-chan struct{}) {
-	last := make([]uint64, len(w.c.r.procs))
+func (w configWatcher) run(stop <-chan struct{}) {
+	last := make([]uint64, len(w.c.r.daemons))
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
-		for i := range w.c.r.procs {
-			last[i] = w.look(i, last[i])
+		for i := range w.c.r.daemons {
+			last[i] = w.checkConfig(i, last[i])
 		}
 	}
 }
 
-// look judges that a ready daemon has everything in force that was accepted
-// before it was asked, and that it never goes back.
-func (w watcher) look(i int, last uint64) uint64 {
+// checkConfig checks that a ready daemon has applied every change that had converged
+// before the request, and that its sequence never decreases.
+func (w configWatcher) checkConfig(i int, last uint64) uint64 {
 	w.c.chaosMu.Lock()
 	busy := w.c.busy[i]
-	var must uint64
-	for _, a := range w.c.accepted {
-		must = max(must, a.seq)
+	var required uint64
+	for _, a := range w.c.converged {
+		required = max(required, a.seq)
 	}
 	w.c.chaosMu.Unlock()
 	if busy {
-		// It may be restarted in between; what it says then is judged later.
+		// It may restart during the request; it is checked again later.
 		return last
 	}
 	var st struct {
 		NotReady string `json:"notReady"`
 		Sequence uint64 `json:"sequence"`
 	}
-	if _, err := w.c.r.operate(w.c.r.procs[i], http.MethodGet, "/v1/status", nil, &st); err != nil || st.NotReady != "" {
+	if _, err := w.c.r.callOperatorAPI(w.c.r.daemons[i], http.MethodGet, "/v1/status", nil, &st); err != nil || st.NotReady != "" {
 		return last
 	}
-	name := w.c.r.procs[i].Name
-	w.c.vs[9].check(st.Sequence >= must, "%s serves under %d although %d was accepted", name, st.Sequence, must)
-	w.c.vs[9].check(st.Sequence >= last, "%s went back from %d to %d", name, last, st.Sequence)
+	name := w.c.r.daemons[i].Name
+	w.c.vs[9].check(st.Sequence >= required, "%s serves under sequence %d although %d had converged", name, st.Sequence, required)
+	w.c.vs[9].check(st.Sequence >= last, "%s reverted from sequence %d to %d", name, last, st.Sequence)
 	return max(last, st.Sequence)
 }
 
-// judge judges what only the schedule knows: leaving targets, planned stops,
-// weights and the end of all faults.
-func (c *chaos) judge() {
-	for _, s := range c.leaving {
-		for _, at := range c.workAt(s.target) {
-			c.vs[7].check(!(at.After(s.from) && at.Before(s.to)), "%s got new work %v after it was to get none", s.target, at.Sub(s.from)+leaveGrace)
+// evaluate checks what depends on the schedule: targets that were shutting down,
+// graceful shutdowns, secrets in logs, and readiness after all faults.
+func (c *chaos) evaluate() {
+	for _, s := range c.shutdowns {
+		for _, at := range c.workTimes(s.target) {
+			c.vs[7].check(!(at.After(s.from) && at.Before(s.to)), "%s got new work %v after it began to shut down", s.target, at.Sub(s.from)+shutdownGrace)
 		}
 		c.vs[7].check(true, "")
 	}
-	for _, a := range c.l.asks {
+	for _, a := range c.l.prompts {
 		stopped := a.reply.Refusal != nil && a.reply.Refusal.Code == "notReady"
-		c.vs[8].check(!stopped || a.reply.Text == "", "a stopping daemon cut an answer")
+		c.vs[8].check(!stopped || a.reply.Text == "", "a daemon that was shutting down cut an answer")
 	}
 	logs, err := c.r.logs()
-	c.vs[2].check(err == nil && !strings.Contains(logs, "clause by clause"), "a log holds a prompt")
+	c.vs[2].check(err == nil && !strings.Contains(logs, "clause by clause"), "a log contains a prompt")
 	for _, key := range c.r.site.File.CallerKeys {
-		c.vs[2].check(!strings.Contains(logs, key), "a log holds a caller's key")
+		c.vs[2].check(!strings.Contains(logs, key), "a log contains a caller's key")
 	}
-	c.vs[2].check(!strings.Contains(logs, c.r.site.File.OperatorKey), "a log holds an operator's key")
-	c.vs[9].check(len(c.accepted) > 0, "no change was accepted at all")
-	err = c.r.allReady()
+	c.vs[2].check(!strings.Contains(logs, c.r.site.File.OperatorKey), "a log contains an operator's key")
+	c.vs[9].check(len(c.converged) > 0, "no change converged")
+	err = c.r.awaitReady()
 	c.vs[9].check(err == nil, "not all daemons are ready after the faults: %v", err)
 }
 
-// workAt returns when a target got work.
-func (c *chaos) workAt(target string) []time.Time {
+// workTimes returns the times at which a target got requests.
+func (c *chaos) workTimes(target string) []time.Time {
 	var out []time.Time
 	for i, t := range c.r.site.File.Engines {
 		if t.Name == target {
--- a/embplay/prove/doc.go
+++ b/embplay/prove/doc.go
@@ -1,7 +1,7 @@
-// Package prove owns the proofs of the nine promises: real daemons as
-// processes, stand-ins around them, faults of all kinds, and judges that read
-// the callers' and targets' own records.
+// Package prove owns the tests of the nine promises to callers and operators: it
+// runs real daemon processes among fake targets, injects faults of all kinds, and
+// evaluates the callers' and targets' own records.
 //
-// It must not take a daemon's word for anything that it judges. All its code
-// is tests.
+// It must not rely on what a daemon reports about itself where that is under test.
+// All its code is tests.
 package prove
--- a/embplay/prove/load_test.go
+++ b/embplay/prove/load_test.go
@@ -19,8 +19,8 @@
 	"embertally.dev/embplay/internal/play"
 )
 
-// asked is one prompt and what came of it.
-type asked struct {
+// promptRecord is a prompt and its reply.
+type promptRecord struct {
 	at           time.Time
 	organisation string
 	prompt       string
@@ -28,8 +28,8 @@
 	reply        play.Reply
 }
 
-// version returns the weights that the whole answer came from, or "".
-func (a *asked) version() string {
+// version returns the weight version whose complete answer was received, or "".
+func (a *promptRecord) version() string {
 	for _, v := range []string{"v1", "v2", "v3", "v4"} {
 		if a.reply.Text == fake.Answer(fake.SiteModel, v, a.prompt, a.tokens) {
 			return v
@@ -38,61 +38,62 @@
 	return ""
 }
 
-// called is one call that may not be repeated, with all its tries.
-type called struct {
+// callRecord is a non-idempotent call with the replies to all its attempts.
+type callRecord struct {
 	organisation string
-	// mark is in the body and nowhere else.
-	mark  string
-	key   string
-	tries []play.Reply
+	// mark identifies the call at the targets; it is sent in the body only.
+	mark     string
+	key      string
+	attempts []play.Reply
 }
 
-// load keeps calling the daemons and writes down what came of it.
+// load sends requests to the daemons continuously and records the replies.
 type load struct {
-	rig *rig
-	rnd *rand.Rand
-	// out are daemons that the balancer leaves out.
-	loadMu sync.Mutex
-	out    map[int]bool // guarded by loadMu
-	asks   []*asked     // guarded by loadMu
-	calls  []*called    // guarded by loadMu
-	turn   atomic.Uint64
-	stop   context.CancelFunc
-	done   sync.WaitGroup
+	testbed *testbed
+	rnd     *rand.Rand
+	// excluded has the daemons that the load balancer skips.
+	loadMu     sync.Mutex
+	excluded   map[int]bool    // guarded by loadMu
+	prompts    []*promptRecord // guarded by loadMu
+	calls      []*callRecord   // guarded by loadMu
+	boxCounter atomic.Uint64
+	stop       context.CancelFunc
+	done       sync.WaitGroup
 }
 
 const (
-	// promptPause and callPause are the time between two requests of a kind.
-	promptPause = 60 * time.Millisecond
-	callPause   = 50 * time.Millisecond
-	contexts    = 24
-	loadTokens  = 20
+	// promptInterval and callInterval are the time between two requests of a kind.
+	promptInterval = 60 * time.Millisecond
+	callInterval   = 50 * time.Millisecond
+	contexts       = 24
+	answerTokens   = 20
 )
 
-func (r *rig) load(seed uint64) *load {
-	l := &load{rig: r, rnd: rand.New(rand.NewPCG(seed, 3)), out: map[int]bool{}}
+// load starts a load on all daemons.
+func (r *testbed) load(seed uint64) *load {
+	l := &load{testbed: r, rnd: rand.New(rand.NewPCG(seed, 3)), excluded: map[int]bool{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	l.stop = cancel
-	l.done.Go(func() { l.run(ctx, promptPause, l.prompt) })
-	l.done.Go(func() { l.run(ctx, callPause, l.call) })
+	l.done.Go(func() { l.run(ctx, promptInterval, l.sendPrompt) })
+	l.done.Go(func() { l.run(ctx, callInterval, l.sendCall) })
 	return l
 }
 
-// end stops the load and waits for every answer.
-func (l *load) end() {
+// finish stops the load and waits for every reply.
+func (l *load) finish() {
 	l.stop()
 	l.done.Wait()
 }
 
-func (l *load) run(ctx context.Context, pause time.Duration, one func()) {
-	t := time.NewTicker(pause)
+func (l *load) run(ctx context.Context, interval time.Duration, send func()) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			one()
+			send()
 		}
 	}
 }
@@ -103,19 +104,20 @@
 	return l.rnd.IntN(n)
 }
 
-// leaveOut makes the balancer lead to a daemon no longer, or again.
-func (l *load) leaveOut(i int, out bool) {
+// exclude sets whether the load balancer skips a daemon.
+func (l *load) exclude(i int, out bool) {
 	l.loadMu.Lock()
 	defer l.loadMu.Unlock()
-	l.out[i] = out
+	l.excluded[i] = out
 }
 
-func (l *load) box() int {
+// nextBox returns the index of the next daemon that is not excluded, or 0.
+func (l *load) nextBox() int {
 	l.loadMu.Lock()
 	defer l.loadMu.Unlock()
-	for range l.rig.procs {
-		i := int(l.turn.Add(1)) % len(l.rig.procs)
-		if !l.out[i] {
+	for range l.testbed.daemons {
+		i := int(l.boxCounter.Add(1)) % len(l.testbed.daemons)
+		if !l.excluded[i] {
 			return i
 		}
 	}
@@ -124,25 +126,25 @@
 
 func organisation(i int) string { return fmt.Sprintf("org-%02d", i%2+1) }
 
-// promptLimit bounds one request of the load.
-const promptLimit = 40 * time.Second
+// promptTimeout bounds one prompt of the load, with its retries.
+const promptTimeout = 40 * time.Second
 
-// prompt asks about one of a few long texts. Both organisations use the same
-// texts, so that blocks which meet would show.
-func (l *load) prompt() {
+// sendPrompt sends a prompt with one of a few long texts. Both organisations use the
+// same texts, so that blocks shared between them would be detected.
+func (l *load) sendPrompt() {
 	n, o := l.intn(contexts), l.intn(2)
 	text := longText(n) + fmt.Sprintf("Question %d.", l.intn(1000))
-	a := &asked{at: time.Now(), organisation: organisation(o), prompt: text, tokens: loadTokens}
+	a := &promptRecord{at: time.Now(), organisation: organisation(o), prompt: text, tokens: answerTokens}
 	l.loadMu.Lock()
-	l.asks = append(l.asks, a)
+	l.prompts = append(l.prompts, a)
 	l.loadMu.Unlock()
 	l.done.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), promptLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), promptTimeout)
 		defer cancel()
 		for range 3 {
-			box := l.box()
-			a.reply = l.rig.caller.Prompt(ctx, l.rig.procs[box].Callers, l.rig.site.File.CallerKeys[a.organisation], fake.SiteDeployment, text, loadTokens)
-			if !elsewhere(&a.reply) {
+			box := l.nextBox()
+			a.reply = l.testbed.caller.Prompt(ctx, l.testbed.daemons[box].Callers, l.testbed.site.File.CallerKeys[a.organisation], fake.SiteDeployment, text, answerTokens)
+			if !retryOtherDaemon(&a.reply) {
 				return
 			}
 		}
@@ -153,19 +155,20 @@
 	return strings.Repeat(fmt.Sprintf("The agreement %d says what both sides agreed to, clause by clause. ", n), 60+n*4)
 }
 
-// elsewhere reports whether a balancer leads to another daemon.
-func elsewhere(r *play.Reply) bool {
+// retryOtherDaemon reports whether a load balancer would retry through another
+// daemon.
+func retryOtherDaemon(r *play.Reply) bool {
 	return (r.Err != nil && errors.Is(r.Err, syscall.ECONNREFUSED)) || (r.Refusal != nil && r.Refusal.Code == "notReady")
 }
 
-// callLimit bounds one try of a call: shorter than a freeze, so that callers
-// give up and send again through another daemon.
-const callLimit = 4 * time.Second
+// callTimeout bounds one attempt of a call. It is shorter than a daemon may be
+// suspended, so that callers time out and retry through another daemon.
+const callTimeout = 4 * time.Second
 
-// call makes a call that may not be repeated: mostly with a key and sent again
-// until its outcome is known, sometimes without a key and once only.
-func (l *load) call() {
-	c := &called{organisation: organisation(l.intn(2)), mark: uuid.NewString()}
+// sendCall makes a non-idempotent call: mostly with an idempotency key and retries
+// until its outcome is recorded, sometimes without a key and only once.
+func (l *load) sendCall() {
+	c := &callRecord{organisation: organisation(l.intn(2)), mark: uuid.NewString()}
 	if l.intn(5) > 0 {
 		id, err := uuid.NewV7()
 		if err != nil {
@@ -173,45 +176,46 @@
 		}
 		c.key = id.String()
 	}
-	again := l.intn(3) == 0
+	resend := l.intn(3) == 0
 	l.loadMu.Lock()
 	l.calls = append(l.calls, c)
 	l.loadMu.Unlock()
 	l.done.Go(func() {
 		for range 8 {
-			r := l.try(c)
-			c.tries = append(c.tries, r)
-			if c.key == "" || (r.Complete && !again) || (r.Refusal != nil && r.Refusal.RetryAfterMillis == 0) {
+			r := l.attempt(c)
+			c.attempts = append(c.attempts, r)
+			if c.key == "" || (r.Complete && !resend) || (r.Refusal != nil && r.Refusal.RetryAfterMillis == 0) {
 				return
 			}
 			if r.Complete {
-				again = false
+				resend = false
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
 	})
 }
 
-// try sends a call through one daemon, or through the next where the balancer
-// leads elsewhere.
-func (l *load) try(c *called) play.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+// attempt sends a call through the next daemon, and through others while a load
+// balancer would retry.
+func (l *load) attempt(c *callRecord) play.Reply {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	body := []byte(`{"mark":"` + c.mark + `"}`)
 	var r play.Reply
 	for range 3 {
-		box := l.rig.procs[l.box()]
-		r = l.rig.caller.Call(ctx, box.Callers, l.rig.site.File.CallerKeys[c.organisation], http.MethodPost,
+		box := l.testbed.daemons[l.nextBox()]
+		r = l.testbed.caller.Call(ctx, box.Callers, l.testbed.site.File.CallerKeys[c.organisation], http.MethodPost,
 			"/services/"+fake.SiteService+"/renewals", c.key, body)
-		if !elsewhere(&r) {
+		if !retryOtherDaemon(&r) {
 			break
 		}
 	}
 	return r
 }
 
-// runsByMark returns the runs at the targets by the mark in their bodies.
-func (r *rig) runsByMark() map[string][]fake.ServiceRun {
+// executionsByMark returns the executions at the targets by the mark in their
+// bodies.
+func (r *testbed) executionsByMark() map[string][]fake.ServiceRun {
 	out := map[string][]fake.ServiceRun{}
 	for _, s := range r.site.Services {
 		for _, run := range s.Runs() {
--- a/embplay/prove/prove_test.go
+++ b/embplay/prove/prove_test.go
@@ -26,7 +26,7 @@
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	if program, err = build(dir); err != nil {
+	if daemonBinary, err = buildDaemon(dir); err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
@@ -35,8 +35,8 @@
 	os.Exit(code)
 }
 
-// small is a site that a laptop carries.
-func small() fake.SiteOptions {
+// smallSite returns the options of a site that runs on a laptop.
+func smallSite() fake.SiteOptions {
 	return fake.SiteOptions{
 		Daemons: 4, Engines: 4, Stores: 2, Services: 2, Domains: 4,
 		Engine: fake.EngineOptions{
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestProve runs the seeded schedule of all faults under load. It is for make
-// prove; make test runs the stories.
+// TestProve runs the seeded schedule of all faults under load. make prove runs it;
+// make test runs the scenarios.
 func TestProve(t *testing.T) {
 	if *proveSeed == 0 {
 		t.Skip("make prove runs it")
@@ -57,9 +57,9 @@
 	g := gomega.NewWithT(t)
 	rnd := rand.New(rand.NewPCG(*proveSeed, 4))
 	var vs verdicts
-	o := small()
+	o := smallSite()
 	o.Daemons = 6
-	r, err := newRig(t.TempDir(), o)
+	r, err := newTestbed(t.TempDir(), o)
 	if r != nil {
 		defer r.close()
 	}
@@ -67,8 +67,8 @@
 	l := r.load(*proveSeed)
 	c := newChaos(r, l, rnd, &vs)
 	c.run(time.Now().Add(*proveTime))
-	l.end()
-	vs.judge(r, l)
-	c.judge()
+	l.finish()
+	vs.evaluate(r, l)
+	c.evaluate()
 	g.Expect(vs.report(*proveOnly)).To(gomega.BeZero())
 }
--- a/embplay/prove/relay_test.go
+++ b/embplay/prove/relay_test.go
@@ -8,51 +8,51 @@
 	"time"
 )
 
-// flow says what a relay does with the bytes of one direction or both.
-type flow int32
+// proxyMode is how a proxy treats its connections.
+type proxyMode int32
 
 const (
-	pass flow = iota
-	// cut closes connections and refuses new ones.
-	cut
-	// hang takes connections and moves nothing.
-	hang
-	// hangAnswers moves requests and holds answers back.
-	hangAnswers
+	forward proxyMode = iota
+	// cutOff closes connections and refuses new ones.
+	cutOff
+	// stall accepts connections and forwards nothing.
+	stall
+	// stallResponses forwards requests and holds back responses.
+	stallResponses
 )
 
-// relay stands between two parties and can cut or slow what they say.
-type relay struct {
-	l     net.Listener
-	to    string
-	flow  atomic.Int32
-	delay atomic.Int64
+// proxy forwards TCP connections to an address and can cut, stall or delay them.
+type proxy struct {
+	l         net.Listener
+	to        string
+	proxyMode atomic.Int32
+	delay     atomic.Int64
 
 	connsMu sync.Mutex
 	conns   map[net.Conn]bool // guarded by connsMu
 }
 
-func newRelay(to string) (*relay, error) {
+func newProxy(to string) (*proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &relay{l: l, to: to, conns: map[net.Conn]bool{}}
+	r := &proxy{l: l, to: to, conns: map[net.Conn]bool{}}
 	go r.run()
 	return r, nil
 }
 
-func (r *relay) address() string { return r.l.Addr().String() }
+func (r *proxy) address() string { return r.l.Addr().String() }
 
-func (r *relay) set(f flow) {
-	r.flow.Store(int32(f))
-	if f == cut || f == pass {
-		// What hung is cut, as a network does in the end.
+func (r *proxy) set(f proxyMode) {
+	r.proxyMode.Store(int32(f))
+	if f == cutOff || f == forward {
+		// Stalled connections break in the end, as in a real network.
 		r.closeAll()
 	}
 }
 
-func (r *relay) closeAll() {
+func (r *proxy) closeAll() {
 	r.connsMu.Lock()
 	defer r.connsMu.Unlock()
 	for c := range r.conns {
@@ -60,32 +60,32 @@
 	}
 }
 
-func (r *relay) close() {
+func (r *proxy) close() {
 	r.l.Close()
 	r.closeAll()
 }
 
-func (r *relay) run() {
+func (r *proxy) run() {
 	for {
 		c, err := r.l.Accept()
 		if err != nil {
 			return
 		}
-		if flow(r.flow.Load()) == cut {
+		if proxyMode(r.proxyMode.Load()) == cutOff {
 			c.Close()
 			continue
 		}
-		go (&relayed{r, c}).run()
+		go (&proxiedConn{r, c}).run()
 	}
 }
 
-// relayed is one connection through a relay.
-type relayed struct {
-	r  *relay
+// proxiedConn is one connection through a proxy.
+type proxiedConn struct {
+	r  *proxy
 	in net.Conn
 }
 
-func (c *relayed) run() {
+func (c *proxiedConn) run() {
 	out, err := net.Dial("tcp", c.r.to)
 	if err != nil {
 		c.in.Close()
@@ -97,8 +97,8 @@
 		c.r.connsMu.Unlock()
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { c.move(out, c.in, false) })
-	wg.Go(func() { c.move(c.in, out, true) })
+	wg.Go(func() { c.copy(out, c.in, false) })
+	wg.Go(func() { c.copy(c.in, out, true) })
 	wg.Wait()
 	c.r.connsMu.Lock()
 	delete(c.r.conns, c.in)
@@ -107,22 +107,22 @@
 }
 
 const (
-	moveBuffer = 32 << 10
-	hangLook   = 20 * time.Millisecond
+	copyBuffer        = 32 << 10
+	stallPollInterval = 20 * time.Millisecond
 )
 
-// move copies one direction and closes both ends when it ends.
-func (c *relayed) move(to io.WriteCloser, from net.Conn, answers bool) {
+// copy forwards one direction, and closes both connections when it ends.
+func (c *proxiedConn) copy(to io.WriteCloser, from net.Conn, answers bool) {
 	defer to.Close()
 	defer from.Close()
-	buf := make([]byte, moveBuffer)
+	buf := make([]byte, copyBuffer)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			return
 		}
-		for c.held(answers) {
-			time.Sleep(hangLook)
+		for c.stalled(answers) {
+			time.Sleep(stallPollInterval)
 		}
 		if d := c.r.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
@@ -133,11 +133,12 @@
 	}
 }
 
-func (c *relayed) held(answers bool) bool {
-	switch flow(c.r.flow.Load()) {
-	case hang:
+// stalled reports whether the mode holds back responses or requests now.
+func (c *proxiedConn) stalled(answers bool) bool {
+	switch proxyMode(c.r.proxyMode.Load()) {
+	case stall:
 		return true
-	case hangAnswers:
+	case stallResponses:
 		return answers
 	}
 	return false
--- a/embplay/prove/rig_test.go
+++ b/embplay/prove/rig_test.go
@@ -22,38 +22,39 @@
 	"embertally.dev/embplay/internal/play"
 )
 
-// program is the path of the built daemon; TestMain sets it.
-var program string
+// daemonBinary is the path of the built daemon; TestMain sets it.
+var daemonBinary string
 
-// proc is one daemon process.
-type proc struct {
+// daemonProcess is a daemon that runs as a process of its own.
+type daemonProcess struct {
 	fake.SiteDaemon
-	// relays lead from this daemon to the key-value service and to its peers.
-	kv    *relay
-	peers map[string]*relay
-	boxes *fake.Boxes
+	// storeProxy and peerProxies forward the connections from this daemon to the
+	// coordination store and to its peers, by name. boxes is its own box list.
+	storeProxy  *proxy
+	peerProxies map[string]*proxy
+	boxes       *fake.Boxes
 
 	procMu sync.Mutex
 	cmd    *exec.Cmd // guarded by procMu
 }
 
-// rig is a site of stand-ins with running daemons.
-type rig struct {
-	site   *fake.Site
-	dir    string
-	procs  []*proc
-	caller *play.Caller
+// testbed is a site of fake targets with running daemons.
+type testbed struct {
+	site    *fake.Site
+	dir     string
+	daemons []*daemonProcess
+	caller  *play.Caller
 }
 
-// newRig starts stand-ins and daemons, with relays between them, and applies
-// the site's resources.
-func newRig(dir string, o fake.SiteOptions) (*rig, error) {
+// newTestbed starts fake targets and daemons with proxies between them, and
+// applies the site's resources.
+func newTestbed(dir string, o fake.SiteOptions) (*testbed, error) {
 	r, err := newSite(dir, o)
 	if err != nil {
 		return r, err
 	}
-	for _, p := range r.procs {
-		if err := r.wire(p); err != nil {
+	for _, p := range r.daemons {
+		if err := r.insertProxies(p); err != nil {
 			return r, err
 		}
 	}
@@ -63,25 +64,25 @@
 	return r, r.apply()
 }
 
-// newSite starts stand-ins and prepares daemons.
-func newSite(dir string, o fake.SiteOptions) (*rig, error) {
+// newSite starts fake targets and prepares daemons, without proxies.
+func newSite(dir string, o fake.SiteOptions) (*testbed, error) {
 	o.Dir = dir
 	site, err := fake.NewSite(o)
 	if err != nil {
 		return nil, err
 	}
-	r := &rig{site: site, dir: dir}
+	r := &testbed{site: site, dir: dir}
 	if r.caller, err = play.NewCaller(site.File.CA); err != nil {
 		return nil, err
 	}
 	for _, d := range site.File.Daemons {
-		r.procs = append(r.procs, &proc{SiteDaemon: d, peers: map[string]*relay{}})
+		r.daemons = append(r.daemons, &daemonProcess{SiteDaemon: d, peerProxies: map[string]*proxy{}})
 	}
 	return r, nil
 }
 
-func (r *rig) start() error {
-	for _, p := range r.procs {
+func (r *testbed) start() error {
+	for _, p := range r.daemons {
 		if err := p.start(); err != nil {
 			return err
 		}
@@ -89,11 +90,11 @@
 	return nil
 }
 
-// wire puts relays between a daemon and what it reaches, and a box list of its
-// own that names them.
-func (r *rig) wire(p *proc) error {
+// insertProxies puts proxies between a daemon and the coordination store and
+// peers, and gives it a box list of its own with their addresses.
+func (r *testbed) insertProxies(p *daemonProcess) error {
 	var err error
-	if p.kv, err = newRelay(strings.TrimPrefix(r.site.File.KeyValue, "http://")); err != nil {
+	if p.storeProxy, err = newProxy(strings.TrimPrefix(r.site.File.KeyValue, "http://")); err != nil {
 		return err
 	}
 	if p.boxes, err = fake.NewBoxes("127.0.0.1:0"); err != nil {
@@ -102,11 +103,11 @@
 	for _, d := range r.site.File.Daemons {
 		box := plat.Box{Name: d.Name, Role: plat.RoleEntry, Address: d.Peers, Domain: d.Domain, State: plat.BoxLive}
 		if d.Name != p.Name {
-			link, err := newRelay(d.Peers)
+			link, err := newProxy(d.Peers)
 			if err != nil {
 				return err
 			}
-			p.peers[d.Name] = link
+			p.peerProxies[d.Name] = link
 			box.Address = link.address()
 		}
 		p.boxes.Put(box)
@@ -120,12 +121,12 @@
 	if err != nil {
 		return err
 	}
-	text := strings.ReplaceAll(string(raw), r.site.File.KeyValue, "http://"+p.kv.address())
+	text := strings.ReplaceAll(string(raw), r.site.File.KeyValue, "http://"+p.storeProxy.address())
 	text = strings.ReplaceAll(text, r.site.File.BoxList, p.boxes.URL()+"/v1/boxes")
 	return os.WriteFile(p.Settings, []byte(text), 0o600)
 }
 
-func (p *proc) start() error {
+func (p *daemonProcess) start() error {
 	p.procMu.Lock()
 	defer p.procMu.Unlock()
 	f, err := os.OpenFile(p.Settings+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -133,22 +134,22 @@
 		return err
 	}
 	defer f.Close()
-	p.cmd = exec.Command(program, "run", p.Settings)
+	p.cmd = exec.Command(daemonBinary, "run", p.Settings)
 	p.cmd.Stderr = f
 	return p.cmd.Start()
 }
 
-func (p *proc) signal(s os.Signal) {
+func (p *daemonProcess) signal(s os.Signal) {
 	p.procMu.Lock()
 	defer p.procMu.Unlock()
 	if p.cmd != nil {
-		// A process that has ended already needs no signal.
+		// A process that has exited needs no signal.
 		_ = p.cmd.Process.Signal(s)
 	}
 }
 
-// end waits until the process has ended and returns its error.
-func (p *proc) end() error {
+// awaitExit waits until the process has exited and returns its error.
+func (p *daemonProcess) awaitExit() error {
 	p.procMu.Lock()
 	cmd := p.cmd
 	p.cmd = nil
@@ -159,53 +160,54 @@
 	return cmd.Wait()
 }
 
-func (p *proc) kill() {
+// kill kills the process and waits until it has exited.
+func (p *daemonProcess) kill() {
 	p.signal(syscall.SIGKILL)
-	_ = p.end()
+	_ = p.awaitExit()
 }
 
-func (p *proc) freeze() { p.signal(syscall.SIGSTOP) }
-func (p *proc) wake()   { p.signal(syscall.SIGCONT) }
+func (p *daemonProcess) suspend() { p.signal(syscall.SIGSTOP) }
+func (p *daemonProcess) resume()  { p.signal(syscall.SIGCONT) }
 
-// close ends everything.
-func (r *rig) close() {
-	for _, p := range r.procs {
-		p.wake()
+// close stops all daemons, proxies and fake targets.
+func (r *testbed) close() {
+	for _, p := range r.daemons {
+		p.resume()
 		p.kill()
-		if p.kv != nil {
-			p.kv.close()
+		if p.storeProxy != nil {
+			p.storeProxy.close()
 			p.boxes.Close()
 		}
-		for _, l := range p.peers {
+		for _, l := range p.peerProxies {
 			l.close()
 		}
 	}
 	r.site.Close()
 }
 
-// errNotYet says that a condition does not hold yet.
+// errNotYet reports that a condition does not hold yet.
 var errNotYet = errors.New("not yet")
 
-// waitLimit bounds every wait for a condition.
-const waitLimit = 60 * time.Second
+// waitTimeout bounds every wait for a condition.
+const waitTimeout = 60 * time.Second
 
-// wait waits until f gives no error.
-func wait(what string, f func() error) error {
-	end := time.Now().Add(waitLimit)
+// waitUntil calls f until it returns no error.
+func waitUntil(what string, f func() error) error {
+	end := time.Now().Add(waitTimeout)
 	for {
 		err := f()
 		if err == nil {
 			return nil
 		}
 		if time.Now().After(end) {
-			return errors.Wrap(err, "gave up waiting for "+what)
+			return errors.Wrap(err, "timed out waiting for "+what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// operate sends a request to a daemon's operators' side.
-func (r *rig) operate(p *proc, method, path string, body, reply any) (int, error) {
+// callOperatorAPI sends a request to a daemon's operator API.
+func (r *testbed) callOperatorAPI(p *daemonProcess, method, path string, body, reply any) (int, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return 0, err
@@ -235,7 +237,7 @@
 	return resp.StatusCode, json.Unmarshal(got, reply)
 }
 
-// resource is a resource of the operators' side.
+// resource is a resource as the operator API returns it.
 type resource struct {
 	Kind            string          `json:"kind"`
 	Name            string          `json:"name"`
@@ -243,20 +245,19 @@
 	Spec            json.RawMessage `json:"spec"`
 }
 
-// apply puts the site's resources in force and waits until all is ready.
-func (r *rig) apply() error {
-	if err := r.applyTo(r.procs[0]); err != nil {
+// apply applies the site's resources and waits until all daemons are ready.
+func (r *testbed) apply() error {
+	if err := r.applyTo(r.daemons[0]); err != nil {
 		return err
 	}
-	return r.allReady()
+	return r.awaitReady()
 }
 
-// applyTo puts the site's resources in force through one daemon, once all
-// answer.
-func (r *rig) applyTo(through *proc) error {
-	for _, p := range r.procs {
-		err := wait(p.Name+" to answer", func() error {
-			_, err := r.operate(p, http.MethodGet, "/v1/status", nil, nil)
+// applyTo applies the site's resources through one daemon, once all respond.
+func (r *testbed) applyTo(through *daemonProcess) error {
+	for _, p := range r.daemons {
+		err := waitUntil(p.Name+" to respond", func() error {
+			_, err := r.callOperatorAPI(p, http.MethodGet, "/v1/status", nil, nil)
 			return err
 		})
 		if err != nil {
@@ -268,32 +269,32 @@
 		body := struct {
 			Spec json.RawMessage `json:"spec"`
 		}{res.Spec}
-		if err := wait(path, func() error { _, err := r.operate(through, http.MethodPut, path, body, nil); return err }); err != nil {
+		if err := waitUntil(path, func() error { _, err := r.callOperatorAPI(through, http.MethodPut, path, body, nil); return err }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// allReady waits until every running daemon takes requests and knows the load
-// of every engine.
-func (r *rig) allReady() error {
-	for _, p := range r.procs {
-		if err := r.ready(p); err != nil {
+// awaitReady waits until every daemon is ready, has received the load of every
+// engine, and sees all daemons alive.
+func (r *testbed) awaitReady() error {
+	for _, p := range r.daemons {
+		if err := r.awaitDaemonReady(p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *rig) ready(p *proc) error {
-	return wait(p.Name+" to be ready", func() error {
+func (r *testbed) awaitDaemonReady(p *daemonProcess) error {
+	return waitUntil(p.Name+" to be ready", func() error {
 		var st struct {
 			NotReady string `json:"notReady"`
 			Targets  []struct{ Load string }
 			Daemons  []struct{ Alive, Listed bool }
 		}
-		if _, err := r.operate(p, http.MethodGet, "/v1/status", nil, &st); err != nil {
+		if _, err := r.callOperatorAPI(p, http.MethodGet, "/v1/status", nil, &st); err != nil {
 			return err
 		}
 		loads, alive := 0, 0
@@ -307,24 +308,24 @@
 				alive++
 			}
 		}
-		if st.NotReady != "" || loads < len(r.site.Engines) || alive < len(r.procs) {
+		if st.NotReady != "" || loads < len(r.site.Engines) || alive < len(r.daemons) {
 			return errors.Wrapf(errNotYet, "%q, %d loads, %d alive", st.NotReady, loads, alive)
 		}
 		return nil
 	})
 }
 
-// listed changes the state of a box in every daemon's list.
-func (r *rig) listed(name string, s plat.BoxState) {
-	for _, p := range r.procs {
+// setBoxState changes the state of a box in every daemon's box list.
+func (r *testbed) setBoxState(name string, s plat.BoxState) {
+	for _, p := range r.daemons {
 		p.boxes.State(name, s)
 	}
 }
 
-// logs returns everything that the daemons wrote.
-func (r *rig) logs() (string, error) {
+// logs returns the logs of all daemons.
+func (r *testbed) logs() (string, error) {
 	var b strings.Builder
-	for _, p := range r.procs {
+	for _, p := range r.daemons {
 		raw, err := os.ReadFile(p.Settings + ".log")
 		if err != nil {
 			return "", err
@@ -334,8 +335,8 @@
 	return b.String(), nil
 }
 
-// build builds the daemon for the tests of this package.
-func build(dir string) (string, error) {
+// buildDaemon builds the daemon binary in dir and returns its path.
+func buildDaemon(dir string) (string, error) {
 	out := filepath.Join(dir, "emberd")
 	cmd := exec.Command("go", "build", "-o", out, ".")
 	cmd.Dir = filepath.Join("..", "..", "emberd")
--- a/embplay/prove/slopes_test.go
+++ b/embplay/prove/slopes_test.go
@@ -25,24 +25,24 @@
 
 var slopesDir = flag.String("slopes", "", "measure slopes and write them to this folder")
 
-// reading is what one daemon costs at one size.
-type reading struct {
-	// X is the size that was varied.
+// measurement is the mean resource usage of a daemon at one value of the parameter.
+type measurement struct {
+	// X is the value of the parameter that is varied.
 	X float64 `json:"x"`
-	// ProcessorShare is processor time over wall time, of one core.
+	// ProcessorShare is processor time over wall time: 1 is one core.
 	ProcessorShare float64 `json:"processorShare"`
 	ResidentBytes  float64 `json:"residentBytes"`
-	// ControlBytes is counted by the daemon, a second.
+	// ControlBytes is the control traffic a second, as counted by the daemon.
 	ControlBytes float64 `json:"controlBytesPerSecond"`
-	// KeyValueCalls are those of the whole fleet, a second, by the service's
-	// own count.
+	// KeyValueCalls is the number of calls a second from the whole fleet, as
+	// counted by the coordination store.
 	KeyValueCalls float64 `json:"keyValueCallsPerSecond"`
-	// WaitingWatches is how many watches of the service are open.
+	// WaitingWatches is the number of open watches at the coordination store.
 	WaitingWatches float64 `json:"waitingWatches"`
 }
 
-// line is a straight line through readings.
-type line struct {
+// regression is a linear regression of one figure over the parameter.
+type regression struct {
 	Figure    string  `json:"figure"`
 	Intercept float64 `json:"intercept"`
 	Slope     float64 `json:"slope"`
@@ -50,29 +50,30 @@
 	Error float64 `json:"slopeError"`
 }
 
-// slope is how a daemon's costs grow with one size.
-type slope struct {
-	Size     string    `json:"size"`
-	Fixed    string    `json:"fixed"`
-	Readings []reading `json:"readings"`
-	Lines    []line    `json:"lines"`
+// scaling describes how a daemon's resource usage grows with one parameter.
+type scaling struct {
+	Size     string        `json:"size"`
+	Fixed    string        `json:"fixed"`
+	Readings []measurement `json:"readings"`
+	Lines    []regression  `json:"lines"`
 }
 
 const (
-	settleTime = 4 * time.Second
-	windowTime = 8 * time.Second
+	settleDuration = 4 * time.Second
+	measureWindow  = 8 * time.Second
 )
 
-// quiet is a site without requests.
-func quiet(daemons, engines int) fake.SiteOptions {
-	o := small()
+// idleSite returns the options of a site that gets no requests.
+func idleSite(daemons, engines int) fake.SiteOptions {
+	o := smallSite()
 	o.Daemons, o.Engines, o.Stores, o.Services, o.LogLevel = daemons, engines, 2, 2, "warning"
 	o.Engine.Blocks = 2000
 	return o
 }
 
-// organisationsIn writes organisations into the service before daemons start.
-func organisationsIn(r *rig, n int) error {
+// writeOrganisations writes organisations to the coordination store before the
+// daemons start.
+func writeOrganisations(r *testbed, n int) error {
 	const batch = 500
 	type put struct {
 		Key   []byte `json:"key"`
@@ -119,8 +120,9 @@
 	return nil
 }
 
-// measured starts a site and reads what its daemons cost on average.
-func measured(t *testing.T, x float64, o fake.SiteOptions, before func(r *rig) error, during func(ctx context.Context, r *rig)) reading {
+// measure starts a site, runs during in the background and returns the mean resource
+// usage of its daemons.
+func measure(t *testing.T, x float64, o fake.SiteOptions, before func(r *testbed) error, during func(ctx context.Context, r *testbed)) measurement {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	r, err := newSite(t.TempDir(), o)
@@ -130,11 +132,11 @@
 		g.Expect(before(r)).To(gomega.Succeed())
 	}
 	g.Expect(r.start()).To(gomega.Succeed())
-	g.Expect(r.applyTo(r.procs[0])).To(gomega.Succeed())
-	for _, p := range r.procs {
-		g.Expect(wait(p.Name, func() error {
-			if why := r.notReady(p); why != "" {
-				return fmt.Errorf("%s: %w", why, errNotYet)
+	g.Expect(r.applyTo(r.daemons[0])).To(gomega.Succeed())
+	for _, p := range r.daemons {
+		g.Expect(waitUntil(p.Name, func() error {
+			if reason := r.readinessError(p); reason != "" {
+				return fmt.Errorf("%s: %w", reason, errNotYet)
 			}
 			return nil
 		})).To(gomega.Succeed())
@@ -144,14 +146,14 @@
 	if during != nil {
 		wg.Go(func() { during(ctx, r) })
 	}
-	time.Sleep(settleTime)
-	first, calls := r.figures(t), r.site.KeyValue.Counts()
-	time.Sleep(windowTime)
-	last, after := r.figures(t), r.site.KeyValue.Counts()
+	time.Sleep(settleDuration)
+	first, calls := r.readUsage(t), r.site.KeyValue.Counts()
+	time.Sleep(measureWindow)
+	last, after := r.readUsage(t), r.site.KeyValue.Counts()
 	cancel()
 	wg.Wait()
-	n, secs := float64(len(r.procs)), windowTime.Seconds()
-	out := reading{X: x, KeyValueCalls: float64(after.Reads-calls.Reads+after.Writes-calls.Writes+after.Watches-calls.Watches) / secs}
+	n, secs := float64(len(r.daemons)), measureWindow.Seconds()
+	out := measurement{X: x, KeyValueCalls: float64(after.Reads-calls.Reads+after.Writes-calls.Writes+after.Watches-calls.Watches) / secs}
 	out.WaitingWatches = float64(r.site.KeyValue.Waiting())
 	for i := range last {
 		out.ProcessorShare += (last[i].processor - first[i].processor) / secs / n
@@ -161,34 +163,36 @@
 	return out
 }
 
-type figures struct{ processor, control, resident float64 }
+// processUsage is the usage of one daemon: processor time in seconds, control traffic
+// and resident memory in bytes.
+type processUsage struct{ processor, control, resident float64 }
 
-// figures reads processor time and memory from the system and control bytes
-// from the daemons.
-func (r *rig) figures(t *testing.T) []figures {
+// readUsage reads processor time and memory from the operating system and control
+// traffic from the daemons.
+func (r *testbed) readUsage(t *testing.T) []processUsage {
 	t.Helper()
-	out := make([]figures, len(r.procs))
+	out := make([]processUsage, len(r.daemons))
 	var wg sync.WaitGroup
-	for i, p := range r.procs {
+	for i, p := range r.daemons {
 		wg.Go(func() {
 			var vars struct {
 				ControlBytes float64 `json:"controlBytes"`
 			}
-			if _, err := r.operate(p, http.MethodGet, "/debug/vars", nil, &vars); err != nil {
+			if _, err := r.callOperatorAPI(p, http.MethodGet, "/debug/vars", nil, &vars); err != nil {
 				t.Error(err)
 			}
-			out[i] = figures{processor: p.processor(), control: vars.ControlBytes, resident: p.resident()}
+			out[i] = processUsage{processor: p.processorSeconds(), control: vars.ControlBytes, resident: p.residentBytes()}
 		})
 	}
 	wg.Wait()
 	return out
 }
 
-// ticks is the system's clock for processor time, in ticks a second.
-const ticks = 100
+// ticksPerSecond is the unit of processor times in /proc.
+const ticksPerSecond = 100
 
-// processor returns the processor time of the process by the system's account.
-func (p *proc) processor() float64 {
+// processorSeconds returns the processor time of the process from /proc.
+func (p *daemonProcess) processorSeconds() float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -196,11 +200,11 @@
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+2:]))
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / ticks
+	return (user + system) / ticksPerSecond
 }
 
-// resident returns the resident memory by the system's account.
-func (p *proc) resident() float64 {
+// residentBytes returns the resident memory of the process from /proc.
+func (p *daemonProcess) residentBytes() float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -210,41 +214,41 @@
 	return kb * 1024
 }
 
-// fit puts lines through the readings of a slope.
-func (s *slope) fit() {
+// fit computes the regressions of all figures.
+func (s *scaling) fit() {
 	for _, f := range []struct {
 		name string
-		of   func(r reading) float64
+		of   func(r measurement) float64
 	}{
-		{"processorShare", func(r reading) float64 { return r.ProcessorShare }},
-		{"residentBytes", func(r reading) float64 { return r.ResidentBytes }},
-		{"controlBytesPerSecond", func(r reading) float64 { return r.ControlBytes }},
-		{"keyValueCallsPerSecond", func(r reading) float64 { return r.KeyValueCalls }},
+		{"processorShare", func(r measurement) float64 { return r.ProcessorShare }},
+		{"residentBytes", func(r measurement) float64 { return r.ResidentBytes }},
+		{"controlBytesPerSecond", func(r measurement) float64 { return r.ControlBytes }},
+		{"keyValueCallsPerSecond", func(r measurement) float64 { return r.KeyValueCalls }},
 	} {
 		var xs, ys []float64
 		for _, r := range s.Readings {
 			xs, ys = append(xs, r.X), append(ys, f.of(r))
 		}
 		a, b := stat.LinearRegression(xs, ys, nil, false)
-		s.Lines = append(s.Lines, line{f.name, a, b, slopeError(xs, ys, a, b)})
+		s.Lines = append(s.Lines, regression{f.name, a, b, slopeError(xs, ys, a, b)})
 	}
 }
 
-// slopeError returns the standard error of the slope of a fitted line.
+// slopeError returns the standard error of the slope of the regression a + b*x.
 func slopeError(xs, ys []float64, a, b float64) float64 {
 	mean := stat.Mean(xs, nil)
-	var rest, spread float64
+	var residuals, deviations float64
 	for i, x := range xs {
 		d := ys[i] - a - b*x
-		rest += d * d
-		spread += (x - mean) * (x - mean)
+		residuals += d * d
+		deviations += (x - mean) * (x - mean)
 	}
-	return math.Sqrt(rest / float64(len(xs)-2) / spread)
+	return math.Sqrt(residuals / float64(len(xs)-2) / deviations)
 }
 
-// changing rewrites a policy at a rate.
-func changing(perSecond float64) func(ctx context.Context, r *rig) {
-	return func(ctx context.Context, r *rig) {
+// changeConfiguration returns a function that writes a policy at a rate.
+func changeConfiguration(perSecond float64) func(ctx context.Context, r *testbed) {
+	return func(ctx context.Context, r *testbed) {
 		if perSecond == 0 {
 			return
 		}
@@ -260,14 +264,15 @@
 			body := struct {
 				Spec json.RawMessage `json:"spec"`
 			}{spec}
-			// A change that is refused changes nothing and counts as none.
-			_, _ = r.operate(r.procs[0], http.MethodPut, "/v1/resources/policies/org-01?force=true", body, nil)
+			// A refused write changes nothing and does not count.
+			_, _ = r.callOperatorAPI(r.daemons[0], http.MethodPut, "/v1/resources/policies/org-01?force=true", body, nil)
 		}
 	}
 }
 
-func churning(perSecond float64) func(ctx context.Context, r *rig) {
-	return func(ctx context.Context, r *rig) {
+// churnCaches returns a function that causes cache events at a rate over all engines.
+func churnCaches(perSecond float64) func(ctx context.Context, r *testbed) {
+	return func(ctx context.Context, r *testbed) {
 		if perSecond == 0 {
 			return
 		}
@@ -279,12 +284,13 @@
 	}
 }
 
-// TestSlopes measures how the costs of one daemon grow. It is for make slopes.
+// TestSlopes measures how the resource usage of one daemon grows with the size of the
+// site. make slopes runs it.
 func TestSlopes(t *testing.T) {
 	if *slopesDir == "" {
 		t.Skip("make slopes runs it")
 	}
-	slopes := []slope{
+	slopes := []scaling{
 		{Size: "daemons in the cell", Fixed: "16 workers in all"},
 		{Size: "daemons in the fleet", Fixed: "1 worker for each daemon; cells of 12 on average above 16 daemons"},
 		{Size: "workers followed by the daemon", Fixed: "1 daemon"},
@@ -293,23 +299,23 @@
 		{Size: "cache events a second at the daemon", Fixed: "1 daemon, 4 workers, runs of 16 blocks"},
 	}
 	for _, n := range []int{2, 5, 8, 12, 16} {
-		slopes[0].Readings = append(slopes[0].Readings, measured(t, float64(n), quiet(n, 16), nil, nil))
+		slopes[0].Readings = append(slopes[0].Readings, measure(t, float64(n), idleSite(n, 16), nil, nil))
 	}
 	for _, n := range []int{17, 32, 48, 64} {
-		slopes[1].Readings = append(slopes[1].Readings, measured(t, float64(n), quiet(n, n), nil, nil))
+		slopes[1].Readings = append(slopes[1].Readings, measure(t, float64(n), idleSite(n, n), nil, nil))
 	}
 	for _, n := range []int{2, 8, 16, 32} {
-		slopes[2].Readings = append(slopes[2].Readings, measured(t, float64(n), quiet(1, n), nil, nil))
+		slopes[2].Readings = append(slopes[2].Readings, measure(t, float64(n), idleSite(1, n), nil, nil))
 	}
 	for _, n := range []int{0, 5000, 12000, 23000} {
-		before := func(r *rig) error { return organisationsIn(r, n) }
-		slopes[3].Readings = append(slopes[3].Readings, measured(t, float64(n), quiet(2, 2), before, nil))
+		before := func(r *testbed) error { return writeOrganisations(r, n) }
+		slopes[3].Readings = append(slopes[3].Readings, measure(t, float64(n), idleSite(2, 2), before, nil))
 	}
 	for _, rate := range []float64{0, 1, 4, 10} {
-		slopes[4].Readings = append(slopes[4].Readings, measured(t, rate, quiet(4, 4), nil, changing(rate)))
+		slopes[4].Readings = append(slopes[4].Readings, measure(t, rate, idleSite(4, 4), nil, changeConfiguration(rate)))
 	}
 	for _, rate := range []float64{0, 20, 60, 120} {
-		slopes[5].Readings = append(slopes[5].Readings, measured(t, rate, quiet(1, 4), nil, churning(rate)))
+		slopes[5].Readings = append(slopes[5].Readings, measure(t, rate, idleSite(1, 4), nil, churnCaches(rate)))
 	}
 	for i := range slopes {
 		slopes[i].fit()
--- a/embplay/prove/story_answers_test.go
+++ b/embplay/prove/story_answers_test.go
@@ -16,10 +16,10 @@
 	"embertally.dev/embplay/internal/play"
 )
 
-var _ = Describe("Promise 4: every caller gets the whole answer to its own request", func() {
+var _ = Describe("Promise 4: every caller gets the complete answer to its own request", func() {
 	tests := []struct {
-		name string
-		harm func(e *fake.Engine)
+		name   string
+		inject func(e *fake.Engine)
 	}{
 		{"a cut stream", func(e *fake.Engine) { e.Set(fake.CutStream, 2) }},
 		{"a cut stream that the engine forgot", func(e *fake.Engine) { e.Set(fake.ForgetStream, 1); e.Set(fake.CutStream, 1) }},
@@ -29,24 +29,24 @@
 	}
 	for _, tc := range tests {
 		It("through "+tc.name, func() {
-			r := site(nil)
-			// Half of the engines fail: a request is given to four at most.
+			r := startSite(nil)
+			// Half of the engines fail: a request is attempted at four at most.
 			for _, e := range r.site.Engines[:2] {
-				tc.harm(e)
+				tc.inject(e)
 			}
 			for n := range 6 {
 				prompt := fmt.Sprintf("%s, number %d", longText(2), n)
-				expectWhole(r.ask(n%len(r.procs), orgOne, prompt, 30), "v1", prompt, 30)
+				expectAnswer(r.sendPrompt(n%len(r.daemons), orgOne, prompt, 30), "v1", prompt, 30)
 			}
 		})
 	}
 
-	It("goes on elsewhere when an engine dies in the middle, after the deadline for the first token", func() {
-		r := site(func(o *fake.SiteOptions) { o.Deadline = conf.Seconds(1) })
+	It("continues at another engine after a crash in mid-answer, past the deadline for the first token", func() {
+		r := startSite(func(o *fake.SiteOptions) { o.Deadline = conf.Seconds(1) })
 		prompt := longText(5)
 		const long, pastDeadline = 600, 50000
 		got := make(chan play.Reply, 1)
-		go func() { got <- r.ask(0, orgOne, prompt, long) }()
+		go func() { got <- r.sendPrompt(0, orgOne, prompt, long) }()
 		var busy *fake.Engine
 		Eventually(func() *fake.Engine {
 			for _, e := range r.site.Engines {
@@ -56,15 +56,15 @@
 			}
 			return busy
 		}).ShouldNot(BeNil())
-		Eventually(func() float64 { return r.count("relayedBytes") }).Should(BeNumerically(">", pastDeadline))
+		Eventually(func() float64 { return r.sumMetric("relayedBytes") }).Should(BeNumerically(">", pastDeadline))
 		busy.Close()
-		expectWhole(<-got, "v1", prompt, long)
+		expectAnswer(<-got, "v1", prompt, long)
 	})
 
-	It("ends with an explicit error when nobody can go on", func() {
-		r := site(func(o *fake.SiteOptions) { o.Engines = 1 })
+	It("ends with an explicit error when no engine can continue", func() {
+		r := startSite(func(o *fake.SiteOptions) { o.Engines = 1 })
 		got := make(chan play.Reply, 1)
-		go func() { got <- r.ask(0, orgOne, longText(5), 400) }()
+		go func() { got <- r.sendPrompt(0, orgOne, longText(5), 400) }()
 		Eventually(func() int { return len(r.site.Engines[0].Runs()) }).Should(Equal(1))
 		r.site.Engines[0].Close()
 		a := <-got
@@ -73,9 +73,9 @@
 	})
 })
 
-var _ = Describe("Promise 5: not run is true", func() {
-	It("in every refusal before a target", func() {
-		r := site(nil)
+var _ = Describe("Promise 5: a request reported as not executed was not executed", func() {
+	It("in every refusal before an attempt", func() {
+		r := startSite(nil)
 		mark := uuid.NewString()
 		body := `{"mark":"` + mark + `"}`
 		pay := "/services/" + fake.SiteService + "/renewals"
@@ -102,32 +102,32 @@
 			{"unknown role", good, "", "/v1/chat/completions", prompt(`"messages":[{"role":"boss","content":"x"}]`), "badRequest", "notRun"},
 		}
 		for _, tc := range tests {
-			refused := r.refused(tc.key, tc.idempotency, tc.path, tc.body)
+			refused := r.refusalOf(tc.key, tc.idempotency, tc.path, tc.body)
 			Expect(refused.Code).To(Equal(tc.code), tc.name)
 			Expect(refused.Ran).To(Equal(tc.ran), tc.name)
 		}
-		Expect(r.runsByMark()[mark]).To(BeEmpty())
+		Expect(r.executionsByMark()[mark]).To(BeEmpty())
 		for _, e := range r.site.Engines {
 			Expect(e.Runs()).To(BeEmpty())
 		}
 	})
 
-	It("when no target can be used or reached", func() {
-		r := site(nil)
+	It("when no target is available or reachable", func() {
+		r := startSite(nil)
 		for _, s := range r.site.Services {
 			s.Close()
 		}
 		key, mark := newKey(), uuid.NewString()
-		got := r.pay(0, orgOne, key, mark)
+		got := r.sendPayment(0, orgOne, key, mark)
 		Expect(got.Refusal).NotTo(BeNil())
 		Expect(got.Refusal.Code).To(Equal("noTarget"))
 		Expect(got.Refusal.Ran).To(Equal("notRun"))
 		Expect(got.Refusal.RetryAfterMillis).To(BeNumerically(">", 0))
 		for _, e := range r.site.File.Engines {
-			r.listed(e.Name, plat.BoxLeaving)
+			r.setBoxState(e.Name, plat.BoxLeaving)
 		}
 		Eventually(func() string {
-			a := r.ask(0, orgOne, "anyone?", 2)
+			a := r.sendPrompt(0, orgOne, "anyone?", 2)
 			if a.Refusal == nil {
 				return ""
 			}
@@ -136,10 +136,10 @@
 	})
 })
 
-// refused sends a request that is to be refused and returns its refusal.
-func (r *rig) refused(key, idempotency, path, body string) play.Refusal {
+// refusalOf sends a request that must be refused and returns its refusal.
+func (r *testbed) refusalOf(key, idempotency, path, body string) play.Refusal {
 	GinkgoHelper()
-	req, err := http.NewRequest(http.MethodPost, r.procs[0].Callers+path, strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, r.daemons[0].Callers+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", key)
 	if idempotency != "" {
--- a/embplay/prove/story_api_test.go
+++ b/embplay/prove/story_api_test.go
@@ -13,10 +13,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// send sends a request to a daemon's operators' side.
-func (r *rig) send(ctx context.Context, key, method, path, body string) *http.Response {
+// sendOperatorRequest sends a request to the operator API of the first daemon.
+func (r *testbed) sendOperatorRequest(ctx context.Context, key, method, path, body string) *http.Response {
 	GinkgoHelper()
-	req, err := http.NewRequestWithContext(ctx, method, r.procs[0].Operators+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, r.daemons[0].Operators+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+key)
 	resp, err := r.caller.HTTP().Do(req)
@@ -24,8 +24,8 @@
 	return resp
 }
 
-// refusedWrite is the answer to a request on resources that is refused.
-type refusedWrite struct {
+// writeRefusal is the error response of the resource API.
+type writeRefusal struct {
 	Error struct {
 		Code   string `json:"code"`
 		Faults []struct {
@@ -35,14 +35,14 @@
 }
 
 var _ = Describe("The resource API", func() {
-	It("refuses what is wrong with the field, and changes nothing", func() {
-		r := site(nil)
+	It("refuses invalid requests with the name of the field, and changes nothing", func() {
+		r := startSite(nil)
 		key := r.site.File.OperatorKey
 		sequence := func() string {
 			var list struct {
 				ResourceVersion string `json:"resourceVersion"`
 			}
-			_, err := r.operate(r.procs[0], http.MethodGet, "/v1/resources/policies", nil, &list)
+			_, err := r.callOperatorAPI(r.daemons[0], http.MethodGet, "/v1/resources/policies", nil, &list)
 			Expect(err).NotTo(HaveOccurred())
 			return list.ResourceVersion
 		}
@@ -67,13 +67,13 @@
 			{"bad reference", key, "PUT", "/v1/resources/policies/org-01?force=true", `{"spec":{"organisation":"none","deployments":["reader"]}}`, 422, "badReference", "spec.organisation"},
 			{"in use", key, "DELETE", "/v1/resources/organisations/org-01?force=true", "", 409, "inUse", ""},
 			{"too large", key, "PUT", "/v1/resources/policies/org-01?force=true", strings.Repeat("x", 300<<10), 422, "invalid", "body"},
-			{"watch from nowhere", key, "GET", "/v1/resources/policies?watch=true", "", 422, "invalid", "from"},
-			{"drain of nothing", key, "POST", "/v1/drains/none", `{"leaving":true}`, 404, "notFound", ""},
-			{"drain without a word", key, "POST", "/v1/drains/engine-01", `{"leave":true}`, 422, "invalid", "leaving"},
+			{"watch without a version", key, "GET", "/v1/resources/policies?watch=true", "", 422, "invalid", "from"},
+			{"drain of an unknown target", key, "POST", "/v1/drains/none", `{"leaving":true}`, 404, "notFound", ""},
+			{"drain without its field", key, "POST", "/v1/drains/engine-01", `{"leave":true}`, 422, "invalid", "leaving"},
 		}
 		for _, tc := range tests {
-			resp := r.send(context.Background(), tc.key, tc.method, tc.path, tc.body)
-			var got refusedWrite
+			resp := r.sendOperatorRequest(context.Background(), tc.key, tc.method, tc.path, tc.body)
+			var got writeRefusal
 			raw, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			Expect(err).NotTo(HaveOccurred())
@@ -88,24 +88,24 @@
 		Expect(sequence()).To(Equal(before))
 	})
 
-	It("watches from a version on, through any daemon", func() {
-		r := site(nil)
+	It("watches from a version on, and reports writes through any daemon", func() {
+		r := startSite(nil)
 		var list struct {
 			ResourceVersion string `json:"resourceVersion"`
 		}
-		_, err := r.operate(r.procs[0], http.MethodGet, "/v1/resources/policies", nil, &list)
+		_, err := r.callOperatorAPI(r.daemons[0], http.MethodGet, "/v1/resources/policies", nil, &list)
 		Expect(err).NotTo(HaveOccurred())
 		spec := json.RawMessage(`{"organisation":"org-01","deployments":["reader"],"services":["payments"]}`)
 		for i := range 3 {
 			body := struct {
 				Spec json.RawMessage `json:"spec"`
 			}{spec}
-			_, err := r.operate(r.procs[i], http.MethodPut, "/v1/resources/policies/org-01?force=true", body, nil)
+			_, err := r.callOperatorAPI(r.daemons[i], http.MethodPut, "/v1/resources/policies/org-01?force=true", body, nil)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
-		resp := r.send(ctx, r.site.File.OperatorKey, http.MethodGet, "/v1/resources/policies?watch=true&from="+list.ResourceVersion, "")
+		resp := r.sendOperatorRequest(ctx, r.site.File.OperatorKey, http.MethodGet, "/v1/resources/policies?watch=true&from="+list.ResourceVersion, "")
 		defer resp.Body.Close()
 		lines := bufio.NewScanner(resp.Body)
 		var from, last int
--- a/embplay/prove/story_blocks_test.go
+++ b/embplay/prove/story_blocks_test.go
@@ -16,79 +16,80 @@
 	"embertally.dev/embplay/internal/play"
 )
 
-// slowEngines makes an import the right choice also on a busy machine, where
-// the measured rate of a link is low.
+// slowEngines slows prefill, so that importing blocks costs less than computing them
+// even on a busy machine, where the measured rate of a link is low.
 func slowEngines(o *fake.SiteOptions) { o.Engine.PrefillTokensPerSecond = 1500 }
 
-var _ = Describe("Promise 1: freed and partly written blocks are never read into an answer", func() {
+var _ = Describe("Promise 1: freed and partly written blocks are never used for an answer", func() {
 	tests := []struct {
-		name string
-		harm func(r *rig)
-		// whole tells that the harm comes after the export.
-		after bool
+		name   string
+		inject func(r *testbed)
+		// afterExport injects the fault after the export instead of before the first
+		// prompt.
+		afterExport bool
 	}{
-		{"freed and written again", func(r *rig) {
+		{"freed and written again", func(r *testbed) {
 			for _, s := range r.site.Stores {
 				s.FreeAll()
 			}
 		}, true},
-		{"partly written", func(r *rig) {
+		{"partly written", func(r *testbed) {
 			for _, s := range r.site.Stores {
 				s.Set(fake.HalfWrite, 10)
 			}
 		}, false},
-		{"corrupt when read", func(r *rig) {
+		{"corrupt when read", func(r *testbed) {
 			for _, s := range r.site.Stores {
 				s.Set(fake.Corrupt, 1000)
 			}
 		}, true},
-		{"lost with the store", func(r *rig) {
+		{"lost with the store", func(r *testbed) {
 			for _, s := range r.site.Stores {
 				s.Reset()
 			}
 		}, true},
 	}
 	for _, tc := range tests {
-		It("computes blocks again that were "+tc.name, func() {
-			r := site(slowEngines)
-			if !tc.after {
-				tc.harm(r)
+		It("recomputes blocks that were "+tc.name, func() {
+			r := startSite(slowEngines)
+			if !tc.afterExport {
+				tc.inject(r)
 			}
 			prompt := longText(20)
-			expectWhole(r.ask(0, orgOne, prompt, 8), "v1", prompt, 8)
-			r.exported(1)
-			if tc.after {
-				tc.harm(r)
+			expectAnswer(r.sendPrompt(0, orgOne, prompt, 8), "v1", prompt, 8)
+			r.awaitExports(1)
+			if tc.afterExport {
+				tc.inject(r)
 			}
-			r.forget()
-			back := r.ask(1, orgOne, prompt+"And now?", 8)
-			expectWhole(back, "v1", prompt+"And now?", 8)
-			Expect(back.CachedTokens).To(BeNumerically("<", 2*cache.BlockTokens))
-			r.unspoiled()
+			r.evictAll()
+			repeated := r.sendPrompt(1, orgOne, prompt+"And now?", 8)
+			expectAnswer(repeated, "v1", prompt+"And now?", 8)
+			Expect(repeated.CachedTokens).To(BeNumerically("<", 2*cache.BlockTokens))
+			r.expectNoInvalidBlocks()
 		})
 	}
 
-	It("imports what is as it was written", func() {
-		r := site(slowEngines)
+	It("imports blocks that are intact", func() {
+		r := startSite(slowEngines)
 		prompt := longText(20)
-		expectWhole(r.ask(0, orgOne, prompt, 8), "v1", prompt, 8)
-		r.exported(1)
-		r.forget()
-		back := r.ask(1, orgOne, prompt+"And now?", 8)
-		expectWhole(back, "v1", prompt+"And now?", 8)
-		Expect(back.CachedTokens).To(BeNumerically(">", back.PromptTokens/2))
-		r.unspoiled()
+		expectAnswer(r.sendPrompt(0, orgOne, prompt, 8), "v1", prompt, 8)
+		r.awaitExports(1)
+		r.evictAll()
+		repeated := r.sendPrompt(1, orgOne, prompt+"And now?", 8)
+		expectAnswer(repeated, "v1", prompt+"And now?", 8)
+		Expect(repeated.CachedTokens).To(BeNumerically(">", repeated.PromptTokens/2))
+		r.expectNoInvalidBlocks()
 	})
 })
 
-var _ = Describe("Promise 2: organisations never meet", func() {
+var _ = Describe("Promise 2: organisations are isolated", func() {
 	It("keeps equal texts, equal keys and forged headers apart", func() {
-		r := site(nil)
+		r := startSite(nil)
 		prompt := longText(9)
-		expectWhole(r.ask(0, orgOne, prompt, 8), "v1", prompt, 8)
-		r.exported(1)
-		for box := range r.procs {
-			other := r.ask(box, orgTwo, prompt+strings.Repeat(" ", box*300), 8)
+		expectAnswer(r.sendPrompt(0, orgOne, prompt, 8), "v1", prompt, 8)
+		r.awaitExports(1)
+		for box := range r.daemons {
+			other := r.sendPrompt(box, orgTwo, prompt+strings.Repeat(" ", box*300), 8)
 			if box == 0 {
 				Expect(other.CachedTokens).To(BeNumerically("<", cache.BlockTokens))
 			}
@@ -96,43 +97,44 @@
 		}
 
 		key, mark := newKey(), uuid.NewString()
-		first, second := r.pay(0, orgOne, key, mark), r.pay(1, orgTwo, key, mark)
+		first, second := r.sendPayment(0, orgOne, key, mark), r.sendPayment(1, orgTwo, key, mark)
 		Expect(first.Complete).To(BeTrue())
 		Expect(second.Complete).To(BeTrue())
 		Expect(second.Replayed).To(BeFalse())
-		runs := r.runsByMark()[mark]
+		runs := r.executionsByMark()[mark]
 		Expect(runs).To(HaveLen(2))
 		Expect([]string{runs[0].Organisation, runs[1].Organisation}).To(ConsistOf(orgOne, orgTwo))
 
 		forged := uuid.NewString()
-		status := r.forge(forged)
+		status := r.sendForged(forged)
 		Expect(status).To(Equal(http.StatusOK))
-		Expect(r.runsByMark()[forged][0].Organisation).To(Equal(orgOne))
+		Expect(r.executionsByMark()[forged][0].Organisation).To(Equal(orgOne))
 	})
 
-	It("writes no prompt, answer or key into logs and the time line", func() {
-		r := site(nil)
+	It("writes no prompt, answer or key into logs and the timeline", func() {
+		r := startSite(nil)
 		prompt := "the secret of member 4711. " + longText(3)
-		answer := r.ask(0, orgOne, prompt, 8)
+		answer := r.sendPrompt(0, orgOne, prompt, 8)
 		Expect(answer.Complete).To(BeTrue())
-		var line json.RawMessage
-		_, err := r.operate(r.procs[1], http.MethodGet, "/v1/timeline", nil, &line)
+		var timeline json.RawMessage
+		_, err := r.callOperatorAPI(r.daemons[1], http.MethodGet, "/v1/timeline", nil, &timeline)
 		Expect(err).NotTo(HaveOccurred())
 		logs, err := r.logs()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(logs).To(ContainSubstring(answer.Request))
-		Expect(string(line)).To(ContainSubstring(answer.Request))
+		Expect(string(timeline)).To(ContainSubstring(answer.Request))
 		for _, secret := range []string{"member 4711", answer.Text, r.site.File.CallerKeys[orgOne], r.site.File.OperatorKey} {
 			Expect(logs).NotTo(ContainSubstring(secret))
-			Expect(string(line)).NotTo(ContainSubstring(secret))
+			Expect(string(timeline)).NotTo(ContainSubstring(secret))
 		}
 	})
 })
 
-// forge calls with headers that say another organisation.
-func (r *rig) forge(mark string) int {
+// sendForged sends a call with headers that name another organisation, and returns
+// the status.
+func (r *testbed) sendForged(mark string) int {
 	GinkgoHelper()
-	req, err := http.NewRequest(http.MethodPost, r.procs[0].Callers+"/services/"+fake.SiteService+"/renewals",
+	req, err := http.NewRequest(http.MethodPost, r.daemons[0].Callers+"/services/"+fake.SiteService+"/renewals",
 		bytes.NewReader([]byte(`{"mark":"`+mark+`"}`)))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+r.site.File.CallerKeys[orgOne])
@@ -145,24 +147,24 @@
 	return resp.StatusCode
 }
 
-// swapTo gives the deployment other weights and waits until all engines hold
-// them.
-func (r *rig) swapTo(version string) {
+// updateWeightsTo changes the weight version of the deployment.
+func (r *testbed) updateWeightsTo(version string) {
 	GinkgoHelper()
 	path := "/v1/resources/deployments/" + fake.SiteDeployment
 	var got resource
-	_, err := r.operate(r.procs[0], http.MethodGet, path, nil, &got)
+	_, err := r.callOperatorAPI(r.daemons[0], http.MethodGet, path, nil, &got)
 	Expect(err).NotTo(HaveOccurred())
 	got.Spec = json.RawMessage(`{"model":"` + fake.SiteModel + `","weightVersion":"` + version + `","adapters":["contracts"]}`)
 	body := struct {
 		ResourceVersion string          `json:"resourceVersion"`
 		Spec            json.RawMessage `json:"spec"`
 	}{got.ResourceVersion, got.Spec}
-	_, err = r.operate(r.procs[0], http.MethodPut, path, body, nil)
+	_, err = r.callOperatorAPI(r.daemons[0], http.MethodPut, path, body, nil)
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func (r *rig) holding(version string) func() int {
+// enginesWith returns a function that counts the engines with a weight version.
+func (r *testbed) enginesWith(version string) func() int {
 	return func() int {
 		n := 0
 		for _, e := range r.site.Engines {
@@ -175,14 +177,14 @@
 }
 
 var _ = Describe("Promise 3: no blocks of other weights", func() {
-	It("rolls a swap with few loads at a time and keeps running answers whole", func() {
-		r := site(nil)
+	It("updates weights with few loads at a time and completes running answers", func() {
+		r := startSite(nil)
 		prompt := longText(15)
-		expectWhole(r.ask(0, orgOne, prompt, 8), "v1", prompt, 8)
-		r.exported(1)
-		spanning := make(chan play.Reply, 1)
+		expectAnswer(r.sendPrompt(0, orgOne, prompt, 8), "v1", prompt, 8)
+		r.awaitExports(1)
+		overlapping := make(chan play.Reply, 1)
 		const long = 800
-		go func() { spanning <- r.ask(1, orgOne, "a long answer "+prompt, long) }()
+		go func() { overlapping <- r.sendPrompt(1, orgOne, "a long answer "+prompt, long) }()
 		Eventually(func() int {
 			n := 0
 			for _, e := range r.site.Engines {
@@ -190,11 +192,11 @@
 			}
 			return n
 		}).Should(Equal(2))
-		r.swapTo("v2")
-		Eventually(r.holding("v2")).Should(Equal(len(r.site.Engines)))
+		r.updateWeightsTo("v2")
+		Eventually(r.enginesWith("v2")).Should(Equal(len(r.site.Engines)))
 		Expect(r.site.Weights.Most()).To(BeNumerically("<=", 2))
-		expectWhole(<-spanning, "v1", "a long answer "+prompt, long)
-		Eventually(func() string { return r.ask(2, orgOne, prompt, 8).Text }).Should(
+		expectAnswer(<-overlapping, "v1", "a long answer "+prompt, long)
+		Eventually(func() string { return r.sendPrompt(2, orgOne, prompt, 8).Text }).Should(
 			Equal(fake.Answer(fake.SiteModel, "v2", prompt, 8)))
 		var first *fake.EngineRun
 		for _, e := range r.site.Engines {
@@ -205,34 +207,35 @@
 			}
 		}
 		Expect(first).NotTo(BeNil())
-		Expect(first.Cached).To(BeZero(), "kept blocks of v1 are not used under v2")
+		Expect(first.Cached).To(BeZero(), "cached blocks of v1 are not used under v2")
 		for n := range 12 {
-			again := fmt.Sprintf("%sAnd question %d?", prompt, n)
-			expectWhole(r.ask(n%len(r.procs), orgOne, again, 4), "v2", again, 4)
+			next := fmt.Sprintf("%sAnd question %d?", prompt, n)
+			expectAnswer(r.sendPrompt(n%len(r.daemons), orgOne, next, 4), "v2", next, 4)
 		}
-		r.unspoiled()
+		r.expectNoInvalidBlocks()
 	})
 
-	It("refuses orders of a former holder where the engine checks the fence", func() {
-		r := site(nil)
-		r.swapTo("v2")
-		Eventually(r.holding("v2")).Should(Equal(len(r.site.Engines)))
+	It("refuses orders of a former lease holder where the engine checks the fencing token", func() {
+		r := startSite(nil)
+		r.updateWeightsTo("v2")
+		Eventually(r.enginesWith("v2")).Should(Equal(len(r.site.Engines)))
 		orders := r.site.Engines[0].Orders()
 		Expect(orders).NotTo(BeEmpty())
 		old := orders[0]
 		old.Fence--
 		old.Version = "v1"
-		Expect(r.order(0, old)).To(Equal(http.StatusPreconditionFailed), "engine 1 checks")
-		Expect(r.order(1, old)).To(Equal(http.StatusAccepted), "engine 2 does not")
-		Eventually(r.holding("v2")).Should(Equal(len(r.site.Engines)), "the holder orders the right weights again")
+		Expect(r.sendOrder(0, old)).To(Equal(http.StatusPreconditionFailed), "engine 1 checks")
+		Expect(r.sendOrder(1, old)).To(Equal(http.StatusAccepted), "engine 2 does not")
+		Eventually(r.enginesWith("v2")).Should(Equal(len(r.site.Engines)), "the holder orders the right weights again")
 		prompt := longText(2)
-		Eventually(func() string { return r.ask(0, orgOne, prompt, 8).Text }).Should(
+		Eventually(func() string { return r.sendPrompt(0, orgOne, prompt, 8).Text }).Should(
 			Equal(fake.Answer(fake.SiteModel, "v2", prompt, 8)))
 	})
 })
 
-// order sends an order to an engine as a former holder would.
-func (r *rig) order(engine int, o any) int {
+// sendOrder sends an order to an engine, as a former lease holder would, and returns
+// the status.
+func (r *testbed) sendOrder(engine int, o any) int {
 	GinkgoHelper()
 	raw, err := json.Marshal(o)
 	Expect(err).NotTo(HaveOccurred())
--- a/embplay/prove/story_conf_test.go
+++ b/embplay/prove/story_conf_test.go
@@ -11,30 +11,30 @@
 	"embertally.dev/embfake/fake"
 )
 
-var _ = Describe("Promise 9: an accepted configuration is in force everywhere and never reverts", func() {
-	sequence := func(r *rig, p *proc) func() uint64 {
+var _ = Describe("Promise 9: a converged configuration is applied everywhere and never reverts", func() {
+	sequence := func(r *testbed, p *daemonProcess) func() uint64 {
 		return func() uint64 {
 			var st struct {
 				Sequence uint64 `json:"sequence"`
 				NotReady string `json:"notReady"`
 			}
-			if _, err := r.operate(p, http.MethodGet, "/v1/status", nil, &st); err != nil || st.NotReady != "" {
+			if _, err := r.callOperatorAPI(p, http.MethodGet, "/v1/status", nil, &st); err != nil || st.NotReady != "" {
 				return 0
 			}
 			return st.Sequence
 		}
 	}
-	rewrite := func(r *rig, box int) (status int, version uint64) {
+	rewrite := func(r *testbed, box int) (status int, version uint64) {
 		GinkgoHelper()
 		var got, done resource
 		path := "/v1/resources/policies/" + orgOne
-		_, err := r.operate(r.procs[box], http.MethodGet, path, nil, &got)
+		_, err := r.callOperatorAPI(r.daemons[box], http.MethodGet, path, nil, &got)
 		Expect(err).NotTo(HaveOccurred())
 		body := struct {
 			ResourceVersion string          `json:"resourceVersion"`
 			Spec            json.RawMessage `json:"spec"`
 		}{got.ResourceVersion, got.Spec}
-		status, err = r.operate(r.procs[box], http.MethodPut, path, body, &done)
+		status, err = r.callOperatorAPI(r.daemons[box], http.MethodPut, path, body, &done)
 		if err != nil {
 			return status, 0
 		}
@@ -43,42 +43,42 @@
 		return status, version
 	}
 
-	It("through lost answers, a stalled watch and compaction", func() {
-		r := site(nil)
-		for _, harm := range []func(){
+	It("through lost responses, a stalled watch and compaction", func() {
+		r := startSite(nil)
+		for _, inject := range []func(){
 			func() { r.site.KeyValue.Set(fake.LoseAnswers, 1) },
 			func() { r.site.KeyValue.Set(fake.StallWatch, 1) },
 			func() { r.site.KeyValue.Compact() },
 			func() { r.site.KeyValue.Set(fake.StallWatch, 0) },
 		} {
-			harm()
+			inject()
 			status, version := rewrite(r, 1)
 			Expect(status).To(Equal(http.StatusOK))
-			for _, p := range r.procs {
+			for _, p := range r.daemons {
 				Expect(sequence(r, p)()).To(BeNumerically(">=", version), p.Name)
 			}
 		}
 	})
 
-	It("is taken from peers by a daemon that starts while the service is down", func() {
-		r := site(nil)
+	It("is fetched from peers by a daemon that starts while the coordination store is down", func() {
+		r := startSite(nil)
 		_, version := rewrite(r, 0)
 		r.site.KeyValue.Set(fake.Down, 1)
-		r.procs[3].kill()
-		Expect(r.procs[3].start()).To(Succeed())
-		Eventually(sequence(r, r.procs[3])).Should(BeNumerically(">=", version))
+		r.daemons[3].kill()
+		Expect(r.daemons[3].start()).To(Succeed())
+		Eventually(sequence(r, r.daemons[3])).Should(BeNumerically(">=", version))
 		prompt := "are you there?"
-		Eventually(func() string { return r.ask(3, orgOne, prompt, 4).Text }).Should(Equal(fake.Answer(fake.SiteModel, "v1", prompt, 4)))
+		Eventually(func() string { return r.sendPrompt(3, orgOne, prompt, 4).Text }).Should(Equal(fake.Answer(fake.SiteModel, "v1", prompt, 4)))
 	})
 
-	It("is pending, by name, while a live daemon is cut off, and accepted once it is back", func() {
-		r := site(nil)
-		lost := r.procs[2]
-		lost.kv.set(cut)
-		for _, p := range r.procs {
+	It("is pending while a live daemon is cut off, names that daemon, and converges after it reconnects", func() {
+		r := startSite(nil)
+		lost := r.daemons[2]
+		lost.storeProxy.set(cutOff)
+		for _, p := range r.daemons {
 			if p != lost {
-				lost.peers[p.Name].set(cut)
-				p.peers[lost.Name].set(cut)
+				lost.peerProxies[p.Name].set(cutOff)
+				p.peerProxies[lost.Name].set(cutOff)
 			}
 		}
 		path := "/v1/resources/policies/" + orgOne
@@ -90,20 +90,20 @@
 				NotYetAt []string `json:"notYetAt"`
 			} `json:"status"`
 		}
-		_, err := r.operate(r.procs[0], http.MethodGet, path, nil, &got)
+		_, err := r.callOperatorAPI(r.daemons[0], http.MethodGet, path, nil, &got)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.Status.State).To(Equal("pending"))
 		Expect(got.Status.NotYetAt).To(Equal([]string{lost.Name}))
-		lost.kv.set(pass)
-		for _, p := range r.procs {
+		lost.storeProxy.set(forward)
+		for _, p := range r.daemons {
 			if p != lost {
-				lost.peers[p.Name].set(pass)
-				p.peers[lost.Name].set(pass)
+				lost.peerProxies[p.Name].set(forward)
+				p.peerProxies[lost.Name].set(forward)
 			}
 		}
 		Eventually(sequence(r, lost)).Should(BeNumerically(">=", version))
 		Eventually(func() string {
-			_, err := r.operate(r.procs[0], http.MethodGet, path, nil, &got)
+			_, err := r.callOperatorAPI(r.daemons[0], http.MethodGet, path, nil, &got)
 			if err != nil {
 				return err.Error()
 			}
@@ -111,27 +111,28 @@
 		}).Should(Equal("accepted"))
 	})
 
-	It("is not served under by a daemon that slept until it knows again", func() {
-		r := site(nil)
-		sleeper := r.procs[1]
-		sleeper.freeze()
+	It("is applied by a daemon that was suspended before it serves again", func() {
+		r := startSite(nil)
+		suspended := r.daemons[1]
+		suspended.suspend()
 		status, version := rewrite(r, 0)
 		Expect(status).To(Or(Equal(http.StatusOK), Equal(http.StatusAccepted)))
-		Eventually(func() bool { return r.alive(0, sleeper.Name) }).Should(BeFalse())
-		sleeper.wake()
-		Eventually(sequence(r, sleeper)).Should(BeNumerically(">=", version))
+		Eventually(func() bool { return r.reportsAlive(0, suspended.Name) }).Should(BeFalse())
+		suspended.resume()
+		Eventually(sequence(r, suspended)).Should(BeNumerically(">=", version))
 	})
 })
 
-// alive reports whether a daemon hears another.
-func (r *rig) alive(box int, name string) bool {
+// reportsAlive reports whether a daemon lists another as alive. It returns true if the
+// daemon cannot be asked.
+func (r *testbed) reportsAlive(box int, name string) bool {
 	var st struct {
 		Daemons []struct {
 			Name  string `json:"name"`
 			Alive bool   `json:"alive"`
 		} `json:"daemons"`
 	}
-	if _, err := r.operate(r.procs[box], http.MethodGet, "/v1/status", nil, &st); err != nil {
+	if _, err := r.callOperatorAPI(r.daemons[box], http.MethodGet, "/v1/status", nil, &st); err != nil {
 		return true
 	}
 	for _, d := range st.Daemons {
--- a/embplay/prove/story_ends_test.go
+++ b/embplay/prove/story_ends_test.go
@@ -11,18 +11,17 @@
 	"embertally.dev/embfake/fake"
 )
 
-// A prompt ends each engine that begins to run it. Its caller, who gets no answer, sends it
-// again, to one daemon after the other. Each try was given to four engines, and each ended,
-// until none was left: an end without an answer was laid to the engine, and nobody knew the
-// prompt again.
-var _ = Describe("A prompt that ends engines", func() {
-	It("is given to no more of them after the third", func() {
-		const fatal, tries = "this prompt ends engines", 6
-		r := site(func(o *fake.SiteOptions) { o.Engines = 8 })
+// Guards against one prompt that crashes every engine. Its caller retries through one daemon
+// after the other, and each retry is attempted at up to four engines. If crashes are attributed
+// to the engines alone and the prompt is not recognised, no engine is left.
+var _ = Describe("A prompt that crashes engines", func() {
+	It("is blocked after the third crash", func() {
+		const crashing, attempts = "this prompt ends engines", 6
+		r := startSite(func(o *fake.SiteOptions) { o.Engines = 8 })
 		for _, e := range r.site.Engines {
-			e.EndOf(fatal)
+			e.EndOf(crashing)
 		}
-		over := func() int {
+		crashed := func() int {
 			n := 0
 			for _, e := range r.site.Engines {
 				if e.Over() {
@@ -31,21 +30,21 @@
 			}
 			return n
 		}
-		last := r.ask(0, orgOne, longText(2)+fatal, 5)
-		for n := 1; n < tries; n++ {
+		last := r.sendPrompt(0, orgOne, longText(2)+crashing, 5)
+		for n := 1; n < attempts; n++ {
 			time.Sleep(100 * time.Millisecond)
-			last = r.ask(n%len(r.procs), orgOne, longText(2)+fatal, 5)
+			last = r.sendPrompt(n%len(r.daemons), orgOne, longText(2)+crashing, 5)
 		}
-		Expect(over()).To(BeNumerically(">=", 3))
-		Expect(over()).To(BeNumerically("<=", 4))
+		Expect(crashed()).To(BeNumerically(">=", 3))
+		Expect(crashed()).To(BeNumerically("<=", 4))
 		Expect(last.Refusal).NotTo(BeNil())
 		Expect(last.Refusal.Status).To(Equal(http.StatusServiceUnavailable))
 		Expect(last.Refusal.Ran).To(Equal("notRun"))
 		Expect(last.Refusal.RetryAfterMillis).To(BeNumerically(">", time.Minute.Milliseconds()))
 		prompt := fmt.Sprintf("%s, and no other", longText(2))
-		expectWhole(r.ask(1, orgOne, prompt, 30), "v1", prompt, 30)
+		expectAnswer(r.sendPrompt(1, orgOne, prompt, 30), "v1", prompt, 30)
 
-		// Operators list it at any daemon, and let it go in all.
+		// Operators see it at any daemon, and unblock it in all through one.
 		var got struct {
 			Blocked []struct {
 				Asks string `json:"asks"`
@@ -54,17 +53,17 @@
 		blocked := func(box int) func() (int, error) {
 			return func() (int, error) {
 				got.Blocked = nil
-				_, err := r.operate(r.procs[box], http.MethodGet, "/v1/blocked", nil, &got)
+				_, err := r.callOperatorAPI(r.daemons[box], http.MethodGet, "/v1/blocked", nil, &got)
 				return len(got.Blocked), err
 			}
 		}
-		for box := range r.procs {
+		for box := range r.daemons {
 			Eventually(blocked(box)).Should(Equal(1))
 		}
-		status, err := r.operate(r.procs[0], http.MethodDelete, "/v1/blocked/"+got.Blocked[0].Asks, nil, nil)
+		status, err := r.callOperatorAPI(r.daemons[0], http.MethodDelete, "/v1/blocked/"+got.Blocked[0].Asks, nil, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(status).To(Equal(http.StatusOK))
-		for box := range r.procs {
+		for box := range r.daemons {
 			Eventually(blocked(box)).Should(BeZero())
 		}
 	})
--- a/embplay/prove/story_rest_test.go
+++ b/embplay/prove/story_rest_test.go
@@ -12,35 +12,34 @@
 	"embertally.dev/embplay/internal/play"
 )
 
-// An engine turns prompts away with 503 and asks for rest; the others have room. Each prompt that
-// was placed there was sent there first. What the refusal asks for was not read, and no state of the
-// daemon took it up: 10 of 20 prompts went to the engine that had asked the first one for ten
-// minutes of rest.
-var _ = Describe("An engine that asks for rest", func() {
-	It("gets nothing from a daemon that it told so", func() {
-		const rest = 10 * time.Minute
-		r := site(func(o *fake.SiteOptions) { o.Engines = 3 })
+// Guards against pushback that is ignored. An engine rejects prompts with 503 and a Retry-After of
+// ten minutes while others have free capacity. A daemon that does not record the Retry-After keeps
+// trying that engine first for prompts placed there: 10 of 20 prompts were sent to it.
+var _ = Describe("An engine that sends Retry-After", func() {
+	It("gets nothing from the daemon that received it", func() {
+		const pushback = 10 * time.Minute
+		r := startSite(func(o *fake.SiteOptions) { o.Engines = 3 })
 		prompt := longText(1)
-		expectWhole(r.ask(0, orgOne, prompt, 5), "v1", prompt, 5)
-		// The one that holds the context is the first choice for it.
+		expectAnswer(r.sendPrompt(0, orgOne, prompt, 5), "v1", prompt, 5)
+		// The engine with the context in its cache is the first choice for it.
 		for _, e := range r.site.Engines {
 			if len(e.Runs()) > 0 {
-				e.AskRest(rest)
+				e.AskRest(pushback)
 			}
 		}
 		for range 20 {
-			expectWhole(r.ask(0, orgOne, prompt, 5), "v1", prompt, 5)
+			expectAnswer(r.sendPrompt(0, orgOne, prompt, 5), "v1", prompt, 5)
 		}
 		for _, e := range r.site.Engines {
 			Expect(e.TurnedAway()).To(BeNumerically("<=", 1))
 		}
-		// Where all rest, callers are told until when.
+		// While all engines are under pushback, callers get a Retry-After.
 		for _, e := range r.site.Engines {
-			e.AskRest(rest)
+			e.AskRest(pushback)
 		}
 		var last play.Reply
 		for range 6 {
-			last = r.ask(0, orgOne, prompt, 5)
+			last = r.sendPrompt(0, orgOne, prompt, 5)
 		}
 		Expect(last.Refusal).NotTo(BeNil())
 		Expect(last.Refusal.Status).To(Equal(http.StatusServiceUnavailable))
@@ -48,21 +47,21 @@
 	})
 })
 
-// The same for calls of plain services.
-var _ = Describe("A target of a plain service that asks for rest", func() {
-	It("gets nothing from a daemon that it told so", func() {
-		const rest = 10 * time.Minute
-		r := site(func(o *fake.SiteOptions) { o.Services = 2 })
-		resting, other := r.site.Services[0], r.site.Services[1]
-		resting.AskRest(rest)
+// The same failure with calls of plain services.
+var _ = Describe("A target of a plain service that sends Retry-After", func() {
+	It("gets nothing from the daemon that received it", func() {
+		const pushback = 10 * time.Minute
+		r := startSite(func(o *fake.SiteOptions) { o.Services = 2 })
+		rejecting, other := r.site.Services[0], r.site.Services[1]
+		rejecting.AskRest(pushback)
 		for n := range 20 {
-			r.pay(0, orgOne, "", fmt.Sprintf("m%d", n))
+			r.sendPayment(0, orgOne, "", fmt.Sprintf("m%d", n))
 		}
-		Expect(resting.TurnedAway()).To(Equal(1))
+		Expect(rejecting.TurnedAway()).To(Equal(1))
 		Expect(len(other.Runs())).To(BeNumerically(">=", 19))
-		other.AskRest(rest)
-		r.pay(0, orgOne, "", "last but one")
-		last := r.pay(0, orgOne, "", "last")
+		other.AskRest(pushback)
+		r.sendPayment(0, orgOne, "", "last but one")
+		last := r.sendPayment(0, orgOne, "", "last")
 		Expect(last.Refusal).NotTo(BeNil())
 		Expect(last.Refusal.Ran).To(Equal("notRun"))
 		Expect(last.Refusal.RetryAfterMillis).To(BeNumerically(">", time.Minute.Milliseconds()))
--- a/embplay/prove/story_test.go
+++ b/embplay/prove/story_test.go
@@ -15,21 +15,21 @@
 	"embertally.dev/embplay/internal/play"
 )
 
-func TestStories(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(waitLimit)
+	SetDefaultEventuallyTimeout(waitTimeout)
 	SetDefaultEventuallyPollingInterval(20 * time.Millisecond)
 	RunSpecs(t, "Promises")
 }
 
-// site gives each story a rig of its own.
-func site(change func(o *fake.SiteOptions)) *rig {
+// startSite starts a testbed that is closed after the scenario.
+func startSite(change func(o *fake.SiteOptions)) *testbed {
 	GinkgoHelper()
-	o := small()
+	o := smallSite()
 	if change != nil {
 		change(&o)
 	}
-	r, err := newRig(GinkgoT().TempDir(), o)
+	r, err := newTestbed(GinkgoT().TempDir(), o)
 	if r != nil {
 		DeferCleanup(r.close)
 	}
@@ -42,15 +42,15 @@
 	orgTwo = "org-02"
 )
 
-// ask prompts through one daemon.
-func (r *rig) ask(box int, org, prompt string, tokens int) play.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+// sendPrompt sends a prompt through one daemon.
+func (r *testbed) sendPrompt(box int, org, prompt string, tokens int) play.Reply {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	return r.caller.Prompt(ctx, r.procs[box].Callers, r.site.File.CallerKeys[org], fake.SiteDeployment, prompt, tokens)
+	return r.caller.Prompt(ctx, r.daemons[box].Callers, r.site.File.CallerKeys[org], fake.SiteDeployment, prompt, tokens)
 }
 
-// expectWhole expects the whole and right answer of the weights.
-func expectWhole(a play.Reply, version, prompt string, tokens int) {
+// expectAnswer expects the complete and correct answer of a weight version.
+func expectAnswer(a play.Reply, version, prompt string, tokens int) {
 	GinkgoHelper()
 	Expect(a.Err).NotTo(HaveOccurred())
 	Expect(a.Refusal).To(BeNil())
@@ -58,14 +58,16 @@
 	Expect(a.Text).To(Equal(fake.Answer(fake.SiteModel, version, prompt, tokens)))
 }
 
-// pay makes a call through one daemon.
-func (r *rig) pay(box int, org, key, mark string) play.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+// sendPayment sends a non-idempotent call through one daemon, with an idempotency
+// key unless it is empty.
+func (r *testbed) sendPayment(box int, org, key, mark string) play.Reply {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	return r.caller.Call(ctx, r.procs[box].Callers, r.site.File.CallerKeys[org], http.MethodPost,
+	return r.caller.Call(ctx, r.daemons[box].Callers, r.site.File.CallerKeys[org], http.MethodPost,
 		"/services/"+fake.SiteService+"/renewals", key, []byte(`{"mark":"`+mark+`"}`))
 }
 
+// newKey returns a new idempotency key.
 func newKey() string {
 	GinkgoHelper()
 	id, err := uuid.NewV7()
@@ -73,8 +75,8 @@
 	return id.String()
 }
 
-// exported waits until the stores keep so many contexts.
-func (r *rig) exported(n int) {
+// awaitExports waits until the KV-cache stores have n contexts.
+func (r *testbed) awaitExports(n int) {
 	GinkgoHelper()
 	Eventually(func() int {
 		sum := 0
@@ -85,28 +87,29 @@
 	}).Should(BeNumerically(">=", n))
 }
 
-// forget pushes all blocks out of the engines and waits until the daemons know.
-func (r *rig) forget() {
+// evictAll evicts all blocks of all engines and waits until the daemons have recorded
+// the loss.
+func (r *testbed) evictAll() {
 	GinkgoHelper()
-	seen, holding := r.count("cacheLosses"), 0
+	before, loaded := r.sumMetric("cacheLosses"), 0
 	for _, e := range r.site.Engines {
 		if e.Blocks() > 0 {
-			holding++
+			loaded++
 		}
 		e.EvictAll()
 	}
-	// Each engine that held blocks tells of its loss by itself; until the last
-	// has, a home believes that it still holds some.
-	Eventually(func() float64 { return r.count("cacheLosses") }).Should(BeNumerically(">=", seen+float64(holding)))
+	// Each engine that had blocks reports its loss separately. Until the last one
+	// has, a context owner still expects blocks there.
+	Eventually(func() float64 { return r.sumMetric("cacheLosses") }).Should(BeNumerically(">=", before+float64(loaded)))
 }
 
-// count adds up one figure over all daemons.
-func (r *rig) count(figure string) float64 {
+// sumMetric returns the sum of one metric over all daemons that respond.
+func (r *testbed) sumMetric(figure string) float64 {
 	GinkgoHelper()
 	sum := 0.0
-	for _, p := range r.procs {
+	for _, p := range r.daemons {
 		var all map[string]json.RawMessage
-		if _, err := r.operate(p, http.MethodGet, "/debug/vars", nil, &all); err != nil {
+		if _, err := r.callOperatorAPI(p, http.MethodGet, "/debug/vars", nil, &all); err != nil {
 			continue
 		}
 		var v float64
@@ -117,7 +120,9 @@
 	return sum
 }
 
-func (r *rig) unspoiled() {
+// expectNoInvalidBlocks expects that no engine used a block that was freed, partly
+// written or of another prompt.
+func (r *testbed) expectNoInvalidBlocks() {
 	GinkgoHelper()
 	for _, e := range r.site.Engines {
 		for _, run := range e.Runs() {
