--- a/embplay/internal/play/demo.go
+++ b/embplay/internal/play/demo.go
@@ -85,11 +85,12 @@
 		return r, errors.Errorf("refused: %s: %s", r.Refusal.Code, r.Refusal.Message)
 	}
 	if want := fake.Answer(fake.SiteModel, fake.SiteVersion, prompt, demoTokens); !r.Complete || r.Text != want {
-		return r, errors.Errorf("the answer is not the whole and right one: %q", r.Text)
+		return r, errors.Errorf("the answer is not complete and correct: %q", r.Text)
 	}
 	return r, nil
 }
 
+// askNewPrompt sends a prompt with a new context.
 func (d *demo) askNewPrompt() error {
 	r, err := d.ask(0, "May the member cancel now?")
 	if err != nil {
@@ -134,6 +135,7 @@
 
 const pollInterval = 50 * time.Millisecond
 
+// awaitExport waits until a context has been exported to a KV-cache store.
 func (d *demo) awaitExport() error {
 	for {
 		c, err := d.storeCounts()
@@ -152,6 +154,7 @@
 	}
 }
 
+// askCachedPrompt repeats the context while a worker has it cached.
 func (d *demo) askCachedPrompt() error {
 	r, err := d.ask(1, "And next month?")
 	if err != nil {
@@ -162,6 +165,8 @@
 	return nil
 }
 
+// askAfterEviction evicts the blocks of all workers and repeats the context, whose
+// blocks must be imported.
 func (d *demo) askAfterEviction() error {
 	before, err := d.storeCounts()
 	if err != nil {
@@ -207,6 +212,8 @@
 	return n, nil
 }
 
+// repeatPayment sends a call with one idempotency key through two boxes; it must be
+// executed once.
 func (d *demo) repeatPayment() error {
 	id, err := uuid.NewV7()
 	if err != nil {
--- a/embplay/internal/play/judge.go
+++ b/embplay/internal/play/judge.go
@@ -37,7 +37,8 @@
 	PastObjectiveShare float64 `json:"lateShare"`
 	// Lost counts requests without a complete answer or refusal, and calls that
 	// were refused as not executed and were. Duplicated counts calls executed more
-	// than once. Mismatched counts answers that do not belong to their request.
+	// than once. Mismatched counts wrong answers: to another request, without an
+	// execution, or different for a repeated call.
 	Lost       int `json:"lost"`
 	Duplicated int `json:"doubled"`
 	Mismatched int `json:"crossed"`
@@ -67,9 +68,9 @@
 	return f
 }
 
-func (f *Figures) addFailure(rec *record, why string) {
+func (f *Figures) addFailure(rec *record, reason string) {
 	if len(f.Failures) < maxFailures {
-		f.Failures = append(f.Failures, why+": "+rec.String())
+		f.Failures = append(f.Failures, reason+": "+rec.String())
 	}
 }
 
--- a/embplay/internal/play/main.go
+++ b/embplay/internal/play/main.go
@@ -131,8 +131,8 @@
 	if err := printTable([]Figures{*figures}, out); err != nil {
 		return err
 	}
-	for _, why := range figures.Failures {
-		fmt.Fprintln(out, why)
+	for _, reason := range figures.Failures {
+		fmt.Fprintln(out, reason)
 	}
 	if unmet := figures.unmet(t.Header.Outcomes); len(unmet) > 0 {
 		return errors.New("stated outcomes are not met: " + strings.Join(unmet, "; "))
--- a/embplay/internal/play/trace.go
+++ b/embplay/internal/play/trace.go
@@ -165,7 +165,7 @@
 func NewTrace(deployment string, seed uint64, length time.Duration, faults bool) (*Trace, error) {
 	profile, ok := loadProfiles[deployment]
 	if !ok {
-		return nil, errors.Errorf("deployment %q is not known: abonamente or cascade", deployment)
+		return nil, errors.Errorf("unknown deployment %q: must be abonamente or cascade", deployment)
 	}
 	t := &generator{rnd: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), load: profile}
 	secs := length.Seconds()
--- a/embplay/prove/chaos_test.go
+++ b/embplay/prove/chaos_test.go
@@ -84,7 +84,7 @@
 // run injects faults until end, then waits until all have been reverted.
 func (c *chaos) run(end time.Time) {
 	faults := []func(){
-		c.killDaemon, c.freezeDaemon, c.stopDaemon, c.cutPeerLink, c.cutCoordinationStore, c.coordinationStoreDown, c.coordinationStoreSlow,
+		c.killDaemon, c.suspendDaemon, c.stopDaemon, c.cutPeerLink, c.cutCoordinationStore, c.coordinationStoreDown, c.coordinationStoreSlow,
 		c.loseStoreResponses, c.stallWatch, c.compactStore, c.engineDown, c.cutStreams, c.swapAnswers, c.truncateStream,
 		c.repeatTokens, c.dropEvents, c.storeDown, c.storeReset, c.storeFreed, c.corruptBlocks, c.writePartially, c.slowLink,
 		c.cutCalls, c.drainTarget, c.markShuttingDown, c.updateWeights, c.rewrite, c.rewrite, c.rewrite, c.evictBlocks,
@@ -120,8 +120,8 @@
 	time.Sleep(time.Second)
 }
 
-// freezeDaemon suspends a daemon for longer than peers may be unreachable.
-func (c *chaos) freezeDaemon() {
+// suspendDaemon suspends a daemon until its peers regard it as unreachable, or longer.
+func (c *chaos) suspendDaemon() {
 	i := c.acquireDaemon()
 	if i < 0 {
 		return
--- a/embplay/prove/judge_test.go
+++ b/embplay/prove/judge_test.go
@@ -165,7 +165,7 @@
 
 // report prints the verdict of each promise, or of one if only is not 0, and returns
 // how many are broken.
-func (vs *verdicts) report(only int) (failures int) {
+func (vs *verdicts) report(only int) (broken int) {
 	const maxListed = 5
 	held := 0
 	for n := 1; n <= promiseCount; n++ {
@@ -176,7 +176,7 @@
 		state := "held"
 		if len(v.failures) > 0 || v.checks == 0 {
 			state = "broken"
-			failures++
+			broken++
 		} else {
 			held++
 		}
@@ -188,6 +188,6 @@
 			fmt.Println("   ", b)
 		}
 	}
-	fmt.Printf("%d held, %d broken\n", held, failures)
-	return failures
+	fmt.Printf("%d held, %d broken\n", held, broken)
+	return broken
 }
--- a/embplay/prove/load_test.go
+++ b/embplay/prove/load_test.go
@@ -51,8 +51,8 @@
 type load struct {
 	testbed *testbed
 	rnd     *rand.Rand
+	loadMu  sync.Mutex
 	// excluded has the daemons that the load balancer skips.
-	loadMu     sync.Mutex
 	excluded   map[int]bool    // guarded by loadMu
 	prompts    []*promptRecord // guarded by loadMu
 	calls      []*callRecord   // guarded by loadMu
@@ -105,10 +105,10 @@
 }
 
 // exclude sets whether the load balancer skips a daemon.
-func (l *load) exclude(i int, out bool) {
+func (l *load) exclude(i int, excluded bool) {
 	l.loadMu.Lock()
 	defer l.loadMu.Unlock()
-	l.excluded[i] = out
+	l.excluded[i] = excluded
 }
 
 // nextBox returns the index of the next daemon that is not excluded, or 0.
--- a/embplay/prove/relay_test.go
+++ b/embplay/prove/relay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// proxyMode is how a proxy treats its connections.
+// proxyMode is how a proxy treats its connections; forward is the normal mode.
 type proxyMode int32
 
 const (
@@ -23,10 +23,10 @@
 
 // proxy forwards TCP connections to an address and can cut, stall or delay them.
 type proxy struct {
-	l         net.Listener
-	to        string
-	proxyMode atomic.Int32
-	delay     atomic.Int64
+	l     net.Listener
+	to    string
+	mode  atomic.Int32
+	delay atomic.Int64
 
 	connsMu sync.Mutex
 	conns   map[net.Conn]bool // guarded by connsMu
@@ -45,7 +45,7 @@
 func (r *proxy) address() string { return r.l.Addr().String() }
 
 func (r *proxy) set(f proxyMode) {
-	r.proxyMode.Store(int32(f))
+	r.mode.Store(int32(f))
 	if f == cutOff || f == forward {
 		// Stalled connections break in the end, as in a real network.
 		r.closeAll()
@@ -71,7 +71,7 @@
 		if err != nil {
 			return
 		}
-		if proxyMode(r.proxyMode.Load()) == cutOff {
+		if proxyMode(r.mode.Load()) == cutOff {
 			c.Close()
 			continue
 		}
@@ -112,7 +112,7 @@
 )
 
 // copy forwards one direction, and closes both connections when it ends.
-func (c *proxiedConn) copy(to io.WriteCloser, from net.Conn, answers bool) {
+func (c *proxiedConn) copy(to io.WriteCloser, from net.Conn, responses bool) {
 	defer to.Close()
 	defer from.Close()
 	buf := make([]byte, copyBuffer)
@@ -121,7 +121,7 @@
 		if err != nil {
 			return
 		}
-		for c.stalled(answers) {
+		for c.stalled(responses) {
 			time.Sleep(stallPollInterval)
 		}
 		if d := c.r.delay.Load(); d > 0 {
@@ -134,12 +134,12 @@
 }
 
 // stalled reports whether the mode holds back responses or requests now.
-func (c *proxiedConn) stalled(answers bool) bool {
-	switch proxyMode(c.r.proxyMode.Load()) {
+func (c *proxiedConn) stalled(responses bool) bool {
+	switch proxyMode(c.r.mode.Load()) {
 	case stall:
 		return true
 	case stallResponses:
-		return answers
+		return responses
 	}
 	return false
 }
--- a/embplay/prove/story_once_test.go
+++ b/embplay/prove/story_once_test.go
@@ -36,8 +36,8 @@
 			s.Set(fake.CutAfter, 1)
 		}
 		key, mark = newKey(), uuid.NewString()
-		cutOff := r.sendPayment(0, orgOne, key, mark)
-		Expect(executionState(cutOff)).To(Equal("unknown"))
+		cutReply := r.sendPayment(0, orgOne, key, mark)
+		Expect(executionState(cutReply)).To(Equal("unknown"))
 		for _, s := range r.site.Services {
 			s.Set(fake.CutAfter, 0)
 		}
@@ -73,7 +73,7 @@
 			name   string
 			inject func(p *daemonProcess)
 		}{
-			{"freeze", func(p *daemonProcess) { p.suspend() }},
+			{"suspend", func(p *daemonProcess) { p.suspend() }},
 			{"kill", func(p *daemonProcess) { p.kill() }},
 		}
 		for _, tc := range tests {
--- a/embplay/prove/story_test.go
+++ b/embplay/prove/story_test.go
@@ -104,7 +104,7 @@
 }
 
 // sumMetric returns the sum of one metric over all daemons that respond.
-func (r *testbed) sumMetric(figure string) float64 {
+func (r *testbed) sumMetric(metric string) float64 {
 	GinkgoHelper()
 	sum := 0.0
 	for _, p := range r.daemons {
@@ -113,7 +113,7 @@
 			continue
 		}
 		var v float64
-		if json.Unmarshal(all[figure], &v) == nil {
+		if json.Unmarshal(all[metric], &v) == nil {
 			sum += v
 		}
 	}
