--- a/embplay/prove/scenario_blocks_test.go
+++ b/embplay/prove/scenario_blocks_test.go
@@ -194,7 +194,7 @@
 		}).Should(Equal(2))
 		r.updateWeightsTo("v2")
 		Eventually(r.enginesWith("v2")).Should(Equal(len(r.site.Engines)))
-		Expect(r.site.Weights.Most()).To(BeNumerically("<=", 2))
+		Expect(r.site.Weights.MaxConcurrentLoads()).To(BeNumerically("<=", 2))
 		expectAnswer(<-overlapping, "v1", "a long answer "+prompt, long)
 		Eventually(func() string { return r.sendPrompt(2, orgOne, prompt, 8).Text }).Should(
 			Equal(fake.ExpectedResponse(fake.SiteModel, "v2", prompt, 8)))
--- a/embplay/prove/scenario_pushback_test.go
+++ b/embplay/prove/scenario_pushback_test.go
@@ -24,18 +24,18 @@
 		// The engine with the context in its cache is the first choice for it.
 		for _, e := range r.site.Engines {
 			if len(e.Executions()) > 0 {
-				e.AskRest(pushback)
+				e.SetPushback(pushback)
 			}
 		}
 		for range 20 {
 			expectAnswer(r.sendPrompt(0, orgOne, prompt, 5), "v1", prompt, 5)
 		}
 		for _, e := range r.site.Engines {
-			Expect(e.TurnedAway()).To(BeNumerically("<=", 1))
+			Expect(e.Rejected()).To(BeNumerically("<=", 1))
 		}
 		// While all engines are under pushback, callers get a Retry-After.
 		for _, e := range r.site.Engines {
-			e.AskRest(pushback)
+			e.SetPushback(pushback)
 		}
 		var last play.Reply
 		for range 6 {
@@ -53,13 +53,13 @@
 		const pushback = 10 * time.Minute
 		r := startSite(func(o *fake.SiteOptions) { o.Services = 2 })
 		rejecting, other := r.site.Services[0], r.site.Services[1]
-		rejecting.AskRest(pushback)
+		rejecting.SetPushback(pushback)
 		for n := range 20 {
 			r.sendPayment(0, orgOne, "", fmt.Sprintf("m%d", n))
 		}
-		Expect(rejecting.TurnedAway()).To(Equal(1))
+		Expect(rejecting.Rejected()).To(Equal(1))
 		Expect(len(other.Executions())).To(BeNumerically(">=", 19))
-		other.AskRest(pushback)
+		other.SetPushback(pushback)
 		r.sendPayment(0, orgOne, "", "last but one")
 		last := r.sendPayment(0, orgOne, "", "last")
 		Expect(last.Refusal).NotTo(BeNil())
