--- a/core/poison/attempts.go
+++ b/core/poison/attempts.go
@@ -16,7 +16,7 @@
 	// second more.
 	lossWindow = 6 * time.Second
 	// delayedCrashWindow is how long before a crash a request may have completed and still have
-	// caused it: some bugs strike as a target cleans up after an answer.
+	// caused it: some bugs take effect as a target cleans up after a response.
 	delayedCrashWindow = 150 * time.Millisecond
 	// minSuccesses is how many consecutive times a request must have completed well at an
 	// incarnation to be ruled out as the cause of a crash soon after: as many as the crashes that
@@ -74,7 +74,7 @@
 }
 
 // shortKey shortens a digest for uses where a collision costs little.
-func shortKey(f Digest) uint64 { return binary.BigEndian.Uint64(f[:]) }
+func shortKey(d Digest) uint64 { return binary.BigEndian.Uint64(d[:]) }
 
 // recordLoss records that a connection broke under a request. crashed reports that the incarnation
 // is recorded as crashed, first that this is its first broken connection, so that it must be
@@ -84,7 +84,7 @@
 	defer s.attemptsMu.Unlock()
 	now := clock.Now()
 	s.expire(now)
-	if _, known := s.crashed[incarnation]; known {
+	if _, recorded := s.crashed[incarnation]; recorded {
 		return true, false
 	}
 	if s.losses == nil {
@@ -110,7 +110,7 @@
 }
 
 // markResponsive records that an incarnation responds, so that it has not crashed: a target may
-// refuse connections for a while.
+// reject connections for a while.
 func (s *attempts) markResponsive(incarnation string) {
 	s.attemptsMu.Lock()
 	defer s.attemptsMu.Unlock()
@@ -121,13 +121,13 @@
 func (s *attempts) isAlive(incarnation string) bool {
 	s.attemptsMu.Lock()
 	defer s.attemptsMu.Unlock()
-	_, known := s.crashed[incarnation]
-	return !known
+	_, recorded := s.crashed[incarnation]
+	return !recorded
 }
 
 // crashedAlone reports whether no other incarnation crashed at the same time. Those that had the
 // request in flight too don't count: it may have crashed them in turn.
-func (s *attempts) crashedAlone(incarnation string, f Digest) bool {
+func (s *attempts) crashedAlone(incarnation string, d Digest) bool {
 	s.attemptsMu.Lock()
 	defer s.attemptsMu.Unlock()
 	i := slices.IndexFunc(s.recentCrashes, func(c crash) bool { return c.incarnation == incarnation })
@@ -136,7 +136,7 @@
 	}
 	for _, c := range s.recentCrashes {
 		distance := c.at.Sub(s.recentCrashes[i].at).Abs()
-		sawRequest := c.incarnation == incarnation || slices.ContainsFunc(c.requests, func(sent sentRequest) bool { return sent.request == f })
+		sawRequest := c.incarnation == incarnation || slices.ContainsFunc(c.requests, func(sent sentRequest) bool { return sent.request == d })
 		if distance < simultaneousWindow && !sawRequest {
 			return false
 		}
@@ -152,7 +152,7 @@
 	defer s.attemptsMu.Unlock()
 	now := clock.Now()
 	s.expire(now)
-	if _, known := s.crashed[incarnation]; known {
+	if _, recorded := s.crashed[incarnation]; recorded {
 		return nil
 	}
 	if s.crashed == nil {
@@ -215,11 +215,11 @@
 
 // recentlySucceeded reports whether a request recently completed well at an incarnation that did
 // not crash just after.
-func (s *attempts) recentlySucceeded(f Digest) bool {
+func (s *attempts) recentlySucceeded(d Digest) bool {
 	s.attemptsMu.Lock()
 	defer s.attemptsMu.Unlock()
 	for _, generation := range []map[uint64]success{s.current, s.previous} {
-		if last, found := generation[shortKey(f)]; found && last.request == f {
+		if last, found := generation[shortKey(d)]; found && last.request == d {
 			return true
 		}
 	}
--- a/core/poison/blocks.go
+++ b/core/poison/blocks.go
@@ -39,17 +39,17 @@
 	// Released reports that the block was revoked.
 	Released bool
 	Stamp    int64
-	// Times is the number of consecutive blocks of the request.
-	Times int
+	// Consecutive is the number of consecutive blocks of the request.
+	Consecutive int
 	// Remaining is the time until the block expires, as of when it was sent.
 	Remaining time.Duration
-	// until is the expiry by the local clock.
-	until clock.Time
+	// expires is when the block expires by the local clock.
+	expires clock.Time
 }
 
 // duration returns the total time of a block.
 func (b *block) duration() time.Duration {
-	return min(initialBlockTime<<max(0, min(b.Times-1, 16)), maxBlockTime)
+	return min(initialBlockTime<<max(0, min(b.Consecutive-1, 16)), maxBlockTime)
 }
 
 // blockList holds the requests that must not be sent. All daemons replicate it. The zero value is
@@ -72,24 +72,24 @@
 }
 
 // remaining returns how much longer a request is blocked.
-func (l *blockList) remaining(f Digest) (time.Duration, bool) {
+func (l *blockList) remaining(d Digest) (time.Duration, bool) {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
-	b, found := l.entries[f]
+	b, found := l.entries[d]
 	if !found || b.Released {
 		return 0, false
 	}
-	remaining := clock.Until(b.until)
+	remaining := clock.Until(b.expires)
 	return remaining, remaining > 0
 }
 
 // previousBlocks returns the number of consecutive blocks of a request, 0 if the last one expired
 // long ago or was released.
-func (l *blockList) previousBlocks(f Digest) int {
+func (l *blockList) previousBlocks(d Digest) int {
 	l.blocksMu.Lock()
 	defer l.blocksMu.Unlock()
-	if b := l.entries[f]; !b.Released {
-		return b.Times
+	if b := l.entries[d]; !b.Released {
+		return b.Consecutive
 	}
 	return 0
 }
@@ -100,7 +100,7 @@
 	defer l.blocksMu.Unlock()
 	n := 0
 	for _, b := range l.entries {
-		if !b.Released && clock.Until(b.until) > 0 {
+		if !b.Released && clock.Until(b.expires) > 0 {
 			n++
 		}
 	}
@@ -108,17 +108,17 @@
 }
 
 // add blocks a request.
-func (l *blockList) add(f Digest, organisation, why string) block {
+func (l *blockList) add(d Digest, organisation, why string) block {
 	l.blocksMu.Lock()
-	old := l.entries[f]
-	if !old.Released && clock.Until(old.until) > 0 {
+	old := l.entries[d]
+	if !old.Released && clock.Until(old.expires) > 0 {
 		// The other crash tracker was first.
 		l.blocksMu.Unlock()
 		return old
 	}
-	b := block{Request: f, Organisation: organisation, Stamp: max(time.Now().UnixNano(), old.Stamp+1), Times: 1}
+	b := block{Request: d, Organisation: organisation, Stamp: max(time.Now().UnixNano(), old.Stamp+1), Consecutive: 1}
 	if !old.Released {
-		b.Times += old.Times
+		b.Consecutive += old.Consecutive
 	}
 	b.Remaining = b.duration()
 	l.blocksMu.Unlock()
@@ -127,14 +127,14 @@
 }
 
 // release revokes a block, and returns the update for other daemons if there was one.
-func (l *blockList) release(f Digest, why string) (update block, done bool) {
+func (l *blockList) release(d Digest, why string) (update block, done bool) {
 	l.blocksMu.Lock()
-	b, found := l.entries[f]
+	b, found := l.entries[d]
 	l.blocksMu.Unlock()
-	if !found || b.Released || clock.Until(b.until) <= 0 {
+	if !found || b.Released || clock.Until(b.expires) <= 0 {
 		return block{}, false
 	}
-	b.Released, b.Stamp, b.Remaining = true, b.Stamp+1, clock.Until(b.until)
+	b.Released, b.Stamp, b.Remaining = true, b.Stamp+1, clock.Until(b.expires)
 	return b, l.merge([]block{b}, why)
 }
 
@@ -146,7 +146,7 @@
 		if old, found := l.entries[b.Request]; found && old.Stamp >= b.Stamp {
 			continue
 		}
-		b.until = clock.Now().Add(min(max(0, b.Remaining), maxBlockTime))
+		b.expires = clock.Now().Add(min(max(0, b.Remaining), maxBlockTime))
 		l.entries[b.Request] = b
 		accepted = append(accepted, b)
 	}
@@ -171,15 +171,15 @@
 		l.log.Emit(event.RequestReleased, ref, "asks "+b.Request.String()+"; "+why)
 		return
 	}
-	l.log.Emit(event.RequestBlocked, ref, "asks "+b.Request.String()+" for "+b.Remaining.Round(time.Second).String()+", block "+strconv.Itoa(b.Times)+"; "+why)
+	l.log.Emit(event.RequestBlocked, ref, "asks "+b.Request.String()+" for "+b.Remaining.Round(time.Second).String()+", block "+strconv.Itoa(b.Consecutive)+"; "+why)
 }
 
 // evict removes blocks that expired long ago and those beyond maxBlocks. It is called with blocksMu
 // held.
 func (l *blockList) evict() {
-	for f, b := range l.entries {
-		if -clock.Until(b.until) > b.duration() {
-			delete(l.entries, f)
+	for d, b := range l.entries {
+		if -clock.Until(b.expires) > b.duration() {
+			delete(l.entries, d)
 		}
 	}
 	for len(l.entries) > maxBlocks {
@@ -195,7 +195,7 @@
 	}
 	var out *block
 	for _, b := range l.entries {
-		if out == nil || perOrganisation[b.Organisation] > perOrganisation[out.Organisation] || (perOrganisation[b.Organisation] == perOrganisation[out.Organisation] && b.until.Before(out.until)) {
+		if out == nil || perOrganisation[b.Organisation] > perOrganisation[out.Organisation] || (perOrganisation[b.Organisation] == perOrganisation[out.Organisation] && b.expires.Before(out.expires)) {
 			out = &b
 		}
 	}
@@ -213,7 +213,7 @@
 func (l *blockList) listLocked() []block {
 	out := make([]block, 0, len(l.entries))
 	for _, b := range l.entries {
-		b.Remaining = max(0, clock.Until(b.until))
+		b.Remaining = max(0, clock.Until(b.expires))
 		out = append(out, b)
 	}
 	slices.SortFunc(out, func(a, b block) int { return slices.Compare(a.Request[:], b.Request[:]) })
@@ -223,13 +223,13 @@
 // checksum differs between lists of different blocks. It is called with blocksMu held.
 func (l *blockList) checksum() uint64 {
 	var sum uint64
-	for f, b := range l.entries {
-		if clock.Until(b.until) <= 0 {
+	for d, b := range l.entries {
+		if clock.Until(b.expires) <= 0 {
 			// Each daemon drops expired blocks in its own time.
 			continue
 		}
 		mixed := uint64(b.Stamp)
-		for _, c := range f {
+		for _, c := range d {
 			mixed = mixed*checksumPrime + uint64(c)
 		}
 		sum ^= mixed
--- a/core/poison/blocks_test.go
+++ b/core/poison/blocks_test.go
@@ -17,11 +17,11 @@
 
 // exchange carries a heartbeat section from one list to another.
 func exchange(g *gomega.WithT, from, to *blockList, full bool) {
-	part := from.Collect(full)
-	if part == nil {
+	section := from.Collect(full)
+	if section == nil {
 		return
 	}
-	raw, err := msgpack.Marshal(part)
+	raw, err := msgpack.Marshal(section)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	to.Receive("peer", raw)
 }
@@ -34,7 +34,7 @@
 		var all []block
 		for i := range 40 {
 			all = append(all, block{
-				Request: digestOf(fmt.Sprint(rng.IntN(8))), Organisation: "org", Stamp: int64(i + 1), Times: 1,
+				Request: digestOf(fmt.Sprint(rng.IntN(8))), Organisation: "org", Stamp: int64(i + 1), Consecutive: 1,
 				Released: rng.IntN(3) == 0, Remaining: time.Duration(1+rng.IntN(60)) * time.Minute,
 			})
 		}
@@ -62,15 +62,15 @@
 func TestAPeerThatMissedAChangeReceivesItAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := newTestBlockList(), newTestBlockList()
-	f := digestOf("fatal")
-	a.add(f, "org", "test")
+	d := digestOf("fatal")
+	a.add(d, "org", "test")
 	clock.Suspend(2 * publishTime)
 	exchange(g, a, b, false)
-	_, blocked := b.remaining(f)
+	_, blocked := b.remaining(d)
 	g.Expect(blocked).To(gomega.BeFalse())
 	exchange(g, b, a, false)
 	exchange(g, a, b, false)
-	_, blocked = b.remaining(f)
+	_, blocked = b.remaining(d)
 	g.Expect(blocked).To(gomega.BeTrue())
 	clock.Suspend(2 * publishTime)
 	g.Expect(a.Collect(false).(*blockHeartbeat).Blocks).To(gomega.BeEmpty())
@@ -81,12 +81,12 @@
 func TestBlocksAreEvictedWithinTheirOrganisation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := newTestBlockList()
-	f := digestOf("of another")
-	l.add(f, "small", "test")
+	d := digestOf("of another")
+	l.add(d, "small", "test")
 	for i := range maxBlocks + 20 {
 		l.add(digestOf(fmt.Sprint(i)), "large", "test")
 	}
-	_, blocked := l.remaining(f)
+	_, blocked := l.remaining(d)
 	g.Expect(blocked).To(gomega.BeTrue())
 	g.Expect(l.count()).To(gomega.Equal(maxBlocks))
 }
@@ -99,37 +99,37 @@
 		l.Receive("peer", raw)
 	}
 	// The block time that a peer can send is bounded.
-	l.merge([]block{{Request: digestOf("a"), Stamp: 1, Times: 1 << 40, Remaining: 1 << 62}}, "")
-	left, blocked := l.remaining(digestOf("a"))
+	l.merge([]block{{Request: digestOf("a"), Stamp: 1, Consecutive: 1 << 40, Remaining: 1 << 62}}, "")
+	remaining, blocked := l.remaining(digestOf("a"))
 	g.Expect(blocked).To(gomega.BeTrue())
-	g.Expect(left).To(gomega.BeNumerically("<=", maxBlockTime))
+	g.Expect(remaining).To(gomega.BeNumerically("<=", maxBlockTime))
 	g.Expect(l.count()).To(gomega.Equal(1))
 }
 
 // Suspects with the fewest crashes are evicted first.
 func TestSuspectsWithFewestCrashesAreEvicted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k := newCrashTracker(&event.Log{})
-	f := digestOf("twice")
-	k.countCrash(f, "org", "inc-1", fullWeight)
-	k.countCrash(f, "org", "inc-2", fullWeight)
+	tracker := newCrashTracker(&event.Log{})
+	d := digestOf("twice")
+	tracker.countCrash(d, "org", "inc-1", fullWeight)
+	tracker.countCrash(d, "org", "inc-2", fullWeight)
 	for i := range maxSuspects + 10 {
-		k.countCrash(digestOf(fmt.Sprint(i)), "org", "inc-1", fullWeight)
+		tracker.countCrash(digestOf(fmt.Sprint(i)), "org", "inc-1", fullWeight)
 	}
-	g.Expect(k.size()).To(gomega.Equal(maxSuspects))
-	_, mustBlock := k.countCrash(f, "org", "inc-3", fullWeight)
+	g.Expect(tracker.size()).To(gomega.Equal(maxSuspects))
+	_, mustBlock := tracker.countCrash(d, "org", "inc-3", fullWeight)
 	g.Expect(mustBlock).To(gomega.BeTrue())
 }
 
 // A crash counts for an hour.
 func TestCrashesExpire(t *testing.T) {
 	g := gomega.NewWithT(t)
-	k := newCrashTracker(&event.Log{})
-	f := digestOf("seldom")
-	k.countCrash(f, "org", "inc-1", fullWeight)
-	k.countCrash(f, "org", "inc-2", fullWeight)
+	tracker := newCrashTracker(&event.Log{})
+	d := digestOf("seldom")
+	tracker.countCrash(d, "org", "inc-1", fullWeight)
+	tracker.countCrash(d, "org", "inc-2", fullWeight)
 	clock.Suspend(crashWindow + time.Second)
-	crashes, mustBlock := k.countCrash(f, "org", "inc-3", fullWeight)
+	crashes, mustBlock := tracker.countCrash(d, "org", "inc-3", fullWeight)
 	g.Expect(crashes).To(gomega.Equal(1))
 	g.Expect(mustBlock).To(gomega.BeFalse())
 }
--- a/core/poison/digest.go
+++ b/core/poison/digest.go
@@ -24,14 +24,14 @@
 type Digest [16]byte
 
 // String returns the digest as hexadecimal digits.
-func (f Digest) String() string { return hex.EncodeToString(f[:]) }
+func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // ParseDigest parses the result of String.
 func ParseDigest(s string) (Digest, bool) {
-	var f Digest
+	var d Digest
 	raw, err := hex.DecodeString(s)
-	if err != nil || len(raw) != len(f) {
-		return f, false
+	if err != nil || len(raw) != len(d) {
+		return d, false
 	}
 	return Digest(raw), true
 }
--- a/core/poison/digest_test.go
+++ b/core/poison/digest_test.go
@@ -34,20 +34,20 @@
 	}
 }
 
-func TestParseReversesString(t *testing.T) {
+func TestParseDigestReversesString(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := DigestOf(&Request{URI: "/"})
-	got, ok := ParseDigest(f.String())
+	d := DigestOf(&Request{URI: "/"})
+	got, ok := ParseDigest(d.String())
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(got).To(gomega.Equal(f))
-	for _, s := range []string{"", "00", f.String() + "00", "zz" + f.String()[2:]} {
+	g.Expect(got).To(gomega.Equal(d))
+	for _, s := range []string{"", "00", d.String() + "00", "zz" + d.String()[2:]} {
 		_, ok := ParseDigest(s)
 		g.Expect(ok).To(gomega.BeFalse(), s)
 	}
 }
 
 // Baseline: 1.0 us for 800 bytes.
-func BenchmarkOf(b *testing.B) {
+func BenchmarkDigestOf(b *testing.B) {
 	r := Request{Organisation: "org", Method: "POST", Host: "site.example", URI: "/ask/a", Body: make([]byte, 800)}
 	for b.Loop() {
 		DigestOf(&r)
--- a/core/poison/guard.go
+++ b/core/poison/guard.go
@@ -40,8 +40,8 @@
 // chosen by rendezvous hashing of the request digest, so that the crashes are counted in one place
 // whichever daemons saw them. At the third incarnation a crash tracker blocks the request: it
 // notifies two daemons of each cell, whose heartbeats notify the others, and writes the block to
-// the coordination store. All daemons receive it after a few consecutive messages, whatever the
-// size of the fleet, and none of them needs the store.
+// the coordination store. Each daemon receives it over a chain of a few messages, whatever the size
+// of the fleet, and none of them needs the store.
 type Guard struct {
 	o        Options
 	attempts attempts
@@ -50,7 +50,7 @@
 
 	countsMu sync.Mutex
 	// crashCounts holds the number of incarnations that crashed under each request that this daemon
-	// reported, as answered by crash trackers. Guarded by countsMu.
+	// reported, as returned by crash trackers. Guarded by countsMu.
 	crashCounts map[Digest]int
 	// crashCount is the number of incarnations that crashed under requests of this daemon. Guarded
 	// by countsMu.
@@ -68,33 +68,34 @@
 }
 
 // Blocked returns how much longer a request is blocked, and whether it is.
-func (g *Guard) Blocked(f Digest) (time.Duration, bool) {
+func (g *Guard) Blocked(d Digest) (time.Duration, bool) {
 	if g == nil {
 		return 0, false
 	}
-	return g.blocks.remaining(f)
+	return g.blocks.remaining(d)
 }
 
-// Crashes returns the number of incarnations that crashed under a request, as far as this daemon was
-// informed.
-func (g *Guard) Crashes(f Digest) int {
+// Crashes returns the number of incarnations that crashed under a request, as last reported to
+// this daemon by crash trackers.
+func (g *Guard) Crashes(d Digest) int {
 	if g == nil {
 		return 0
 	}
 	g.countsMu.Lock()
 	defer g.countsMu.Unlock()
-	return g.crashCounts[f]
+	return g.crashCounts[d]
 }
 
-// RecordSuccess records that a request completed well at an incarnation of a target. If the request is
-// blocked, it did not cause the earlier crashes, unless this incarnation crashes as well.
-func (g *Guard) RecordSuccess(f Digest, organisation, incarnation string) {
+// RecordSuccess records that a request completed well at an incarnation of a target. If the request
+// is blocked, this shows that it did not cause the earlier crashes, unless this incarnation crashes
+// as well.
+func (g *Guard) RecordSuccess(d Digest, organisation, incarnation string) {
 	if g == nil {
 		return
 	}
-	g.attempts.recordSuccess(incarnation, sentRequest{f, organisation})
-	if _, blocked := g.blocks.remaining(f); blocked {
-		go unblocker{g, f, incarnation}.run()
+	g.attempts.recordSuccess(incarnation, sentRequest{d, organisation})
+	if _, blocked := g.blocks.remaining(d); blocked {
+		go unblocker{g, d, incarnation}.run()
 	}
 }
 
@@ -105,13 +106,13 @@
 	}
 }
 
-// RecordLostConnection records that the connection to an incarnation of a target broke while a request was in
-// flight there, and finds out whether the incarnation crashed.
-func (g *Guard) RecordLostConnection(f Digest, organisation, incarnation, address string) {
+// RecordLostConnection records that the connection to an incarnation of a target broke while a
+// request was in flight there, and finds out whether the incarnation crashed.
+func (g *Guard) RecordLostConnection(d Digest, organisation, incarnation, address string) {
 	if g == nil {
 		return
 	}
-	sent := sentRequest{f, organisation}
+	sent := sentRequest{d, organisation}
 	crashed, first := g.attempts.recordLoss(incarnation, sent)
 	switch {
 	case crashed:
@@ -128,7 +129,8 @@
 	}
 }
 
-// RecordListedCrash records that an incarnation of a target ended unplanned, according to the platform's list.
+// RecordListedCrash records that an incarnation of a target ended unplanned, according to the
+// platform's list.
 func (g *Guard) RecordListedCrash(incarnation string) {
 	if g != nil {
 		g.recordCrash(incarnation, false)
--- a/core/poison/guard_test.go
+++ b/core/poison/guard_test.go
@@ -30,10 +30,10 @@
 
 // testDaemon is one daemon of a test fleet.
 type testDaemon struct {
-	fleet  *fleet.Fleet
-	guard  *Guard
-	mirror *plat.WatchCache
-	stop   func()
+	fleet *fleet.Fleet
+	guard *Guard
+	cache *plat.WatchCache
+	stop  func()
 }
 
 // testFleet is a fleet of daemons in one process with an in-memory store. Its targets accept
@@ -65,9 +65,9 @@
 // run runs one daemon until the test ends or its stop is called.
 func (r *testFleet) run(name string, l net.Listener) *testDaemon {
 	m := &testDaemon{fleet: fleet.New(fleet.Options{Name: name, Incarnation: name + time.Now().String(), Seeds: r.seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspectAfter, Log: &event.Log{}})}
-	m.mirror = plat.NewWatchCache(r.store, plat.Prefix(""), &event.Log{})
-	m.guard = New(Options{Fleet: m.fleet, Dial: r.try, Log: &event.Log{}, Store: r.store, Mirror: m.mirror})
-	m.mirror.Observe(func(list []plat.Change) {
+	m.cache = plat.NewWatchCache(r.store, plat.Prefix(""), &event.Log{})
+	m.guard = New(Options{Fleet: m.fleet, Dial: r.dial, Log: &event.Log{}, Store: r.store, Mirror: m.cache})
+	m.cache.Observe(func(list []plat.Change) {
 		for _, c := range list {
 			m.guard.Observe(c)
 		}
@@ -75,15 +75,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { m.fleet.Run(ctx, l) })
-	wg.Go(func() { m.mirror.Run(ctx) })
+	wg.Go(func() { m.cache.Run(ctx) })
 	wg.Go(func() { m.guard.Run(ctx) })
 	m.stop = sync.OnceFunc(func() { cancel(); wg.Wait() })
 	r.t.Cleanup(m.stop)
 	return m
 }
 
-// try connects to a target.
-func (r *testFleet) try(context.Context, string) error {
+// dial connects to a target.
+func (r *testFleet) dial(context.Context, string) error {
 	if r.alive.Load() {
 		return nil
 	}
@@ -96,16 +96,16 @@
 }
 
 // crash makes an incarnation crash under a request at one daemon.
-func (r *testFleet) crash(daemon int, f Digest, incarnation string) {
-	r.daemons[daemon%len(r.daemons)].guard.RecordLostConnection(f, "org", incarnation, "10.0.0.1:1")
+func (r *testFleet) crash(daemon int, d Digest, incarnation string) {
+	r.daemons[daemon%len(r.daemons)].guard.RecordLostConnection(d, "org", incarnation, "10.0.0.1:1")
 }
 
 // blockedDaemons returns a function that counts the daemons that block a request.
-func (r *testFleet) blockedDaemons(f Digest) func() int {
+func (r *testFleet) blockedDaemons(d Digest) func() int {
 	return func() int {
 		n := 0
 		for _, m := range r.daemons {
-			if _, blocked := m.guard.Blocked(f); blocked {
+			if _, blocked := m.guard.Blocked(d); blocked {
 				n++
 			}
 		}
@@ -114,12 +114,12 @@
 }
 
 // waitForCrashes waits until the crash trackers have counted so many crashes.
-func (r *testFleet) waitForCrashes(f Digest, crashes int) {
+func (r *testFleet) waitForCrashes(d Digest, crashes int) {
 	r.g.Eventually(func() int {
 		n := 0
 		for _, m := range r.daemons {
 			m.guard.tracker.trackerMu.Lock()
-			if s := m.guard.tracker.suspects[f]; s != nil {
+			if s := m.guard.tracker.suspects[d]; s != nil {
 				n = max(n, len(s.crashes))
 			}
 			m.guard.tracker.trackerMu.Unlock()
@@ -138,14 +138,14 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			r := newTestFleet(t, c.daemons)
 			r.store.SetDown(c.storeDown)
-			f := digestOf("fatal")
+			d := digestOf("fatal")
 			for i := range 2 {
-				r.crash(i*c.daemons/2, f, fmt.Sprintf("inc-%d", i))
-				r.waitForCrashes(f, i+1)
+				r.crash(i*c.daemons/2, d, fmt.Sprintf("inc-%d", i))
+				r.waitForCrashes(d, i+1)
 			}
-			r.g.Expect(r.blockedDaemons(f)()).To(gomega.BeZero())
-			r.crash(c.daemons-1, f, "inc-2")
-			r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(c.daemons))
+			r.g.Expect(r.blockedDaemons(d)()).To(gomega.BeZero())
+			r.crash(c.daemons-1, d, "inc-2")
+			r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(c.daemons))
 			r.g.Expect(r.blockedDaemons(digestOf("other"))()).To(gomega.BeZero())
 		})
 	}
@@ -154,73 +154,73 @@
 // A crash that all daemons with a request in flight there see counts once.
 func TestACrashReportedByManyCountsOnce(t *testing.T) {
 	r := newTestFleet(t, 5)
-	f := digestOf("fatal")
+	d := digestOf("fatal")
 	for i := range 15 {
-		r.crash(i, f, "inc-1")
+		r.crash(i, d, "inc-1")
 	}
-	r.crash(0, f, "inc-2")
-	r.waitForCrashes(f, 2)
-	r.g.Consistently(r.blockedDaemons(f), 5*heartbeat, "5ms").Should(gomega.BeZero())
+	r.crash(0, d, "inc-2")
+	r.waitForCrashes(d, 2)
+	r.g.Consistently(r.blockedDaemons(d), 5*heartbeat, "5ms").Should(gomega.BeZero())
 }
 
 // A connection that breaks while its target lives is no crash, until the platform's list says so.
 func TestABrokenConnectionIsNoCrash(t *testing.T) {
 	r := newTestFleet(t, 2)
 	r.alive.Store(true)
-	f := digestOf("fatal")
+	d := digestOf("fatal")
 	for i := range 4 {
-		r.crash(0, f, fmt.Sprintf("inc-%d", i))
+		r.crash(0, d, fmt.Sprintf("inc-%d", i))
 	}
-	r.g.Consistently(func() int { return r.daemons[0].guard.SuspectCount() + r.daemons[1].guard.SuspectCount() }, 3*redialPause, "10ms").Should(gomega.BeZero())
+	r.g.Consistently(func() int { return r.daemons[0].guard.SuspectCount() + r.daemons[1].guard.SuspectCount() }, 3*redialDelay, "10ms").Should(gomega.BeZero())
 	for i := range 3 {
 		r.daemons[0].guard.RecordListedCrash(fmt.Sprintf("inc-%d", i))
 	}
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(2))
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(2))
 }
 
 // A request that recently completed well elsewhere is not blocked, whichever daemon saw that.
 func TestARequestThatSucceedsElsewhereIsNotBlocked(t *testing.T) {
 	r := newTestFleet(t, 3)
-	f := digestOf("frequent")
+	d := digestOf("frequent")
 	for i := range 6 {
-		r.daemons[i%3].guard.RecordSuccess(f, "org", fmt.Sprintf("well-%d", i))
-		r.crash(i, f, fmt.Sprintf("inc-%d", i))
+		r.daemons[i%3].guard.RecordSuccess(d, "org", fmt.Sprintf("well-%d", i))
+		r.crash(i, d, fmt.Sprintf("inc-%d", i))
 	}
-	r.g.Consistently(r.blockedDaemons(f), 5*heartbeat, "5ms").Should(gomega.BeZero())
+	r.g.Consistently(r.blockedDaemons(d), 5*heartbeat, "5ms").Should(gomega.BeZero())
 }
 
 // A target may crash just after its complete answer.
 func TestACrashJustAfterAnAnswerCounts(t *testing.T) {
 	r := newTestFleet(t, 2)
-	f := digestOf("fatal")
+	d := digestOf("fatal")
 	for i := range 3 {
 		incarnation := fmt.Sprintf("inc-%d", i)
-		r.daemons[0].guard.RecordSuccess(f, "org", incarnation)
+		r.daemons[0].guard.RecordSuccess(d, "org", incarnation)
 		r.daemons[0].guard.RecordDialError(incarnation, errors.WithStack(syscall.ECONNREFUSED))
 		if i < 2 {
-			r.waitForCrashes(f, i+1)
+			r.waitForCrashes(d, i+1)
 		}
 	}
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(2))
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(2))
 }
 
 // The first crash tracker is stopped before the third crash.
 func TestTheCountSurvivesTheLossOfACrashTracker(t *testing.T) {
 	r := newTestFleet(t, 5)
-	f := digestOf("fatal")
-	ranked := fleet.Rank(shortKey(f), r.daemons[0].fleet.View().NotDraining())
+	d := digestOf("fatal")
+	ranked := fleet.Rank(shortKey(d), r.daemons[0].fleet.View().NotDraining())
 	at := map[string]int{}
 	for i, s := range r.seeds {
 		at[s.Name] = i
 	}
 	for i := range 2 {
-		r.crash(at[ranked[4]], f, fmt.Sprintf("inc-%d", i))
-		r.waitForCrashes(f, i+1)
+		r.crash(at[ranked[4]], d, fmt.Sprintf("inc-%d", i))
+		r.waitForCrashes(d, i+1)
 	}
 	r.g.Eventually(func() int { return r.daemons[at[ranked[1]]].guard.SuspectCount() }, maxWait, "5ms").Should(gomega.Equal(1))
 	r.daemons[at[ranked[0]]].stop()
-	r.crash(at[ranked[3]], f, "inc-2")
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.BeNumerically(">=", 4))
+	r.crash(at[ranked[3]], d, "inc-2")
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.BeNumerically(">=", 4))
 }
 
 // Unresponsive crash trackers do not delay reports: two daemons of the fleet accept connections
@@ -234,55 +234,55 @@
 		t.Cleanup(func() { l.Close() })
 	}
 	r.daemons = r.daemons[2:]
-	f := digestOf("fatal")
+	d := digestOf("fatal")
 	for round := range 3 {
 		for i := range 20 {
 			r.crash(round, digestOf(fmt.Sprintf("harmless %d, %d", round, i)), fmt.Sprintf("inc-%d", round))
 		}
-		r.crash(round, f, fmt.Sprintf("inc-%d", round))
-		r.waitForCrashes(f, round+1)
+		r.crash(round, d, fmt.Sprintf("inc-%d", round))
+		r.waitForCrashes(d, round+1)
 		clock.Suspend(simultaneousWindow)
 	}
-	r.g.Eventually(r.blockedDaemons(f), "3s", "5ms").Should(gomega.Equal(4))
+	r.g.Eventually(r.blockedDaemons(d), "3s", "5ms").Should(gomega.Equal(4))
 }
 
 // A daemon that starts receives blocks from its peers while the store is down.
 func TestADaemonThatStartsReceivesBlocks(t *testing.T) {
 	r := newTestFleet(t, 3)
 	r.store.SetDown(true)
-	f := digestOf("fatal")
+	d := digestOf("fatal")
 	for i := range 3 {
-		r.crash(i, f, fmt.Sprintf("inc-%d", i))
+		r.crash(i, d, fmt.Sprintf("inc-%d", i))
 	}
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(3))
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(3))
 	r.daemons[2].stop()
 	l, err := net.Listen("tcp", r.seeds[2].Address)
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	r.daemons[2] = r.run(r.seeds[2].Name, l)
-	r.g.Expect(r.blockedDaemons(f)()).To(gomega.Equal(2))
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(3))
+	r.g.Expect(r.blockedDaemons(d)()).To(gomega.Equal(2))
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(3))
 }
 
 // Blocks are written to the store. Removing one there releases it everywhere, and three more
 // crashes are needed for the next block.
 func TestRemovingTheKeyReleasesABlock(t *testing.T) {
 	r := newTestFleet(t, 3)
-	f := digestOf("fatal")
+	d := digestOf("fatal")
 	crashThrice := func(round int) {
 		for i := range 3 {
-			r.crash(i, f, fmt.Sprintf("inc-%d-%d", round, i))
+			r.crash(i, d, fmt.Sprintf("inc-%d-%d", round, i))
 		}
-		r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(3))
+		r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(3))
 	}
 	crashThrice(0)
-	stored := func() bool { _, there := r.daemons[0].mirror.Pair(BlockPrefix + f.String()); return there }
+	stored := func() bool { _, there := r.daemons[0].cache.Pair(BlockPrefix + d.String()); return there }
 	r.g.Eventually(stored, maxWait, "5ms").Should(gomega.BeTrue())
-	_, err := r.store.Commit(context.Background(), plat.Txn{Deletes: []string{BlockPrefix + f.String()}})
+	_, err := r.store.Commit(context.Background(), plat.Txn{Deletes: []string{BlockPrefix + d.String()}})
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.BeZero())
-	r.g.Consistently(r.blockedDaemons(f), 5*heartbeat, "5ms").Should(gomega.BeZero())
-	r.crash(0, f, "inc-1-0")
-	r.waitForCrashes(f, 1)
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.BeZero())
+	r.g.Consistently(r.blockedDaemons(d), 5*heartbeat, "5ms").Should(gomega.BeZero())
+	r.crash(0, d, "inc-1-0")
+	r.waitForCrashes(d, 1)
 	crashThrice(1)
 	r.g.Eventually(stored, maxWait, "5ms").Should(gomega.BeTrue())
 }
@@ -291,33 +291,33 @@
 // again.
 func TestARestoredStoreReleasesNoBlock(t *testing.T) {
 	r := newTestFleet(t, 3)
-	f := digestOf("fatal")
+	d := digestOf("fatal")
 	before := r.store.Copy()
 	for i := range 3 {
-		r.crash(i, f, fmt.Sprintf("inc-%d", i))
+		r.crash(i, d, fmt.Sprintf("inc-%d", i))
 	}
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(3))
-	stored := func() bool { _, there := r.daemons[0].mirror.Pair(BlockPrefix + f.String()); return there }
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(3))
+	stored := func() bool { _, there := r.daemons[0].cache.Pair(BlockPrefix + d.String()); return there }
 	r.g.Eventually(stored, maxWait, "5ms").Should(gomega.BeTrue())
 	r.store.Restore(before)
-	r.g.Eventually(func() bool { return r.daemons[0].mirror.StoreIncarnation() == 1 && stored() }, maxWait, "5ms").Should(gomega.BeTrue())
-	r.g.Expect(r.blockedDaemons(f)()).To(gomega.Equal(3))
+	r.g.Eventually(func() bool { return r.daemons[0].cache.StoreIncarnation() == 1 && stored() }, maxWait, "5ms").Should(gomega.BeTrue())
+	r.g.Expect(r.blockedDaemons(d)()).To(gomega.Equal(3))
 }
 
 // A block expires, also during a system suspend; one more crash brings it back for longer.
 func TestABlockExpiresAndTheNextLastsLonger(t *testing.T) {
 	r := newTestFleet(t, 1)
-	f := digestOf("fatal")
+	d := digestOf("fatal")
 	for i := range 3 {
-		r.crash(0, f, fmt.Sprintf("inc-%d", i))
+		r.crash(0, d, fmt.Sprintf("inc-%d", i))
 	}
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(1))
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(1))
 	clock.Suspend(initialBlockTime)
-	r.g.Expect(r.blockedDaemons(f)()).To(gomega.BeZero())
-	r.crash(0, f, "inc-3")
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(1))
-	left, _ := r.daemons[0].guard.Blocked(f)
-	r.g.Expect(left).To(gomega.BeNumerically("~", 2*initialBlockTime, time.Minute))
+	r.g.Expect(r.blockedDaemons(d)()).To(gomega.BeZero())
+	r.crash(0, d, "inc-3")
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(1))
+	remaining, _ := r.daemons[0].guard.Blocked(d)
+	r.g.Expect(remaining).To(gomega.BeNumerically("~", 2*initialBlockTime, time.Minute))
 }
 
 // A nil guard blocks nothing.
@@ -337,30 +337,30 @@
 // not block it, and a block is released once the request completes well.
 func TestSimultaneousCrashesCountHalf(t *testing.T) {
 	r := newTestFleet(t, 2)
-	f := digestOf("long")
+	d := digestOf("long")
 	crashTwo := func(i int) {
-		r.crash(0, f, fmt.Sprintf("inc-%d", i))
+		r.crash(0, d, fmt.Sprintf("inc-%d", i))
 		r.crash(0, digestOf(fmt.Sprint("harmless", i)), fmt.Sprintf("other-%d", i))
-		r.waitForCrashes(f, i+1)
+		r.waitForCrashes(d, i+1)
 		clock.Suspend(simultaneousWindow)
 	}
 	for i := range 3 {
 		crashTwo(i)
 	}
 	// It may be blocked for a moment, until the other crashes show.
-	r.g.Eventually(func() int { return r.daemons[0].guard.tracker.weightOf(f) }, maxWait, "5ms").Should(gomega.Equal(3 * halfWeight))
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.BeZero())
-	r.g.Consistently(r.blockedDaemons(f), 5*heartbeat, "5ms").Should(gomega.BeZero())
+	r.g.Eventually(func() int { return r.daemons[0].guard.tracker.weightOf(d) }, maxWait, "5ms").Should(gomega.Equal(3 * halfWeight))
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.BeZero())
+	r.g.Consistently(r.blockedDaemons(d), 5*heartbeat, "5ms").Should(gomega.BeZero())
 	for i := 3; i < 6; i++ {
 		crashTwo(i)
 	}
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.Equal(2))
-	r.daemons[1].guard.RecordSuccess(f, "org", "well")
-	r.g.Eventually(r.blockedDaemons(f), maxWait, "5ms").Should(gomega.BeZero())
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.Equal(2))
+	r.daemons[1].guard.RecordSuccess(d, "org", "well")
+	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.BeZero())
 }
 
 // An incarnation that refused connections for a while and responds again has not crashed: a
-// connection that breaks there later is probed anew.
+// connection that breaks there later is probed again.
 func TestAnIncarnationThatRespondsAgainHasNotCrashed(t *testing.T) {
 	r := newTestFleet(t, 1)
 	g := r.daemons[0].guard
@@ -369,14 +369,14 @@
 	g.RecordResponsive("inc")
 	r.alive.Store(true)
 	r.crash(0, digestOf("b"), "inc")
-	r.g.Consistently(g.SuspectCount, 3*redialPause, "10ms").Should(gomega.Equal(1))
+	r.g.Consistently(g.SuspectCount, 3*redialDelay, "10ms").Should(gomega.Equal(1))
 }
 
 // weightOf returns the weight of the crashes under a request.
-func (t *crashTracker) weightOf(f Digest) int {
+func (t *crashTracker) weightOf(d Digest) int {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
-	if s := t.suspects[f]; s != nil {
+	if s := t.suspects[d]; s != nil {
 		return s.weight()
 	}
 	return 0
--- a/core/poison/operators.go
+++ b/core/poison/operators.go
@@ -15,16 +15,16 @@
 	out := []BlockedRequest{}
 	for _, b := range g.blocks.list() {
 		if !b.Released && b.Remaining > 0 {
-			out = append(out, BlockedRequest{b.Request.String(), b.Organisation, time.Now().Add(b.Remaining).UTC(), b.Times})
+			out = append(out, BlockedRequest{b.Request.String(), b.Organisation, time.Now().Add(b.Remaining).UTC(), b.Consecutive})
 		}
 	}
 	return out
 }
 
 // Release revokes a block in all daemons, and reports whether there was one.
-func (g *Guard) Release(f Digest, why string) bool {
-	g.tracker.forget(f)
-	return g.release(f, why)
+func (g *Guard) Release(d Digest, why string) bool {
+	g.tracker.forget(d)
+	return g.release(d, why)
 }
 
 // BlockedCount returns the number of blocked requests.
--- a/core/poison/probe.go
+++ b/core/poison/probe.go
@@ -30,19 +30,19 @@
 	incarnation, address string
 }
 
-// Times of probing.
+// Timeouts and delays of probing.
 const (
-	// dialTimeout bounds one attempt to connect; an attempt that hangs proves nothing.
+	// dialTimeout bounds one attempt to connect; an attempt that hangs is no evidence of a crash.
 	dialTimeout = time.Second
-	// redialPause is the pause before the second attempt: a process that exits closes its
+	// redialDelay is the delay before the second attempt: a process that exits closes its
 	// connections and its listener in any order.
-	redialPause = 100 * time.Millisecond
+	redialDelay = 100 * time.Millisecond
 )
 
 func (p prober) run() {
 	for try := range 2 {
 		if try > 0 {
-			time.Sleep(redialPause)
+			time.Sleep(redialDelay)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		err := p.guard.o.Dial(ctx, p.address)
--- a/core/poison/report.go
+++ b/core/poison/report.go
@@ -14,16 +14,16 @@
 
 const (
 	// trackersPerRequest is how many daemons count the crashes of a request, so that one may be
-	// lost, and maxTrackersTried how many are called if some do not answer.
+	// lost, and maxTrackersTried how many are called if some do not respond.
 	trackersPerRequest = 2
 	maxTrackersTried   = 6
 	// receiversPerCell is how many daemons of each other cell receive a block, and
-	// maxReceiversTried how many are called if some do not answer.
+	// maxReceiversTried how many are called if some do not respond.
 	receiversPerCell  = 2
 	maxReceiversTried = 5
 	// callTimeout bounds one message.
 	callTimeout = 500 * time.Millisecond
-	// maxCrashCounts bounds the counts that a daemon caches from the answers of crash trackers.
+	// maxCrashCounts bounds the counts that a daemon caches from the responses of crash trackers.
 	maxCrashCounts = 1024
 )
 
@@ -39,7 +39,7 @@
 	Succeeded, Alone bool
 }
 
-// crashReply is a crash tracker's answer.
+// crashReply is a crash tracker's response.
 type crashReply struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
@@ -54,7 +54,7 @@
 	requests    []sentRequest
 }
 
-// run reports all requests in parallel: a crash tracker that does not answer must not delay the
+// run reports all requests in parallel: a crash tracker that does not respond must not delay the
 // report of the one request that caused the crash.
 func (t crashReporter) run() {
 	var wg sync.WaitGroup
@@ -88,7 +88,7 @@
 	return r.Alone
 }
 
-// reportCrash reports to the crash trackers of a request: the first that answer.
+// reportCrash reports to the crash trackers of a request: the first two that respond.
 func (g *Guard) reportCrash(r *crashReport) {
 	view := g.o.Fleet.View()
 	ranked := fleet.Rank(shortKey(r.Request), view.NotLost())
@@ -120,13 +120,13 @@
 }
 
 // cacheCount caches how many incarnations crashed under a request.
-func (g *Guard) cacheCount(f Digest, crashes int) {
+func (g *Guard) cacheCount(d Digest, crashes int) {
 	g.countsMu.Lock()
 	defer g.countsMu.Unlock()
 	if len(g.crashCounts) >= maxCrashCounts {
 		clear(g.crashCounts)
 	}
-	g.crashCounts[f] = crashes
+	g.crashCounts[d] = crashes
 }
 
 // receiveCrash counts a crash reported to this daemon as a crash tracker.
@@ -156,8 +156,8 @@
 }
 
 // release revokes a block and notifies the other cells; it reports whether there was one.
-func (g *Guard) release(f Digest, why string) bool {
-	b, released := g.blocks.release(f, why)
+func (g *Guard) release(d Digest, why string) bool {
+	b, released := g.blocks.release(d, why)
 	if released {
 		g.sendToCells(b)
 	}
--- a/core/poison/store.go
+++ b/core/poison/store.go
@@ -18,24 +18,25 @@
 const BlockPrefix = "embertally/blocked/"
 
 const (
-	// storeInterval is the pause between checks of what the store holds, and storeRankDelay how
-	// long the second crash tracker leaves writing to the first.
+	// storeInterval is the time between checks of what the store holds, and storeRankDelay how
+	// long the second crash tracker waits for the first to write a block.
 	storeInterval  = time.Second
 	storeRankDelay = 3 * time.Second
 	// storeTimeout bounds one write.
 	storeTimeout = time.Second
-	// maxMirrorAge is the age up to which the watch cache is trusted on whether a key exists.
-	maxMirrorAge = 2500 * time.Millisecond
+	// maxCacheAge is the age up to which the watch cache is trusted on whether a key exists.
+	maxCacheAge = 2500 * time.Millisecond
 )
 
 // storedBlock is a block as stored in the coordination store, for operators and for daemons that
 // start.
 type storedBlock struct {
 	Organisation string `json:"organisation"`
-	// Until is the expiry by wall clock, which may differ by seconds between daemons.
-	Until time.Time `json:"until"`
-	Stamp int64     `json:"stamp"`
-	Times int       `json:"times"`
+	// Expires is when the block expires by wall clock, which may differ by seconds between daemons.
+	Expires time.Time `json:"until"`
+	Stamp   int64     `json:"stamp"`
+	// Consecutive is the number of consecutive blocks of the request.
+	Consecutive int `json:"times"`
 }
 
 // Observe processes a change of the coordination store; it ignores keys other than blocks.
@@ -44,7 +45,7 @@
 	if !isBlock {
 		return
 	}
-	f, ok := ParseDigest(name)
+	d, ok := ParseDigest(name)
 	if !ok {
 		g.o.Log.Emit(event.ConfUnderived, event.Ref{Resource: c.Key}, "the key is not a request digest")
 		return
@@ -54,8 +55,8 @@
 		return
 	}
 	if c.Deleted {
-		g.tracker.forget(f)
-		g.blocks.release(f, "its key was removed from the coordination store")
+		g.tracker.forget(d)
+		g.blocks.release(d, "its key was removed from the coordination store")
 		return
 	}
 	var s storedBlock
@@ -63,7 +64,7 @@
 		g.o.Log.Emit(event.ConfUnderived, event.Ref{Resource: c.Key}, err.Error())
 		return
 	}
-	b := block{Request: f, Organisation: s.Organisation, Stamp: s.Stamp, Times: min(max(1, s.Times), 16), Remaining: time.Until(s.Until)}
+	b := block{Request: d, Organisation: s.Organisation, Stamp: s.Stamp, Consecutive: min(max(1, s.Consecutive), 16), Remaining: time.Until(s.Expires)}
 	if b.Remaining > 0 {
 		g.blocks.merge([]block{b}, "it is in the coordination store")
 	}
@@ -80,19 +81,19 @@
 
 // syncStore brings the store up to date.
 func (g *Guard) syncStore(ctx context.Context) {
-	if g.o.Mirror.Down() || clock.Since(g.o.Mirror.FreshAsOf()) > maxMirrorAge {
+	if g.o.Mirror.Down() || clock.Since(g.o.Mirror.FreshAsOf()) > maxCacheAge {
 		return
 	}
 	list := g.blocks.list()
 	view := g.o.Fleet.View()
 	for i := range list {
 		b := &list[i]
-		place := fleet.RankOf(shortKey(b.Request), view.NotDraining(), view.Self())
-		if place >= trackersPerRequest {
+		rank := fleet.RankOf(shortKey(b.Request), view.NotDraining(), view.Self())
+		if rank >= trackersPerRequest {
 			continue
 		}
 		// Lower-ranked crash trackers wait for the first, so that each block is written once.
-		if age := b.duration() - b.Remaining; age < time.Duration(place)*storeRankDelay {
+		if age := b.duration() - b.Remaining; age < time.Duration(rank)*storeRankDelay {
 			continue
 		}
 		if err := g.syncBlock(ctx, b); err != nil {
@@ -116,7 +117,7 @@
 	case found && json.Unmarshal(pair.Value, &s) == nil && s.Stamp >= b.Stamp:
 		return nil
 	default:
-		raw, err := json.Marshal(storedBlock{b.Organisation, time.Now().Add(b.Remaining), b.Stamp, b.Times})
+		raw, err := json.Marshal(storedBlock{b.Organisation, time.Now().Add(b.Remaining), b.Stamp, b.Consecutive})
 		if err != nil {
 			return err
 		}
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -80,15 +80,15 @@
 // countCrash records one daemon's report that an incarnation crashed under a request. It returns
 // the number of crashes, and whether the request is to be blocked. An incarnation counts once,
 // whichever daemons report it.
-func (t *crashTracker) countCrash(f Digest, organisation, incarnation string, weight int) (crashes int, mustBlock bool) {
+func (t *crashTracker) countCrash(d Digest, organisation, incarnation string, weight int) (crashes int, mustBlock bool) {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
 	now := clock.Now()
-	s := t.suspects[f]
+	s := t.suspects[d]
 	if s == nil {
 		t.evictOne()
 		s = &suspect{crashes: map[string]countedCrash{}}
-		t.suspects[f] = s
+		t.suspects[d] = s
 	}
 	for name, c := range s.crashes {
 		if now.Sub(c.at) > crashWindow {
@@ -96,17 +96,17 @@
 		}
 	}
 	if s.add(incarnation, weight, now) && len(s.crashes) == maxCrashes-1 {
-		t.log.Emit(event.RequestSuspected, event.Ref{Organisation: organisation}, "asks "+f.String()+"; crashed under it: "+s.names())
+		t.log.Emit(event.RequestSuspected, event.Ref{Organisation: organisation}, "asks "+d.String()+"; crashed under it: "+s.names())
 	}
 	return len(s.crashes), s.weight() >= blockWeight
 }
 
 // halveCrash makes a crash that coincided with others count half, and reports whether the request
 // thereby falls below the weight for a block.
-func (t *crashTracker) halveCrash(f Digest, incarnation string) bool {
+func (t *crashTracker) halveCrash(d Digest, incarnation string) bool {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
-	s := t.suspects[f]
+	s := t.suspects[d]
 	if s == nil {
 		return false
 	}
@@ -116,17 +116,17 @@
 }
 
 // forget removes the crashes attributed to a request.
-func (t *crashTracker) forget(f Digest) {
+func (t *crashTracker) forget(d Digest) {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
-	delete(t.suspects, f)
+	delete(t.suspects, d)
 }
 
 // names returns the incarnations that crashed under a request, for the log.
-func (t *crashTracker) names(f Digest) string {
+func (t *crashTracker) names(d Digest) string {
 	t.trackerMu.Lock()
 	defer t.trackerMu.Unlock()
-	if s := t.suspects[f]; s != nil {
+	if s := t.suspects[d]; s != nil {
 		return s.names()
 	}
 	return ""
@@ -146,9 +146,9 @@
 	}
 	var digest Digest
 	var found *suspect
-	for f, s := range t.suspects {
+	for d, s := range t.suspects {
 		if found == nil || len(s.crashes) < len(found.crashes) || (len(s.crashes) == len(found.crashes) && s.lastCrash.Before(found.lastCrash)) {
-			digest, found = f, s
+			digest, found = d, s
 		}
 	}
 	delete(t.suspects, digest)
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Kind says whether the requests of a route may run more than once.
+// Kind determines whether the requests of a route may run more than once.
 type Kind int
 
 // The kinds of routes.
@@ -35,7 +35,7 @@
 	Weight  int
 }
 
-// Route says how the requests under one path prefix of one host are served.
+// Route describes how the requests under one path prefix of one host are served.
 type Route struct {
 	Name string
 	Host string
@@ -108,7 +108,7 @@
 	FirstByteLatency time.Duration
 	// Managed reports whether the store evicts nothing by itself.
 	Managed bool
-	// MaxWatchers bounds the daemons that follow the store's events at a time.
+	// MaxWatchers bounds the daemons that watch the store's events at a time.
 	MaxWatchers int
 }
 
@@ -116,12 +116,12 @@
 const bitsPerByte = 8
 
 // LinkTime returns how long the transfer of size bytes takes over a link with a bandwidth in bits per
-// second; 0 if the bandwidth is not known.
-func LinkTime(size int, linkBits float64) time.Duration {
-	if linkBits <= 0 {
+// second; 0 if the bandwidth is unknown.
+func LinkTime(size int, bitsPerSecond float64) time.Duration {
+	if bitsPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(size) * bitsPerByte / linkBits * float64(time.Second))
+	return time.Duration(float64(size) * bitsPerByte / bitsPerSecond * float64(time.Second))
 }
 
 // WarmUp describes the warm-up of targets that have just started. The zero value means no warm-up.
@@ -220,7 +220,8 @@
 // RequiresKeys reports whether requests on routes that are not public need a key.
 func (t *Table) RequiresKeys() bool { return t.requiresKeys }
 
-// Match returns the route with the longest matching prefix of the host, or nil. A port in host is ignored.
+// Match returns the route with the longest matching prefix of the host, or nil. A port in host is
+// ignored.
 func (t *Table) Match(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -99,7 +99,7 @@
 	for _, tc := range []struct {
 		name     string
 		size     int
-		linkBits float64
+		bitsPerSecond float64
 		want     time.Duration
 	}{
 		{"one second", 125, 1000, time.Second},
@@ -107,8 +107,8 @@
 		{"unknown bandwidth", 125, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := LinkTime(tc.size, tc.linkBits); got != tc.want {
-				t.Errorf("LinkTime(%d, %v) = %v, want %v", tc.size, tc.linkBits, got, tc.want)
+			if got := LinkTime(tc.size, tc.bitsPerSecond); got != tc.want {
+				t.Errorf("LinkTime(%d, %v) = %v, want %v", tc.size, tc.bitsPerSecond, got, tc.want)
 			}
 		})
 	}
--- a/core/wait/backoff.go
+++ b/core/wait/backoff.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Backoff keeps an exponential backoff for each key: First after a failure, doubled with each further
-// failure in a row, up to Most. A Backoff is ready once both are set.
+// Backoff keeps an exponential backoff for each key: Initial after a failure, doubled with each
+// further failure in a row, up to Max. A Backoff is ready for use once both are set.
 type Backoff[K comparable] struct {
 	Initial, Max time.Duration
 
@@ -14,10 +14,10 @@
 	failures  map[K]failure // guarded by backoffMu
 }
 
-// failure is the state of a key that failed: the failures in a row and the end of its backoff.
+// failure is the state of a key that failed: the failures in a row and when its backoff ends.
 type failure struct {
 	count int
-	until time.Time
+	ends  time.Time
 }
 
 // maxDoublings bounds the doublings of the backoff, so that it can't overflow.
@@ -31,7 +31,7 @@
 		b.failures = map[K]failure{}
 	}
 	f := b.failures[k]
-	f.until = now.Add(min(b.Initial<<min(f.count, maxDoublings), b.Max))
+	f.ends = now.Add(min(b.Initial<<min(f.count, maxDoublings), b.Max))
 	f.count++
 	b.failures[k] = f
 }
@@ -47,5 +47,5 @@
 func (b *Backoff[K]) Ready(k K, now time.Time) bool {
 	b.backoffMu.Lock()
 	defer b.backoffMu.Unlock()
-	return !now.Before(b.failures[k].until)
+	return !now.Before(b.failures[k].ends)
 }
--- a/core/wait/idle.go
+++ b/core/wait/idle.go
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// ErrIdleTimeout reports that no data of an answer arrived within the idle timeout.
+// ErrIdleTimeout reports that no data of a response arrived within the idle timeout.
 var ErrIdleTimeout = errors.New("no data received within the idle timeout")
 
-// IdleTimeout is an idle timeout: it cancels a call when no data of its answer has arrived for too long.
-// It doesn't bound the total time, because a bound for that would depend on the size of the answer.
+// IdleTimeout cancels a call when no data of its response has arrived for too long. It doesn't bound
+// the total time, because that bound would depend on the size of the response.
 type IdleTimeout struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
@@ -20,31 +20,32 @@
 	timer  *time.Timer
 }
 
-// WithIdleTimeout returns the context of a call with an idle timeout. firstByte bounds the wait for the start
-// of the answer, idle each later wait for data. Stop must be called at the end.
+// WithIdleTimeout returns the context of a call with an idle timeout. firstByte bounds the wait for
+// the start of the response, idle each later wait for data. Stop must be called at the end.
 func WithIdleTimeout(ctx context.Context, firstByte, idle time.Duration) (context.Context, *IdleTimeout) {
-	p := &IdleTimeout{idle: idle}
-	p.ctx, p.cancel = context.WithCancelCause(ctx)
-	p.timer = time.AfterFunc(firstByte, func() { p.cancel(ErrIdleTimeout) })
-	return p.ctx, p
+	t := &IdleTimeout{idle: idle}
+	t.ctx, t.cancel = context.WithCancelCause(ctx)
+	t.timer = time.AfterFunc(firstByte, func() { t.cancel(ErrIdleTimeout) })
+	return t.ctx, t
 }
 
 // Stop cancels the call's context.
-func (p *IdleTimeout) Stop() {
-	p.timer.Stop()
-	p.cancel(nil)
+func (t *IdleTimeout) Stop() {
+	t.timer.Stop()
+	t.cancel(nil)
 }
 
-// Cause returns ErrSilent if err comes from a call that the idle timeout cancelled, else err.
-func (p *IdleTimeout) Cause(err error) error {
-	if err != nil && errors.Is(context.Cause(p.ctx), ErrIdleTimeout) {
+// Cause returns ErrIdleTimeout if err comes from a call that the idle timeout cancelled, else err.
+func (t *IdleTimeout) Cause(err error) error {
+	if err != nil && errors.Is(context.Cause(t.ctx), ErrIdleTimeout) {
 		return errors.WithStack(ErrIdleTimeout)
 	}
 	return err
 }
 
-// Reader returns a reader of the call's answer that restarts the idle timeout with each read of data.
-func (p *IdleTimeout) Reader(r io.Reader) io.Reader { return &idleReader{r, p} }
+// Reader returns a reader of the call's response that restarts the idle timeout with each read of
+// data.
+func (t *IdleTimeout) Reader(r io.Reader) io.Reader { return &idleReader{r, t} }
 
 // idleReader restarts the idle timeout whenever data arrives.
 type idleReader struct {
--- a/core/wait/wait_test.go
+++ b/core/wait/wait_test.go
@@ -60,26 +60,26 @@
 	return copy(b, "x"), nil
 }
 
-func TestPatienceEndsOnlyIdleCalls(t *testing.T) {
+func TestIdleTimeoutEndsOnlyIdleCalls(t *testing.T) {
 	const idle, pause, chunks = 400 * time.Millisecond, 50 * time.Millisecond, 20
-	ctx, p := WithIdleTimeout(context.Background(), idle, idle)
-	defer p.Stop()
-	got, err := io.ReadAll(p.Reader(&slowReader{ctx, pause, chunks}))
+	ctx, timeout := WithIdleTimeout(context.Background(), idle, idle)
+	defer timeout.Stop()
+	got, err := io.ReadAll(timeout.Reader(&slowReader{ctx, pause, chunks}))
 	if len(got) != chunks {
 		t.Errorf("read %d bytes in more than twice the idle timeout, want %d", len(got), chunks)
 	}
-	if err = p.Cause(err); !errors.Is(err, ErrIdleTimeout) {
-		t.Errorf("ended with %v, want ErrSilent", err)
+	if err = timeout.Cause(err); !errors.Is(err, ErrIdleTimeout) {
+		t.Errorf("ended with %v, want ErrIdleTimeout", err)
 	}
-	if err := p.Cause(nil); err != nil {
-		t.Errorf("Reason(nil) = %v, want nil", err)
+	if err := timeout.Cause(nil); err != nil {
+		t.Errorf("Cause(nil) = %v, want nil", err)
 	}
 }
 
-func TestPatienceKeepsOtherErrors(t *testing.T) {
-	_, p := WithIdleTimeout(context.Background(), time.Hour, time.Hour)
-	p.Stop()
-	if err := p.Cause(io.ErrUnexpectedEOF); !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("Reason(io.ErrUnexpectedEOF) = %v, want it unchanged", err)
+func TestIdleTimeoutKeepsOtherErrors(t *testing.T) {
+	_, timeout := WithIdleTimeout(context.Background(), time.Hour, time.Hour)
+	timeout.Stop()
+	if err := timeout.Cause(io.ErrUnexpectedEOF); !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("Cause(io.ErrUnexpectedEOF) = %v, want it unchanged", err)
 	}
 }
