--- a/core/entry/prompt.go
+++ b/core/entry/prompt.go
@@ -297,10 +297,10 @@
 // maxAttempts bounds the targets that one request is sent to.
 const maxAttempts = 4
 
-// errCallerGone reports that the caller closed its connection.
-var errCallerGone = errors.New("caller closed its connection")
+// errCallerDisconnected reports that the caller closed its connection.
+var errCallerDisconnected = errors.New("caller closed its connection")
 
-// answer places the prompt and relays the answer. If a worker fails, it continues on another one.
+// answer places the prompt and relays the answer. If a worker fails, the answer continues on another.
 func (p *promptRequest) answer(ctx context.Context) *Refusal {
 	var lastErr error
 	for try := 0; try < maxAttempts; try++ {
@@ -320,8 +320,8 @@
 		if lastErr == nil {
 			return p.complete()
 		}
-		if ctx.Err() != nil || errors.Is(lastErr, errCallerGone) {
-			p.s.callerGone(p.q)
+		if ctx.Err() != nil || errors.Is(lastErr, errCallerDisconnected) {
+			p.s.callerDisconnected(p.q)
 			return nil
 		}
 		p.s.o.Log.Emit(event.RequestRetried, p.ref(), lastErr.Error())
@@ -332,14 +332,15 @@
 	return p.fail(refuse(http.StatusBadGateway, CodeTargetFailed, NotRun, "no worker gave an answer").after(queueFullRetryAfter))
 }
 
-// blocked returns a refusal for a prompt that crashed too many engines, and nil for others. The refusal
-// says notRun even after attempts: a prompt may be repeated, so a partial run has no effect.
+// blocked returns a refusal for a prompt that crashed too many engines, and nil for others. The
+// refusal states notRun even after attempts: a prompt may be repeated, so a partial run has no
+// effect.
 func (s *Server) blocked(q *request) *Refusal {
-	left, on := s.o.Poison.Blocked(q.digest)
-	if !on {
+	remaining, isBlocked := s.o.Poison.Blocked(q.digest)
+	if !isBlocked {
 		return nil
 	}
-	return refuse(http.StatusServiceUnavailable, CodeCrashesTargets, NotRun, "engines end of this prompt; it is given to none").after(left)
+	return refuse(http.StatusServiceUnavailable, CodeCrashesTargets, NotRun, "engines end of this prompt; it is given to none").after(remaining)
 }
 
 const (
@@ -450,23 +451,23 @@
 // reportAttempt reports the progress of the attempt to the context owner, in the background.
 // prefilled means that the worker has prefilled the prompt, failed that the worker failed.
 func (p *promptRequest) reportAttempt(prefilled, failed bool) {
-	d := &home.Outcome{
+	o := &home.Outcome{
 		Request: p.q.id, Salt: p.placement.Salt, RootBlocks: p.placement.RootBlocks, Chain: p.placement.Chain, Worker: p.decision.Worker,
 		Prefilled: prefilled, ExportFrom: p.deployment.MinExportBlocksOrDefault(), Failed: failed,
 	}
-	go attemptReport{p.s.o.Home, p.q.view, p.decision.Owner, d}.send()
+	go attemptReport{p.s.o.Home, p.q.view, p.decision.Owner, o}.send()
 }
 
 // attemptReport is a report on an attempt for a context owner.
 type attemptReport struct {
-	sender *home.Owner
-	view   *fleet.View
-	owner  string
-	done   *home.Outcome
+	sender  *home.Owner
+	view    *fleet.View
+	owner   string
+	outcome *home.Outcome
 }
 
 // send sends the report.
-func (t attemptReport) send() { t.sender.ReportOutcome(t.view, t.owner, t.done) }
+func (t attemptReport) send() { t.sender.ReportOutcome(t.view, t.owner, t.outcome) }
 
 // tryWorker relays the answer of the chosen worker. After an error the request may continue on
 // another worker.
@@ -491,8 +492,8 @@
 	if err != nil && a.sent {
 		a.cancel()
 	}
-	callerGone := ctx.Err() != nil || errors.Is(err, errCallerGone)
-	failed := err != nil && !callerGone && target.Status(err) == 0
+	disconnected := ctx.Err() != nil || errors.Is(err, errCallerDisconnected)
+	failed := err != nil && !disconnected && target.Status(err) == 0
 	if failed || a.tokens == 0 {
 		p.reportAttempt(false, failed)
 	}
@@ -510,7 +511,7 @@
 	st.PromptTokens.Add(int64(p.usage.PromptTokens))
 	st.CachedTokens.Add(int64(p.usage.Details.CachedTokens))
 	if err := p.out.finish(); err != nil {
-		p.s.callerGone(p.q)
+		p.s.callerDisconnected(p.q)
 		return nil
 	}
 	p.s.o.Log.Emit(event.RequestDone, p.ref(), fmt.Sprintf("%d of %d prompt tokens cached, %d tokens, first after %v",
--- a/core/entry/refusal.go
+++ b/core/entry/refusal.go
@@ -12,12 +12,12 @@
 	"embertally.dev/core/event"
 )
 
-// RunState says whether a refused request ran.
+// RunState states whether a refused request ran.
 type RunState string
 
-// The values of RunState. NotRun is used only when it is certain: nothing was sent to a target, or what
-// was sent may be repeated and its result was discarded. For a call with an idempotency key it covers
-// all attempts with the key.
+// The values of RunState. NotRun is used only when it is certain: nothing was sent to a target, or
+// what was sent may be repeated and its result was discarded. For a call with an idempotency key it
+// covers all attempts with the key.
 const (
 	NotRun  RunState = "notRun"
 	Unknown RunState = "unknown"
@@ -72,8 +72,8 @@
 	return refuse(status, code, ran, message).after(after)
 }
 
-// Write sends the refusal to the caller of a routed request. It doesn't set Retry-After: whoever calls
-// Write does, in the format that suits the caller.
+// Write sends the refusal to the caller of a routed request. It doesn't set Retry-After: whoever
+// calls Write does, in the format that suits the caller.
 func (r *Refusal) Write(w http.ResponseWriter, request string) error {
 	raw, err := json.Marshal(r.body(request))
 	if err != nil {
--- a/core/entry/relay.go
+++ b/core/entry/relay.go
@@ -24,7 +24,7 @@
 	*promptRequest
 	target *conf.Target
 	engine *target.Engine
-	// id identifies the attempt at the engine, so that a late answer to an earlier attempt is
+	// id identifies the attempt at the engine, so that a late response to an earlier attempt is
 	// recognised.
 	id string
 	// sent reports whether the engine may have received the attempt.
@@ -50,7 +50,7 @@
 
 // Bounds of a relayed stream.
 const (
-	// stallTimeout bounds the pause between two messages of a stream.
+	// stallTimeout bounds the time between two messages of a stream.
 	stallTimeout = 5 * time.Second
 	// firstTokenFactor and firstTokenSlack bound the wait for the first token: the expected time
 	// multiplied by the factor, plus the slack.
@@ -60,8 +60,8 @@
 	maxResumes = 2
 	// maxEventBytes bounds one message of a stream.
 	maxEventBytes = 1 << 20
-	// resumePause is the pause before each resumption of a stream.
-	resumePause = 50 * time.Millisecond
+	// resumeDelay is the delay before each resumption of a stream.
+	resumeDelay = 50 * time.Millisecond
 )
 
 var errStalled = errors.New("stream stalled: no data within the time limit")
@@ -71,7 +71,7 @@
 	err := a.streamOnce(ctx, a.start)
 	a.recordFailure(ctx, err)
 	for n := 0; n < maxResumes && a.resumable(ctx, err); n++ {
-		time.Sleep(resumePause)
+		time.Sleep(resumeDelay)
 		a.s.stats.StreamsResumed.Add(1)
 		a.s.o.Log.Emit(event.StreamResumed, a.ref(), "after token "+strconv.Itoa(a.promptRequest.tokens)+": "+err.Error())
 		before := a.tokens
@@ -90,7 +90,7 @@
 	guard, incarnation := a.s.o.Poison, a.decision.Incarnation()
 	switch {
 	case err == nil, ctx.Err() != nil, target.Status(err) != 0:
-	case errors.Is(err, errCallerGone), errors.Is(err, errWrongResponse), errors.Is(err, errStalled):
+	case errors.Is(err, errCallerDisconnected), errors.Is(err, errWrongResponse), errors.Is(err, errStalled):
 	case errors.Is(err, syscall.ECONNREFUSED):
 		guard.RecordDialError(incarnation, err)
 	case a.q.view.Usable(a.decision.Worker, a.target):
@@ -102,7 +102,7 @@
 
 // resumable reports whether the stream may be resumed at the same engine.
 func (a *attempt) resumable(ctx context.Context, err error) bool {
-	if err == nil || ctx.Err() != nil || a.tokens == 0 || errors.Is(err, errCallerGone) || errors.Is(err, errWrongResponse) {
+	if err == nil || ctx.Err() != nil || a.tokens == 0 || errors.Is(err, errCallerDisconnected) || errors.Is(err, errWrongResponse) {
 		return false
 	}
 	return target.Status(err) == 0
@@ -143,12 +143,12 @@
 func (a *attempt) streamOnce(ctx context.Context, open func(context.Context) (*http.Response, error)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := stallTimeout
+	timeout := stallTimeout
 	if a.tokens == 0 {
-		limit = firstTokenFactor*a.decision.Expected + firstTokenSlack
+		timeout = firstTokenFactor*a.decision.Expected + firstTokenSlack
 	}
-	watch := time.AfterFunc(limit, func() { cancel(errStalled) })
-	defer watch.Stop()
+	stallTimer := time.AfterFunc(timeout, func() { cancel(errStalled) })
+	defer stallTimer.Stop()
 	resp, err := open(ctx)
 	if err != nil {
 		return stallCause(ctx, err)
@@ -161,7 +161,7 @@
 			return stallCause(ctx, err)
 		}
 		a.s.stats.RelayedBytes.Add(int64(len(ev.data)))
-		watch.Reset(stallTimeout)
+		stallTimer.Reset(stallTimeout)
 		if err := a.handleEvent(ev); err != nil {
 			return err
 		}
@@ -233,8 +233,8 @@
 	}
 }
 
-// errWrongResponse reports an answer that belongs to another request or to other weights.
-var errWrongResponse = errors.New("target returned the answer of another request")
+// errWrongResponse reports a response that belongs to another request or to other weights.
+var errWrongResponse = errors.New("target returned the response to another request")
 
 var (
 	errTokenGap  = errors.New("stream skipped a token")
@@ -360,10 +360,10 @@
 	line = append(line, raw...)
 	line = append(line, "\n\n"...)
 	if _, err := w.c.Response().Write(line); err != nil {
-		return errors.Wrap(errCallerGone, err.Error())
+		return errors.Wrap(errCallerDisconnected, err.Error())
 	}
 	if err := rc.Flush(); err != nil {
-		return errors.Wrap(errCallerGone, err.Error())
+		return errors.Wrap(errCallerDisconnected, err.Error())
 	}
 	return nil
 }
--- a/core/entry/server.go
+++ b/core/entry/server.go
@@ -1,5 +1,5 @@
 // Package entry serves callers. It owns their authentication, the request IDs, the relaying of
-// answers from targets, and refusals that say whether the request ran.
+// answers from targets, and refusals that state whether the request ran.
 //
 // It must not know how a target is chosen or how claims are stored.
 package entry
@@ -35,13 +35,13 @@
 	// Poison blocks prompts that crash engines; nil blocks none.
 	Poison *poison.Guard
 	Log    *event.Log
-	// EngineClient is the client for engines, RepeatableClient the client for repeatable calls of plain services, and
-	// OnceClient the client for calls that may not be repeated.
+	// EngineClient is the client for engines, RepeatableClient that for repeatable calls of plain
+	// services, and OnceClient that for calls of plain services that may not be repeated.
 	EngineClient, RepeatableClient, OnceClient *http.Client
 	// MaxBodyBytes bounds the body of a request, in bytes.
 	MaxBodyBytes int64
-	// MaxRunningPerOrganisation bounds the running requests of one organisation in this daemon, unless the
-	// organisation has a bound of its own.
+	// MaxRunningPerOrganisation bounds the running requests of one organisation in this daemon, unless
+	// the organisation has a bound of its own.
 	MaxRunningPerOrganisation int
 	// NotReadyReason returns the reason why the daemon accepts no requests, or "" if it is ready.
 	NotReadyReason func() string
@@ -61,13 +61,16 @@
 	// perOrg counts the running requests, by organisation. Guarded by limitMu.
 	perOrg  map[string]int
 	retries route.RetryThrottle // guarded by limitMu
-	calls   inflight
-	// pushbacks holds the pushback that this daemon received from engines and targets of plain services.
+	// calls counts the calls in progress at targets of plain services.
+	calls inflight
+	// pushbacks holds the pushbacks that this daemon received from engines and from targets of plain
+	// services.
 	pushbacks roster.PushbackList
 }
 
-// Stats holds a server's counters since its start. Resumed and Broken count streams; Calls and
-// CallsUnknown count calls of plain services, CallsUnknown those with an unknown outcome.
+// Stats holds a server's counters since its start. Calls counts the calls of plain services, and
+// CallsUnknown those of them with an unknown outcome. RelayedBytes counts bytes received from
+// targets.
 type Stats struct {
 	Requests, Completed, Refused, Retried, StreamsResumed, StreamsBroken, CallersDisconnected atomic.Int64
 	Calls, CallsUnknown                                                                       atomic.Int64
@@ -106,7 +109,7 @@
 	snap         *conf.Snapshot
 	view         *fleet.View
 	start        time.Time
-	// digest is the request digest of a prompt, by which crashes are counted.
+	// digest is the request digest of a prompt, under which crashes are counted.
 	digest poison.Digest
 }
 
@@ -188,7 +191,7 @@
 	return nil
 }
 
-// queueFullRetryAfter is the Retry-After for a full queue, and the least one without a target.
+// queueFullRetryAfter is the Retry-After for a full queue, and the least one if no target is usable.
 const queueFullRetryAfter = 500 * time.Millisecond
 
 func (s *Server) releaseSlot(q *request) {
@@ -248,13 +251,13 @@
 		Data   []model `json:"data"`
 	}{"list", list}
 	if err := c.JSON(http.StatusOK, body); err != nil {
-		s.callerGone(q)
+		s.callerDisconnected(q)
 	}
 	return nil
 }
 
-// callerGone records that the caller closed its connection.
-func (s *Server) callerGone(q *request) {
+// callerDisconnected records that the caller closed its connection.
+func (s *Server) callerDisconnected(q *request) {
 	s.stats.CallersDisconnected.Add(1)
 	s.o.Log.Emit(event.CallerGone, q.ref(""), "")
 }
--- a/core/entry/service.go
+++ b/core/entry/service.go
@@ -35,20 +35,20 @@
 // defaultCallTimeout bounds a call whose route sets no timeout.
 const defaultCallTimeout = 10 * time.Second
 
-// maxAnswerBytes bounds the answer of a plain service, which is read completely before any of it
-// is passed to the caller.
+// maxAnswerBytes bounds the response of a plain service, which is read completely before any of it
+// is sent to the caller.
 const maxAnswerBytes = 16 << 20
 
 // inflight counts the calls in progress at each target of plain services. The zero value is ready.
 type inflight struct {
 	inflightMu sync.Mutex
 	running    map[string]int       // by target; guarded by inflightMu
-	avoidUntil map[string]time.Time // end of the pause after a failure, by target; guarded by inflightMu
+	avoidUntil map[string]time.Time // until when a target is avoided after a failed call; guarded by inflightMu
 	offset     int                  // where the next search starts; guarded by inflightMu
 }
 
-// failurePause is how long a target after a failed call is avoided while there are others.
-const failurePause = time.Second
+// avoidTime is how long a target is avoided after a failed call while there are others.
+const avoidTime = time.Second
 
 // choose returns the target with the fewest calls in progress, round robin among equals, and counts
 // a call at it.
@@ -84,7 +84,7 @@
 	defer f.inflightMu.Unlock()
 	f.running[name]--
 	if failed {
-		f.avoidUntil[name] = now.Add(failurePause)
+		f.avoidUntil[name] = now.Add(avoidTime)
 	}
 }
 
@@ -129,7 +129,7 @@
 		return r
 	}
 	if err := ans.write(c); err != nil {
-		s.callerGone(q)
+		s.callerDisconnected(q)
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 		Ticket string `json:"ticket"`
 	}{s.o.Once.NewTicket(q.organisation, body.Service)}
 	if err := c.JSON(http.StatusOK, reply); err != nil {
-		s.callerGone(q)
+		s.callerDisconnected(q)
 	}
 	return nil
 }
@@ -170,7 +170,7 @@
 	return path, nil
 }
 
-// answer is the complete HTTP response of a target.
+// answer is the complete HTTP response of a target, or a recorded one, for the caller.
 type answer struct {
 	status int
 	header http.Header
@@ -219,19 +219,19 @@
 	return ans, r
 }
 
-// callResult says what is known of a call that may not be repeated.
+// callResult states whether a call that may not be repeated reached a target.
 type callResult int
 
 const (
 	// notSent means that no target received anything.
 	notSent callResult = iota
-	// resultUnknown means that a target may have received the call and gave no complete answer.
+	// resultUnknown means that a target may have received the call and gave no complete response.
 	resultUnknown
-	// answered means that a target answered.
+	// answered means that a target responded.
 	answered
 )
 
-// countUnknown counts a call whose outcome is not known.
+// countUnknown counts a call whose outcome is unknown.
 func (k *call) countUnknown(result callResult) {
 	if result == resultUnknown {
 		k.s.stats.CallsUnknown.Add(1)
@@ -401,7 +401,7 @@
 	return nil, notSent, k.noTarget()
 }
 
-// runRepeatable sends the call to one target after another until one answers.
+// runRepeatable sends the call to one target after another until one responds.
 func (k *call) runRepeatable(ctx context.Context) (*answer, *Refusal) {
 	var tried []string
 	for len(tried) < maxAttempts {
@@ -433,7 +433,7 @@
 	return nil, refuse(http.StatusBadGateway, CodeTargetFailed, Unknown, "no target gave an answer; the call may be repeated").after(queueFullRetryAfter)
 }
 
-// isTransient reports whether another attempt may succeed after an answer with this status.
+// isTransient reports whether another attempt may succeed after a response with this status.
 func isTransient(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
@@ -476,7 +476,8 @@
 	return &answer{status: resp.StatusCode, header: resp.Header, body: body}, true, nil
 }
 
-// newRequest returns the request to a target, without hop-by-hop headers and the caller's credentials.
+// newRequest returns the request to a target, without hop-by-hop headers and the caller's
+// credentials.
 func (k *call) newRequest(ctx context.Context, t *conf.Target) (*http.Request, error) {
 	u := strings.TrimSuffix(t.URL, "/") + k.path
 	if k.query != "" {
--- a/core/once/msgs.go
+++ b/core/once/msgs.go
@@ -66,9 +66,9 @@
 const (
 	// Granted means that the requester may run the call, and nobody else.
 	Granted State = "granted"
-	// Running means that the call is running for another attempt.
+	// Running means that another attempt is running the call.
 	Running State = "running"
-	// Ran means that the call ran; the answer holds its outcome.
+	// Ran means that the call ran; the Answer holds its outcome.
 	Ran State = "ran"
 	// Unknown means that the right to run the call was granted and its outcome is not known.
 	Unknown State = "unknown"
@@ -96,7 +96,7 @@
 	Digest uint64 `msgpack:"p"`
 }
 
-// Answer is the reply to a claim.
+// Answer is the response to a claim.
 type Answer struct {
 	State State `msgpack:"s"`
 	// Outcome is set for Ran.
--- a/core/once/once.go
+++ b/core/once/once.go
@@ -70,7 +70,8 @@
 	Log    *event.Log
 }
 
-// Once claims calls for this daemon and owns the shards of claims that are assigned to it.
+// Once claims calls for this daemon and owns the shards of claims that are assigned to it. It must
+// be created with New.
 type Once struct {
 	name        string
 	incarnation string
@@ -79,7 +80,9 @@
 	kv          kv
 	log         *event.Log
 	shards      [shardCount]*shard
-	writes      atomic.Int64
+	// committedBatches counts the batches that this daemon has committed.
+	committedBatches atomic.Int64
+	// settlements holds the results of attempts that wait to be sent to an owner.
 	settlements chan *settlement
 	// claimTimeout bounds the wait for a claim to be committed.
 	claimTimeout time.Duration
@@ -119,7 +122,7 @@
 		c.window = DefaultWindow
 	}
 	for i := range c.shards {
-		c.shards[i] = &shard{n: i, owner: c, wakeup: make(chan struct{}, 1)}
+		c.shards[i] = &shard{n: i, once: c, wakeup: make(chan struct{}, 1)}
 	}
 	return c
 }
@@ -140,7 +143,7 @@
 const settlerCount = 64
 
 // CommittedBatches returns how many batches this daemon has committed.
-func (c *Once) CommittedBatches() int64 { return c.writes.Load() }
+func (c *Once) CommittedBatches() int64 { return c.committedBatches.Load() }
 
 // OwnedShards returns how many shards this daemon owns.
 func (c *Once) OwnedShards() int {
@@ -189,7 +192,7 @@
 	issuer string
 }
 
-// Claim requests the right to run a call. Unless the answer is Granted, the call must not be run and
+// Claim requests the right to run a call. Unless the state is Granted, the call must not be run and
 // this attempt has not run it.
 func (c *Once) Claim(ctx context.Context, key Key, keyTime time.Time, digest uint64) (*Attempt, Answer) {
 	ctx, cancel := context.WithTimeout(ctx, c.claimTimeout)
@@ -210,7 +213,7 @@
 	return a, ans
 }
 
-// claimFromOwner sends the claim until a daemon that owns the shard answers. Resending is safe: the
+// claimFromOwner sends the claim until a daemon that owns the shard responds. Resending is safe: the
 // claim of one attempt is granted to this requester only.
 func (c *Once) claimFromOwner(ctx context.Context, m *Claim) Answer {
 	for {
@@ -231,7 +234,7 @@
 	}
 }
 
-// ownerRetryInterval is the pause between requests while a shard changes its owner.
+// ownerRetryInterval is the time between requests while a shard changes its owner.
 const ownerRetryInterval = 50 * time.Millisecond
 
 func (c *Once) requestClaim(ctx context.Context, m *Claim) (Answer, error) {
@@ -275,7 +278,7 @@
 // settleTimeout bounds the delivery of one result, with all retries.
 const settleTimeout = 20 * time.Second
 
-// settleCallTimeout bounds one request to an owner, which answers once the result is committed.
+// settleCallTimeout bounds one request to an owner, which responds once the result is committed.
 const settleCallTimeout = 5 * time.Second
 
 func (s settler) run(ctx context.Context) {
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -19,8 +19,8 @@
 	"embertally.dev/core/wire"
 )
 
-// mesh connects several Once without a network. owner is the daemon to which all shards are assigned in
-// the local view of each node.
+// mesh connects several Once without a network. owner is the daemon to which all shards are
+// assigned in the local view of each node.
 type mesh struct {
 	mu    sync.Mutex
 	nodes map[string]*Once
@@ -51,7 +51,7 @@
 	dead := p.m.dead[peer]
 	p.m.mu.Unlock()
 	if n == nil || dead {
-		return errors.New("no answer")
+		return errors.New("no response")
 	}
 	switch m := req.(type) {
 	case *Claim:
@@ -110,7 +110,7 @@
 	return id.String(), at
 }
 
-// claimUntilAvailable repeats a claim until the answer is not Unavailable.
+// claimUntilAvailable repeats a claim until its state is not Unavailable.
 func claimUntilAvailable(g *gomega.WithT, c *Once, key Key, at time.Time, digest uint64) (a *Attempt, ans Answer) {
 	g.Eventually(func() State {
 		a, ans = c.Claim(context.Background(), key, at, digest)
@@ -140,9 +140,9 @@
 
 func TestClaimSurvivesItsOwner(t *testing.T) {
 	tests := []struct {
-		name string
-		end  func(a *Attempt)
-		want State
+		name   string
+		finish func(a *Attempt)
+		want   State
 	}{
 		{"ran", func(a *Attempt) { a.RecordOutcome(Outcome{Status: 201}) }, Ran},
 		{"unknown", func(a *Attempt) { a.RecordUnknown() }, Unknown},
@@ -157,7 +157,7 @@
 			key := NewKey("org", "pay", id)
 			a, ans := claimUntilAvailable(g, m.nodes["c"], key, at, 1)
 			g.Expect(ans.State).To(gomega.Equal(Granted))
-			tc.end(a)
+			tc.finish(a)
 			g.Eventually(func() int { return len(m.nodes["c"].settlements) }, "20s").Should(gomega.BeZero())
 			m.assign("b")
 			g.Eventually(func() State {
@@ -183,7 +183,7 @@
 	g.Expect(ans.State).To(gomega.Equal(Unknown))
 }
 
-func TestClaimsAreRefusedWhileTheStoreIsDown(t *testing.T) {
+func TestClaimsAreUnavailableWhileTheStoreIsDown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	kv := &memkv.KV{}
 	m := newMesh(kv, "a")
@@ -289,20 +289,20 @@
 	})
 }
 
-// No key is granted twice when replies of the store are lost and shards are reassigned often, also to
-// several daemons at a time.
+// No key is granted twice when responses of the store are lost and shards are reassigned often,
+// also to several daemons at a time.
 func TestNoKeyIsGrantedTwiceUnderFaults(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			kv := &memkv.KV{}
-			outcomes := []memkv.Fault{memkv.NoFault, memkv.NoFault, memkv.NoFault, memkv.LostResponse, memkv.LostRequest, memkv.Delayed}
-			kv.SetFault(func() memkv.Fault { return outcomes[rng.IntN(len(outcomes))] })
+			faults := []memkv.Fault{memkv.NoFault, memkv.NoFault, memkv.NoFault, memkv.LostResponse, memkv.LostRequest, memkv.Delayed}
+			kv.SetFault(func() memkv.Fault { return faults[rng.IntN(len(faults))] })
 			names := []string{"a", "b", "c"}
 			m := newMesh(kv, names...)
 			m.start(t)
-			const keys, tries, pause = 24, 40, 25 * time.Millisecond
+			const keys, tries, interval = 24, 40, 25 * time.Millisecond
 			granted := make([]int, keys)
 			var mu sync.Mutex
 			id := make([]string, keys)
@@ -321,15 +321,15 @@
 								granted[i]++
 								mu.Unlock()
 							}
-							<-time.After(pause)
+							<-time.After(interval)
 						}
 					})
 				}
 			}
 			stop := make(chan struct{})
-			moved := make(chan struct{})
+			reassigned := make(chan struct{})
 			go func() {
-				defer close(moved)
+				defer close(reassigned)
 				for step := 0; ; step++ {
 					select {
 					case <-stop:
@@ -343,7 +343,7 @@
 			}()
 			wg.Wait()
 			close(stop)
-			<-moved
+			<-reassigned
 			for i, n := range granted {
 				g.Expect(n).To(gomega.BeNumerically("<=", 1), "key %d", i)
 			}
--- a/core/once/shard.go
+++ b/core/once/shard.go
@@ -42,11 +42,12 @@
 	maxPending = 8192
 )
 
-// shard is one partition of the claims. Only its owner grants them; each write is guarded by the
-// owner's leadership lease.
+// shard is one partition of the claims. Only the daemon that owns it grants them; each write is
+// guarded by the owner's leadership lease.
 type shard struct {
-	n     int
-	owner *Once
+	// n is the number of the shard.
+	n    int
+	once *Once
 
 	shardMu sync.Mutex
 	// lease is this daemon's leadership lease for the shard. Guarded by shardMu.
@@ -94,7 +95,7 @@
 		case <-t.C:
 		case <-s.wakeup:
 		}
-		if !s.owner.isAssigned(s.n) {
+		if !s.once.isAssigned(s.n) {
 			s.loseOwnership()
 			continue
 		}
@@ -181,7 +182,7 @@
 		return
 	}
 	if s.owned {
-		s.owner.log.Emit(event.ShardLost, event.Ref{}, strconv.Itoa(s.n))
+		s.once.log.Emit(event.ShardLost, event.Ref{}, strconv.Itoa(s.n))
 	}
 	s.owned, s.lease, s.table, s.logged = false, lease.Lease{}, table{}, nil
 	for _, p := range s.pending {
@@ -194,19 +195,19 @@
 func (s *shard) acquire(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
 	defer cancel()
-	l, err := lease.Take(ctx, s.owner.kv, s.leaseKey(), s.owner.name)
+	l, err := lease.Take(ctx, s.once.kv, s.leaseKey(), s.once.name)
 	if err != nil {
 		return
 	}
-	pairs, _, err := s.owner.kv.Range(ctx, plat.Prefix(s.key()))
+	pairs, _, err := s.once.kv.Range(ctx, plat.Prefix(s.key()))
 	if err != nil {
 		return
 	}
 	if err := s.load(l, pairs); err != nil {
-		s.owner.log.Emit(event.ConfUnderived, event.Ref{Resource: s.key()}, err.Error())
+		s.once.log.Emit(event.ConfUnderived, event.Ref{Resource: s.key()}, err.Error())
 		return
 	}
-	s.owner.log.Emit(event.ShardTaken, event.Ref{}, fmt.Sprintf("%d, epoch %d", s.n, l.Epoch()))
+	s.once.log.Emit(event.ShardTaken, event.Ref{}, fmt.Sprintf("%d, epoch %d", s.n, l.Epoch()))
 }
 
 // load fills the table from the stored floor and log, and makes this daemon the owner.
@@ -268,8 +269,8 @@
 	}
 }
 
-// enqueue checks a claim and adds it to the pending entries. An answer with a state means that it was
-// not added.
+// enqueue checks a claim and adds it to the pending entries. If the returned Answer has a state, the
+// claim was not added.
 func (s *shard) enqueue(c *Claim) (chan bool, Answer) {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
@@ -279,7 +280,7 @@
 	if len(s.pending) >= maxPending {
 		return nil, Answer{State: Unavailable}
 	}
-	if ans := s.table.check(c, time.Now(), s.owner.window, s.owner.running); ans.State != "" {
+	if ans := s.table.check(c, time.Now(), s.once.window, s.once.running); ans.State != "" {
 		return nil, ans
 	}
 	e := entry{
@@ -328,8 +329,8 @@
 	}
 }
 
-// flush writes up to maxBatch pending entries. A write whose reply was lost is repeated unchanged: it
-// is guarded by the lease and idempotent.
+// flush writes up to maxBatch pending entries. A write whose response was lost is repeated
+// unchanged: it is guarded by the lease and idempotent.
 func (s *shard) flush(ctx context.Context) {
 	s.shardMu.Lock()
 	n := min(len(s.pending), maxBatch)
@@ -362,19 +363,19 @@
 }
 
 // commit repeats a write until its outcome is known, the shard is assigned elsewhere or ctx ends.
-// guardHeld reports whether the write was applied, and is false for a shard that is assigned elsewhere;
-// known is false if ctx ended first.
+// guardHeld reports whether the write was applied, and is false for a shard that is assigned
+// elsewhere; known is false if ctx ended first.
 func (s *shard) commit(ctx context.Context, txn plat.Txn) (guardHeld, known bool) {
 	reported := false
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, plat.CallTimeout)
-		out, err := s.owner.kv.Commit(callCtx, txn)
+		out, err := s.once.kv.Commit(callCtx, txn)
 		cancel()
 		if err == nil {
 			return out.Succeeded, true
 		}
 		if !reported {
-			s.owner.log.Emit(event.ClaimUnsettled, event.Ref{}, fmt.Sprintf("shard %d: %v", s.n, err))
+			s.once.log.Emit(event.ClaimUnsettled, event.Ref{}, fmt.Sprintf("shard %d: %v", s.n, err))
 			reported = true
 		}
 		t := time.NewTimer(retryInterval)
@@ -384,20 +385,20 @@
 			return false, false
 		case <-t.C:
 		}
-		if !s.owner.isAssigned(s.n) {
+		if !s.once.isAssigned(s.n) {
 			return false, true
 		}
 	}
 }
 
-// retryInterval is the pause between attempts of a write, and between deliveries of a result.
+// retryInterval is the delay between attempts of a write, and between deliveries of a result.
 const retryInterval = 200 * time.Millisecond
 
 // written records that the first n pending entries were committed under log key seq.
 func (s *shard) written(seq uint64, n int, maxMillis int64) {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
-	s.owner.writes.Add(1)
+	s.once.committedBatches.Add(1)
 	if !s.owned || len(s.pending) < n {
 		return
 	}
@@ -418,7 +419,7 @@
 // expire removes claims whose keys are too old, and the log keys that hold no others.
 func (s *shard) expire(ctx context.Context) {
 	s.shardMu.Lock()
-	s.table.expire(time.Now(), s.owner.window)
+	s.table.expire(time.Now(), s.once.window)
 	floor, guard := s.table.floor, s.lease.Guard()
 	expired := 0
 	for expired < len(s.logged) && s.logged[expired].maxMillis <= floor {
--- a/core/once/table.go
+++ b/core/once/table.go
@@ -19,7 +19,7 @@
 // parameter. The zero value is empty.
 type table struct {
 	claims map[Key]*claim
-	// floor is a key time in Unix milliseconds: keys at or below it have expired and are refused for
+	// floor is a key time in Unix milliseconds: keys at or below it have expired and are rejected for
 	// ever, independently of any clock.
 	floor int64
 	// bodyBytes is the total size of the recorded bodies.
@@ -62,9 +62,9 @@
 	t.bodyBytes += len(c.outcome.Body)
 }
 
-// check returns the answer to a claim, with an empty state if the claim can be committed. An attempt
-// that is committed already is granted: only its requester sends it, and stops at the first answer.
-// running reports whether a requester's incarnation is alive.
+// check returns the response to a claim, with an empty state if the claim can be committed. An
+// attempt that is committed already is granted: only its requester sends it, and stops at the first
+// response. running reports whether a requester's incarnation is alive.
 func (t *table) check(c *Claim, now time.Time, window time.Duration, running func(requester, incarnation string) bool) Answer {
 	at := time.UnixMilli(c.KeyMillis)
 	recorded := t.claims[c.Key]
@@ -79,7 +79,7 @@
 	}
 	switch {
 	case recorded.attempt == c.Attempt && recorded.result == 0 && recorded.committed:
-		// A former owner committed the claim, and its answer did not reach the requester.
+		// A former owner committed the claim, and its response did not reach the requester.
 		return Answer{State: Granted}
 	case recorded.digest != c.Digest:
 		return Answer{State: Mismatch}
--- a/core/once/ticket.go
+++ b/core/once/ticket.go
@@ -18,10 +18,10 @@
 	"embertally.dev/core/wire"
 )
 
-// The claim of a ticket is stored only in the memory of the daemon that issued the ticket, and only the
-// same incarnation of that daemon grants it, once. Once the incarnation has ended, the ticket is never
-// granted. As this needs no coordination store, calls that may not be repeated can be served while it is
-// unavailable.
+// The claim of a ticket is stored only in the memory of the daemon that issued the ticket, and only
+// the same incarnation of that daemon grants it, once. Once the incarnation has ended, the ticket
+// is never granted. As this needs no coordination store, calls that may not be repeated can be
+// served while it is unavailable.
 
 const (
 	kindTicket       wire.Kind = "once.ticket"
@@ -100,7 +100,7 @@
 	Service      string `msgpack:"s"`
 }
 
-// grant answers a claim to a ticket of this daemon, whose incarnation is given.
+// grant responds to a claim to a ticket of this daemon, whose present incarnation is given.
 func (t *tickets) grant(a *ticketClaim, now time.Time, window time.Duration, incarnation string, running func(name, incarnation string) bool) Answer {
 	tk, err := parseTicket(a.Ticket)
 	if err != nil || tk.incarnation != incarnation {
@@ -136,7 +136,7 @@
 	return tk.String()
 }
 
-// ClaimTicket requests from the issuer of a ticket the right to run its call. Unless the answer is
+// ClaimTicket requests from the issuer of a ticket the right to run its call. Unless the state is
 // Granted, the call must not be run and this attempt has not run it.
 func (c *Once) ClaimTicket(ctx context.Context, organisation, service, text string, digest uint64) (*Attempt, Answer, error) {
 	tk, err := parseTicket(text)
