--- a/core/canary/canary.go
+++ b/core/canary/canary.go
@@ -72,7 +72,8 @@
 // isFor reports whether the state belongs to an order. An order read from a store restored from an
 // older copy, or written there again, is the same one under another revision.
 func (st *State) isFor(o *Order) bool {
-	return st.Order == o.Revision || (st.Version == o.Version && plat.StoreIncarnation(st.Order) < plat.StoreIncarnation(o.Revision) && o.Revision != 0)
+	return st.Order == o.Revision || (st.Version == o.Version &&
+		plat.StoreIncarnation(st.Order) < plat.StoreIncarnation(o.Revision) && o.Revision != 0)
 }
 
 // olderThan reports whether the state precedes another one.
--- a/core/canary/control.go
+++ b/core/canary/control.go
@@ -23,7 +23,7 @@
 
 // Leadership is the leadership lease for deciding about rollouts.
 type Leadership interface {
-	// Act returns the lease's fence, and whether this daemon may decide now.
+	// Act returns the lease's fencing token, and whether this daemon may decide now.
 	Act() (fence uint64, allowed bool)
 	Held() bool
 }
@@ -154,7 +154,7 @@
 }
 
 // evidence returns all daemons' statistics for an order, and whether the old targets have finished
-// their work.
+// their requests.
 func (c *Controller) evidence(o *Order, phase Phase) (Evidence, bool) {
 	c.reportsMu.Lock()
 	defer c.reportsMu.Unlock()
@@ -210,7 +210,10 @@
 
 // initialState returns the first state of an order.
 func initialState(r *activeRollout) State {
-	st := State{Order: r.order.Revision, Version: r.order.Version, Phase: Trying, StartedMs: time.Now().Add(-r.sinceReceived).UnixMilli()}
+	st := State{
+		Order: r.order.Revision, Version: r.order.Version, Phase: Trying,
+		StartedMs: time.Now().Add(-r.sinceReceived).UnixMilli(),
+	}
 	st.Blocked = slices.Clone(r.state.Blocked)
 	if r.state.Order != 0 && !r.state.Phase.Decided() {
 		st.Blocked = append(st.Blocked, r.state.Version)
--- a/core/canary/control_test.go
+++ b/core/canary/control_test.go
@@ -63,16 +63,20 @@
 		listeners = append(listeners, l)
 		seeds = append(seeds, fleet.Peer{Name: fmt.Sprintf("entry-%d", i), Address: l.Addr().String()})
 	}
-	tr.hold(0)
+	tr.setHolder(0)
 	var wg sync.WaitGroup
 	t.Cleanup(wg.Wait)
 	for i, seed := range seeds {
 		log := &event.Log{}
-		f := fleet.New(fleet.Options{Name: seed.Name, Incarnation: "1", Seeds: seeds, HeartbeatInterval: 100 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: log})
+		f := fleet.New(fleet.Options{
+			Name: seed.Name, Incarnation: "1", Seeds: seeds,
+			HeartbeatInterval: 100 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: log,
+		})
 		guard := &Guard{CanaryShare: 0.1}
 		cache := plat.NewWatchCache(tr.store, plat.Prefix(""), log)
 		c := NewController(Options{
-			Guard: guard, Fleet: f, Incarnation: seed.Name + "/1", Leadership: fakeLeadership{&tr.holder, seed.Name}, Store: tr.store, Mirror: cache,
+			Guard: guard, Fleet: f, Incarnation: seed.Name + "/1",
+			Leadership: fakeLeadership{&tr.holder, seed.Name}, Store: tr.store, Mirror: cache,
 			Holder: func() string { return *tr.holder.Load() },
 			Status: func(service string, st State) plat.Put {
 				return plat.Put{Key: "status/" + service, Value: []byte(string(st.Phase) + " " + st.Version)}
@@ -97,8 +101,8 @@
 	return tr
 }
 
-// hold gives the lease to a daemon.
-func (tr *testRollout) hold(daemon int) {
+// setHolder gives the lease to a daemon.
+func (tr *testRollout) setHolder(daemon int) {
 	name := fmt.Sprintf("entry-%d", daemon)
 	tr.holder.Store(&name)
 }
@@ -160,7 +164,7 @@
 			tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal("trying v2"))
 			if tc.lost {
 				tr.daemons[0].stop()
-				tr.hold(1)
+				tr.setHolder(1)
 			}
 			go func() { defer close(done); tr.serve(ctx, "v2", tc.bad) }()
 			tr.g.Eventually(tr.status, maxWait, pollInterval).Should(gomega.Equal(tc.want))
--- a/core/canary/guard.go
+++ b/core/canary/guard.go
@@ -53,7 +53,8 @@
 	if s.order.Revision == o.Revision {
 		return
 	}
-	if plat.StoreIncarnation(o.Revision) > plat.StoreIncarnation(s.order.Revision) && s.order.Revision != 0 && o.Version == s.order.Version && o.Lasts == s.order.Lasts {
+	if plat.StoreIncarnation(o.Revision) > plat.StoreIncarnation(s.order.Revision) && s.order.Revision != 0 &&
+		o.Version == s.order.Version && o.Lasts == s.order.Lasts {
 		// The same order, read from a store restored from an older copy.
 		s.order.Revision = o.Revision
 		return
@@ -151,7 +152,8 @@
 		filter.Preferred = s.order.Version
 	case Trying:
 		share := usedShare * g.CanaryShare
-		if float64(s.canaryRequests+1) <= share*float64(s.requests) && (g.OrdersCurrent == nil || g.OrdersCurrent()) {
+		if float64(s.canaryRequests+1) <= share*float64(s.requests) &&
+			(g.OrdersCurrent == nil || g.OrdersCurrent()) {
 			s.canaryRequests++
 			filter.Preferred, filter.TargetShare = s.order.Version, share
 			return filter
--- a/core/entry/prompt.go
+++ b/core/entry/prompt.go
@@ -119,7 +119,9 @@
 	}
 	// The host is left out: it differs between boxes.
 	req := c.Request()
-	q.digest = poison.DigestOf(&poison.Request{Organisation: q.organisation, Method: req.Method, URI: req.RequestURI, Body: raw})
+	q.digest = poison.DigestOf(&poison.Request{
+		Organisation: q.organisation, Method: req.Method, URI: req.RequestURI, Body: raw,
+	})
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -340,7 +342,8 @@
 	if !isBlocked {
 		return nil
 	}
-	return refuse(http.StatusServiceUnavailable, CodeCrashesTargets, NotRun, "engines end of this prompt; it is given to none").after(remaining)
+	return refuse(http.StatusServiceUnavailable, CodeCrashesTargets, NotRun,
+		"engines end of this prompt; it is given to none").after(remaining)
 }
 
 const (
@@ -480,7 +483,10 @@
 	if t == nil {
 		return errors.New("chosen worker is not in the configuration of this daemon")
 	}
-	a := &attempt{promptRequest: p, target: t, engine: target.NewEngine(t.URL, p.s.o.EngineClient), id: fmt.Sprintf("%s-%d", p.q.id, len(p.placement.Exclude))}
+	a := &attempt{
+		promptRequest: p, target: t, engine: target.NewEngine(t.URL, p.s.o.EngineClient),
+		id: fmt.Sprintf("%s-%d", p.q.id, len(p.placement.Exclude)),
+	}
 	if !p.s.pushbacks.Take(p.decision.Worker) {
 		p.reportAttempt(false, false)
 		return errors.New("chosen worker is under pushback")
--- a/core/entry/relay.go
+++ b/core/entry/relay.go
@@ -102,7 +102,8 @@
 
 // resumable reports whether the stream may be resumed at the same engine.
 func (a *attempt) resumable(ctx context.Context, err error) bool {
-	if err == nil || ctx.Err() != nil || a.tokens == 0 || errors.Is(err, errCallerDisconnected) || errors.Is(err, errWrongResponse) {
+	if err == nil || ctx.Err() != nil || a.tokens == 0 ||
+		errors.Is(err, errCallerDisconnected) || errors.Is(err, errWrongResponse) {
 		return false
 	}
 	return target.Status(err) == 0
--- a/core/entry/service.go
+++ b/core/entry/service.go
@@ -145,10 +145,10 @@
 	if _, policy := q.snap.Policy(q.organisation, conf.KindService, body.Service); policy == nil {
 		return refuse(http.StatusNotFound, CodeNotFound, NotRun, "there is no service of this name for your organisation")
 	}
-	reply := struct {
+	response := struct {
 		Ticket string `json:"ticket"`
 	}{s.o.Once.NewTicket(q.organisation, body.Service)}
-	if err := c.JSON(http.StatusOK, reply); err != nil {
+	if err := c.JSON(http.StatusOK, response); err != nil {
 		s.callerDisconnected(q)
 	}
 	return nil
@@ -275,7 +275,9 @@
 	case resultUnknown:
 		a.RecordUnknown()
 	case answered:
-		a.RecordOutcome(once.Outcome{Status: got.status, ContentType: got.header.Get("Content-Type"), Body: got.body})
+		a.RecordOutcome(once.Outcome{
+			Status: got.status, ContentType: got.header.Get("Content-Type"), Body: got.body,
+		})
 	}
 	return got, r
 }
--- a/core/lease/timed.go
+++ b/core/lease/timed.go
@@ -288,10 +288,10 @@
 // anything else is done under it.
 func (t *Timed) Refused(fence uint64) {
 	t.timedMu.Lock()
-	same := t.fence == fence && t.refusedFence != fence
+	newlyRefused := t.fence == fence && t.refusedFence != fence
 	t.refusedFence = fence
 	t.timedMu.Unlock()
-	if same {
+	if newlyRefused {
 		t.release("a target has seen a higher fence")
 	}
 }
@@ -314,7 +314,8 @@
 	t.timedMu.Lock()
 	defer t.timedMu.Unlock()
 	now := clock.Now()
-	if !t.heldLocked(now) || now.Sub(t.renewed) >= t.o.MinGap/actDivisor || plat.StoreIncarnation(int64(t.fence)) != t.o.Mirror.StoreIncarnation() {
+	if !t.heldLocked(now) || now.Sub(t.renewed) >= t.o.MinGap/actDivisor ||
+		plat.StoreIncarnation(int64(t.fence)) != t.o.Mirror.StoreIncarnation() {
 		return 0, false
 	}
 	t.lastAct = now
--- a/core/lease/timed_test.go
+++ b/core/lease/timed_test.go
@@ -174,7 +174,8 @@
 	}
 	g.Expect(attempts).To(gomega.Equal(5))
 	delay, retry := p.delays(plat.ErrSessionEnded, retry)
-	g.Expect([]time.Duration{delay, retry}).To(gomega.Equal([]time.Duration{initialRetryDelay, initialRetryDelay}))
+	g.Expect([]time.Duration{delay, retry}).
+		To(gomega.Equal([]time.Duration{initialRetryDelay, initialRetryDelay}))
 	delay, retry = p.delays(nil, 3*time.Second)
 	g.Expect([]time.Duration{delay, retry}).To(gomega.Equal([]time.Duration{3 * time.Second, initialRetryDelay}))
 }
@@ -209,9 +210,11 @@
 			g := gomega.NewWithT(t)
 			kv, log := &memkv.KV{}, &event.Log{}
 			lease := NewTimed(TimedOptions{
-				Key: "duty", Owner: "a", MinGap: minGap, Store: kv, Mirror: plat.NewWatchCache(kv, plat.Prefix(""), log), Log: log,
+				Key: "duty", Owner: "a", MinGap: minGap, Store: kv,
+				Mirror: plat.NewWatchCache(kv, plat.Prefix(""), log), Log: log,
 				LastContact: func() clock.Time { return clock.Now().Add(-tc.age) },
-				Rank:        func() int { return 0 }, Ineligible: func() bool { return false }, HasWork: func() bool { return true },
+				Rank:        func() int { return 0 }, Ineligible: func() bool { return false },
+				HasWork: func() bool { return true },
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
@@ -253,7 +256,10 @@
 	g.Eventually(first.mayAct, "20s", "1ms").Should(gomega.BeTrue())
 	fence, _ := first.lease.Act()
 	second := newHolderWithMinGap(t, kv, "b", 0, minGap)
-	g.Eventually(func() bool { _, exists := second.cache.Pair("duty"); return exists }, "20s", "1ms").Should(gomega.BeTrue())
+	g.Eventually(func() bool {
+		_, exists := second.cache.Pair("duty")
+		return exists
+	}, "20s", "1ms").Should(gomega.BeTrue())
 	var last clock.Time
 	g.Eventually(func() bool { last = clock.Now(); return first.mayAct() }, "20s", "1ms").Should(gomega.BeTrue())
 	kv.Restore(before)
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -297,7 +297,9 @@
 			g := gomega.NewWithT(t)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			kv := &memkv.KV{}
-			faults := []memkv.Fault{memkv.NoFault, memkv.NoFault, memkv.NoFault, memkv.LostResponse, memkv.LostRequest, memkv.Delayed}
+			faults := []memkv.Fault{
+				memkv.NoFault, memkv.NoFault, memkv.NoFault, memkv.LostResponse, memkv.LostRequest, memkv.Delayed,
+			}
 			kv.SetFault(func() memkv.Fault { return faults[rng.IntN(len(faults))] })
 			names := []string{"a", "b", "c"}
 			m := newMesh(kv, names...)
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -40,6 +40,7 @@
 // occupies one.
 const slotPrefix = KeyPrefix + "slots/"
 
+// kv is the part of the coordination store's client that a Holder uses.
 type kv interface {
 	lease.KV
 	Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error)
--- a/core/order/update.go
+++ b/core/order/update.go
@@ -177,9 +177,11 @@
 	u.ordered = time.Now()
 	id := u.target.ID()
 	v, err := u.updater.o.Client.Order(ctx, u.target.Entry().Address, WeightOrder{
-		Target: id, Model: u.model, Version: u.version, Holder: u.updater.o.Name, Fence: fence, AcceptedBefore: u.state.AcceptedOrders,
+		Target: id, Model: u.model, Version: u.version, Holder: u.updater.o.Name, Fence: fence,
+		AcceptedBefore: u.state.AcceptedOrders,
 	})
-	text := fmt.Sprintf("%s version %d, fence %d, after order %d", u.model, u.version, fence, u.state.AcceptedOrders)
+	text := fmt.Sprintf("%s version %d, fence %d, after order %d",
+		u.model, u.version, fence, u.state.AcceptedOrders)
 	if err != nil {
 		u.updater.o.Log.Emit(event.OrderSent, event.Ref{Target: id}, text+", no answer: "+err.Error())
 		return nil
--- a/core/order/updater.go
+++ b/core/order/updater.go
@@ -44,8 +44,8 @@
 // not reach.
 type UpdateObserver interface {
 	// UpdateStarted reports that a worker is about to change its weights. Unless notified again, the
-	// receiver assumes so for the time given by lasts.
-	UpdateStarted(t *roster.Target, model string, lasts time.Duration)
+	// receiver assumes so for the given duration.
+	UpdateStarted(t *roster.Target, model string, duration time.Duration)
 	// UpdateEnded reports that a worker has loaded a version of the weights.
 	UpdateEnded(t *roster.Target, model string, version int64)
 }
@@ -126,7 +126,9 @@
 
 // HasOutdated reports whether a worker of a partition has older weights than desired.
 func (s *WeightUpdater) HasOutdated(partition int) bool {
-	return s.anyOutdated(false, func(t *roster.Target) bool { return s.leadership(t, false) == s.o.Leaderships[partition] })
+	return s.anyOutdated(false, func(t *roster.Target) bool {
+		return s.leadership(t, false) == s.o.Leaderships[partition]
+	})
 }
 
 // anyOutdated reports whether a selected worker has older weights than desired. It considers
@@ -251,7 +253,8 @@
 	for leadership, list := range pr.outdated {
 		sortOutdated(list, model)
 		for _, t := range list {
-			if pr.running[leadership] >= ownQuota(pr.workers, s.partitions(service)) && !s.allowExtra(pr.total, pr.workers, now) {
+			if pr.running[leadership] >= ownQuota(pr.workers, s.partitions(service)) &&
+				!s.allowExtra(pr.total, pr.workers, now) {
 				break
 			}
 			pr.running[leadership]++
--- a/core/order/updater_test.go
+++ b/core/order/updater_test.go
@@ -65,7 +65,9 @@
 	if st := w.states[o.Target]; st.AcceptedOrders != o.AcceptedBefore {
 		return Conflict, nil
 	}
-	w.states[o.Target] = WorkerState{Busy: true, AcceptedOrders: o.AcceptedBefore + 1, Weights: map[string]int64{"m": o.Version}}
+	w.states[o.Target] = WorkerState{
+		Busy: true, AcceptedOrders: o.AcceptedBefore + 1, Weights: map[string]int64{"m": o.Version},
+	}
 	w.running++
 	w.maxRunning = max(w.maxRunning, w.running)
 	return Accepted, nil
@@ -134,7 +136,10 @@
 
 // newTestUpdaterWith is newTestUpdater with changed options.
 func newTestUpdaterWith(t *testing.T, n int, change func(*WeightUpdaterOptions)) *testUpdater {
-	r := &testUpdater{g: gomega.NewWithT(t), workers: &fakeWorkers{states: map[string]WorkerState{}}, leadership: &fakeLeadership{fence: 7}, observer: &fakeObserver{}}
+	r := &testUpdater{
+		g: gomega.NewWithT(t), workers: &fakeWorkers{states: map[string]WorkerState{}},
+		leadership: &fakeLeadership{fence: 7}, observer: &fakeObserver{},
+	}
 	r.desired.Store(2)
 	r.roster = roster.New(&event.Log{}, nil)
 	for i := range n {
@@ -270,7 +275,8 @@
 		return local, remote
 	}
 	r.g.Expect(r.updater.CellHasOutdated()).To(gomega.BeTrue())
-	r.g.Expect(r.updater.HasOutdated(0)).To(gomega.BeFalse(), "the partitions are for services that are not sharded by cell")
+	r.g.Expect(r.updater.HasOutdated(0)).To(gomega.BeFalse(),
+		"the partitions are for services that are not sharded by cell")
 	r.g.Eventually(func() int { local, _ := outdated(); return local }, "30s", "10ms").Should(gomega.BeZero())
 	r.g.Expect(r.updater.CellHasOutdated()).To(gomega.BeFalse())
 	_, remote := outdated()
--- a/core/order/worker.go
+++ b/core/order/worker.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// WeightOrder tells a worker to load a version of a model's weights.
+// WeightOrder instructs a worker to load a version of a model's weights.
 type WeightOrder struct {
 	// Target is the incarnation of the worker that the order is for.
 	Target  string
--- a/core/poison/attempts.go
+++ b/core/poison/attempts.go
@@ -136,7 +136,8 @@
 	}
 	for _, c := range s.recentCrashes {
 		distance := c.at.Sub(s.recentCrashes[i].at).Abs()
-		sawRequest := c.incarnation == incarnation || slices.ContainsFunc(c.requests, func(sent sentRequest) bool { return sent.request == d })
+		sawRequest := c.incarnation == incarnation ||
+			slices.ContainsFunc(c.requests, func(sent sentRequest) bool { return sent.request == d })
 		if distance < simultaneousWindow && !sawRequest {
 			return false
 		}
--- a/core/poison/blocks.go
+++ b/core/poison/blocks.go
@@ -116,7 +116,9 @@
 		l.blocksMu.Unlock()
 		return old
 	}
-	b := block{Request: d, Organisation: organisation, Stamp: max(time.Now().UnixNano(), old.Stamp+1), Consecutive: 1}
+	b := block{
+		Request: d, Organisation: organisation, Stamp: max(time.Now().UnixNano(), old.Stamp+1), Consecutive: 1,
+	}
 	if !old.Released {
 		b.Consecutive += old.Consecutive
 	}
@@ -171,7 +173,8 @@
 		l.log.Emit(event.RequestReleased, ref, "asks "+b.Request.String()+"; "+why)
 		return
 	}
-	l.log.Emit(event.RequestBlocked, ref, "asks "+b.Request.String()+" for "+b.Remaining.Round(time.Second).String()+", block "+strconv.Itoa(b.Consecutive)+"; "+why)
+	l.log.Emit(event.RequestBlocked, ref, "asks "+b.Request.String()+" for "+
+		b.Remaining.Round(time.Second).String()+", block "+strconv.Itoa(b.Consecutive)+"; "+why)
 }
 
 // evict removes blocks that expired long ago and those beyond maxBlocks. It is called with blocksMu
@@ -195,7 +198,8 @@
 	}
 	var out *block
 	for _, b := range l.entries {
-		if out == nil || perOrganisation[b.Organisation] > perOrganisation[out.Organisation] || (perOrganisation[b.Organisation] == perOrganisation[out.Organisation] && b.expires.Before(out.expires)) {
+		if out == nil || perOrganisation[b.Organisation] > perOrganisation[out.Organisation] ||
+			(perOrganisation[b.Organisation] == perOrganisation[out.Organisation] && b.expires.Before(out.expires)) {
 			out = &b
 		}
 	}
--- a/core/poison/guard_test.go
+++ b/core/poison/guard_test.go
@@ -64,7 +64,10 @@
 
 // run runs one daemon until the test ends or its stop is called.
 func (r *testFleet) run(name string, l net.Listener) *testDaemon {
-	m := &testDaemon{fleet: fleet.New(fleet.Options{Name: name, Incarnation: name + time.Now().String(), Seeds: r.seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspectAfter, Log: &event.Log{}})}
+	m := &testDaemon{fleet: fleet.New(fleet.Options{
+		Name: name, Incarnation: name + time.Now().String(), Seeds: r.seeds,
+		HeartbeatInterval: heartbeat, SuspectAfter: suspectAfter, Log: &event.Log{},
+	})}
 	m.cache = plat.NewWatchCache(r.store, plat.Prefix(""), &event.Log{})
 	m.guard = New(Options{Fleet: m.fleet, Dial: r.dial, Log: &event.Log{}, Store: r.store, Mirror: m.cache})
 	m.cache.Observe(func(list []plat.Change) {
@@ -171,7 +174,9 @@
 	for i := range 4 {
 		r.crash(0, d, fmt.Sprintf("inc-%d", i))
 	}
-	r.g.Consistently(func() int { return r.daemons[0].guard.SuspectCount() + r.daemons[1].guard.SuspectCount() }, 3*redialDelay, "10ms").Should(gomega.BeZero())
+	r.g.Consistently(func() int {
+		return r.daemons[0].guard.SuspectCount() + r.daemons[1].guard.SuspectCount()
+	}, 3*redialDelay, "10ms").Should(gomega.BeZero())
 	for i := range 3 {
 		r.daemons[0].guard.RecordListedCrash(fmt.Sprintf("inc-%d", i))
 	}
@@ -217,7 +222,9 @@
 		r.crash(at[ranked[4]], d, fmt.Sprintf("inc-%d", i))
 		r.waitForCrashes(d, i+1)
 	}
-	r.g.Eventually(func() int { return r.daemons[at[ranked[1]]].guard.SuspectCount() }, maxWait, "5ms").Should(gomega.Equal(1))
+	r.g.Eventually(func() int {
+		return r.daemons[at[ranked[1]]].guard.SuspectCount()
+	}, maxWait, "5ms").Should(gomega.Equal(1))
 	r.daemons[at[ranked[0]]].stop()
 	r.crash(at[ranked[3]], d, "inc-2")
 	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.BeNumerically(">=", 4))
@@ -300,7 +307,9 @@
 	stored := func() bool { _, there := r.daemons[0].cache.Pair(BlockPrefix + d.String()); return there }
 	r.g.Eventually(stored, maxWait, "5ms").Should(gomega.BeTrue())
 	r.store.Restore(before)
-	r.g.Eventually(func() bool { return r.daemons[0].cache.StoreIncarnation() == 1 && stored() }, maxWait, "5ms").Should(gomega.BeTrue())
+	r.g.Eventually(func() bool {
+		return r.daemons[0].cache.StoreIncarnation() == 1 && stored()
+	}, maxWait, "5ms").Should(gomega.BeTrue())
 	r.g.Expect(r.blockedDaemons(d)()).To(gomega.Equal(3))
 }
 
@@ -348,7 +357,9 @@
 		crashTwo(i)
 	}
 	// It may be blocked for a moment, until the other crashes show.
-	r.g.Eventually(func() int { return r.daemons[0].guard.tracker.weightOf(d) }, maxWait, "5ms").Should(gomega.Equal(3 * halfWeight))
+	r.g.Eventually(func() int {
+		return r.daemons[0].guard.tracker.weightOf(d)
+	}, maxWait, "5ms").Should(gomega.Equal(3 * halfWeight))
 	r.g.Eventually(r.blockedDaemons(d), maxWait, "5ms").Should(gomega.BeZero())
 	r.g.Consistently(r.blockedDaemons(d), 5*heartbeat, "5ms").Should(gomega.BeZero())
 	for i := 3; i < 6; i++ {
--- a/core/poison/operators.go
+++ b/core/poison/operators.go
@@ -15,7 +15,9 @@
 	out := []BlockedRequest{}
 	for _, b := range g.blocks.list() {
 		if !b.Released && b.Remaining > 0 {
-			out = append(out, BlockedRequest{b.Request.String(), b.Organisation, time.Now().Add(b.Remaining).UTC(), b.Consecutive})
+			out = append(out, BlockedRequest{
+				b.Request.String(), b.Organisation, time.Now().Add(b.Remaining).UTC(), b.Consecutive,
+			})
 		}
 	}
 	return out
--- a/core/poison/report.go
+++ b/core/poison/report.go
@@ -39,8 +39,8 @@
 	Succeeded, Alone bool
 }
 
-// crashReply is a crash tracker's response.
-type crashReply struct {
+// crashResponse is a crash tracker's response.
+type crashResponse struct {
 	//lint:ignore U1000 read by the codec: frames are arrays
 	_msgpack struct{} `msgpack:",as_array"`
 	// Crashes is the number of incarnations of targets that crashed under the request.
@@ -94,12 +94,12 @@
 	ranked := fleet.Rank(shortKey(r.Request), view.NotLost())
 	acknowledged, crashes := 0, 0
 	for _, name := range ranked[:min(len(ranked), maxTrackersTried)] {
-		reply, err := g.reportTo(view.Self(), name, r)
+		response, err := g.reportTo(view.Self(), name, r)
 		if err != nil {
 			g.o.Log.Emit(event.PeerNotTold, event.Ref{Target: r.Incarnation}, name+": report of a crash: "+err.Error())
 			continue
 		}
-		crashes = max(crashes, reply.Crashes)
+		crashes = max(crashes, response.Crashes)
 		if acknowledged++; acknowledged == trackersPerRequest {
 			break
 		}
@@ -108,15 +108,15 @@
 }
 
 // reportTo reports to one daemon, which may be this one.
-func (g *Guard) reportTo(self, name string, r *crashReport) (*crashReply, error) {
+func (g *Guard) reportTo(self, name string, r *crashReport) (*crashResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	if name == self {
 		return g.receiveCrash(ctx, self, r)
 	}
-	var reply crashReply
-	err := g.o.Fleet.Call(ctx, name, kindCrash, r, &reply)
-	return &reply, err
+	var response crashResponse
+	err := g.o.Fleet.Call(ctx, name, kindCrash, r, &response)
+	return &response, err
 }
 
 // cacheCount caches how many incarnations crashed under a request.
@@ -130,18 +130,18 @@
 }
 
 // receiveCrash counts a crash reported to this daemon as a crash tracker.
-func (g *Guard) receiveCrash(_ context.Context, from string, r *crashReport) (*crashReply, error) {
+func (g *Guard) receiveCrash(_ context.Context, from string, r *crashReport) (*crashResponse, error) {
 	if _, blocked := g.blocks.remaining(r.Request); blocked {
 		if !r.Alone && g.tracker.halveCrash(r.Request, r.Incarnation) {
 			g.release(r.Request, "other incarnations crashed at the same time as "+r.Incarnation)
 		}
-		return &crashReply{Crashes: maxCrashes}, nil
+		return &crashResponse{Crashes: maxCrashes}, nil
 	}
 	if r.Succeeded || g.attempts.recentlySucceeded(r.Request) {
 		// Other incarnations complete it well: it merely happens to be in flight whenever one
 		// crashes.
 		g.tracker.forget(r.Request)
-		return &crashReply{}, nil
+		return &crashResponse{}, nil
 	}
 	weight := halfWeight
 	if r.Alone {
@@ -152,7 +152,7 @@
 		b := g.blocks.add(r.Request, r.Organisation, "crashed under it: "+g.tracker.names(r.Request)+"; last reported by "+from)
 		g.sendToCells(b)
 	}
-	return &crashReply{Crashes: crashes}, nil
+	return &crashResponse{Crashes: crashes}, nil
 }
 
 // release revokes a block and notifies the other cells; it reports whether there was one.
--- a/core/poison/store.go
+++ b/core/poison/store.go
@@ -64,7 +64,10 @@
 		g.o.Log.Emit(event.ConfUnderived, event.Ref{Resource: c.Key}, err.Error())
 		return
 	}
-	b := block{Request: d, Organisation: s.Organisation, Stamp: s.Stamp, Consecutive: min(max(1, s.Consecutive), 16), Remaining: time.Until(s.Expires)}
+	b := block{
+		Request: d, Organisation: s.Organisation, Stamp: s.Stamp,
+		Consecutive: min(max(1, s.Consecutive), 16), Remaining: time.Until(s.Expires),
+	}
 	if b.Remaining > 0 {
 		g.blocks.merge([]block{b}, "it is in the coordination store")
 	}
--- a/core/poison/tracker.go
+++ b/core/poison/tracker.go
@@ -96,7 +96,8 @@
 		}
 	}
 	if s.add(incarnation, weight, now) && len(s.crashes) == maxCrashes-1 {
-		t.log.Emit(event.RequestSuspected, event.Ref{Organisation: organisation}, "asks "+d.String()+"; crashed under it: "+s.names())
+		t.log.Emit(event.RequestSuspected, event.Ref{Organisation: organisation},
+			"asks "+d.String()+"; crashed under it: "+s.names())
 	}
 	return len(s.crashes), s.weight() >= blockWeight
 }
--- a/core/wait/wait_test.go
+++ b/core/wait/wait_test.go
@@ -42,11 +42,11 @@
 	}
 }
 
-// slowReader returns one byte after each pause, and then blocks until ctx is done.
+// slowReader returns one byte per interval, and then blocks until ctx is done.
 type slowReader struct {
-	ctx    context.Context
-	pause  time.Duration
-	chunks int
+	ctx      context.Context
+	interval time.Duration
+	chunks   int
 }
 
 func (d *slowReader) Read(b []byte) (int, error) {
@@ -54,17 +54,17 @@
 		<-d.ctx.Done()
 		return 0, context.Cause(d.ctx)
 	}
-	if !For(d.ctx, d.pause) {
+	if !For(d.ctx, d.interval) {
 		return 0, context.Cause(d.ctx)
 	}
 	return copy(b, "x"), nil
 }
 
 func TestIdleTimeoutEndsOnlyIdleCalls(t *testing.T) {
-	const idle, pause, chunks = 400 * time.Millisecond, 50 * time.Millisecond, 20
+	const idle, interval, chunks = 400 * time.Millisecond, 50 * time.Millisecond, 20
 	ctx, timeout := WithIdleTimeout(context.Background(), idle, idle)
 	defer timeout.Stop()
-	got, err := io.ReadAll(timeout.Reader(&slowReader{ctx, pause, chunks}))
+	got, err := io.ReadAll(timeout.Reader(&slowReader{ctx, interval, chunks}))
 	if len(got) != chunks {
 		t.Errorf("read %d bytes in more than twice the idle timeout, want %d", len(got), chunks)
 	}
