--- a/core/entry/service.go
+++ b/core/entry/service.go
@@ -42,9 +42,11 @@
 // inflight counts the calls in progress at each target of plain services. The zero value is ready.
 type inflight struct {
 	inflightMu sync.Mutex
-	running    map[string]int       // by target; guarded by inflightMu
-	avoidUntil map[string]time.Time // until when a target is avoided after a failed call; guarded by inflightMu
-	offset     int                  // where the next search starts; guarded by inflightMu
+	running    map[string]int // by target; guarded by inflightMu
+	// avoidUntil is the time until which a target is avoided after a failed call, by target. Guarded
+	// by inflightMu.
+	avoidUntil map[string]time.Time
+	offset     int // where the next search starts; guarded by inflightMu
 }
 
 // avoidTime is how long a target is avoided after a failed call while there are others.
--- a/core/lease/timed.go
+++ b/core/lease/timed.go
@@ -39,7 +39,8 @@
 
 // TimedOptions configure a Timed lease.
 type TimedOptions struct {
-	Key   string
+	Key string
+	// Owner identifies this daemon; it is the value of the key while the daemon holds the lease.
 	Owner string
 	// MinGap is the least time between the actions of two holders, and the TTL of the key without
 	// renewals.
