--- a/core/lease/timed.go
+++ b/core/lease/timed.go
@@ -40,7 +40,7 @@
 // TimedOptions configure a Timed lease.
 type TimedOptions struct {
 	Key string
-	// Owner identifies this daemon; it is the value of the key while the daemon holds the lease.
+	// Owner identifies this incarnation of the daemon; it is the key's value while it holds the lease.
 	Owner string
 	// MinGap is the least time between the actions of two holders, and the TTL of the key without
 	// renewals.
