--- a/core/order/updater_test.go
+++ b/core/order/updater_test.go
@@ -65,7 +65,9 @@
 	if st := w.states[o.Target]; st.AcceptedOrders != o.AcceptedBefore {
 		return Conflict, nil
 	}
-	w.states[o.Target] = WorkerState{Busy: true, AcceptedOrders: o.AcceptedBefore + 1, Weights: map[string]int64{"m": o.Version}}
+	w.states[o.Target] = WorkerState{
+		Busy: true, AcceptedOrders: o.AcceptedBefore + 1, Weights: map[string]int64{"m": o.Version},
+	}
 	w.running++
 	w.maxRunning = max(w.maxRunning, w.running)
 	return Accepted, nil
@@ -97,7 +99,7 @@
 }
 
 func (o *fakeObserver) UpdateStarted(t *roster.Target, _ string, _ time.Duration) {
-	o.record("began " + t.ID())
+	o.record("started " + t.ID())
 }
 
 func (o *fakeObserver) UpdateEnded(t *roster.Target, _ string, version int64) {
@@ -134,7 +136,10 @@
 
 // newTestUpdaterWith is newTestUpdater with changed options.
 func newTestUpdaterWith(t *testing.T, n int, change func(*WeightUpdaterOptions)) *testUpdater {
-	r := &testUpdater{g: gomega.NewWithT(t), workers: &fakeWorkers{states: map[string]WorkerState{}}, leadership: &fakeLeadership{fence: 7}, observer: &fakeObserver{}}
+	r := &testUpdater{
+		g: gomega.NewWithT(t), workers: &fakeWorkers{states: map[string]WorkerState{}},
+		leadership: &fakeLeadership{fence: 7}, observer: &fakeObserver{},
+	}
 	r.desired.Store(2)
 	r.roster = roster.New(&event.Log{}, nil)
 	for i := range n {
@@ -203,7 +208,7 @@
 	r.g.Eventually(r.outdated, "30s", "10ms").Should(gomega.BeZero())
 	r.g.Eventually(r.observer.all, "30s", "10ms").Should(gomega.ContainElement("ended w00 2"))
 	events := r.observer.all()
-	r.g.Expect(events[0]).To(gomega.Equal("began w00"))
+	r.g.Expect(events[0]).To(gomega.Equal("started w00"))
 	r.g.Expect(r.workers.sentOrders()).To(gomega.HaveLen(1), "the first order was accepted")
 }
 
@@ -216,12 +221,12 @@
 	r.g.Consistently(func() int { return len(r.workers.sentOrders()) }, "500ms", "20ms").Should(gomega.Equal(sent))
 }
 
-func TestAnUnansweredOrderIsSentAgainAndCountsOnce(t *testing.T) {
+func TestAnOrderWithoutResponseIsSentAgainAndCountsOnce(t *testing.T) {
 	r := newTestUpdater(t, 1)
 	r.workers.mu.Lock()
 	r.workers.verdict = func(n int, _ WeightOrder) (Verdict, error) {
 		if n == 0 {
-			return 0, errors.New("no answer")
+			return 0, errors.New("no response")
 		}
 		return Accepted, nil
 	}
@@ -270,7 +275,8 @@
 		return local, remote
 	}
 	r.g.Expect(r.updater.CellHasOutdated()).To(gomega.BeTrue())
-	r.g.Expect(r.updater.HasOutdated(0)).To(gomega.BeFalse(), "the partitions are for services that are not sharded by cell")
+	r.g.Expect(r.updater.HasOutdated(0)).To(gomega.BeFalse(),
+		"the partitions are for services that are not sharded by cell")
 	r.g.Eventually(func() int { local, _ := outdated(); return local }, "30s", "10ms").Should(gomega.BeZero())
 	r.g.Expect(r.updater.CellHasOutdated()).To(gomega.BeFalse())
 	_, remote := outdated()
--- a/core/table/table_test.go
+++ b/core/table/table_test.go
@@ -97,18 +97,18 @@
 
 func TestLinkTime(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		size     int
-		linkBits float64
-		want     time.Duration
+		name          string
+		size          int
+		bitsPerSecond float64
+		want          time.Duration
 	}{
 		{"one second", 125, 1000, time.Second},
 		{"no bytes", 0, 1000, 0},
 		{"unknown bandwidth", 125, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := LinkTime(tc.size, tc.linkBits); got != tc.want {
-				t.Errorf("LinkTime(%d, %v) = %v, want %v", tc.size, tc.linkBits, got, tc.want)
+			if got := LinkTime(tc.size, tc.bitsPerSecond); got != tc.want {
+				t.Errorf("LinkTime(%d, %v) = %v, want %v", tc.size, tc.bitsPerSecond, got, tc.want)
 			}
 		})
 	}
