--- a/core/cache/cache_test.go
+++ b/core/cache/cache_test.go
@@ -124,7 +124,7 @@
 	reads    int
 }
 
-func (f *scriptedFeed) CacheNotes(_ context.Context, seq uint64) ([]CacheEvent, error) {
+func (f *scriptedFeed) CacheEvents(_ context.Context, seq uint64) ([]CacheEvent, error) {
 	var out []CacheEvent
 	for _, n := range f.events {
 		if n.Seq > seq {
--- a/core/cache/follow.go
+++ b/core/cache/follow.go
@@ -34,8 +34,8 @@
 
 // feed provides the cache events and contents of one worker.
 type feed interface {
-	// CacheNotes waits for events after seq and returns them in order.
-	CacheNotes(ctx context.Context, seq uint64) ([]CacheEvent, error)
+	// CacheEvents waits for events after seq and returns them in order.
+	CacheEvents(ctx context.Context, seq uint64) ([]CacheEvent, error)
 	// CacheContents returns all blocks that the worker holds.
 	CacheContents(ctx context.Context) (Contents, error)
 }
@@ -80,14 +80,14 @@
 	return &Follower{worker: worker, feed: f, rootBlocks: rootBlocks, listener: l, log: log, nodes: map[uint64]node{}}
 }
 
-// followPause is the delay before retrying a worker that did not respond.
-const followPause = 500 * time.Millisecond
+// followRetryDelay is the delay before retrying a worker that did not respond.
+const followRetryDelay = 500 * time.Millisecond
 
 // Run follows the worker until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := f.step(ctx); err != nil {
-			t := time.NewTimer(followPause)
+			t := time.NewTimer(followRetryDelay)
 			select {
 			case <-ctx.Done():
 			case <-t.C:
@@ -104,7 +104,7 @@
 	if !synced {
 		return f.resync(ctx)
 	}
-	events, err := f.feed.CacheNotes(ctx, seq)
+	events, err := f.feed.CacheEvents(ctx, seq)
 	if err != nil {
 		return err
 	}
--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -213,7 +213,7 @@
 
 // retained returns how many first blocks of the context a worker may still hold without this
 // one. The blocks before the one that identifies the context belong to many contexts, so no
-// Mark reports their removal: without the identifying block the worker counts as holding
+// BlockRef reports their removal: without the identifying block the worker counts as holding
 // nothing.
 func (m BlockRef) retained() int {
 	if m.Short == m.Root {
--- a/core/cache/storefollower.go
+++ b/core/cache/storefollower.go
@@ -19,11 +19,11 @@
 	firstPollWait = time.Millisecond
 	// responseAllowance is the time allowed for the response beyond the wait.
 	responseAllowance = time.Second
-	// retryPause is the delay after a failed query.
-	retryPause = 400 * time.Millisecond
-	// batchPause is the delay after a successful query, which batches changes that come one
+	// retryDelay is the delay after a failed query.
+	retryDelay = 400 * time.Millisecond
+	// batchDelay is the delay after a successful query, which batches changes that come one
 	// by one.
-	batchPause = 100 * time.Millisecond
+	batchDelay = 100 * time.Millisecond
 )
 
 // storeFollower keeps the index of one store up to date.
@@ -41,12 +41,12 @@
 		}
 		if err == nil {
 			if !f.indexes.clockUnknown(f.address) {
-				wait.For(ctx, batchPause)
+				wait.For(ctx, batchDelay)
 			}
 			continue
 		}
 		f.indexes.markDown(f.address, err)
-		wait.For(ctx, retryPause)
+		wait.For(ctx, retryDelay)
 	}
 }
 
--- a/core/home/assignments.go
+++ b/core/home/assignments.go
@@ -96,8 +96,8 @@
 	engine *target.Engine
 }
 
-// CacheNotes returns cache events and records the load that comes with them.
-func (f *feed) CacheNotes(ctx context.Context, seq uint64) ([]cache.CacheEvent, error) {
+// CacheEvents returns cache events and records the load that comes with them.
+func (f *feed) CacheEvents(ctx context.Context, seq uint64) ([]cache.CacheEvent, error) {
 	n, err := f.engine.PollEvents(ctx, seq, f.owner.o.LoadInterval)
 	if err != nil {
 		return nil, err
@@ -114,16 +114,16 @@
 // convert turns the load in a worker's own form into that sent to daemons.
 func (f *feed) convert(l target.Load) workerLoad {
 	w := workerLoad{
-		Holds:  []string{},
-		Worker: f.worker, Queued: l.QueuedTokens, Running: l.Running, Free: l.FreeBlocks, Total: l.TotalBlocks,
+		Weights: []string{},
+		Worker:  f.worker, Queued: l.QueuedTokens, Running: l.Running, Free: l.FreeBlocks, Total: l.TotalBlocks,
 		Speed: float32(l.PrefillTokensPerSecond), BlockBytes: l.BlockBytes, Loading: l.Loading, Incarnation: l.Incarnation,
 	}
 	for _, v := range l.Weights {
 		base := cache.Salt{Model: v.Model, WeightVersion: v.Version}
-		w.Holds = append(w.Holds, WeightsName(base))
+		w.Weights = append(w.Weights, WeightsName(base))
 		for _, a := range v.Adapters {
 			base.Adapter = a
-			w.Holds = append(w.Holds, WeightsName(base))
+			w.Weights = append(w.Weights, WeightsName(base))
 		}
 	}
 	return w
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -262,7 +262,7 @@
 	weights := WeightsName(req.Salt)
 	for _, name := range h.engines(snap, view, req) {
 		load, ok := h.loads.load(name, req.Priority, now)
-		if !ok || !slices.Contains(load.Holds, weights) {
+		if !ok || !slices.Contains(load.Weights, weights) {
 			continue
 		}
 		t := snap.Target(name)
@@ -325,7 +325,7 @@
 		if !ok {
 			continue
 		}
-		for _, weights := range load.Holds {
+		for _, weights := range load.Weights {
 			if v, ok := versionOf(weights, model); ok && !slices.Contains(out, v) {
 				out = append(out, v)
 			}
@@ -399,12 +399,12 @@
 	}
 }
 
-// warmupLimit is how long a new daemon that has a configuration waits for reports of the
+// warmUpTimeout is how long a new daemon that has a configuration waits for reports of the
 // workers.
-const warmupLimit = 5 * time.Second
+const warmUpTimeout = 5 * time.Second
 
 // WarmedUp reports whether the load of enough workers is known to place requests: every usable
-// worker has reported, or warmupLimit has passed.
+// worker has reported, or warmUpTimeout has passed.
 func (h *Owner) WarmedUp() bool {
 	if h.warmedUp.Load() {
 		return true
@@ -416,7 +416,7 @@
 	}
 	snap, view, now := h.o.Conf.Snapshot(), h.o.Fleet.View(), time.Now()
 	h.configured.Do(func() { h.configuredAt = now })
-	if now.Sub(h.configuredAt) < warmupLimit {
+	if now.Sub(h.configuredAt) < warmUpTimeout {
 		for _, name := range h.targets(snap, view).workers {
 			if _, ok := h.loads.load(name, 0, now); !ok && view.Usable(name, snap.Target(name)) {
 				return false
@@ -441,7 +441,7 @@
 // WorkerStatus returns the state of a worker, or false if there is no recent report.
 func (h *Owner) WorkerStatus(name string) (WorkerStatus, bool) {
 	l, ok := h.loads.load(name, 0, time.Now())
-	return WorkerStatus{l.tokensAhead, l.Running, l.Free, l.Total, l.Holds, l.Loading}, ok
+	return WorkerStatus{l.tokensAhead, l.Running, l.Free, l.Total, l.Weights, l.Loading}, ok
 }
 
 // LinkStatus returns the backlog of a store's link in bytes and its rate in bytes per
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -24,7 +24,7 @@
 func TestLoadsCountPendingRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l loads
-	l.set(workerLoad{Worker: "w", Queued: []int{100, 0, 50}, Total: 300, Holds: []string{}}, baseTime)
+	l.set(workerLoad{Worker: "w", Queued: []int{100, 0, 50}, Total: 300, Weights: []string{}}, baseTime)
 	tests := []struct{ priority, tokensAhead int }{{0, 150}, {1, 50}, {2, 50}, {3, 0}, {9, 0}}
 	for _, tc := range tests {
 		w, ok := l.load("w", tc.priority, baseTime)
@@ -48,13 +48,13 @@
 func TestLoadsOfStaleOrFailedWorkersAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l loads
-	l.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}}, baseTime)
+	l.set(workerLoad{Worker: "w", Weights: []string{"m@v1"}}, baseTime)
 	_, ok := l.load("w", 0, baseTime.Add(maxReportAge+time.Second))
 	g.Expect(ok).To(gomega.BeFalse())
 	l.markFailed("w", baseTime)
 	_, ok = l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
-	_, ok = l.load("w", 0, baseTime.Add(2*failurePause))
+	_, ok = l.load("w", 0, baseTime.Add(2*failureBackoff))
 	g.Expect(ok).To(gomega.BeTrue())
 	_, ok = l.load("v", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
@@ -66,7 +66,7 @@
 func TestLoadsSendOnlyChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var local, remote loads
-	report := workerLoad{Worker: "w", Running: 3, Holds: []string{"m@v1"}}
+	report := workerLoad{Worker: "w", Running: 3, Weights: []string{"m@v1"}}
 	local.setFollowed(report, time.Now())
 	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -83,7 +83,7 @@
 	remote.Receive("peer", raw)
 	w, _ = remote.load("w", 0, time.Now())
 	g.Expect(w.Running).To(gomega.Equal(4))
-	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}), "weights are sent once and kept")
+	g.Expect(w.Weights).To(gomega.Equal([]string{"m@v1"}), "weights are sent once and kept")
 	g.Expect(local.Collect(true)).To(gomega.HaveLen(1))
 	local.unfollow("w")
 	g.Expect(local.Collect(true)).To(gomega.BeNil())
@@ -176,13 +176,13 @@
 	l.set(workerLoad{Worker: "w", Running: 1}, baseTime)
 	_, ok := l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
-	l.set(workerLoad{Worker: "w", Running: 1, Holds: []string{"m@v1"}, AgeMillis: 1}, baseTime)
+	l.set(workerLoad{Worker: "w", Running: 1, Weights: []string{"m@v1"}, AgeMillis: 1}, baseTime)
 	w, ok := l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}))
+	g.Expect(w.Weights).To(gomega.Equal([]string{"m@v1"}))
 	l.set(workerLoad{Worker: "w", Running: 2}, baseTime.Add(time.Second))
 	w, _ = l.load("w", 0, baseTime.Add(time.Second))
-	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}))
+	g.Expect(w.Weights).To(gomega.Equal([]string{"m@v1"}))
 }
 
 // Peers list a daemon that has just started before it has the load of the workers. It must
@@ -200,7 +200,7 @@
 	req := &PlacementRequest{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
 	_, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
-	h.loads.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}, Speed: 8000}, time.Now())
+	h.loads.set(workerLoad{Worker: "w", Weights: []string{"m@v1"}, Speed: 8000}, time.Now())
 	ans, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ans.Worker).To(gomega.Equal("w"))
--- a/core/home/loads.go
+++ b/core/home/loads.go
@@ -63,13 +63,13 @@
 	if recorded && previous.takenAt.After(takenAt) {
 		return false
 	}
-	if w.Holds == nil && !recorded {
+	if w.Weights == nil && !recorded {
 		// The report was meant for a previous daemon process at this address, which had
 		// recorded the weights.
 		return false
 	}
-	if w.Holds == nil {
-		w.Holds, w.Incarnation = previous.Holds, previous.Incarnation
+	if w.Weights == nil {
+		w.Weights, w.Incarnation = previous.Weights, previous.Incarnation
 	}
 	if recorded && previous.Incarnation != w.Incarnation && l.onReplaced != nil {
 		l.onReplaced(incarnationName(w.Worker, previous.Incarnation))
@@ -119,7 +119,7 @@
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	l.followed[w.Worker] = true
-	if !slices.Equal(previous.Holds, w.Holds) || previous.Incarnation != w.Incarnation {
+	if !slices.Equal(previous.Weights, w.Weights) || previous.Incarnation != w.Incarnation {
 		l.newWeights[w.Worker] = true
 	}
 	if !sameLoad(previous.workerLoad, w) || now.Sub(l.lastSent[w.Worker]) > resendInterval {
@@ -132,7 +132,7 @@
 
 // sameLoad reports whether two reports have the same content apart from their age.
 func sameLoad(a, b workerLoad) bool {
-	return slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Holds, b.Holds) && a.Running == b.Running &&
+	return slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Weights, b.Weights) && a.Running == b.Running &&
 		a.Incarnation == b.Incarnation && a.Free == b.Free && a.Total == b.Total && a.Speed == b.Speed && a.Loading == b.Loading
 }
 
@@ -168,15 +168,15 @@
 	l.pending[worker] = slices.DeleteFunc(l.pending[worker], func(p pendingRequest) bool { return p.request == request })
 }
 
-// failurePause is how long a worker that did not respond receives no requests.
-const failurePause = time.Second
+// failureBackoff is how long a worker that did not respond receives no requests.
+const failureBackoff = time.Second
 
 // markFailed records that a worker did not respond.
 func (l *loads) markFailed(worker string, now time.Time) {
 	l.loadsMu.Lock()
 	defer l.loadsMu.Unlock()
 	l.init()
-	l.failedUntil[worker] = now.Add(failurePause)
+	l.failedUntil[worker] = now.Add(failureBackoff)
 }
 
 // estimatedLoad is the load of a worker as a new request would find it.
@@ -222,7 +222,7 @@
 			continue
 		}
 		total++
-		if slices.Contains(r.Holds, weights) {
+		if slices.Contains(r.Weights, weights) {
 			ready++
 		}
 	}
@@ -243,7 +243,7 @@
 		r := l.reports[w]
 		r.AgeMillis = int(now.Sub(r.takenAt).Milliseconds())
 		if !full && !l.newWeights[w] {
-			r.Holds = nil
+			r.Weights = nil
 		}
 		out = append(out, r.workerLoad)
 		if !full {
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -144,12 +144,12 @@
 	Speed      float32
 	BlockBytes int
 	Loading    bool
-	// Holds lists the loaded weights as "model@version", with "+adapter" for adapters; nil
+	// Weights lists the loaded weights as "model@version", with "+adapter" for adapters; nil
 	// means unchanged.
-	Holds []string
+	Weights []string
 	// AgeMillis is the age of the report when it was sent.
 	AgeMillis int
-	// Incarnation identifies the worker's incarnation. It is sent with Holds.
+	// Incarnation identifies the worker's incarnation. It is sent with Weights.
 	Incarnation string
 }
 
--- a/core/home/transfer.go
+++ b/core/home/transfer.go
@@ -85,17 +85,17 @@
 	return n
 }
 
-// storeRetryPause is how long a store that failed is not queried.
-const storeRetryPause = 2 * time.Second
+// storeRetryDelay is how long a store that failed is not queried.
+const storeRetryDelay = 2 * time.Second
 
 // markDown records that a store failed.
 func (h *Owner) markDown(store string) {
 	h.storeMu.Lock()
 	defer h.storeMu.Unlock()
-	h.downUntil[store] = time.Now().Add(storeRetryPause)
+	h.downUntil[store] = time.Now().Add(storeRetryDelay)
 }
 
-// isDown reports whether a store failed within storeRetryPause.
+// isDown reports whether a store failed within storeRetryDelay.
 func (h *Owner) isDown(store string) bool {
 	h.storeMu.Lock()
 	defer h.storeMu.Unlock()
--- a/core/learn/retention_test.go
+++ b/core/learn/retention_test.go
@@ -57,7 +57,7 @@
 }
 
 // For any observations, the probability is between 0 and 1.
-func TestRetentionChanceIsAProbability(t *testing.T) {
+func TestRetentionProbabilityIsInRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Retention
 		now := time.Now()
@@ -67,7 +67,7 @@
 		}
 		c := r.Probability("s", rapid.Float64Range(-1, 3).Draw(t, "queried depth"), now)
 		if !(c >= 0 && c <= 1) {
-			t.Fatalf("chance %v", c)
+			t.Fatalf("probability %v", c)
 		}
 	})
 }
--- a/core/learn/targets.go
+++ b/core/learn/targets.go
@@ -44,9 +44,9 @@
 	// of observed over expected times.
 	Times       int32
 	LogSlowdown float32
-	// Answers is the number of outcomes, and Failures the number of failures among them.
-	Answers  int32
-	Failures int32
+	// Responses is the number of outcomes, and Failures the number of failures among them.
+	Responses int32
+	Failures  int32
 }
 
 const (
@@ -112,7 +112,7 @@
 
 // ObserveResponse records the outcome of an attempt at a target: good is false for failures.
 func (t *Targets) ObserveResponse(id, service string, good bool, now time.Time) {
-	r := targetReport{Service: service, Answers: 1}
+	r := targetReport{Service: service, Responses: 1}
 	if !good {
 		r.Failures = 1
 	}
@@ -131,7 +131,7 @@
 	sum.Service = r.Service
 	sum.Times += r.Times
 	sum.LogSlowdown += r.LogSlowdown
-	sum.Answers += r.Answers
+	sum.Responses += r.Responses
 	sum.Failures += r.Failures
 	t.unreported[id] = sum
 }
@@ -151,14 +151,14 @@
 		m.logSlowdown.Add(float64(r.LogSlowdown)/float64(r.Times), float64(r.Times), now, targetHalfLife)
 		m.logSlowdown.capWeight(maxTargetWeight)
 	}
-	if r.Answers > 0 {
-		share := float64(r.Failures) / float64(r.Answers)
-		m.failures.Add(share, float64(r.Answers), now, targetHalfLife)
+	if r.Responses > 0 {
+		share := float64(r.Failures) / float64(r.Responses)
+		m.failures.Add(share, float64(r.Responses), now, targetHalfLife)
 		m.failures.capWeight(maxTargetWeight)
 		if t.services[r.Service] == nil {
 			t.services[r.Service] = &Mean{}
 		}
-		t.services[r.Service].Add(share, float64(r.Answers), now, serviceHalfLife)
+		t.services[r.Service].Add(share, float64(r.Responses), now, serviceHalfLife)
 	}
 	t.sweep(now)
 }
@@ -180,8 +180,8 @@
 // valid reports whether a peer's report is within the possible ranges.
 func (r *targetReport) valid() bool {
 	limit := math.Log(maxTargetSlowdown) * float64(r.Times) * 1.01
-	return r.Times >= 0 && r.Times <= maxReportCount && r.Answers >= 0 && r.Answers <= maxReportCount &&
-		r.Failures >= 0 && r.Failures <= r.Answers && math.Abs(float64(r.LogSlowdown)) <= limit
+	return r.Times >= 0 && r.Times <= maxReportCount && r.Responses >= 0 && r.Responses <= maxReportCount &&
+		r.Failures >= 0 && r.Failures <= r.Responses && math.Abs(float64(r.LogSlowdown)) <= limit
 }
 
 // Collect returns the unreported observations for a heartbeat, or nil. It returns the same
--- a/core/learn/targets_test.go
+++ b/core/learn/targets_test.go
@@ -45,7 +45,7 @@
 	g.Expect(l.State("a", "s", now).FailureShare).To(gomega.BeNumerically("~", l.State("b", "s", now).FailureShare, 0.1))
 }
 
-func TestOneSlowAnswerHardlyChangesSlowdown(t *testing.T) {
+func TestOneSlowResponseHardlyChangesSlowdown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l Targets
 	now := time.Now()
@@ -82,9 +82,9 @@
 		name   string
 		report targetReport
 	}{
-		{"more failures than answers", targetReport{Service: "s", Answers: 1, Failures: 5}},
-		{"negative answers", targetReport{Service: "s", Answers: -4, Failures: -4}},
-		{"excessive answers", targetReport{Service: "s", Answers: math.MaxInt32, Failures: math.MaxInt32}},
+		{"more failures than responses", targetReport{Service: "s", Responses: 1, Failures: 5}},
+		{"negative responses", targetReport{Service: "s", Responses: -4, Failures: -4}},
+		{"excessive responses", targetReport{Service: "s", Responses: math.MaxInt32, Failures: math.MaxInt32}},
 		{"sum of NaN", targetReport{Service: "s", Times: 1, LogSlowdown: float32(math.NaN())}},
 		{"excessive slowdown", targetReport{Service: "s", Times: 1, LogSlowdown: 1e9}},
 		{"slowdown without times", targetReport{Service: "s", LogSlowdown: 2}},
--- a/core/learn/times_test.go
+++ b/core/learn/times_test.go
@@ -92,7 +92,7 @@
 		for range rapid.IntRange(0, 60).Draw(t, "observations") {
 			f := Factors{
 				OwnTokens: rapid.IntRange(0, 1<<24).Draw(t, "own"), QueuedTokens: rapid.IntRange(0, 1<<26).Draw(t, "before"),
-				Utilisation: rapid.Float64Range(0, 1).Draw(t, "utilisation"), QueuedPerSlot: rapid.Float64Range(0, 50).Draw(t, "queued per slot"), MemoryPressure: rapid.Float64Range(0, 2).Draw(t, "crowd"),
+				Utilisation: rapid.Float64Range(0, 1).Draw(t, "utilisation"), QueuedPerSlot: rapid.Float64Range(0, 50).Draw(t, "queued per slot"), MemoryPressure: rapid.Float64Range(0, 2).Draw(t, "memory pressure"),
 			}
 			took := time.Duration(rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "took"))
 			// The clock may stand still or go back.
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -109,8 +109,8 @@
 	switch {
 	case errors.As(err, &unavailable):
 		return outcomeUnavailable
-	case callerGone(p.r.Context()):
-		return outcomeCallerGone
+	case callerDisconnected(p.r.Context()):
+		return outcomeCallerDisconnected
 	case errors.Is(err, target.ErrFull):
 		return outcomeNotSent
 	case !time.Now().Before(p.deadline):
--- a/core/relay/dialect.go
+++ b/core/relay/dialect.go
@@ -80,8 +80,8 @@
 type Dialect interface {
 	// ParseRequest parses a caller's headers.
 	ParseRequest(h http.Header) (RequestMeta, error)
-	// WriteAttempt removes the headers reserved for the daemon from h, and writes s.
-	WriteAttempt(h http.Header, s *AttemptMeta)
+	// WriteAttempt removes the headers reserved for the daemon from h, and adds those of meta.
+	WriteAttempt(h http.Header, meta *AttemptMeta)
 	// ParseResponse parses the header of a target's response.
 	ParseResponse(status int, h http.Header) ResponseMeta
 	// WriteRefusal writes the ID of the caller's attempt and the Retry-After.
--- a/core/relay/finish.go
+++ b/core/relay/finish.go
@@ -15,7 +15,7 @@
 	stats := p.relay.options.Stats
 	took := time.Since(p.start)
 	switch {
-	case callerGone(p.r.Context()):
+	case callerDisconnected(p.r.Context()):
 		stats.CallersGone.Inc()
 		p.writeLog(event.CallerGone, took)
 	case refusal != nil:
--- a/core/relay/outcome.go
+++ b/core/relay/outcome.go
@@ -19,8 +19,8 @@
 	// outcomeFailed: the target responded with an error, and the request may be retried
 	// elsewhere; the response is kept.
 	outcomeFailed
-	// outcomeCallerGone: the caller disconnected.
-	outcomeCallerGone
+	// outcomeCallerDisconnected: the caller disconnected.
+	outcomeCallerDisconnected
 	// outcomeTimedOut: the deadline has passed.
 	outcomeTimedOut
 	// outcomeTruncated: part of the response was passed on, and the rest cannot be.
--- a/core/relay/owners_test.go
+++ b/core/relay/owners_test.go
@@ -50,7 +50,7 @@
 	t.Cleanup(wg.Wait)
 	for i, seed := range seeds {
 		r := newRig(t, nil)
-		// Keep the times of real engines: this rig's are not to be learned.
+		// The priors are the times of real engines; those of this rig must not be learned.
 		r.relay.options.Disabled.Times, r.relay.options.Disabled.Targets = true, true
 		f := fleet.New(fleet.Options{
 			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: 250 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: &event.Log{},
--- a/core/relay/plain.go
+++ b/core/relay/plain.go
@@ -57,7 +57,7 @@
 func (p *proxiedRequest) passOnRest(answer *bufferedResponse, resp *target.Response) outcome {
 	answer.writeHeader(p, resp.Length)
 	if _, err := p.w.Write(answer.body); err != nil {
-		return outcomeCallerGone
+		return outcomeCallerDisconnected
 	}
 	if _, err := io.Copy(p.w, resp); err != nil {
 		p.aborted = true
@@ -72,8 +72,8 @@
 	now := time.Now()
 	p.recordResponse(c, false)
 	switch {
-	case callerGone(p.r.Context()):
-		return outcomeCallerGone
+	case callerDisconnected(p.r.Context()):
+		return outcomeCallerDisconnected
 	case !now.Before(p.deadline):
 		return outcomeTimedOut
 	}
--- a/core/relay/ratelimit_test.go
+++ b/core/relay/ratelimit_test.go
@@ -163,7 +163,7 @@
 }
 
 // A daemon that does not use the rate-limited target gets a permit from one that does.
-func TestDaemonWithoutPermitsQueriesPermitHolders(t *testing.T) {
+func TestDaemonWithoutPermitsQueriesSenders(t *testing.T) {
 	h := newFleetRig(t, 6, 1, always(limitedStreamResponse(20)))
 	reported := map[string]roster.RateLimitUpdate{h.workers[0]: {Active: true, PerSecond: 20, Seq: 1}}
 	for i, r := range h.rigs {
@@ -184,7 +184,7 @@
 }
 
 // A response that is not signed may come from any target, so it does not end a rate limit.
-func TestUnsignedAnswerKeepsRateLimit(t *testing.T) {
+func TestUnsignedResponseKeepsRateLimit(t *testing.T) {
 	r := newRig(t, nil)
 	unsigned := func(w *bufio.Writer, req *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 200 X\r\nId: %s\r\nContent-Length: 0\r\n\r\n", req.Header.Get("Id"))
@@ -212,7 +212,7 @@
 	h := newFleetRig(t, 24, 4, always(limitedStreamResponse(perSecond)))
 	for i, r := range h.rigs {
 		f := h.fleets[i]
-		// As View.Place, which needs a list of boxes that these daemons do not have.
+		// As View.SelfRank, which needs a list of boxes that these daemons do not have.
 		r.roster.Rank = func(t *roster.Target) (int, int) {
 			cell := f.View().Eligible()
 			return fleet.RankOf(fleet.Key(t.ID()), cell, f.View().Self()), len(cell)
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -123,7 +123,7 @@
 	running atomic.Int64
 	// closeConnections is set by CloseConnections.
 	closeConnections atomic.Bool
-	// refusing is set when a planned stop is about to end: new requests are refused.
+	// refusing is set near the end of a graceful shutdown: new requests are refused.
 	refusing atomic.Bool
 	// owners queries the owners of contexts in other cells. It may be nil, and is set before the
 	// first request.
@@ -163,10 +163,10 @@
 // Running returns the number of unfinished requests.
 func (rl *Relay) Running() int64 { return rl.running.Load() }
 
-// CloseConnections starts a planned stop: from now on each answer closes its connection.
+// CloseConnections starts a graceful shutdown: from now on each answer closes its connection.
 func (rl *Relay) CloseConnections() { rl.closeConnections.Store(true) }
 
-// RefuseRequests makes the relay refuse new requests, near the end of a planned stop.
+// RefuseRequests makes the relay refuse new requests, near the end of a graceful shutdown.
 func (rl *Relay) RefuseRequests() { rl.refusing.Store(true) }
 
 // minOutage is the least expected remaining time of an outage of the coordination store: outages
@@ -213,5 +213,5 @@
 	p.finish(refusal)
 }
 
-// callerGone reports whether the caller has closed its connection.
-func callerGone(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
+// callerDisconnected reports whether the caller has closed its connection.
+func callerDisconnected(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -130,7 +130,8 @@
 	r.g.Expect(r.send(http.MethodPost, "/once/", "y").status).To(gomega.Equal(200))
 }
 
-// The Retry-After is when the cause is expected to have ended, within a third of the caller's time.
+// The Retry-After is the time until the cause is expected to end, and at most a third of the
+// caller's remaining time.
 func TestRetryAfterOfRefusals(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -167,7 +168,7 @@
 	}
 }
 
-func TestTimeLimitOfARoute(t *testing.T) {
+func TestRouteTimeout(t *testing.T) {
 	release := make(chan struct{})
 	r := newRig(t, nil)
 	t.Cleanup(func() { close(release) })
@@ -430,7 +431,7 @@
 	r.g.Expect(s[1].header.Get("Salt")).To(gomega.Equal("v1/m/walled"))
 }
 
-func TestPlannedStop(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	r := newRig(t, nil)
 	r.target("t1", "plain", always(respond(200, "yes")))
 	r.relay.CloseConnections()
@@ -545,7 +546,7 @@
 	const workers, share, daemons, callers = 150, 6, 300, 4
 	r := newRig(t, nil)
 	r.relay.options.DaemonCount = func() int { return daemons }
-	// Keep the times of real engines: this rig's are not to be learned.
+	// The priors are the times of real engines; those of this rig must not be learned.
 	r.relay.options.Disabled.Times, r.relay.options.Disabled.Targets = true, true
 	var own []string
 	r.relay.options.OwnTargets = func([]string) []string { return own }
@@ -572,8 +573,9 @@
 	salt := cache.SegmentSalt{Model: "m", Version: 1}.String()
 	name := cache.SegmentName{Salt: salt, ID: "text"}
 	tests := []struct {
-		name     string
-		behind   time.Duration
+		name string
+		// queued is the time of the copies that are queued for the link.
+		queued   time.Duration
 		segments string
 		copy     string
 	}{
@@ -588,8 +590,8 @@
 			storeSegment(r, salt, "text")
 			// The segment was prefilled recently, so prefilling it again has a cost.
 			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "gone", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 400}}}, time.Now())
-			if tc.behind > 0 {
-				r.relay.options.Links.Begin("store:1", "else", tc.behind, time.Now())
+			if tc.queued > 0 {
+				r.relay.options.Links.Begin("store:1", "else", tc.queued, time.Now())
 			}
 			a := r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", tc.segments)
 			r.g.Expect(a.status).To(gomega.Equal(http.StatusOK))
--- a/core/relay/request.go
+++ b/core/relay/request.go
@@ -107,7 +107,7 @@
 			failed = answer
 		}
 		switch out {
-		case outcomeDone, outcomeCallerGone, outcomeTruncated:
+		case outcomeDone, outcomeCallerDisconnected, outcomeTruncated:
 			return nil
 		case outcomeTimedOut:
 			return p.giveUp(failed, "the time is up")
@@ -138,7 +138,7 @@
 // crashesTargets is the reason for refusing a request that crashes targets.
 const crashesTargets = "targets end of it"
 
-// choiceInterval is the pause between two choices of a waiting request.
+// choiceInterval is the time between two choices of a waiting request.
 const choiceInterval = 15 * time.Millisecond
 
 // waitForChoice chooses a target. If none is worth using now, the request waits as long as it may
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -174,12 +174,12 @@
 // not have it cached. Engines copy what a request lists, even what they have cached.
 func (p *proxiedRequest) copyWorthwhile(src *source, segment *sharedSegment) bool {
 	costs := &p.relay.options.Costs
-	gain := (1 - src.cachedProbability) * src.probability * costs.RecomputePerToken * float64(segment.Tokens)
+	saving := (1 - src.cachedProbability) * src.probability * costs.RecomputePerToken * float64(segment.Tokens)
 	cost := costs.CopyPerToken * float64(segment.Tokens)
 	if p.route.LatencyObjective > 0 {
 		cost += costs.Utility(p.meta.PromptTokens) * (src.queueTime + src.copyTime).Seconds() / p.route.LatencyObjective.Seconds()
 	}
-	return src.cachedProbability == 0 || (gain > cost && !p.relay.options.Disabled.SpareCopies)
+	return src.cachedProbability == 0 || (saving > cost && !p.relay.options.Disabled.SpareCopies)
 }
 
 // applyTo sets a candidate's copy time, and how many of its tokens are expected to be cached,
--- a/core/relay/stream.go
+++ b/core/relay/stream.go
@@ -81,7 +81,7 @@
 		}
 		if err := p.writeEvent(resp, ev); err != nil {
 			resp.Discard()
-			return outcomeCallerGone
+			return outcomeCallerDisconnected
 		}
 	}
 }
@@ -133,8 +133,8 @@
 // classifyBrokenStream records a stream that broke and returns the outcome.
 func (p *proxiedRequest) classifyBrokenStream(c *choice, err error) outcome {
 	p.note("%v", errors.Cause(err))
-	if callerGone(p.r.Context()) {
-		return outcomeCallerGone
+	if callerDisconnected(p.r.Context()) {
+		return outcomeCallerDisconnected
 	}
 	now := time.Now()
 	p.recordResponse(c, false)
--- a/core/relay/versions_test.go
+++ b/core/relay/versions_test.go
@@ -20,10 +20,10 @@
 		phase canary.Phase
 		// targets are the versions of the listed targets.
 		targets []string
-		// least and most bound the requests that reach v2. The others reach v1, or are refused if
+		// minNew and maxNew bound the requests that reach v2. The others reach v1, or are refused if
 		// refused is set.
-		least, most int
-		refused     bool
+		minNew, maxNew int
+		refused        bool
 	}{
 		{"canary", canary.Trying, []string{"v1", "v2", "v2"}, 5, requests / 10, false},
 		{"canary, no target of the version yet", canary.Trying, []string{"v1"}, 0, 0, false},
@@ -56,7 +56,7 @@
 			for _, s := range r.received() {
 				reached[s.target[:2]]++
 			}
-			r.g.Expect(reached["v2"]).To(gomega.And(gomega.BeNumerically(">=", tc.least), gomega.BeNumerically("<=", tc.most)))
+			r.g.Expect(reached["v2"]).To(gomega.And(gomega.BeNumerically(">=", tc.minNew), gomega.BeNumerically("<=", tc.maxNew)))
 			if tc.refused {
 				r.g.Expect(refused).To(gomega.Equal(requests))
 				return
--- a/core/roster/external.go
+++ b/core/roster/external.go
@@ -27,9 +27,9 @@
 
 // find returns an external target and marks it as used, or returns nil.
 func (e *externalTargets) find(id string) *Target {
-	if known := e.byID[id]; known != nil {
-		known.lastUsed = time.Now()
-		return known.target
+	if ext := e.byID[id]; ext != nil {
+		ext.lastUsed = time.Now()
+		return ext.target
 	}
 	return nil
 }
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -176,7 +176,7 @@
 	return Permit{Taken: true, seq: l.seq}, true
 }
 
-// ReturnPermit gives back the permit of a request that was not sent.
+// ReturnPermit returns the permit of a request that was not sent.
 func (r *Roster) ReturnPermit(t *Target, permit Permit) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestGiveUpEvictsLeastValuable(t *testing.T) {
+func TestChooseEvictionsTakesLeastValuable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := []EvictionCandidate{{0, 10, 5, 4}, {1, 10, 100, 0}, {2, 10, 100, 9}, {3, 10, 1, 0}}
 	g.Expect(ChooseEvictions(list, 10)).To(gomega.Equal([]int{1}))
--- a/core/route/warmup.go
+++ b/core/route/warmup.go
@@ -31,18 +31,18 @@
 // WarmUpLimiter is the rate limiter of one daemon for one target that is warming up. The zero value
 // has recorded no attempts.
 type WarmUpLimiter struct {
-	// sent holds the times of the attempts within the last warmupWindow, oldest first.
+	// sent holds the times of the attempts within the last warmUpWindow, oldest first.
 	sent []time.Time
 }
 
-// warmupWindow is the length of the sliding window of a WarmupLimiter. It is a second, plus
+// warmUpWindow is the length of the sliding window of a WarmUpLimiter. It is a second, plus
 // the time by which two attempts may move closer to each other on the way to the target,
 // a scheduling delay of a busy daemon.
-const warmupWindow = 1050 * time.Millisecond
+const warmUpWindow = 1050 * time.Millisecond
 
 // Allows reports whether another attempt is allowed if at most share are per second.
 func (l *WarmUpLimiter) Allows(share int, now time.Time) bool {
-	for len(l.sent) > 0 && now.Sub(l.sent[0]) >= warmupWindow {
+	for len(l.sent) > 0 && now.Sub(l.sent[0]) >= warmUpWindow {
 		l.sent = l.sent[1:]
 	}
 	return len(l.sent) < share
@@ -53,5 +53,5 @@
 
 // Idle reports whether there was no attempt within the window.
 func (l *WarmUpLimiter) Idle(now time.Time) bool {
-	return len(l.sent) == 0 || now.Sub(l.sent[len(l.sent)-1]) >= warmupWindow
+	return len(l.sent) == 0 || now.Sub(l.sent[len(l.sent)-1]) >= warmUpWindow
 }
--- a/core/route/warmup_test.go
+++ b/core/route/warmup_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestWarmupShareStaysWithinMaxRate(t *testing.T) {
+func TestWarmUpShareStaysWithinMaxRate(t *testing.T) {
 	tests := []struct {
 		name    string
 		maxRate float64
@@ -39,7 +39,7 @@
 
 // Half of the daemons do not yet know that the other half has been lost or added: the sum
 // of what each sends by its own list of boxes stays within the maximum rate.
-func TestWarmupShareWithTwoMembershipViews(t *testing.T) {
+func TestWarmUpShareWithTwoMembershipViews(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const maxRate = 26
 	for _, daemons := range []int{1, 4, 8, 16, 79, 385} {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestWarmupLimiterLimitsOverASlidingWindow(t *testing.T) {
+func TestWarmUpLimiterLimitsOverASlidingWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var p WarmUpLimiter
 	start := time.Unix(1000, 0)
--- a/core/spread/applied_test.go
+++ b/core/spread/applied_test.go
@@ -162,7 +162,7 @@
 				Name: seeds[0].Name, Incarnation: seeds[0].Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 			})
 			peer.Mux().Register("spread.inforce", func(context.Context, string, []byte) (any, error) { return &tc.response, nil })
-			peer.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) { return nil, errRefused })
+			peer.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) { return nil, errRejected })
 			ctx, cancel := context.WithCancel(context.Background())
 			var wg sync.WaitGroup
 			wg.Go(func() { peer.Run(ctx, listeners[0]) })
--- a/core/spread/relays.go
+++ b/core/spread/relays.go
@@ -27,8 +27,8 @@
 	minCellsForRelays = 3
 	// minRelays is the number of relays where the fleet has fewer failure domains.
 	minRelays = 2
-	// backoffFirst and backoffMax bound how long a peer that did not respond gets no requests: a
-	// silent one costs the whole time limit of a request.
+	// backoffFirst and backoffMax bound how long a peer that did not respond gets no requests: an
+	// unreachable one costs the whole time limit of a request.
 	backoffFirst = time.Second
 	backoffMax   = 8 * time.Second
 	// watchWaitSmall and watchWaitLarge are how long the store holds a watch request for changes.
--- a/core/spread/restore_test.go
+++ b/core/spread/restore_test.go
@@ -13,7 +13,7 @@
 // Daemons that the store does not respond to learn of a restored store from one that it responds
 // to: which values were written since, which the copy lacks, and that a large value has other
 // content at the same revision number.
-func TestDaemonsThatTheStoreDoesNotAnswerLearnOfARestore(t *testing.T) {
+func TestDaemonsThatTheStoreDoesNotRespondToLearnOfARestore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store := &memkv.KV{}
 	put(t, store, "op/small", []byte("old"))
--- a/core/spread/shards.go
+++ b/core/spread/shards.go
@@ -39,7 +39,7 @@
 	if e.byKey == nil {
 		e.byKey, e.counts = map[string]Entry{}, map[string]int{}
 	}
-	if former, known := e.byKey[key]; known {
+	if former, indexed := e.byKey[key]; indexed {
 		if e.counts[former.Service]--; e.counts[former.Service] == 0 {
 			delete(e.counts, former.Service)
 		}
--- a/core/spread/shards_test.go
+++ b/core/spread/shards_test.go
@@ -29,7 +29,7 @@
 	}
 	for from := 0; ; from += s.page {
 		if !s.call() {
-			return errRefused
+			return errRejected
 		}
 		to := min(from+s.page, len(all))
 		if !f(all[from:to], revision, to < len(all)) || to == len(all) {
@@ -122,7 +122,7 @@
 
 // Each page is a billed call: a daemon that finds that others watch the store must not read more
 // pages than it takes to find out.
-func TestStartingDaemonsReadTheOutlineOnly(t *testing.T) {
+func TestStartingDaemonsReadFewPages(t *testing.T) {
 	const daemons, domains, large, page = 48, 3, 3000, 100
 	g := gomega.NewWithT(t)
 	store := &pagedStore{billedStore: &billedStore{KV: &memkv.KV{}}, page: page}
--- a/core/spread/storecalls_test.go
+++ b/core/spread/storecalls_test.go
@@ -21,12 +21,12 @@
 	countMu  sync.Mutex
 	calls    int // guarded by countMu
 	watching int // guarded by countMu
-	// answering counts the requests whose responses daemons have not taken yet; taken is when one
-	// last did. Guarded by countMu.
-	answering int
-	taken     clock.Time
-	down      bool // guarded by countMu
-	ranges    int  // calls of Range; guarded by countMu
+	// pending counts the responses that daemons have not taken yet; takenAt is when one was last
+	// taken. Guarded by countMu.
+	pending int
+	takenAt clock.Time
+	down    bool // guarded by countMu
+	ranges  int  // calls of Range; guarded by countMu
 }
 
 // rangeCalls returns how many times keys were read other than by watches.
@@ -49,7 +49,7 @@
 
 func (s *billedStore) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
 	if !s.call() {
-		return nil, 0, errRefused
+		return nil, 0, errRejected
 	}
 	s.countMu.Lock()
 	s.ranges++
@@ -60,7 +60,7 @@
 func (s *billedStore) Watch(ctx context.Context, span plat.Span, from int64, f func([]plat.Change, int64) error) error {
 	for ctx.Err() == nil {
 		if !s.call() {
-			return errRefused
+			return errRejected
 		}
 		if err := s.response(func() error {
 			changes, revision := s.wait(ctx, span, from)
@@ -75,16 +75,16 @@
 	return ctx.Err()
 }
 
-// response counts a request until its response is taken.
+// response counts a response as pending until it is taken.
 func (s *billedStore) response(take func() error) error {
 	s.countMu.Lock()
-	s.answering++
+	s.pending++
 	s.countMu.Unlock()
 	err := take()
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
-	s.answering--
-	s.taken = clock.Now()
+	s.pending--
+	s.takenAt = clock.Now()
 	return err
 }
 
@@ -92,7 +92,7 @@
 func (s *billedStore) quiet() (clock.Time, bool) {
 	s.countMu.Lock()
 	defer s.countMu.Unlock()
-	return s.taken, s.answering == 0
+	return s.takenAt, s.pending == 0
 }
 
 // wait returns the first changes from a revision on, or none after watchTime.
@@ -107,7 +107,7 @@
 		if len(c) == 0 {
 			return nil
 		}
-		return errRefused
+		return errRejected
 	})
 	return changes, revision
 }
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -35,7 +35,7 @@
 	if s.watching == s.watchers {
 		s.rejected++
 		s.storeMu.Unlock()
-		return cache.SegmentEvents{}, errRefused
+		return cache.SegmentEvents{}, errRejected
 	}
 	s.watching++
 	held, changed := int64(len(s.segments)), s.changed
@@ -60,7 +60,7 @@
 }
 
 func (s *busyStore) Free(context.Context, string, int64, []cache.SegmentName) error {
-	return errRefused
+	return errRejected
 }
 
 // save adds one segment to the store, and returns how many it holds.
--- a/core/spread/storeindex_rank.go
+++ b/core/spread/storeindex_rank.go
@@ -118,9 +118,9 @@
 	}
 	r := s.rank(view, address)
 	now := time.Now()
-	name, publishes := s.firstOpen(r.cell, address, now), true
+	name, publishes := s.firstReady(r.cell, address, now), true
 	if name == view.Self() || name == "" {
-		name, publishes = s.firstOpen(r.fleet, address, now), false
+		name, publishes = s.firstReady(r.fleet, address, now), false
 	}
 	switch name {
 	case view.Self():
@@ -131,8 +131,8 @@
 	return indexSource{name, publishes}, nil
 }
 
-// firstOpen returns the first daemon that is not backed off for a store, or "".
-func (s *StoreIndexes) firstOpen(names []string, address string, now time.Time) string {
+// firstReady returns the first daemon that is not backed off for a store, or "".
+func (s *StoreIndexes) firstReady(names []string, address string, now time.Time) string {
 	for _, name := range names {
 		if s.backoff.Ready(indexLink{name, address}, now) {
 			return name
--- a/core/spread/storeindex_test.go
+++ b/core/spread/storeindex_test.go
@@ -31,7 +31,7 @@
 }
 
 func (s staticStore) Free(context.Context, string, int64, []cache.SegmentName) error {
-	return errRefused
+	return errRejected
 }
 
 // A store's contents have no size limit, and must pass from one daemon of a cell to the others.
--- a/core/spread/values.go
+++ b/core/spread/values.go
@@ -53,10 +53,10 @@
 	// peerWaitBudget is how long a daemon of a large fleet tries peers for a value before it reads
 	// the store: a fifth of the users' shortest bound on a configuration change there, 4 s.
 	peerWaitBudget = 800 * time.Millisecond
-	// retryPause is the time between two attempts to fetch the values.
-	retryPause = 100 * time.Millisecond
+	// retryInterval is the time between two attempts to fetch the values.
+	retryInterval = 100 * time.Millisecond
 	// storeTimeout bounds the read of one value from the store as a whole; the store's client
-	// bounds how long the store may be silent.
+	// bounds the time without any data from the store.
 	storeTimeout = 15 * time.Second
 )
 
@@ -172,7 +172,7 @@
 		}
 		for ctx.Err() == nil && v.watchCache.HasUnfetched() {
 			if !v.fetchAll(ctx) {
-				wait.For(ctx, retryPause)
+				wait.For(ctx, retryInterval)
 			}
 		}
 	}
--- a/core/spread/values_test.go
+++ b/core/spread/values_test.go
@@ -26,11 +26,11 @@
 	reads   int // guarded by readsMu
 }
 
-var errRefused = errors.New("the store refuses this")
+var errRejected = errors.New("the store rejects this")
 
 func (s *singleKeyStore) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
 	if span == plat.Prefix("op/") {
-		return nil, 0, errRefused
+		return nil, 0, errRejected
 	}
 	s.readsMu.Lock()
 	s.reads++
@@ -39,7 +39,7 @@
 }
 
 func (s *singleKeyStore) Watch(context.Context, plat.Span, int64, func([]plat.Change, int64) error) error {
-	return errRefused
+	return errRejected
 }
 
 func (s *singleKeyStore) count() int {
@@ -139,13 +139,13 @@
 	})
 	f.Mux().Register("spread.value", func(context.Context, string, []byte) (any, error) {
 		if response == nil {
-			return nil, errRefused
+			return nil, errRejected
 		}
 		return response, nil
 	})
 	f.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) {
 		if chunk == nil {
-			return nil, errRefused
+			return nil, errRejected
 		}
 		return chunk, nil
 	})
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -112,9 +112,9 @@
 
 // Times and bounds of requesting changes from peers.
 const (
-	// storeSilentAfter is how long the store may be silent before changes are requested from a
-	// peer: watches respond every 1.5 s.
-	storeSilentAfter = 1800 * time.Millisecond
+	// storeUnreachableAfter is how long the store may not respond before changes are requested from
+	// a peer: watches respond every 1.5 s.
+	storeUnreachableAfter = 1800 * time.Millisecond
 	// requestInterval is the time between two requests.
 	requestInterval = 100 * time.Millisecond
 	// requestWait is how long a peer may wait for a change before it responds; requestTimeout
@@ -159,14 +159,14 @@
 	return batchTimeSmall
 }
 
-// Run requests changes from a peer while the store is silent or other daemons watch it for this
-// one. It returns when ctx ends.
+// Run requests changes from a peer while the store does not respond or other daemons watch it for
+// this one. It returns when ctx ends.
 func (s *WatchCacheSync) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { s.values.run(ctx) })
 	wait.Every(ctx, requestInterval, func() {
-		if clock.Since(s.watchCache.LastContact()) > storeSilentAfter || !s.WatchesStore() {
+		if clock.Since(s.watchCache.LastContact()) > storeUnreachableAfter || !s.WatchesStore() {
 			s.pull(ctx)
 		}
 	})
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -25,7 +25,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // Bounds of waits: shortWait for what takes milliseconds, longWait for transfers over a slow link.
-// The race detector on a busy machine takes a hundred times as long.
+// The race detector on a busy box takes a hundred times as long.
 const (
 	shortWait    = "60s"
 	longWait     = "120s"
--- a/core/target/conn.go
+++ b/core/target/conn.go
@@ -14,7 +14,7 @@
 // Timeouts for opening connections and for detecting dead ones.
 const (
 	// openTimeout bounds the opening of a connection. Targets respond within a few milliseconds,
-	// and a lost packet is sent again after a second.
+	// and a lost packet is retransmitted after a second.
 	openTimeout = 1200 * time.Millisecond
 	// unackedTimeout breaks a connection with unacknowledged bytes, so that a target that lost
 	// power is detected.
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -101,7 +101,7 @@
 		return
 	}
 	if !alive || !resp.reusable() || conn.r.Buffered() > 0 || conn.isDead() {
-		conn.pool.drop(conn)
+		conn.pool.closeConn(conn)
 		return
 	}
 	conn.pool.put(conn, resp.Header.Get("Keep-Alive"))
--- a/core/target/pool.go
+++ b/core/target/pool.go
@@ -182,7 +182,7 @@
 //
 // If the kernel has no measurement, the shortest time to open a connection to the address is used.
 // It is longer, because it includes the time that processes wait for a processor: used alone, it
-// hid one crash in four tries on a busy machine.
+// hid one crash in four tries on a busy box.
 func (p *Pool) roundTrip(conn *poolConn) time.Duration {
 	if measured := conn.minRoundTrip(); measured > 0 {
 		return measured
@@ -238,8 +238,8 @@
 	return nil, true
 }
 
-// drop closes a connection.
-func (p *Pool) drop(conn *poolConn) {
+// closeConn closes a connection and no longer counts it as open.
+func (p *Pool) closeConn(conn *poolConn) {
 	conn.tcp.Close()
 	p.poolMu.Lock()
 	defer p.poolMu.Unlock()
@@ -255,7 +255,7 @@
 }
 
 // putUnused keeps a connection on which nothing was sent. For the target its idle time has not
-// started anew.
+// restarted.
 func (p *Pool) putUnused(conn *poolConn) {
 	if conn.lastUsed.IsZero() {
 		conn.lastUsed = time.Now()
