--- a/core/relay/stats.go
+++ b/core/relay/stats.go
@@ -13,12 +13,11 @@
 	// answer, Refused before a target may have executed them, Failed after that, AnswersCut with a
 	// truncated answer, and CallersGone with the caller disconnected.
 	Requests, Done, Refused, Failed, AnswersCut, CallersGone *metrics.Counter
-	// Attempts counts the requests sent to targets, Retries those of them that repeat an earlier
-	// one, and StreamsResumed broken streams that another attempt may resume.
-	Attempts, Retries, StreamsResumed *metrics.Counter
-	// MismatchedResponses counts responses to another request, NotExecuted those that report that
-	// the request was not executed, and Misdirected those with the status for misdirected requests.
-	MismatchedResponses, NotExecuted, Misdirected *metrics.Counter
+	// Attempts counts the attempts, Retries those that repeat an earlier one, and StreamsResumed
+	// broken streams that another attempt may resume. MismatchedResponses counts responses to
+	// another request, NotExecuted those that report that the request was not executed, and
+	// Misdirected those with the status for misdirected requests.
+	Attempts, Retries, StreamsResumed, MismatchedResponses, NotExecuted, Misdirected *metrics.Counter
 	// FirstSeconds is the time to the first event of a stream, TotalSeconds the time to the end of
 	// a complete answer.
 	FirstSeconds, TotalSeconds *metrics.Histogram
