--- a/core/cache/cache_test.go
+++ b/core/cache/cache_test.go
@@ -188,7 +188,9 @@
 	feed, listener := &scriptedFeed{}, &recordingListener{}
 	f := NewFollower("w", feed, 2, listener, &event.Log{})
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
-	feed.events = []CacheEvent{{Seq: 1, Stored: &BlockRun{Blocks: Shorts(chain)}}, {Seq: 3, Removed: Shorts(chain[5:6])}}
+	feed.events = []CacheEvent{
+		{Seq: 1, Stored: &BlockRun{Blocks: Shorts(chain)}}, {Seq: 3, Removed: Shorts(chain[5:6])},
+	}
 	feed.contents = Contents{Seq: 3, BlockRuns: []BlockRun{{Blocks: Shorts(chain[:4])}}}
 	g.Expect(f.step(context.Background())).To(gomega.Succeed())
 	g.Expect(feed.reads).To(gomega.Equal(2))
@@ -296,7 +298,8 @@
 	}
 	for _, tc := range tests {
 		if got := Root(seed, tc.chain, tc.rootBlocks); got != tc.want {
-			t.Errorf("Root of %d blocks with %d root blocks = %x, want %x", len(tc.chain), tc.rootBlocks, got[:1], tc.want[:1])
+			t.Errorf("Root of %d blocks with %d root blocks = %x, want %x", len(tc.chain),
+				tc.rootBlocks, got[:1], tc.want[:1])
 		}
 	}
 }
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -141,7 +141,10 @@
 			continue
 		}
 		info := ix.info
-		out = append(out, StoredSegment{Address: info.Address, Tokens: tokens, Deadline: ix.storeClock + now.Sub(ix.reportedAt) + transferTimeout, info: &info})
+		out = append(out, StoredSegment{
+			Address: info.Address, Tokens: tokens,
+			Deadline: ix.storeClock + now.Sub(ix.reportedAt) + transferTimeout, info: &info,
+		})
 	}
 	return out
 }
@@ -157,7 +160,8 @@
 		if ix.segments[name] > 0 {
 			return ""
 		}
-		if !allowed(ix.info.Domain) || !ix.fresh(now) || float64(ix.usedTokens+tokens) > maxFill*float64(ix.info.Capacity) {
+		if !allowed(ix.info.Domain) || !ix.fresh(now) ||
+			float64(ix.usedTokens+tokens) > maxFill*float64(ix.info.Capacity) {
 			continue
 		}
 		score := ix.score(name)
@@ -214,7 +218,8 @@
 	for _, name := range segments {
 		ix.set(name, 0)
 	}
-	s.log.Emit(event.StoreReclaimed, event.Ref{Target: address}, strconv.Itoa(len(segments))+" segments of outdated weights")
+	s.log.Emit(event.StoreReclaimed, event.Ref{Target: address},
+		strconv.Itoa(len(segments))+" segments of outdated weights")
 	return nil
 }
 
--- a/core/cache/stores_bench_test.go
+++ b/core/cache/stores_bench_test.go
@@ -18,7 +18,8 @@
 	k.Set(ctx, []StoreInfo{{Address: "a", Capacity: 1 << 30}})
 	contents := SegmentEvents{Epoch: 1, Next: 1}
 	for i := range 13000 {
-		contents.Changes = append(contents.Changes, SegmentChange{SegmentName{Salt: "v1/m/", ID: fmt.Sprintf("%08x", i)}, 100})
+		contents.Changes = append(contents.Changes,
+			SegmentChange{SegmentName{Salt: "v1/m/", ID: fmt.Sprintf("%08x", i)}, 100})
 	}
 	k.replace("a", contents)
 	for b.Loop() {
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -91,7 +91,10 @@
 	t.Cleanup(cancel)
 	var infos []StoreInfo
 	for i, capacity := range capacities {
-		infos = append(infos, StoreInfo{Address: string(rune('a' + i)), Domain: "d", Capacity: capacity, TokenTime: time.Microsecond})
+		infos = append(infos, StoreInfo{
+			Address: string(rune('a' + i)), Domain: "d", Capacity: capacity,
+			TokenTime: time.Microsecond,
+		})
 	}
 	k.Set(ctx, infos)
 	return k
@@ -110,7 +113,10 @@
 	s.contents = []SegmentChange{change("1", 100)}
 	k := newFollowing(t, s, 1000)
 	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
-	s.report(SegmentEvents{Epoch: 1, Next: 2, Clock: time.Hour, Changes: []SegmentChange{change("2", 50), change("1", 0)}})
+	s.report(SegmentEvents{
+		Epoch: 1, Next: 2, Clock: time.Hour,
+		Changes: []SegmentChange{change("2", 50), change("1", 0)},
+	})
 	g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
 	g.Expect(found(k, "1")()).To(gomega.BeFalse())
 	g.Expect(k.Tokens()).To(gomega.Equal(50))
@@ -171,7 +177,8 @@
 	g.Expect(choose(5000)()).To(gomega.BeEmpty())
 	g.Expect(choose(10)()).To(gomega.Equal(choose(10)()))
 	none := func(string) bool { return false }
-	g.Expect(k.ChooseStore(SegmentName{"v1/m/", "9"}, 10, none, clock.Now())).To(gomega.BeEmpty(), "no store is in an accepted failure domain")
+	g.Expect(k.ChooseStore(SegmentName{"v1/m/", "9"}, 10, none, clock.Now())).To(gomega.BeEmpty(),
+		"no store is in an accepted failure domain")
 	k.Set(context.Background(), nil)
 	g.Expect(choose(10)()).To(gomega.BeEmpty())
 }
--- a/core/cache/workercaches.go
+++ b/core/cache/workercaches.go
@@ -81,7 +81,8 @@
 // record applies a use. It is called with cachesMu held.
 func (w *WorkerCaches) record(u Use, now time.Time) {
 	if w.caches == nil {
-		w.caches, w.holders, w.lastUsed = map[string]*workerCache{}, map[SegmentName][]string{}, map[SegmentName]time.Time{}
+		w.caches, w.holders, w.lastUsed = map[string]*workerCache{}, map[SegmentName][]string{},
+			map[SegmentName]time.Time{}
 	}
 	c := w.caches[u.Target]
 	if c == nil {
--- a/core/cache/workercaches_test.go
+++ b/core/cache/workercaches_test.go
@@ -42,7 +42,8 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	local.RecordUse(use("w2", "2", 10, 5), now)
 	local.Told()
-	g.Expect(local.Collect(false)).To(gomega.Equal([]Use{use("w2", "2", 10, 5)}), "recorded while the first was being sent")
+	g.Expect(local.Collect(false)).To(gomega.Equal([]Use{use("w2", "2", 10, 5)}),
+		"recorded while the first was being sent")
 	local.Told()
 	g.Expect(local.Collect(false)).To(gomega.BeNil())
 	other.Receive("mine", raw)
@@ -60,7 +61,8 @@
 	_, read = w.Find(name, now.Add(61*time.Second))
 	g.Expect(read).To(gomega.BeFalse())
 	w.RecordUse(use("w2", "2", 10, 5), now.Add(61*time.Second))
-	g.Expect(targetsOf(&w, name, now.Add(61*time.Second))).To(gomega.BeEmpty(), "a worker without requests for the read window is removed")
+	g.Expect(targetsOf(&w, name, now.Add(61*time.Second))).To(gomega.BeEmpty(),
+		"a worker without requests for the read window is removed")
 }
 
 func TestLeastRecentlyUsedSegmentIsEvicted(t *testing.T) {
@@ -112,7 +114,8 @@
 	}
 	g.Expect(holders(&w, "a")).To(gomega.BeEmpty())
 	g.Expect(targetsOf(&w, SegmentName{"v2/m/", "b"}, time.Now())).To(gomega.Equal([]string{"w"}))
-	g.Expect(targetsOf(&w, SegmentName{"v1/other/", "o"}, time.Now())).To(gomega.Equal([]string{"w"}), "another model's segments stay")
+	g.Expect(targetsOf(&w, SegmentName{"v1/other/", "o"}, time.Now())).To(gomega.Equal([]string{"w"}),
+		"another model's segments stay")
 }
 
 // Whatever uses are recorded, no cache is modelled beyond its capacity, and the holders of
@@ -122,7 +125,8 @@
 		w := WorkerCaches{Capacity: capacity(500)}
 		now := time.Now()
 		for range rapid.IntRange(1, 60).Draw(t, "uses") {
-			u := use("w"+strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "worker")), strconv.Itoa(rapid.IntRange(0, 9).Draw(t, "segment")),
+			u := use("w"+strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "worker")),
+				strconv.Itoa(rapid.IntRange(0, 9).Draw(t, "segment")),
 				rapid.IntRange(0, 300).Draw(t, "tokens"), rapid.IntRange(-5, 300).Draw(t, "unshared"))
 			u.Salt = SegmentSalt{Model: "m", Version: int64(rapid.IntRange(1, 3).Draw(t, "version"))}.String()
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond)
--- a/core/home/assignments.go
+++ b/core/home/assignments.go
@@ -116,7 +116,8 @@
 	w := workerLoad{
 		Weights: []string{},
 		Worker:  f.worker, Queued: l.QueuedTokens, Running: l.Running, Free: l.FreeBlocks, Total: l.TotalBlocks,
-		Speed: float32(l.PrefillTokensPerSecond), BlockBytes: l.BlockBytes, Loading: l.Loading, Incarnation: l.Incarnation,
+		Speed: float32(l.PrefillTokensPerSecond), BlockBytes: l.BlockBytes, Loading: l.Loading,
+		Incarnation: l.Incarnation,
 	}
 	for _, v := range l.Weights {
 		base := cache.Salt{Model: v.Model, WeightVersion: v.Version}
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -81,7 +81,10 @@
 
 // New returns an Owner and registers its messages with the fleet.
 func New(o Options) *Owner {
-	h := &Owner{o: o, loads: loads{onReplaced: o.IncarnationReplaced}, exports: make(chan export, maxExports), downUntil: map[string]time.Time{}}
+	h := &Owner{
+		o: o, loads: loads{onReplaced: o.IncarnationReplaced},
+		exports: make(chan export, maxExports), downUntil: map[string]time.Time{},
+	}
 	h.assignments.owner = h
 	m := o.Fleet.Mux()
 	m.Register(kindPlace, wire.Handle(h.place))
@@ -267,7 +270,8 @@
 		}
 		t := snap.Target(name)
 		w := route.Worker{
-			Name: name, QueuedTokens: load.tokensAhead, FreeBlocks: max(1, load.availableBlocks), Running: load.Running, PrefillPerSecond: float64(load.Speed),
+			Name: name, QueuedTokens: load.tokensAhead, FreeBlocks: max(1, load.availableBlocks),
+			Running: load.Running, PrefillPerSecond: float64(load.Speed),
 			OneWayLatency: distance(t.Domain == h.o.Domain),
 		}
 		if w.PrefillPerSecond == 0 {
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -39,7 +39,8 @@
 
 	l.set(workerLoad{Worker: "w", Queued: []int{0, 1000}, Total: 300}, baseTime.Add(reportLag/2))
 	w, _ = l.load("w", 1, baseTime.Add(reportLag/2))
-	g.Expect(w.tokensAhead).To(gomega.Equal(2000), "a report that may not include the request does not remove it from pending")
+	g.Expect(w.tokensAhead).To(gomega.Equal(2000),
+		"a report that may not include the request does not remove it from pending")
 	l.removePending("w", "r")
 	w, _ = l.load("w", 1, baseTime.Add(reportLag/2))
 	g.Expect(w.tokensAhead).To(gomega.Equal(1000))
@@ -60,7 +61,8 @@
 	g.Expect(ok).To(gomega.BeFalse())
 	ready, total := l.ready([]string{"w", "v"}, "m@v1", baseTime)
 	g.Expect([]int{ready, total}).To(gomega.Equal([]int{1, 1}))
-	g.Expect(l.set(workerLoad{Worker: "w", AgeMillis: 60000}, baseTime)).To(gomega.BeFalse(), "an older report is ignored")
+	g.Expect(l.set(workerLoad{Worker: "w", AgeMillis: 60000}, baseTime)).To(gomega.BeFalse(),
+		"an older report is ignored")
 }
 
 func TestLoadsSendOnlyChanges(t *testing.T) {
@@ -197,7 +199,10 @@
 		{Seq: 2, Kind: conf.KindTarget, Name: "w", Spec: spec(`{"type":"engine","url":"http://127.0.0.1:1","deployments":["d"]}`)},
 	}})
 	h := New(Options{Placement: route.LowestCost, Conf: store, Fleet: f, Log: &event.Log{}})
-	req := &PlacementRequest{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
+	req := &PlacementRequest{
+		Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"},
+		Tokens: 10,
+	}
 	_, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
 	h.loads.set(workerLoad{Worker: "w", Weights: []string{"m@v1"}, Speed: 8000}, time.Now())
@@ -211,7 +216,8 @@
 func TestUnconfiguredDaemonDoesNotPlaceRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := New(Options{
-		Placement: route.LowestCost, Conf: conf.NewStore(&event.Log{}), Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
+		Placement: route.LowestCost, Conf: conf.NewStore(&event.Log{}),
+		Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
 	})
 	_, err := h.place(context.Background(), "peer", &PlacementRequest{Chain: []cache.Hash{{1}}})
 	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
--- a/core/home/loads.go
+++ b/core/home/loads.go
@@ -133,7 +133,8 @@
 // sameLoad reports whether two reports have the same content apart from their age.
 func sameLoad(a, b workerLoad) bool {
 	return slices.Equal(a.Queued, b.Queued) && slices.Equal(a.Weights, b.Weights) && a.Running == b.Running &&
-		a.Incarnation == b.Incarnation && a.Free == b.Free && a.Total == b.Total && a.Speed == b.Speed && a.Loading == b.Loading
+		a.Incarnation == b.Incarnation && a.Free == b.Free && a.Total == b.Total &&
+		a.Speed == b.Speed && a.Loading == b.Loading
 }
 
 // unfollow records that a worker is no longer followed here.
--- a/core/home/transfer.go
+++ b/core/home/transfer.go
@@ -126,7 +126,10 @@
 // importContext makes the chosen worker read blocks from a store and records the result.
 // After a failure the worker computes the blocks again.
 func (h *Owner) importContext(ctx context.Context, snap *conf.Snapshot, req *PlacementRequest, root cache.Hash, found manifests, imp route.Import, ans *PlacementResult) {
-	ref := event.Ref{Request: req.Request, Context: root.String(), Organisation: req.Salt.Organisation, Target: ans.Worker}
+	ref := event.Ref{
+		Request: req.Request, Context: root.String(), Organisation: req.Salt.Organisation,
+		Target: ans.Worker,
+	}
 	n, bytes, err := h.importBlocks(ctx, snap, req, root, found[imp.Store], imp, ans.Worker)
 	h.stats.LinkBytes.Add(bytes)
 	ans.LinkBytes = bytes
@@ -244,7 +247,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		// If the notification is lost, the scheduler ends the transfer after grantTimeout.
-		_ = h.o.Fleet.Notify(ctx, name, kindLinkRelease, &linkRelease{Store: store, ID: grant.ID, Bytes: n, Took: took})
+		_ = h.o.Fleet.Notify(ctx, name, kindLinkRelease,
+			&linkRelease{Store: store, ID: grant.ID, Bytes: n, Took: took})
 	}, nil
 }
 
--- a/core/learn/links.go
+++ b/core/learn/links.go
@@ -112,7 +112,8 @@
 	defer l.linksMu.Unlock()
 	l.addCopy(from, to, duration, now)
 	if len(l.unreported.Copies) < maxReported {
-		l.unreported.Copies = append(l.unreported.Copies, linkCopy{From: from, To: to, Micros: duration.Microseconds()})
+		l.unreported.Copies = append(l.unreported.Copies,
+			linkCopy{From: from, To: to, Micros: duration.Microseconds()})
 	}
 }
 
--- a/core/learn/links_test.go
+++ b/core/learn/links_test.go
@@ -55,7 +55,8 @@
 	local.Told()
 	remote.Receive("local", raw)
 	g.Expect(remote.State("store", now).Wait).To(gomega.BeNumerically("~", time.Second, 100*time.Millisecond))
-	g.Expect(remote.State("store", now).Slowdown).To(gomega.BeNumerically("~", local.State("store", now).Slowdown, 0.01))
+	g.Expect(remote.State("store", now).Slowdown).To(
+		gomega.BeNumerically("~", local.State("store", now).Slowdown, 0.01))
 	report, ok := local.Collect(false).(*linkReport)
 	g.Expect(ok).To(gomega.BeTrue())
 	g.Expect(report.Copies).To(gomega.HaveLen(1))
@@ -85,7 +86,8 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			l.Receive("faulty", raw)
 			st := l.State("store", time.Now())
-			g.Expect(st.Slowdown).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", maxLinkSlowdown)))
+			g.Expect(st.Slowdown).To(gomega.And(gomega.BeNumerically(">=", 1),
+				gomega.BeNumerically("<=", maxLinkSlowdown)))
 			g.Expect(st.Wait).To(gomega.BeNumerically("<=", maxBusy))
 			g.Expect(l.Rejected()).To(gomega.Equal(tc.rejected))
 		})
--- a/core/learn/targets_test.go
+++ b/core/learn/targets_test.go
@@ -42,7 +42,8 @@
 		l.ObserveResponse([]string{"a", "b"}[i%2], "s", i%10 != 0 && i%10 != 1, now)
 	}
 	g.Expect(l.State("new", "s", now).FailureShare).To(gomega.BeNumerically("~", 0.2, 0.05))
-	g.Expect(l.State("a", "s", now).FailureShare).To(gomega.BeNumerically("~", l.State("b", "s", now).FailureShare, 0.1))
+	g.Expect(l.State("a", "s", now).FailureShare).To(
+		gomega.BeNumerically("~", l.State("b", "s", now).FailureShare, 0.1))
 }
 
 func TestOneSlowResponseHardlyChangesSlowdown(t *testing.T) {
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -40,7 +40,8 @@
 // vector returns the values that the coefficients are multiplied by.
 func (f Factors) vector() [numFactors]float64 {
 	return [numFactors]float64{
-		1, float64(f.OwnTokens) / tokenUnit, float64(f.QueuedTokens) / tokenUnit, f.Utilisation, f.QueuedPerSlot, f.MemoryPressure,
+		1, float64(f.OwnTokens) / tokenUnit, float64(f.QueuedTokens) / tokenUnit, f.Utilisation,
+		f.QueuedPerSlot, f.MemoryPressure,
 	}
 }
 
@@ -67,7 +68,8 @@
 // vector returns the coefficients of the prior in seconds.
 func (p *Prior) vector() [numFactors]float64 {
 	return [numFactors]float64{
-		p.Fixed.Seconds(), p.PerThousandOwn.Seconds(), p.PerThousandQueued.Seconds(), p.Utilisation.Seconds(), p.QueuedPerSlot.Seconds(), p.MemoryPressure.Seconds(),
+		p.Fixed.Seconds(), p.PerThousandOwn.Seconds(), p.PerThousandQueued.Seconds(),
+		p.Utilisation.Seconds(), p.QueuedPerSlot.Seconds(), p.MemoryPressure.Seconds(),
 	}
 }
 
--- a/core/learn/times_test.go
+++ b/core/learn/times_test.go
@@ -13,7 +13,8 @@
 // prior returns the prior of the tests.
 func prior() *Prior {
 	return &Prior{
-		Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond,
+		Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond,
+		PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond,
 		QueuedPerSlot: time.Second, MemoryPressure: 300 * time.Millisecond, LogStdDev: 0.5, Observations: 5,
 	}
 }
@@ -91,8 +92,11 @@
 		l, now := NewTimes(), time.Now()
 		for range rapid.IntRange(0, 60).Draw(t, "observations") {
 			f := Factors{
-				OwnTokens: rapid.IntRange(0, 1<<24).Draw(t, "own"), QueuedTokens: rapid.IntRange(0, 1<<26).Draw(t, "before"),
-				Utilisation: rapid.Float64Range(0, 1).Draw(t, "utilisation"), QueuedPerSlot: rapid.Float64Range(0, 50).Draw(t, "queued per slot"), MemoryPressure: rapid.Float64Range(0, 2).Draw(t, "memory pressure"),
+				OwnTokens:      rapid.IntRange(0, 1<<24).Draw(t, "own"),
+				QueuedTokens:   rapid.IntRange(0, 1<<26).Draw(t, "queued"),
+				Utilisation:    rapid.Float64Range(0, 1).Draw(t, "utilisation"),
+				QueuedPerSlot:  rapid.Float64Range(0, 50).Draw(t, "queued per slot"),
+				MemoryPressure: rapid.Float64Range(0, 2).Draw(t, "memory pressure"),
 			}
 			took := time.Duration(rapid.Int64Range(-int64(time.Hour), int64(time.Hour)).Draw(t, "took"))
 			// The clock may stand still or go back.
@@ -144,5 +148,6 @@
 	g.Expect(budget).To(gomega.BeNumerically(">", 25*time.Millisecond))
 	g.Expect(budget).To(gomega.BeNumerically("<", 110*time.Millisecond))
 	g.Expect(e.WaitBudget(35*time.Millisecond, expected, expected, 0.1)).To(gomega.Equal(35*time.Millisecond), "too little time remains for another target")
-	g.Expect(e.WaitBudget(time.Second, expected, 3*time.Second, 0.1)).To(gomega.Equal(time.Second), "the other target is not more likely")
+	g.Expect(e.WaitBudget(time.Second, expected, 3*time.Second, 0.1)).To(gomega.Equal(time.Second),
+		"the other target is not more likely")
 }
--- a/core/relay/admit.go
+++ b/core/relay/admit.go
@@ -80,7 +80,8 @@
 // the daemon may have missed a change, it refuses as not ready instead.
 func (p *proxiedRequest) refuseUnknown(status int, code entry.Code, text string) *entry.Refusal {
 	if !p.relay.options.ConfigCurrent() {
-		return p.refuseFor(entry.CodeNotReady, "the daemon does not know whether its configuration is current: "+text, p.relay.options.ViewAge())
+		return p.refuseFor(entry.CodeNotReady,
+			"the daemon does not know whether its configuration is current: "+text, p.relay.options.ViewAge())
 	}
 	return entry.NewRefusal(status, code, entry.NotRun, text, 0)
 }
@@ -148,12 +149,16 @@
 		return nil
 	}
 	p.relay.options.Stats.Blocked.Inc()
-	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeCrashesTargets, entry.NotRun, crashesTargets, remaining)
+	return entry.NewRefusal(http.StatusServiceUnavailable, entry.CodeCrashesTargets, entry.NotRun,
+		crashesTargets, remaining)
 }
 
 // requestDigest returns the digest that identifies equal requests.
 func (p *proxiedRequest) requestDigest() poison.Digest {
-	return poison.DigestOf(&poison.Request{Organisation: p.organisationName(), Method: p.r.Method, Host: p.r.Host, URI: p.r.RequestURI, Body: p.body})
+	return poison.DigestOf(&poison.Request{
+		Organisation: p.organisationName(), Method: p.r.Method, Host: p.r.Host, URI: p.r.RequestURI,
+		Body: p.body,
+	})
 }
 
 // readAll appends everything that r yields to b, using the free capacity of b first.
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -85,7 +85,8 @@
 func (p *proxiedRequest) waitBudget(ctx context.Context, c *choice) (context.Context, context.CancelFunc) {
 	now := time.Now()
 	remaining := p.route.LatencyObjective - now.Sub(p.start)
-	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.MaxAttempts || remaining <= 0 || c.onlyCandidate || p.relay.options.Disabled.WaitBudget {
+	if p.route.Kind != table.Repeatable || p.executions+1 >= p.route.MaxAttempts || remaining <= 0 ||
+		c.onlyCandidate || p.relay.options.Disabled.WaitBudget {
 		return context.WithCancel(ctx)
 	}
 	budget := p.estimate(now).WaitBudget(remaining, c.evaluation.Expected, c.evaluation.Expected, retryAdvantage)
@@ -137,7 +138,8 @@
 // may have crashed the target, and its caller may repeat it.
 func (p *proxiedRequest) recordDisconnect(c *choice) {
 	if _, shuttingDown := p.relay.options.Roster.ShuttingDown(c.target); !shuttingDown {
-		p.relay.options.Poison.RecordLostConnection(p.digest, p.organisationName(), c.target.ID(), c.target.Entry().Address)
+		p.relay.options.Poison.RecordLostConnection(p.digest, p.organisationName(), c.target.ID(),
+			c.target.Entry().Address)
 	}
 }
 
@@ -162,7 +164,8 @@
 	switch {
 	case respMeta.AttemptID != "" && respMeta.AttemptID != p.meta.AttemptID, respMeta.AttemptID == "" && !respMeta.NotExecuted && !misdirected:
 		p.relay.options.Stats.MismatchedResponses.Inc()
-		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(), "the response is for request "+strconv.Quote(respMeta.AttemptID))
+		p.relay.options.Log.Emit(event.AnswerRejected, p.ref(),
+			"the response is for request "+strconv.Quote(respMeta.AttemptID))
 		resp.Discard()
 		p.attempts++
 		p.executions++
@@ -222,7 +225,10 @@
 	s.LastEventID = p.lastEventID
 	s.Organisation = p.organisationName()
 	p.relay.options.Dialect.WriteAttempt(h, &s)
-	out := &target.Request{Method: p.r.Method, URI: p.r.RequestURI, Host: p.r.Host, Header: h, Body: p.body, BeforeWrite: p.availabilityCheck(c)}
+	out := &target.Request{
+		Method: p.r.Method, URI: p.r.RequestURI, Host: p.r.Host, Header: h, Body: p.body,
+		BeforeWrite: p.availabilityCheck(c),
+	}
 	if !p.route.MayRepeat() {
 		out.MaxIdle = maxIdleForOnce
 	}
--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -109,13 +109,19 @@
 		candidates[i] = alternatives[i].candidate
 	}
 	input, estimate := p.routeInput(len(targets), share, now), p.estimate(now)
-	placementInput := route.PlacementInput{ContextHash: p.contextHash(), Turn: p.relay.choiceCount.Add(1), Random: randomFraction()}
-	index, evaluation := route.PickWith(p.placement(svc), &input, candidates, estimate, &p.relay.options.Costs, placementInput)
+	placementInput := route.PlacementInput{
+		ContextHash: p.contextHash(), Turn: p.relay.choiceCount.Add(1), Random: randomFraction(),
+	}
+	index, evaluation := route.PickWith(p.placement(svc), &input, candidates, estimate,
+		&p.relay.options.Costs, placementInput)
 	if index < 0 {
 		return nil, reason
 	}
 	best := &alternatives[index]
-	out := &choice{target: best.eligible.target, plan: best.plan, eligible: best.eligible, candidate: best.candidate, onlyCandidate: len(targets) == 1, evaluation: evaluation}
+	out := &choice{
+		target: best.eligible.target, plan: best.plan, eligible: best.eligible,
+		candidate: best.candidate, onlyCandidate: len(targets) == 1, evaluation: evaluation,
+	}
 	out.factors = best.candidate.Factors(&input)
 	out.baseline = estimate.Time(out.factors)
 	p.fillMetadata(svc, out)
@@ -182,7 +188,8 @@
 // the fraction of the service's targets that they were taken from.
 func (p *proxiedRequest) routeInput(targets int, share float64, now time.Time) route.PickRequest {
 	out := route.PickRequest{
-		Tokens: p.meta.PromptTokens, Bytes: p.bodyBytes, Objective: p.route.LatencyObjective, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
+		Tokens: p.meta.PromptTokens, Bytes: p.bodyBytes, Objective: p.route.LatencyObjective,
+		Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
 		UtilityRate: share * p.relay.utilityRate(p.service, targets, now),
 	}
 	if p.relay.options.Disabled.QueueCost {
@@ -196,8 +203,11 @@
 func (p *proxiedRequest) candidate(svc *table.Service, t eligibleTarget) route.Candidate {
 	disabled := &p.relay.options.Disabled
 	c := route.Candidate{
-		Running: t.load.Running, Slots: max(1, t.entry.Slots), QueuedTokens: t.load.QueuedTokens, OccupiedTokens: t.load.OccupiedTokens,
-		CrossDomain: t.entry.Domain != p.originDomain && !disabled.LocalDomain, NoConnection: (p.remote || !p.relay.options.Pool.HasIdle(t.entry.Address)) && !disabled.OpenConnections, Lapsed: t.health.Lapsed,
+		Running: t.load.Running, Slots: max(1, t.entry.Slots), QueuedTokens: t.load.QueuedTokens,
+		OccupiedTokens: t.load.OccupiedTokens,
+		CrossDomain:    t.entry.Domain != p.originDomain && !disabled.LocalDomain,
+		NoConnection: (p.remote || !p.relay.options.Pool.HasIdle(t.entry.Address)) &&
+			!disabled.OpenConnections, Lapsed: t.health.Lapsed,
 		FailureShare: t.state.FailureShare, Slowdown: t.state.Slowdown,
 	}
 	if svc.Engine != nil {
@@ -260,7 +270,9 @@
 	}
 	candidate := &c.candidate
 	p.note("cached %d and copied %d of %d shared tokens, prompt %d tokens, queued %d tokens, running %d, held %d tokens, expected %s, on-time chance %.2f, utility %.2f, weights %d",
-		candidate.CachedTokens, candidate.CopiedTokens, p.sharedTokens(), p.meta.PromptTokens, candidate.QueuedTokens, candidate.Running, candidate.OccupiedTokens, c.evaluation.Expected.Round(time.Millisecond),
+		candidate.CachedTokens, candidate.CopiedTokens, p.sharedTokens(), p.meta.PromptTokens,
+		candidate.QueuedTokens, candidate.Running, candidate.OccupiedTokens,
+		c.evaluation.Expected.Round(time.Millisecond),
 		c.evaluation.WithinObjective, c.evaluation.NetUtility, c.attemptMeta.WeightVersion)
 }
 
--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -85,12 +85,14 @@
 			continue
 		}
 		p.limitConnections(svc, candidate.entry.Address, false)
-		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) || p.relay.options.Pool.FreeCapacity(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
+		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) ||
+			p.relay.options.Pool.FreeCapacity(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
 			unavailable.full++
 			continue
 		}
 		candidate.weightVersion = candidate.entry.Weights[p.meta.Model]
-		if svc.Engine != nil && reloading[t.ID()] && candidate.weightVersion < p.relay.options.DesiredWeights(p.meta.Model) {
+		if svc.Engine != nil && reloading[t.ID()] &&
+			candidate.weightVersion < p.relay.options.DesiredWeights(p.meta.Model) {
 			unavailable.full++
 			continue
 		}
@@ -133,7 +135,8 @@
 
 // unavailability counts the targets that may not get a request, by reason.
 type unavailability struct {
-	full, suspects, outdated, evacuated, outsideRegions, shuttingDown, underPushback, rateLimited, excludedVersions int
+	full, suspects, outdated, evacuated, outsideRegions, shuttingDown, underPushback, rateLimited,
+	excludedVersions int
 	// skipped lists the first few targets that are skipped for their self-reported state, for the
 	// log.
 	skipped []string
@@ -150,7 +153,8 @@
 // count counts a target that is unavailable to this daemon. duration is what is known of how long
 // that lasts; see roster.Availability.Reason.
 func (u *unavailability) count(id string, reason roster.UnavailabilityReason, duration time.Duration) {
-	if (reason == roster.ShuttingDown || reason == roster.UnderPushback || reason == roster.RateLimited) && len(u.skipped) < maxSkippedNoted {
+	if (reason == roster.ShuttingDown || reason == roster.UnderPushback || reason == roster.RateLimited) &&
+		len(u.skipped) < maxSkippedNoted {
 		u.skipped = append(u.skipped, id+" "+reason.String())
 	}
 	switch reason {
--- a/core/relay/feedback.go
+++ b/core/relay/feedback.go
@@ -48,7 +48,10 @@
 func (rl *Relay) retryBudget(service string) *route.RetryBudget {
 	a := rl.retryBudgets[service]
 	if a == nil {
-		a = &route.RetryBudget{RetriesPerRequest: rl.options.RetryShare * retryBudgetUse, Window: rl.options.RetryWindow}
+		a = &route.RetryBudget{
+			RetriesPerRequest: rl.options.RetryShare * retryBudgetUse,
+			Window:            rl.options.RetryWindow,
+		}
 		rl.retryBudgets[service] = a
 	}
 	a.ExtraRetries = rl.options.RetryExtra * retryBudgetUse / float64(max(1, rl.options.DaemonCount()))
@@ -86,7 +89,8 @@
 	now := time.Now()
 	took := now.Sub(sent)
 	if c.baseline > 0 {
-		p.relay.options.Canary.RecordTime(p.service, p.route.Name, c.target.Entry().Version, float64(took)/float64(c.baseline))
+		p.relay.options.Canary.RecordTime(p.service, p.route.Name, c.target.Entry().Version,
+			float64(took)/float64(c.baseline))
 	}
 	if p.forecast != nil && p.forecast.FirstMillis == 0 && p.attempts <= 1 {
 		p.forecast.FirstMillis = event.Millis(took)
--- a/core/relay/finish.go
+++ b/core/relay/finish.go
@@ -81,7 +81,8 @@
 		version = p.table.Version()
 	}
 	text := fmt.Sprintf("took %s%s, asks %s, configuration %d, view age %s, attempts %d, executions %d; %s",
-		took.Round(time.Millisecond), first, p.digest, version, p.relay.options.ViewAge().Round(10*time.Millisecond), p.attempts, p.executions, strings.Join(p.notes, "; "))
+		took.Round(time.Millisecond), first, p.digest, version,
+		p.relay.options.ViewAge().Round(10*time.Millisecond), p.attempts, p.executions, strings.Join(p.notes, "; "))
 	if p.forecast != nil {
 		p.forecast.Sends = p.attempts
 	}
@@ -95,6 +96,7 @@
 	}
 	p.forecast = &event.Forecast{
 		Service: p.service, Target: c.target.ID(), ExpectedMillis: event.Millis(c.evaluation.Expected),
-		InTime: c.evaluation.WithinObjective, Served: c.evaluation.BeforeDeadline, AimMillis: event.Millis(p.route.LatencyObjective - time.Since(p.start)),
+		InTime: c.evaluation.WithinObjective, Served: c.evaluation.BeforeDeadline,
+		AimMillis: event.Millis(p.route.LatencyObjective - time.Since(p.start)),
 	}
 }
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -167,7 +167,8 @@
 func (r *placementResponse) entry(service, model string) roster.Entry {
 	e := &r.Entry
 	return roster.Entry{
-		ID: r.Target, Name: e.Name, Started: e.Started, Service: service, Address: e.Address, Domain: e.Domain, Version: e.Version, Slots: e.Slots,
+		ID: r.Target, Name: e.Name, Started: e.Started, Service: service, Address: e.Address,
+		Domain: e.Domain, Version: e.Version, Slots: e.Slots,
 		Weights: map[string]int64{model: r.WeightVersion},
 	}
 }
@@ -176,23 +177,46 @@
 func newPlacementResponse(c *choice, age time.Duration) *placementResponse {
 	f, candidate, evaluation, e := &c.factors, &c.candidate, &c.evaluation, c.target.Entry()
 	return &placementResponse{
-		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.WeightVersion, CopyFrom: c.attemptMeta.CopyFrom, CopyDeadline: c.attemptMeta.CopyDeadline, StoreTo: c.attemptMeta.StoreTo,
-		OwnTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Utilisation: f.Utilisation, QueuedPerSlot: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
-		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens, Running: candidate.Running, OccupiedTokens: candidate.OccupiedTokens,
-		Expected: evaluation.Expected, Baseline: c.baseline, WithinObjective: evaluation.WithinObjective, BeforeDeadline: evaluation.BeforeDeadline, CallerUtility: evaluation.CallerUtility, NetUtility: evaluation.NetUtility, OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
-		Entry: placementEntry{Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version, Started: e.Started, Slots: e.Slots}, ListAge: age,
+		Target: c.attemptMeta.Target, WeightVersion: c.attemptMeta.WeightVersion,
+		CopyFrom: c.attemptMeta.CopyFrom, CopyDeadline: c.attemptMeta.CopyDeadline, StoreTo: c.attemptMeta.StoreTo,
+		OwnTokens: f.OwnTokens, QueuedTokens: f.QueuedTokens, Utilisation: f.Utilisation,
+		QueuedPerSlot: f.QueuedPerSlot, MemoryPressure: f.MemoryPressure,
+		CachedTokens: candidate.CachedTokens, CopiedTokens: candidate.CopiedTokens,
+		Running: candidate.Running, OccupiedTokens: candidate.OccupiedTokens,
+		Expected: evaluation.Expected, Baseline: c.baseline,
+		WithinObjective: evaluation.WithinObjective, BeforeDeadline: evaluation.BeforeDeadline,
+		CallerUtility: evaluation.CallerUtility, NetUtility: evaluation.NetUtility,
+		OnlyCandidate: c.onlyCandidate, PermitHeld: c.permit.Taken,
+		Entry: placementEntry{
+			Name: e.Name, Address: e.Address, Domain: e.Domain, Version: e.Version,
+			Started: e.Started, Slots: e.Slots,
+		}, ListAge: age,
 	}
 }
 
 // choice returns the choice for a prompt of some tokens.
 func (r *placementResponse) choice(t *roster.Target, tokens int) *choice {
 	return &choice{
-		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate, permit: roster.Permit{Taken: r.PermitHeld, Remote: true},
-		attemptMeta: AttemptMeta{Target: r.Target, WeightVersion: r.WeightVersion, CopyFrom: r.CopyFrom, CopyDeadline: r.CopyDeadline, StoreTo: r.StoreTo},
-		load:        roster.Load{Running: 1, QueuedTokens: r.OwnTokens, OccupiedTokens: tokens},
-		evaluation:  route.Evaluation{Expected: r.Expected, WithinObjective: r.WithinObjective, BeforeDeadline: r.BeforeDeadline, CallerUtility: r.CallerUtility, NetUtility: r.NetUtility},
-		factors:     learn.Factors{OwnTokens: r.OwnTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Utilisation, QueuedPerSlot: r.QueuedPerSlot, MemoryPressure: r.MemoryPressure},
-		candidate:   route.Candidate{CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running, OccupiedTokens: r.OccupiedTokens, QueuedTokens: r.QueuedTokens},
+		target: t, baseline: r.Baseline, onlyCandidate: r.OnlyCandidate,
+		permit: roster.Permit{Taken: r.PermitHeld, Remote: true},
+		attemptMeta: AttemptMeta{
+			Target: r.Target, WeightVersion: r.WeightVersion, CopyFrom: r.CopyFrom,
+			CopyDeadline: r.CopyDeadline, StoreTo: r.StoreTo,
+		},
+		load: roster.Load{Running: 1, QueuedTokens: r.OwnTokens, OccupiedTokens: tokens},
+		evaluation: route.Evaluation{
+			Expected: r.Expected, WithinObjective: r.WithinObjective,
+			BeforeDeadline: r.BeforeDeadline, CallerUtility: r.CallerUtility,
+			NetUtility: r.NetUtility,
+		},
+		factors: learn.Factors{
+			OwnTokens: r.OwnTokens, QueuedTokens: r.QueuedTokens, Utilisation: r.Utilisation,
+			QueuedPerSlot: r.QueuedPerSlot, MemoryPressure: r.MemoryPressure,
+		},
+		candidate: route.Candidate{
+			CachedTokens: r.CachedTokens, CopiedTokens: r.CopiedTokens, Running: r.Running,
+			OccupiedTokens: r.OccupiedTokens, QueuedTokens: r.QueuedTokens,
+		},
 	}
 }
 
@@ -219,7 +243,8 @@
 func (p *proxiedRequest) chooseByOwner(ctx context.Context, svc *table.Service, local *choice) *choice {
 	now := time.Now()
 	co := p.relay.owners
-	if co == nil || svc.Engine == nil || p.relay.options.Disabled.ContextOwners || now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
+	if co == nil || svc.Engine == nil || p.relay.options.Disabled.ContextOwners ||
+		now.Sub(p.ownerQueried) < ownerQueryInterval || !p.worthQuerying(now) {
 		return nil
 	}
 	peers := co.ownersOf(p.service, p.contextHash(), now)
@@ -227,7 +252,8 @@
 		return nil
 	}
 	c := p.chooseByPeers(ctx, svc, peers, now)
-	if c == nil || (local != nil && local.evaluation.CallerUtility > 0 && local.evaluation.NetUtility > c.evaluation.NetUtility+p.splitCost()) {
+	if c == nil || (local != nil && local.evaluation.CallerUtility > 0 &&
+		local.evaluation.NetUtility > c.evaluation.NetUtility+p.splitCost()) {
 		return nil
 	}
 	return c
@@ -257,11 +283,13 @@
 func (p *proxiedRequest) chooseByPermit(ctx context.Context, svc *table.Service) *choice {
 	now := time.Now()
 	co := p.relay.owners
-	if co == nil || p.relay.options.RankedDaemons == nil || p.rateLimited == nil || now.Sub(p.permitQueried) < ownerQueryInterval {
+	if co == nil || p.relay.options.RankedDaemons == nil || p.rateLimited == nil ||
+		now.Sub(p.permitQueried) < ownerQueryInterval {
 		return nil
 	}
 	p.permitQueried = now
-	peers := co.responsive(p.relay.options.RankedDaemons(p.rateLimited, p.relay.options.Roster.Senders(p.rateLimited)), now)
+	peers := co.responsive(p.relay.options.RankedDaemons(p.rateLimited,
+		p.relay.options.Roster.Senders(p.rateLimited)), now)
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, peer := range peers[:min(len(peers), maxOwnerQueries)] {
 		if c := p.chooseByPeers(ctx, svc, []string{peer}, now); c != nil {
@@ -314,9 +342,13 @@
 // newPlacementRequest returns the query for the request.
 func (p *proxiedRequest) newPlacementRequest(now time.Time) *placementRequest {
 	request := &placementRequest{
-		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.LatencyObjective, Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).IsolatedOrganisation, PromptTokens: p.meta.PromptTokens,
-		BodyBytes: p.bodyBytes, OriginDomain: p.relay.options.Domain, Elapsed: now.Sub(p.start), Remaining: p.deadline.Sub(now),
-		Regions: p.regions, Versions: p.versions, RateLimits: p.relay.options.Roster.RateLimits(p.service), NeedsPermit: p.rateLimited != nil,
+		Service: p.service, Route: p.route.Name, LatencyObjective: p.route.LatencyObjective,
+		Model: p.meta.Model, IsolatedOrganisation: p.cacheSalt(0).IsolatedOrganisation,
+		PromptTokens: p.meta.PromptTokens,
+		BodyBytes:    p.bodyBytes, OriginDomain: p.relay.options.Domain, Elapsed: now.Sub(p.start),
+		Remaining: p.deadline.Sub(now),
+		Regions:   p.regions, Versions: p.versions,
+		RateLimits: p.relay.options.Roster.RateLimits(p.service), NeedsPermit: p.rateLimited != nil,
 	}
 	for _, segment := range p.meta.Segments {
 		request.Segments = append(request.Segments, placementSegment{ID: segment.ID, Tokens: segment.Tokens})
@@ -335,12 +367,14 @@
 	if p.relay.sharded(p.service) && response.ListAge <= maxExternalListAge {
 		t = p.relay.options.Roster.AddExternal(response.entry(p.service, p.meta.Model))
 	}
-	if t == nil || !p.domainAllowed(t.Entry().Domain) || !p.versions.Allows(t.Entry().Version) || (svc.Engine != nil && p.relay.options.WeightsOutdated(p.meta.Model, response.WeightVersion)) {
+	if t == nil || !p.domainAllowed(t.Entry().Domain) || !p.versions.Allows(t.Entry().Version) ||
+		(svc.Engine != nil && p.relay.options.WeightsOutdated(p.meta.Model, response.WeightVersion)) {
 		return nil
 	}
 	availability := p.relay.options.Roster.Availability(time.Now())
 	reason, _ := availability.Reason(t)
-	if (reason != roster.Available && reason != roster.RateLimited) || (availability.RateLimited(t) && !response.PermitHeld) {
+	if (reason != roster.Available && reason != roster.RateLimited) ||
+		(availability.RateLimited(t) && !response.PermitHeld) {
 		return nil
 	}
 	address := t.Entry().Address
@@ -354,7 +388,10 @@
 		c.load = roster.Load{Running: 1}
 		return c
 	}
-	c.report = &ownerReport{owners: owners, peer: peer, name: owners.newPlacementName(), request: request, response: response}
+	c.report = &ownerReport{
+		owners: owners, peer: peer, name: owners.newPlacementName(), request: request,
+		response: response,
+	}
 	return c
 }
 
@@ -403,7 +440,8 @@
 
 // newPlacementName returns a new name for a choice, unique in the fleet.
 func (co *ContextOwners) newPlacementName() string {
-	return co.fleet.View().Self() + "/" + strconv.FormatInt(co.relay.start.UnixNano(), 36) + "/" + strconv.FormatInt(co.sequence.Add(1), 36)
+	return co.fleet.View().Self() + "/" + strconv.FormatInt(co.relay.start.UnixNano(), 36) +
+		"/" + strconv.FormatInt(co.sequence.Add(1), 36)
 }
 
 // ownerReport collects and sends the updates for a choice to the daemon that made it. A nil report
@@ -464,7 +502,10 @@
 // reportEnd reports that the attempt has ended.
 func (o *ownerReport) reportEnd() {
 	if o != nil {
-		o.send(&placementUpdate{Ended: true, Bad: o.bad, NoResponse: o.noResponse, Reloading: o.reloading, ShuttingDown: o.shuttingDown})
+		o.send(&placementUpdate{
+			Ended: true, Bad: o.bad, NoResponse: o.noResponse, Reloading: o.reloading,
+			ShuttingDown: o.shuttingDown,
+		})
 	}
 }
 
--- a/core/relay/owners_test.go
+++ b/core/relay/owners_test.go
@@ -53,7 +53,8 @@
 		// The priors are the times of real engines; those of this rig must not be learned.
 		r.relay.options.Disabled.Times, r.relay.options.Disabled.Targets = true, true
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: 250 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds,
+			HeartbeatInterval: 250 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: &event.Log{},
 		})
 		f.Attach("roster", roster.HeartbeatPart{Roster: r.roster})
 		f.Attach("where", r.relay.options.WorkerCaches)
--- a/core/relay/placements.go
+++ b/core/relay/placements.go
@@ -51,8 +51,12 @@
 		return nil, nil
 	}
 	p := &proxiedRequest{
-		relay: co.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining), table: t, service: request.Service, tried: map[string]int{},
-		meta: RequestMeta{Model: request.Model, PromptTokens: request.PromptTokens}, route: &table.Route{Name: request.Route, LatencyObjective: request.LatencyObjective}, bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true, regions: request.Regions, versions: request.Versions,
+		relay: co.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining),
+		table: t, service: request.Service, tried: map[string]int{},
+		meta:      RequestMeta{Model: request.Model, PromptTokens: request.PromptTokens},
+		route:     &table.Route{Name: request.Route, LatencyObjective: request.LatencyObjective},
+		bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true,
+		regions: request.Regions, versions: request.Versions,
 	}
 	if request.IsolatedOrganisation != "" {
 		p.organisation = &table.Organisation{Name: request.IsolatedOrganisation, Isolated: true}
--- a/core/relay/ratelimit_test.go
+++ b/core/relay/ratelimit_test.go
@@ -61,7 +61,8 @@
 			got := r.send(http.MethodPost, "/again/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
-				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond), "it waited for the permit")
+				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond),
+					"it waited for the permit")
 				return
 			}
 			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "half of the timeout")
@@ -93,7 +94,10 @@
 	unreachable.l.Close()
 	target := r.roster.Target("a")
 	permit := r.waitForPermit(target)
-	p := &proxiedRequest{relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second), tried: map[string]int{}}
+	p := &proxiedRequest{
+		relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second),
+		tried: map[string]int{},
+	}
 	p.r, _ = http.NewRequest(http.MethodPost, "/once/", http.NoBody)
 	p.r.RequestURI = "/once/"
 	p.route = r.relay.Table().Match("h", "/once/")
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -69,7 +69,10 @@
 	e := *r.roster.Target("w1").Entry()
 	e.Domain = "d2"
 	r.roster.Put(e)
-	p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}, regions: regions{{"north"}}}
+	p := &proxiedRequest{
+		relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2],
+		tried: map[string]int{}, regions: regions{{"north"}},
+	}
 	r.relay.owners = &ContextOwners{}
 	response := &placementResponse{Target: "w1", WeightVersion: 1}
 	r.g.Expect(p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, response)).To(gomega.BeNil())
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -151,7 +151,10 @@
 	if o.Canary == nil {
 		o.Canary = &canary.Guard{}
 	}
-	return &Relay{options: o, start: time.Now(), retryBudgets: map[string]*route.RetryBudget{}, arrivalRates: map[string]*learn.Rate{}}
+	return &Relay{
+		options: o, start: time.Now(), retryBudgets: map[string]*route.RetryBudget{},
+		arrivalRates: map[string]*learn.Rate{},
+	}
 }
 
 // SetTable applies a configuration. Running requests keep the one they started with.
@@ -205,7 +208,10 @@
 	if rl.closeConnections.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	p := &proxiedRequest{relay: rl, w: w, r: r, start: time.Now(), suspends: newSuspendDetector(), originDomain: rl.options.Domain, tried: map[string]int{}}
+	p := &proxiedRequest{
+		relay: rl, w: w, r: r, start: time.Now(), suspends: newSuspendDetector(),
+		originDomain: rl.options.Domain, tried: map[string]int{},
+	}
 	refusal := p.admit()
 	if refusal == nil {
 		refusal = p.run()
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -363,7 +363,9 @@
 			for _, store := range []string{"near:1", "far:1"} {
 				r.relay.options.Links.Begin(store, "else", 800*time.Millisecond, time.Now())
 			}
-			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "t2", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 5000}}}, time.Now())
+			r.relay.options.WorkerCaches.RecordUse(cache.Use{
+				Target: "t2", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 5000}},
+			}, time.Now())
 		}, "t2,"},
 		{"no source in time", func(r *rig) {
 			for _, store := range []string{"near:1", "far:1"} {
@@ -412,7 +414,9 @@
 			storeSegment(r, salt, "text")
 			r.relay.options.WorkerCaches.Capacity = func(string) int { return 20000 }
 			now := time.Now()
-			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "t1", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 5000}}}, now)
+			r.relay.options.WorkerCaches.RecordUse(cache.Use{
+				Target: "t1", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 5000}},
+			}, now)
 			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "t1", Salt: salt, Unshared: tc.used}, now)
 			r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "text:5000 own:10")
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
@@ -589,7 +593,10 @@
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			storeSegment(r, salt, "text")
 			// The segment was prefilled recently, so prefilling it again has a cost.
-			r.relay.options.WorkerCaches.RecordUse(cache.Use{Target: "gone", Salt: salt, Segments: []cache.UsedSegment{{ID: "text", Tokens: 400}}}, time.Now())
+			r.relay.options.WorkerCaches.RecordUse(cache.Use{
+				Target: "gone", Salt: salt,
+				Segments: []cache.UsedSegment{{ID: "text", Tokens: 400}},
+			}, time.Now())
 			if tc.queued > 0 {
 				r.relay.options.Links.Begin("store:1", "else", tc.queued, time.Now())
 			}
@@ -640,7 +647,10 @@
 func TestUnblockedRequestStillGetsARefusal(t *testing.T) {
 	r := newRig(t, nil)
 	req := httptest.NewRequest(http.MethodPost, "/once/", nil)
-	p := &proxiedRequest{relay: r.relay, r: req, w: httptest.NewRecorder(), start: time.Now(), deadline: time.Now().Add(time.Second)}
+	p := &proxiedRequest{
+		relay: r.relay, r: req, w: httptest.NewRecorder(), start: time.Now(),
+		deadline: time.Now().Add(time.Second),
+	}
 	refusal := p.giveUp(nil, crashesTargets)
 	r.g.Expect(refusal).NotTo(gomega.BeNil())
 	r.g.Expect(refusal.Status).To(gomega.Equal(http.StatusServiceUnavailable))
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -29,7 +29,10 @@
 type testDialect struct{}
 
 func (testDialect) ParseRequest(h http.Header) (RequestMeta, error) {
-	meta := RequestMeta{AttemptID: h.Get("Id"), APIKey: h.Get("Key"), Model: h.Get("Model"), LastEventID: h.Get("After")}
+	meta := RequestMeta{
+		AttemptID: h.Get("Id"), APIKey: h.Get("Key"), Model: h.Get("Model"),
+		LastEventID: h.Get("After"),
+	}
 	ms, err := strconv.Atoi(h.Get("Deadline"))
 	if h.Get("Deadline") != "" && err != nil {
 		return meta, err
@@ -63,8 +66,10 @@
 	return ResponseMeta{
 		RateLimit: roster.RateLimit{Stated: err == nil, PerSecond: rate},
 
-		AttemptID: h.Get("Id"), Signed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "", Target: h.Get("Run"),
-		WeightVersion: version, Encoded: h.Get("Content-Encoding") != "", ShuttingDown: h.Get("Leaves") != "", Pushback: pushback,
+		AttemptID: h.Get("Id"), Signed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "",
+		Target:        h.Get("Run"),
+		WeightVersion: version, Encoded: h.Get("Content-Encoding") != "",
+		ShuttingDown: h.Get("Leaves") != "", Pushback: pushback,
 	}
 }
 
@@ -125,7 +130,10 @@
 		n := t.count
 		t.count++
 		t.mu.Unlock()
-		t.rig.record(receivedRequest{target: t.id, method: req.Method, uri: req.RequestURI, header: req.Header, body: string(body)})
+		t.rig.record(receivedRequest{
+			target: t.id, method: req.Method, uri: req.RequestURI, header: req.Header,
+			body: string(body),
+		})
 		w := bufio.NewWriter(c)
 		err = t.handle(n)(w, req)
 		w.Flush()
@@ -195,9 +203,21 @@
 
 // Priors and costs, the latter as in the default settings.
 var (
-	enginePrior = learn.Prior{Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond, MemoryPressure: 300 * time.Millisecond, QueuedPerSlot: time.Second, LogStdDev: 0.5, Observations: 5}
-	callPrior   = learn.Prior{Fixed: 40 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5, Observations: 5}
-	testCosts   = route.CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
+	enginePrior = learn.Prior{
+		Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond,
+		PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond,
+		MemoryPressure: 300 * time.Millisecond, QueuedPerSlot: time.Second, LogStdDev: 0.5,
+		Observations: 5,
+	}
+	callPrior = learn.Prior{
+		Fixed: 40 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5,
+		Observations: 5,
+	}
+	testCosts = route.CostModel{
+		UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008,
+		CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03,
+		CrossDomainPerMiB: 4, DelayPenalty: 0.1,
+	}
 )
 
 func newRig(t *testing.T, stores cache.StoreClient) *rig {
@@ -208,9 +228,12 @@
 	r.roster = roster.New(r.log, nil)
 	r.storeIndex = cache.NewStoreIndexes(stores, r.log)
 	r.relay = New(Options{
-		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, StoreIndex: r.storeIndex, WorkerCaches: &cache.WorkerCaches{}, Links: &learn.Links{}, Retention: &learn.Retention{}, Log: r.log, Stats: NewStats(),
+		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, StoreIndex: r.storeIndex,
+		WorkerCaches: &cache.WorkerCaches{}, Links: &learn.Links{}, Retention: &learn.Retention{},
+		Log: r.log, Stats: NewStats(),
 		DesiredWeights: func(string) int64 { return r.desired }, ConfigCurrent: func() bool { return !r.stale }, ConfigOverdue: func() time.Duration { return r.configOverdue }, WeightsOutdated: func(_ string, v int64) bool { return v < r.minWeights }, MayCopy: func() bool { return true },
-		FirstAnswerTimes: learn.NewTimes(), TargetStats: &learn.Targets{}, EnginePrior: enginePrior, CallPrior: callPrior, Costs: testCosts,
+		FirstAnswerTimes: learn.NewTimes(), TargetStats: &learn.Targets{}, EnginePrior: enginePrior,
+		CallPrior: callPrior, Costs: testCosts,
 		DaemonCount: func() int { return 1 }, Rank: func(string, bool) (int, int) { return 0, 1 }, WarmUpFactor: 1, PublishState: func() {}, ViewAge: func() time.Duration { return 0 }, OwnTargets: func(names []string) []string { return names }, RetryShare: 0.2, RetryExtra: 20, RetryWindow: 10 * time.Second,
 	})
 	r.relay.SetTable(table.New(table.Spec{
--- a/core/relay/segments.go
+++ b/core/relay/segments.go
@@ -51,7 +51,8 @@
 // findSegments looks up the shared segments for a version of the weights.
 func (p *proxiedRequest) findSegments(version int64, now time.Time) []sharedSegment {
 	// Segments of superseded weights are about to be freed in the stores.
-	copyable := version >= p.relay.options.DesiredWeights(p.meta.Model) && p.relay.options.MayCopy() && !p.relay.options.Disabled.StoreCopies
+	copyable := version >= p.relay.options.DesiredWeights(p.meta.Model) && p.relay.options.MayCopy() &&
+		!p.relay.options.Disabled.StoreCopies
 	salt := p.cacheSalt(version).String()
 	var out []sharedSegment
 	storeNow := clock.Now()
@@ -67,7 +68,8 @@
 			if t == nil || t.Entry().Weights[p.meta.Model] != version {
 				continue
 			}
-			shared.holders = append(shared.holders, holder{t, f.Depth, p.relay.options.Retention.Probability(p.service, f.Depth, now)})
+			shared.holders = append(shared.holders,
+				holder{t, f.Depth, p.relay.options.Retention.Probability(p.service, f.Depth, now)})
 		}
 		out = append(out, shared)
 	}
@@ -100,7 +102,11 @@
 	best := source{stored: len(segment.stores) > 0}
 	destination := p.relay.options.Links.State(t.entry.Address, now)
 	for _, stored := range segment.stores {
-		p.considerSource(&best, destination, segment, source{address: stored.Address, probability: 1, copyTime: stored.TransferTime(t.entry.Domain), deadline: stored.Deadline}, now)
+		p.considerSource(&best, destination, segment,
+			source{
+				address: stored.Address, probability: 1,
+				copyTime: stored.TransferTime(t.entry.Domain), deadline: stored.Deadline,
+			}, now)
 	}
 	for _, h := range segment.holders {
 		if h.target == t.target {
@@ -110,8 +116,10 @@
 		if h.target.Health(now).Suspect || p.relay.options.Disabled.WorkerCopies {
 			continue
 		}
-		took := workerCopyLatency + table.LinkTime(segment.Tokens*svc.Engine.BytesPerToken, svc.Engine.LinkBitsPerSecond)
-		p.considerSource(&best, destination, segment, source{address: h.target.Entry().Address, probability: h.probability, copyTime: took}, now)
+		took := workerCopyLatency + table.LinkTime(segment.Tokens*svc.Engine.BytesPerToken,
+			svc.Engine.LinkBitsPerSecond)
+		p.considerSource(&best, destination, segment,
+			source{address: h.target.Entry().Address, probability: h.probability, copyTime: took}, now)
 	}
 	return best
 }
@@ -125,7 +133,8 @@
 	if best.address != "" && p.copyCost(&candidate, segment) >= p.copyCost(best, segment) {
 		return
 	}
-	best.address, best.probability, best.copyTime, best.queueTime, best.deadline = candidate.address, candidate.probability, candidate.copyTime, candidate.queueTime, candidate.deadline
+	best.address, best.probability, best.copyTime, best.queueTime, best.deadline = candidate.address,
+		candidate.probability, candidate.copyTime, candidate.queueTime, candidate.deadline
 }
 
 // copyCost returns the cost of a copy if the answer waits for nothing else.
@@ -190,7 +199,8 @@
 	for i, segment := range segments {
 		src, tokens := &pl.sources[i], float64(segment.Tokens)
 		// Segments after one that is prefilled are prefilled as well.
-		cachedProbability, availableProbability := prefixProbability*src.cachedProbability, prefixProbability*src.cachedProbability
+		cachedProbability, availableProbability := prefixProbability*src.cachedProbability,
+			prefixProbability*src.cachedProbability
 		if i < pl.copyCount {
 			availableProbability += (prefixProbability - cachedProbability) * src.probability
 		}
@@ -220,7 +230,10 @@
 
 // cacheUse returns the use of a worker's cache by the request.
 func (p *proxiedRequest) cacheUse(t eligibleTarget) cache.Use {
-	use := cache.Use{Target: t.target.ID(), Salt: p.cacheSalt(t.weightVersion).String(), Unshared: p.meta.PromptTokens}
+	use := cache.Use{
+		Target: t.target.ID(), Salt: p.cacheSalt(t.weightVersion).String(),
+		Unshared: p.meta.PromptTokens,
+	}
 	for _, segment := range p.sharedSegments() {
 		use.Segments = append(use.Segments, cache.UsedSegment{ID: segment.ID, Tokens: segment.Tokens})
 		use.Unshared -= segment.Tokens
@@ -254,7 +267,8 @@
 			continue
 		}
 		segment := p.meta.Segments[i]
-		stores[i] = p.relay.options.StoreIndex.ChooseStore(cache.SegmentName{Salt: salt, ID: segment.ID}, segment.Tokens, p.domainAllowed, now)
+		stores[i] = p.relay.options.StoreIndex.ChooseStore(
+			cache.SegmentName{Salt: salt, ID: segment.ID}, segment.Tokens, p.domainAllowed, now)
 		found = found || stores[i] != ""
 	}
 	if found {
--- a/core/relay/selfreport.go
+++ b/core/relay/selfreport.go
@@ -20,7 +20,8 @@
 	if respMeta.Pushback > 0 || respMeta.BadPushback != "" {
 		p.relay.options.Stats.Pushbacks.Inc()
 		p.note("%s sent a pushback of %s%s", c.target.ID(), respMeta.Pushback, respMeta.BadPushback)
-		p.relay.options.Roster.RecordRejection(c.target.ID(), roster.Pushback{Duration: respMeta.Pushback, Invalid: respMeta.BadPushback})
+		p.relay.options.Roster.RecordRejection(c.target.ID(),
+			roster.Pushback{Duration: respMeta.Pushback, Invalid: respMeta.BadPushback})
 	}
 	if l := respMeta.RateLimit; l.Stated || l.Invalid != "" {
 		p.relay.options.Stats.ReportedRateLimit.Inc()
--- a/core/relay/selfreport_test.go
+++ b/core/relay/selfreport_test.go
@@ -88,7 +88,10 @@
 	go func() { first <- r.send(http.MethodPost, "/once/", "x") }()
 	<-arrived
 	// The target is chosen before the report arrives, as in a race for the last connection.
-	p := &proxiedRequest{relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second), tried: map[string]int{}}
+	p := &proxiedRequest{
+		relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second),
+		tried: map[string]int{},
+	}
 	p.r, _ = http.NewRequest(http.MethodPost, "/once/", http.NoBody)
 	p.r.RequestURI = "/once/"
 	p.route = r.relay.Table().Match("h", "/once/")
--- a/core/relay/sharded_test.go
+++ b/core/relay/sharded_test.go
@@ -77,8 +77,14 @@
 			r.relay.owners = &ContextOwners{relay: r.relay, fleet: fleet.New(fleet.Options{Name: "me", Log: r.log})}
 			r.relay.options.Sharded = func(string) bool { return tc.sharded }
 			r.relay.options.CellDaemonCount = func() int { return 1 }
-			p := &proxiedRequest{relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2], tried: map[string]int{}}
-			response := &placementResponse{Target: "w9@1", WeightVersion: 1, ListAge: tc.age, Entry: placementEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4}}
+			p := &proxiedRequest{
+				relay: r.relay, table: r.relay.Table(), service: "llm", route: &testRoutes[2],
+				tried: map[string]int{},
+			}
+			response := &placementResponse{
+				Target: "w9@1", WeightVersion: 1, ListAge: tc.age,
+				Entry: placementEntry{Name: "w9", Address: "127.0.0.1:1", Slots: 4},
+			}
 			c := p.choiceFromResponse(r.relay.Table().Service("llm"), "peer", &placementRequest{}, response)
 			r.g.Expect(c != nil).To(gomega.Equal(tc.want))
 		})
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -33,7 +33,8 @@
 	}
 	s.sharesMu.Lock()
 	defer s.sharesMu.Unlock()
-	if cached := s.services[service]; cached != nil && shardVersion != nil && cached.shardVersion == shardVersion && sameList(cached.all, all) {
+	if cached := s.services[service]; cached != nil && shardVersion != nil &&
+		cached.shardVersion == shardVersion && sameList(cached.all, all) {
 		return cached
 	}
 	var out *targetShare
--- a/core/relay/stats.go
+++ b/core/relay/stats.go
@@ -45,11 +45,15 @@
 		set: set, Requests: c("requests_total"), Done: c("requests_done_total"), Refused: c("requests_refused_total"),
 		Failed: c("requests_failed_total"), AnswersCut: c("answers_cut_total"), CallersGone: c("callers_gone_total"),
 		Attempts: c("sends_total"), Retries: c("sends_repeated_total"), StreamsResumed: c("streams_resumed_total"),
-		MismatchedResponses: c("answers_foreign_total"), NotExecuted: c("targets_refused_total"), Misdirected: c("targets_moved_total"),
-		FirstSeconds: set.NewHistogram("embertally_first_seconds"), TotalSeconds: set.NewHistogram("embertally_whole_seconds"),
-		PromptTokens: c("prompt_tokens_total"), PromptTokensCopied: c("prompt_tokens_copied_total"), PromptTokensCached: c("prompt_tokens_kept_total"),
-		Opened: c("target_connections_opened_total"), Blocked: c("requests_blocked_total"),
-		ReportedShutdown: c("targets_said_leaving_total"), Pushbacks: c("targets_asked_rest_total"), ReportedRateLimit: c("targets_named_limit_total"), RateLimitedAttempts: c("sends_limited_total"),
+		MismatchedResponses: c("answers_foreign_total"), NotExecuted: c("targets_refused_total"),
+		Misdirected:  c("targets_moved_total"),
+		FirstSeconds: set.NewHistogram("embertally_first_seconds"),
+		TotalSeconds: set.NewHistogram("embertally_whole_seconds"),
+		PromptTokens: c("prompt_tokens_total"), PromptTokensCopied: c("prompt_tokens_copied_total"),
+		PromptTokensCached: c("prompt_tokens_kept_total"),
+		Opened:             c("target_connections_opened_total"), Blocked: c("requests_blocked_total"),
+		ReportedShutdown: c("targets_said_leaving_total"), Pushbacks: c("targets_asked_rest_total"),
+		ReportedRateLimit: c("targets_named_limit_total"), RateLimitedAttempts: c("sends_limited_total"),
 	}
 }
 
--- a/core/relay/versions_test.go
+++ b/core/relay/versions_test.go
@@ -37,7 +37,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.relay.options.Canary.CanaryShare = 0.1
-			r.relay.options.Canary.SetOrder(canary.Order{Service: "plain", Version: "v2", Lasts: time.Minute, Revision: 5})
+			r.relay.options.Canary.SetOrder(canary.Order{
+				Service: "plain", Version: "v2", Lasts: time.Minute, Revision: 5,
+			})
 			r.relay.options.Canary.SetState("plain", canary.State{Order: 5, Version: "v2", Phase: tc.phase})
 			for i, version := range tc.targets {
 				id := fmt.Sprintf("%s-%d", version, i)
@@ -56,7 +58,8 @@
 			for _, s := range r.received() {
 				reached[s.target[:2]]++
 			}
-			r.g.Expect(reached["v2"]).To(gomega.And(gomega.BeNumerically(">=", tc.minNew), gomega.BeNumerically("<=", tc.maxNew)))
+			r.g.Expect(reached["v2"]).To(gomega.And(gomega.BeNumerically(">=", tc.minNew),
+				gomega.BeNumerically("<=", tc.maxNew)))
 			if tc.refused {
 				r.g.Expect(refused).To(gomega.Equal(requests))
 				return
--- a/core/relay/warmup_test.go
+++ b/core/relay/warmup_test.go
@@ -68,7 +68,8 @@
 	r.warmUp("cold")
 	got := r.countStatuses(10, "/stream/x", "Model", "m", "Parts", "a:10 b:10")
 	r.g.Expect(got).To(gomega.Equal(map[int]int{200: 10}))
-	r.g.Expect(r.receivedBy("cold")).To(gomega.BeNumerically("<=", 2), "half of its rate: daemons may differ in their views of the fleet")
+	r.g.Expect(r.receivedBy("cold")).To(gomega.BeNumerically("<=", 2),
+		"half of its rate: daemons may differ in their views of the fleet")
 }
 
 func TestSingleWarmingPlainTargetIsRateLimited(t *testing.T) {
@@ -124,7 +125,8 @@
 				r.g.Expect(r.received()).To(gomega.BeEmpty())
 				after, err := time.ParseDuration(got.header.Get("Come-Back"))
 				r.g.Expect(err).NotTo(gomega.HaveOccurred())
-				r.g.Expect(after).To(gomega.BeNumerically(">", 500*time.Millisecond), "the evacuation has lasted for a second")
+				r.g.Expect(after).To(gomega.BeNumerically(">", 500*time.Millisecond),
+					"the evacuation has lasted for a second")
 			}
 		})
 	}
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -29,7 +29,10 @@
 	Evacuated
 )
 
-var reasonNames = [...]string{"open", "gone", "leaves", "changes its weights", "rests", "is over the limit that it named", "does not answer", "evacuated"}
+var reasonNames = [...]string{
+	"open", "gone", "leaves", "changes its weights", "rests", "is over the limit that it named",
+	"does not answer", "evacuated",
+}
 
 // String returns the reason as it appears in log lines.
 func (s UnavailabilityReason) String() string { return reasonNames[s] }
--- a/core/roster/availability_test.go
+++ b/core/roster/availability_test.go
@@ -63,7 +63,8 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	HeartbeatPart{to}.Receive("peer", raw)
 	to.Put(incarnationEntry("a@1000", 1000))
-	g.Expect(to.Admit(to.Target("a@1000"), Permit{})).To(gomega.Equal(Available), "a peer's report of a target that is not listed here is ignored")
+	g.Expect(to.Admit(to.Target("a@1000"), Permit{})).To(gomega.Equal(Available),
+		"a peer's report of a target that is not listed here is ignored")
 	HeartbeatPart{to}.Receive("peer", raw)
 	source, shuttingDown := to.ShuttingDown(to.Target("a@1000"))
 	g.Expect(shuttingDown).To(gomega.BeTrue())
--- a/core/roster/domains.go
+++ b/core/roster/domains.go
@@ -29,7 +29,8 @@
 	case !on && active:
 		current.ended = now
 		next[domain] = current
-		r.log.Emit(event.DomainReturned, event.Ref{Resource: domain}, "after "+now.Sub(current.since).Round(time.Millisecond).String())
+		r.log.Emit(event.DomainReturned, event.Ref{Resource: domain},
+			"after "+now.Sub(current.since).Round(time.Millisecond).String())
 	}
 	r.evacuations.Store(&next)
 }
--- a/core/roster/domains_test.go
+++ b/core/roster/domains_test.go
@@ -65,5 +65,6 @@
 	g.Expect(r.WarmingUp(r.Target("a"), time.Second, now)).To(gomega.BeFalse(), "its entry shows the warm-up as over")
 	e.WarmUp = time.Minute
 	r.Put(e)
-	g.Expect(r.WarmingUp(r.Target("a"), time.Second, now.Add(50*time.Second))).To(gomega.BeTrue(), "its entry shows a new warm-up while it serves")
+	g.Expect(r.WarmingUp(r.Target("a"), time.Second, now.Add(50*time.Second))).To(gomega.BeTrue(),
+		"its entry shows a new warm-up while it serves")
 }
--- a/core/roster/incarnations_test.go
+++ b/core/roster/incarnations_test.go
@@ -72,7 +72,8 @@
 			g.Expect(r.Updating(now)).NotTo(gomega.HaveKey(tc.want))
 			g.Expect(r.Reloading(now)).NotTo(gomega.HaveKey(tc.want))
 			r.RecordVersion("a@1000", "m", 9)
-			g.Expect(got.Entry().Weights).To(gomega.Equal(map[string]int64{"m": 1}), "a late version of the previous incarnation")
+			g.Expect(got.Entry().Weights).To(gomega.Equal(map[string]int64{"m": 1}),
+				"a late version of the previous incarnation")
 		})
 	}
 }
@@ -84,5 +85,6 @@
 	existing := r.Target("a@1000")
 	g.Expect(r.Put(incarnationEntry("a@1000", 1000))).To(gomega.BeNil())
 	g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(existing))
-	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(existing), "the caller closes its connections")
+	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(existing),
+		"the caller closes its connections")
 }
--- a/core/roster/pushback_test.go
+++ b/core/roster/pushback_test.go
@@ -92,12 +92,14 @@
 	r.Put(incarnationEntry("a@1000", 1000))
 	g.Expect(r.Admit(r.Target("a@1000"), Permit{})).To(gomega.Equal(UnderPushback), "its entry shows ready")
 	r.Put(incarnationEntry("a@2000", 2000))
-	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available), "the next incarnation sent no pushback")
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available),
+		"the next incarnation sent no pushback")
 
 	r.RecordRejection("a@2000", Pushback{Duration: time.Minute})
 	clock.Suspend(time.Minute)
 	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available))
-	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(UnderPushback), "the ramp allows one attempt at first")
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(UnderPushback),
+		"the ramp allows one attempt at first")
 	r.RecordAccepted("a@2000")
 	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available))
 }
@@ -126,7 +128,8 @@
 	g.Expect(r.Take("a")).To(gomega.BeFalse())
 	g.Expect(r.RecordAccepted("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
 	for _, incarnation := range []string{"", "1"} {
-		g.Expect(r.Remaining(current(incarnation))).To(gomega.HaveKeyWithValue("a", gomega.BeNumerically("~", time.Minute, 5*time.Second)))
+		g.Expect(r.Remaining(current(incarnation))).To(gomega.HaveKeyWithValue("a",
+			gomega.BeNumerically("~", time.Minute, 5*time.Second)))
 	}
 	g.Expect(r.Remaining(current("2"))).To(gomega.BeEmpty())
 	g.Expect(r.Take("a")).To(gomega.BeTrue())
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -208,7 +208,9 @@
 		// The response may be older than the one that stated the lower rate.
 	case stated.Stated:
 		state.lastStated = now
-		return r.setLimit(id, state, RateLimitUpdate{Active: true, PerSecond: stated.PerSecond, Seq: state.seq + 1}, ByResponse)
+		return r.setLimit(id, state, RateLimitUpdate{
+			Active: true, PerSecond: stated.PerSecond, Seq: state.seq + 1,
+		}, ByResponse)
 	case executed && stated.Invalid == "" && state.active && sent.After(state.lastStated) && sent.After(state.changed):
 		return r.setLimit(id, state, RateLimitUpdate{Seq: state.seq + 1}, ByResponse)
 	}
@@ -334,7 +336,9 @@
 	now := clock.Now()
 	for id, report := range r.selfReports {
 		if report.limit.active && r.targets[id] != nil {
-			out = append(out, RateLimitedTarget{id, report.limit.perSecond, now.Sub(report.limit.changed), report.limit.sends})
+			out = append(out, RateLimitedTarget{
+				id, report.limit.perSecond, now.Sub(report.limit.changed), report.limit.sends,
+			})
 		}
 	}
 	return out
--- a/core/roster/ratelimit_test.go
+++ b/core/roster/ratelimit_test.go
@@ -68,13 +68,17 @@
 			for seed := range uint64(5) {
 				name := fmt.Sprintf("%d daemons, %g a second, seed %d", daemons, perSecond, seed)
 				random := rand.New(rand.NewPCG(seed, 1))
-				sim := &limitSim{random: random, buckets: make([]limitState, daemons), ranks: random.Perm(daemons), total: daemons}
+				sim := &limitSim{
+					random: random, buckets: make([]limitState, daemons),
+					ranks: random.Perm(daemons), total: daemons,
+				}
 				sim.simulate(clock.Now(), perSecond, 5, duration, transit)
 				g := gomega.NewWithT(t)
 				g.Expect(sim.maxArrivals()).To(gomega.BeNumerically("<=", limitBound(perSecond)), name)
 				if used := min(perSecond, float64(min(daemons, minSenders))); perSecond >= minRate {
 					minSent := used * (duration - time.Duration(float64(minSenders)/perSecond*float64(time.Second))).Seconds() / 2
-					g.Expect(float64(len(sim.arrivals))).To(gomega.BeNumerically(">=", minSent), name+": at least half of the limit is used")
+					g.Expect(float64(len(sim.arrivals))).To(gomega.BeNumerically(">=", minSent),
+						name+": at least half of the limit is used")
 				}
 			}
 		}
@@ -187,9 +191,11 @@
 	_, ok = r.TakePermit(target)
 	g.Expect(ok).To(gomega.BeFalse(), "the limit has changed since")
 
-	g.Expect(r.Admit(target, Permit{Taken: true, Remote: true})).To(gomega.Equal(Available), "the remote daemon took a permit")
+	g.Expect(r.Admit(target, Permit{Taken: true, Remote: true})).To(gomega.Equal(Available),
+		"the remote daemon took a permit")
 	clock.Suspend(time.Minute)
-	g.Expect(r.Admit(target, Permit{Remote: true})).To(gomega.Equal(RateLimited), "the remote daemon had recorded no limit")
+	g.Expect(r.Admit(target, Permit{Remote: true})).To(gomega.Equal(RateLimited),
+		"the remote daemon had recorded no limit")
 	g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(Available))
 	g.Expect(r.Admit(target, Permit{})).To(gomega.Equal(RateLimited))
 
--- a/core/roster/restored.go
+++ b/core/roster/restored.go
@@ -39,15 +39,18 @@
 // keeps the entry if so. It is called with rosterMu held.
 func (r *Roster) isStale(e Entry) bool {
 	removed, exists := r.removed[e.ID]
-	if !exists || plat.StoreIncarnation(e.Revision) <= plat.StoreIncarnation(removed.revision) || plat.StoreRevision(e.Revision) > plat.StoreRevision(removed.revision) {
+	if !exists || plat.StoreIncarnation(e.Revision) <= plat.StoreIncarnation(removed.revision) ||
+		plat.StoreRevision(e.Revision) > plat.StoreRevision(removed.revision) {
 		return false
 	}
-	if old, sameName := r.stale[e.Name]; sameName && old.ID == e.ID && plat.StoreIncarnation(old.Revision) == plat.StoreIncarnation(e.Revision) {
+	if old, sameName := r.stale[e.Name]; sameName && old.ID == e.ID &&
+		plat.StoreIncarnation(old.Revision) == plat.StoreIncarnation(e.Revision) {
 		// Unless it is the same entry again, it has changed since the list was restored.
 		return old.Revision == e.Revision
 	}
 	r.stale[e.Name] = e
-	r.log.Emit(event.TargetSuspect, event.Ref{Target: e.ID}, "it was removed before the list was restored from an older copy")
+	r.log.Emit(event.TargetSuspect, event.Ref{Target: e.ID},
+		"it was removed before the list was restored from an older copy")
 	time.AfterFunc(staleEntryTime, func() { r.acceptStale(e) })
 	return true
 }
@@ -56,7 +59,8 @@
 func (r *Roster) acceptStale(e Entry) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
-	if old, exists := r.stale[e.Name]; exists && old.ID == e.ID && old.Revision == e.Revision && r.targets[r.incarnations[e.Name]] == nil {
+	if old, exists := r.stale[e.Name]; exists && old.ID == e.ID && old.Revision == e.Revision &&
+		r.targets[r.incarnations[e.Name]] == nil {
 		r.add(e)
 	}
 }
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -138,9 +138,14 @@
 		lastOutage = func() (clock.Time, time.Duration) { return clock.Time{}, 0 }
 	}
 	r := &Roster{
-		log: log, lastOutage: lastOutage, targets: map[string]*Target{}, incarnations: map[string]string{}, replaced: map[string]string{}, outOfOrder: map[string]Entry{}, removed: map[string]removedIncarnation{}, stale: map[string]Entry{}, peers: map[string]peerLoads{}, peerLoaded: map[string]bool{},
-		reloading: map[string]time.Time{}, peerReloading: map[string]time.Time{}, selfReports: map[string]*selfReport{},
-		updating: map[string]time.Time{}, peerUpdating: map[string]map[string]time.Time{}, versionsSeen: map[string]time.Time{},
+		log: log, lastOutage: lastOutage, targets: map[string]*Target{},
+		incarnations: map[string]string{}, replaced: map[string]string{},
+		outOfOrder: map[string]Entry{}, removed: map[string]removedIncarnation{},
+		stale: map[string]Entry{}, peers: map[string]peerLoads{}, peerLoaded: map[string]bool{},
+		reloading: map[string]time.Time{}, peerReloading: map[string]time.Time{},
+		selfReports: map[string]*selfReport{},
+		updating:    map[string]time.Time{}, peerUpdating: map[string]map[string]time.Time{},
+		versionsSeen: map[string]time.Time{},
 	}
 	r.evacuations.Store(&map[string]evacuation{})
 	return r
--- a/core/roster/target.go
+++ b/core/roster/target.go
@@ -62,7 +62,8 @@
 	t.targetMu.Lock()
 	defer t.targetMu.Unlock()
 	t.lapsedUntil = time.Time{}
-	if old != nil && plat.StoreIncarnation(e.Revision) > plat.StoreIncarnation(old.Revision) && plat.StoreRevision(e.Revision) <= plat.StoreRevision(old.Revision) {
+	if old != nil && plat.StoreIncarnation(e.Revision) > plat.StoreIncarnation(old.Revision) &&
+		plat.StoreRevision(e.Revision) <= plat.StoreRevision(old.Revision) {
 		// The entry is not newer: the list was restored from an older copy.
 		return
 	}
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -13,7 +13,11 @@
 
 // costs returns the cost model of the tests.
 func costs() *CostModel {
-	return &CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
+	return &CostModel{
+		UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008,
+		CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03,
+		CrossDomainPerMiB: 4, DelayPenalty: 0.1,
+	}
 }
 
 // estimate returns the estimate of a prior without observations.
@@ -22,14 +26,18 @@
 // engines returns the estimate for workers that prefill 50 tokens per millisecond.
 func engines() *learn.Estimate {
 	return estimate(learn.Prior{
-		Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond,
+		Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond,
+		PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond,
 		QueuedPerSlot: time.Second, MemoryPressure: 300 * time.Millisecond, LogStdDev: 0.5, Observations: 5,
 	})
 }
 
 // calls returns the estimate for plain targets that take 40 ms.
 func calls() *learn.Estimate {
-	return estimate(learn.Prior{Fixed: 40 * time.Millisecond, Utilisation: 10 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5, Observations: 5})
+	return estimate(learn.Prior{
+		Fixed: 40 * time.Millisecond, Utilisation: 10 * time.Millisecond,
+		QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5, Observations: 5,
+	})
 }
 
 func TestPick(t *testing.T) {
@@ -40,8 +48,14 @@
 		}
 		return c
 	}
-	long := PickRequest{Tokens: 17000, Bytes: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second, UtilityRate: 20}
-	short := PickRequest{Tokens: 400, Bytes: 400, Objective: 600 * time.Millisecond, Remaining: 5 * time.Second, UtilityRate: 20}
+	long := PickRequest{
+		Tokens: 17000, Bytes: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second,
+		UtilityRate: 20,
+	}
+	short := PickRequest{
+		Tokens: 400, Bytes: 400, Objective: 600 * time.Millisecond, Remaining: 5 * time.Second,
+		UtilityRate: 20,
+	}
 	call := PickRequest{Bytes: 600, Objective: 300 * time.Millisecond, Remaining: time.Second, UtilityRate: 10}
 	tests := []struct {
 		name    string
@@ -85,7 +99,10 @@
 // own caller gains, so that its CallerUtility is not positive. The operator's serving
 // costs never make it negative.
 func TestCallerUtilityExcludesServingCosts(t *testing.T) {
-	long := PickRequest{Tokens: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second, UtilityRate: 60}
+	long := PickRequest{
+		Tokens: 17000, Objective: 800 * time.Millisecond, Remaining: 10 * time.Second,
+		UtilityRate: 60,
+	}
 	tests := []struct {
 		name      string
 		candidate Candidate
@@ -109,15 +126,22 @@
 func TestEvaluateIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := PickRequest{
-			Tokens: rapid.IntRange(0, 40000).Draw(t, "tokens"), Objective: time.Duration(rapid.IntRange(0, 2000).Draw(t, "aim")) * time.Millisecond,
-			Elapsed:   time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond,
-			Remaining: time.Duration(rapid.IntRange(-100, 10000).Draw(t, "left")) * time.Millisecond, UtilityRate: rapid.Float64Range(0, 100).Draw(t, "rate"),
+			Tokens:      rapid.IntRange(0, 40000).Draw(t, "tokens"),
+			Objective:   time.Duration(rapid.IntRange(0, 2000).Draw(t, "objective")) * time.Millisecond,
+			Elapsed:     time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond,
+			Remaining:   time.Duration(rapid.IntRange(-100, 10000).Draw(t, "remaining")) * time.Millisecond,
+			UtilityRate: rapid.Float64Range(0, 100).Draw(t, "rate"),
 		}
 		c := Candidate{
-			Running: rapid.IntRange(0, 60).Draw(t, "running"), Slots: rapid.IntRange(0, 20).Draw(t, "slots"), QueuedTokens: rapid.IntRange(0, 90000).Draw(t, "unread"),
-			OccupiedTokens: rapid.IntRange(0, 150000).Draw(t, "occupied"), MemoryTokens: rapid.IntRange(0, 100000).Draw(t, "memory"), CachedTokens: rapid.IntRange(0, 40000).Draw(t, "kept"),
-			RecomputedTokens: rapid.IntRange(0, 40000).Draw(t, "again"), CopyTime: time.Duration(rapid.IntRange(0, 2000).Draw(t, "copy")) * time.Millisecond,
-			FailureShare: rapid.Float64Range(0, 1).Draw(t, "failure share"), Slowdown: rapid.Float64Range(0, 8).Draw(t, "slowdown"),
+			Running: rapid.IntRange(0, 60).Draw(t, "running"),
+			Slots:   rapid.IntRange(0, 20).Draw(t, "slots"), QueuedTokens: rapid.IntRange(0, 90000).Draw(t, "queued"),
+			OccupiedTokens:   rapid.IntRange(0, 150000).Draw(t, "occupied"),
+			MemoryTokens:     rapid.IntRange(0, 100000).Draw(t, "memory"),
+			CachedTokens:     rapid.IntRange(0, 40000).Draw(t, "cached"),
+			RecomputedTokens: rapid.IntRange(0, 40000).Draw(t, "recomputed"),
+			CopyTime:         time.Duration(rapid.IntRange(0, 2000).Draw(t, "copy")) * time.Millisecond,
+			FailureShare:     rapid.Float64Range(0, 1).Draw(t, "failure share"),
+			Slowdown:         rapid.Float64Range(0, 8).Draw(t, "slowdown"),
 		}
 		e := engines()
 		j := Evaluate(&a, &c, e, costs())
@@ -149,7 +173,8 @@
 		list[i] = Candidate{Slots: 4}
 	}
 	for i := range list {
-		chosen, _ := Pick(&PickRequest{Objective: time.Second, Remaining: time.Second}, list, calls(), costs(), float64(i)/4+0.01)
+		chosen, _ := Pick(&PickRequest{Objective: time.Second, Remaining: time.Second}, list, calls(),
+			costs(), float64(i)/4+0.01)
 		g.Expect(chosen).To(gomega.Equal(i))
 	}
 }
@@ -159,9 +184,14 @@
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) {
 			list := make([]Candidate, workers)
 			for i := range list {
-				list[i] = Candidate{Slots: 64, MemoryTokens: 70000, Running: i % 7, QueuedTokens: i * 100, OccupiedTokens: i * 400, CachedTokens: i % 3 * 1000}
+				list[i] = Candidate{
+					Slots: 64, MemoryTokens: 70000, Running: i % 7, QueuedTokens: i * 100,
+					OccupiedTokens: i * 400, CachedTokens: i % 3 * 1000,
+				}
 			}
-			a, e := PickRequest{Tokens: 12000, Objective: time.Second, Remaining: 10 * time.Second, UtilityRate: 14}, engines()
+			a, e := PickRequest{
+				Tokens: 12000, Objective: time.Second, Remaining: 10 * time.Second, UtilityRate: 14,
+			}, engines()
 			b.ReportAllocs()
 			for b.Loop() {
 				Pick(&a, list, e, costs(), 0.3)
--- a/core/route/placement_test.go
+++ b/core/route/placement_test.go
@@ -8,7 +8,11 @@
 )
 
 func TestPickWith(t *testing.T) {
-	list := []Candidate{{Slots: 4, QueuedTokens: 500}, {Slots: 4, QueuedTokens: 900, CachedTokens: 5000}, {Slots: 4, QueuedTokens: 100, RecomputedTokens: 5000}}
+	list := []Candidate{
+		{Slots: 4, QueuedTokens: 500},
+		{Slots: 4, QueuedTokens: 900, CachedTokens: 5000},
+		{Slots: 4, QueuedTokens: 100, RecomputedTokens: 5000},
+	}
 	input := PlacementInput{ContextHash: 7, Turn: 5, Random: 0.5}
 	tests := []struct {
 		placement Placement
@@ -22,7 +26,9 @@
 		{StickyHash, nil, -1},
 	}
 	for _, tc := range tests {
-		at, _ := PickWith(tc.placement, &PickRequest{Tokens: 5100, Objective: time.Second, Remaining: 10 * time.Second}, tc.list, engines(), costs(), input)
+		at, _ := PickWith(tc.placement, &PickRequest{
+			Tokens: 5100, Objective: time.Second, Remaining: 10 * time.Second,
+		}, tc.list, engines(), costs(), input)
 		gomega.NewWithT(t).Expect(at).To(gomega.Equal(tc.want), string(tc.placement))
 	}
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -17,11 +17,17 @@
 }
 
 func worker(name string, cachedBlocks, queuedTokens int) Worker {
-	return Worker{Name: name, CachedBlocks: cachedBlocks, QueuedTokens: queuedTokens, PrefillPerSecond: 8000, OneWayLatency: time.Millisecond}
+	return Worker{
+		Name: name, CachedBlocks: cachedBlocks, QueuedTokens: queuedTokens, PrefillPerSecond: 8000,
+		OneWayLatency: time.Millisecond,
+	}
 }
 
 func stored(blocks int, rate float64) []StoredContext {
-	return []StoredContext{{Store: "s", Blocks: blocks, BlockBytes: 4 << 20, LinkBytesPerSecond: rate, Latency: 3 * time.Millisecond}}
+	return []StoredContext{{
+		Store: "s", Blocks: blocks, BlockBytes: 4 << 20, LinkBytesPerSecond: rate,
+		Latency: 3 * time.Millisecond,
+	}}
 }
 
 func TestPlace(t *testing.T) {
@@ -104,12 +110,14 @@
 		r.Deadline = time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond
 		r.Random = rapid.Float64Range(0, 0.999).Draw(t, "random")
 		r.Weights = CostWeights{
-			FirstToken: rapid.Float64Range(0, 2).Draw(t, "first"), SecondsPerToken: rapid.Float64Range(0, 0.01).Draw(t, "token"),
-			SecondsPerByte: rapid.Float64Range(0, 1e-8).Draw(t, "byte"),
+			FirstToken:      rapid.Float64Range(0, 2).Draw(t, "first"),
+			SecondsPerToken: rapid.Float64Range(0, 0.01).Draw(t, "token"),
+			SecondsPerByte:  rapid.Float64Range(0, 1e-8).Draw(t, "byte"),
 		}
 		var workers []Worker
 		for i := range rapid.IntRange(1, 6).Draw(t, "workers") {
-			w := worker(fmt.Sprint(i), rapid.IntRange(0, 100).Draw(t, "cached"), rapid.IntRange(0, 50000).Draw(t, "queued"))
+			w := worker(fmt.Sprint(i), rapid.IntRange(0, 100).Draw(t, "cached"),
+				rapid.IntRange(0, 50000).Draw(t, "queued"))
 			workers = append(workers, w)
 		}
 		k := stored(rapid.IntRange(0, 100).Draw(t, "stored"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -97,7 +97,10 @@
 
 // NewAppliedValues returns AppliedValues and registers them with the fleet of m.
 func NewAppliedValues(m *WatchCacheSync) *AppliedValues {
-	n := &AppliedValues{watchCache: m.watchCache, fleet: m.fleet, transfers: m.values.transfers, log: m.log, values: map[string]appliedValue{}}
+	n := &AppliedValues{
+		watchCache: m.watchCache, fleet: m.fleet, transfers: m.values.transfers, log: m.log,
+		values: map[string]appliedValue{},
+	}
 	n.fleet.Mux().Register(kindApplied, wire.Handle(n.handleApplied))
 	return n
 }
@@ -239,7 +242,8 @@
 	stored := p.versions()
 	for _, v := range values {
 		if v.newerThan(stored) {
-			p.log.Emit(event.ValueInForce, event.Ref{Resource: v.Key}, "version "+strconv.FormatInt(v.Version, 10)+" from "+p.peer)
+			p.log.Emit(event.ValueInForce, event.Ref{Resource: v.Key},
+				"version "+strconv.FormatInt(v.Version, 10)+" from "+p.peer)
 			p.take(plat.Pair{Key: v.Key, Value: v.Value, ModRevision: v.Revision})
 		}
 	}
--- a/core/spread/applied_test.go
+++ b/core/spread/applied_test.go
@@ -159,7 +159,8 @@
 			store := &memkv.KV{}
 			seeds, listeners := seedsAndListeners(t, 2)
 			peer := fleet.New(fleet.Options{
-				Name: seeds[0].Name, Incarnation: seeds[0].Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+				Name: seeds[0].Name, Incarnation: seeds[0].Name + "-1", Seeds: seeds,
+				HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 			})
 			peer.Mux().Register("spread.inforce", func(context.Context, string, []byte) (any, error) { return &tc.response, nil })
 			peer.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) { return nil, errRejected })
--- a/core/spread/changes.go
+++ b/core/spread/changes.go
@@ -139,7 +139,10 @@
 func (s *WatchCacheSync) fullCopyPage(after string, v *shardView) *changesResponse {
 	rest, revision := s.watchCache.Snapshot(after, v.includes)
 	n := countFitting(rest)
-	return &changesResponse{FullCopy: true, Changes: wireChanges(rest[:n]), Revision: revision, More: n < len(rest), ShardName: v.name}
+	return &changesResponse{
+		FullCopy: true, Changes: wireChanges(rest[:n]), Revision: revision, More: n < len(rest),
+		ShardName: v.name,
+	}
 }
 
 // countFitting returns how many of the changes fit one response; at least one.
@@ -158,7 +161,10 @@
 func wireChanges(changes []plat.Change) []wireChange {
 	out := make([]wireChange, len(changes))
 	for i, c := range changes {
-		out[i] = wireChange{Key: c.Key, Value: c.Value, Revision: c.ModRevision, Deleted: c.Deleted, Unfetched: c.Unfetched}
+		out[i] = wireChange{
+			Key: c.Key, Value: c.Value, Revision: c.ModRevision, Deleted: c.Deleted,
+			Unfetched: c.Unfetched,
+		}
 	}
 	return out
 }
--- a/core/spread/changes_test.go
+++ b/core/spread/changes_test.go
@@ -17,7 +17,8 @@
 func TestAResponseAboutAnotherShardNamesItsRevision(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := &event.Log{}
-	m := NewWatchCacheSync(plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), log), fleet.New(fleet.Options{Name: "me", Log: log}), log)
+	m := NewWatchCacheSync(plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), log),
+		fleet.New(fleet.Options{Name: "me", Log: log}), log)
 	shard := m.fleet.View().Shard()
 	req := &changesRequest{AfterRevision: 3, Shard: shard}
 	v := &shardView{cacheSync: m, name: "shard", shard: shard}
--- a/core/spread/freshest_test.go
+++ b/core/spread/freshest_test.go
@@ -35,7 +35,8 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			log := &event.Log{}
-			m := NewWatchCacheSync(plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), log), fleet.New(fleet.Options{Name: "me", Log: log}), log)
+			m := NewWatchCacheSync(plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), log),
+				fleet.New(fleet.Options{Name: "me", Log: log}), log)
 			m.watchCache.ApplyChanges(nil, 1, answered)
 			m.peerFresh = tc.reported
 			gomega.NewWithT(t).Expect(m.freshestPeer()).To(gomega.Equal(tc.want))
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -68,7 +68,8 @@
 	var out []*domainMember
 	for i, seed := range seeds {
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Domain: seed.Domain, Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Domain: seed.Domain, Seeds: seeds,
+			HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 			Boxes: &reader{list: list}, BoxPollInterval: 50 * time.Millisecond,
 		})
 		m := &domainMember{member: &member{fleet: f}, domain: seed.Domain}
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -45,7 +45,8 @@
 	for i, ownSeeds := range [][]fleet.Peer{seeds, slow} {
 		name := seeds[i].Name
 		f := fleet.New(fleet.Options{
-			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, HeartbeatInterval: heartbeat,
+			SuspectAfter: suspect, Log: &event.Log{},
 		})
 		store := conf.NewStore(&event.Log{})
 		stores = append(stores, store)
--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -125,7 +125,10 @@
 			}
 			wait = 0
 		}
-		req := &indexRequest{Address: address, Since: since, WaitMillis: wait.Milliseconds(), AgeMillis: ageMillis(s.indexes.Age(address, clock.Now()))}
+		req := &indexRequest{
+			Address: address, Since: since, WaitMillis: wait.Milliseconds(),
+			AgeMillis: ageMillis(s.indexes.Age(address, clock.Now())),
+		}
 		got, err := s.request(ctx, source.peer, req)
 		if err != nil {
 			return cache.SegmentEvents{}, err
@@ -273,7 +276,9 @@
 func changesOf(segments []indexedSegment) []cache.SegmentChange {
 	var out []cache.SegmentChange
 	for _, p := range segments {
-		out = append(out, cache.SegmentChange{SegmentName: cache.SegmentName{Salt: p.Salt, ID: p.ID}, Tokens: p.Tokens})
+		out = append(out, cache.SegmentChange{
+			SegmentName: cache.SegmentName{Salt: p.Salt, ID: p.ID}, Tokens: p.Tokens,
+		})
 	}
 	return out
 }
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -50,7 +50,9 @@
 	s.storeMu.Lock()
 	defer s.storeMu.Unlock()
 	s.watching--
-	return cache.SegmentEvents{Epoch: 1, Next: int64(len(s.segments)), Clock: time.Hour, Changes: s.segments[since:]}, ctx.Err()
+	return cache.SegmentEvents{
+		Epoch: 1, Next: int64(len(s.segments)), Clock: time.Hour, Changes: s.segments[since:],
+	}, ctx.Err()
 }
 
 func (s *busyStore) Contents(context.Context, string) (cache.SegmentEvents, error) {
@@ -96,7 +98,8 @@
 	t.Cleanup(wg.Wait)
 	for i, seed := range seeds {
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat,
+			SuspectAfter: suspect, Log: &event.Log{},
 		})
 		indexes := spread.NewStoreIndexes(store, f)
 		m := &indexMember{name: seed.Name, indexes: cache.NewStoreIndexes(indexes, &event.Log{})}
@@ -132,7 +135,9 @@
 	g := gomega.NewWithT(t)
 	store := &busyStore{watchers: 4, changed: make(chan struct{})}
 	store.save()
-	members := indexFleet(t, store, cache.StoreInfo{Address: address, Capacity: 1000, MaxWatchers: store.watchers}, daemons)
+	members := indexFleet(t, store, cache.StoreInfo{
+		Address: address, Capacity: 1000, MaxWatchers: store.watchers,
+	}, daemons)
 	g.Eventually(upToDate(members, address, 1), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	for range 3 {
 		segments := store.save()
@@ -147,7 +152,9 @@
 	const daemons, address = 40, "10.0.0.1:1"
 	g := gomega.NewWithT(t)
 	store := &busyStore{watchers: 8, changed: make(chan struct{})}
-	members := indexFleet(t, store, cache.StoreInfo{Address: address, Capacity: 1000, MaxWatchers: store.watchers}, daemons)
+	members := indexFleet(t, store, cache.StoreInfo{
+		Address: address, Capacity: 1000, MaxWatchers: store.watchers,
+	}, daemons)
 	segments := store.save()
 	g.Eventually(upToDate(members, address, segments), shortWait, pollInterval).Should(gomega.Equal(daemons))
 	var names []string
--- a/core/spread/storeindex_test.go
+++ b/core/spread/storeindex_test.go
@@ -62,7 +62,8 @@
 			ownSeeds = slow
 		}
 		f := fleet.New(fleet.Options{
-			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, HeartbeatInterval: heartbeat,
+			SuspectAfter: suspect, Log: &event.Log{},
 		})
 		indexes := spread.NewStoreIndexes(store, f)
 		indexesByName[name] = cache.NewStoreIndexes(indexes, &event.Log{})
--- a/core/spread/updates_test.go
+++ b/core/spread/updates_test.go
@@ -35,7 +35,8 @@
 	for i, seed := range seeds {
 		m := &updateMember{roster: roster.New(&event.Log{}, nil)}
 		m.fleet = fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat,
+			SuspectAfter: suspect, Log: &event.Log{},
 		})
 		m.fleet.Attach("roster", roster.HeartbeatPart{Roster: m.roster})
 		m.updates = spread.NewWeightUpdateNotifier(m.fleet, m.roster)
@@ -91,7 +92,8 @@
 		initiator.updates.UpdateStarted(initiator.roster.Target(other), "m", time.Minute)
 		return all(ordered)()
 	}, "30s", "50ms").Should(gomega.BeTrue())
-	g.Expect(users[0].roster.Updating(time.Now().Add(3*time.Second))).NotTo(gomega.HaveKey(other), "the hold of a remote notice is bounded")
+	g.Expect(users[0].roster.Updating(time.Now().Add(3*time.Second))).NotTo(gomega.HaveKey(other),
+		"the hold of a remote notice is bounded")
 	initiator.updates.UpdateEnded(initiator.roster.Target(other), "m", 2)
 	g.Eventually(all(updated), "30s", "10ms").Should(gomega.BeTrue())
 	g.Eventually(all(released), "30s", "10ms").Should(gomega.BeTrue())
--- a/core/spread/values.go
+++ b/core/spread/values.go
@@ -84,7 +84,10 @@
 
 // newLargeValues returns largeValues, attached to the watch cache and the fleet.
 func newLargeValues(m *plat.WatchCache, f *fleet.Fleet, t *transfers, log *event.Log) *largeValues {
-	v := &largeValues{watchCache: m, fleet: f, transfers: t, log: log, wake: make(chan struct{}, 1), versions: map[string][]plat.Pair{}}
+	v := &largeValues{
+		watchCache: m, fleet: f, transfers: t, log: log, wake: make(chan struct{}, 1),
+		versions: map[string][]plat.Pair{},
+	}
 	m.Observe(v.observe)
 	f.Mux().Register(kindValue, wire.Handle(v.handleValue))
 	return v
@@ -236,7 +239,8 @@
 		start := clock.Now()
 		p, size, err := v.fetchFromPeer(ctx, peer, want, maxBytes)
 		if err != nil {
-			v.log.Emit(event.PeerNotTold, event.Ref{Resource: want.Key}, peer+" after "+elapsedSince(start)+": "+err.Error())
+			v.log.Emit(event.PeerNotTold, event.Ref{Resource: want.Key},
+				peer+" after "+elapsedSince(start)+": "+err.Error())
 			if errors.Is(err, errTooLarge) {
 				return false, true
 			}
@@ -256,7 +260,8 @@
 // deliver passes a fetched value to the watch cache.
 func (v *largeValues) deliver(p plat.Pair, source string, start clock.Time) {
 	v.watchCache.ApplyFetched(p)
-	text := "revision " + strconv.FormatInt(p.ModRevision, 10) + ", " + strconv.Itoa(len(p.Value)) + " bytes in " + elapsedSince(start) + ", " + source
+	text := "revision " + strconv.FormatInt(p.ModRevision, 10) + ", " +
+		strconv.Itoa(len(p.Value)) + " bytes in " + elapsedSince(start) + ", " + source
 	v.log.Emit(event.ValueFetched, event.Ref{Resource: p.Key}, text)
 }
 
--- a/core/spread/values_test.go
+++ b/core/spread/values_test.go
@@ -131,7 +131,8 @@
 func faultyPeer(t *testing.T, seeds []fleet.Peer, l net.Listener, response *valueResponse, chunk []byte) {
 	name := seeds[0].Name
 	f := fleet.New(fleet.Options{
-		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat,
+		SuspectAfter: suspect, Log: &event.Log{},
 	})
 	f.Attach("mirror", freshHeartbeat{})
 	f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
@@ -174,7 +175,8 @@
 			var requests atomic.Int64
 			name := seeds[0].Name
 			f := fleet.New(fleet.Options{
-				Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+				Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat,
+				SuspectAfter: suspect, Log: &event.Log{},
 			})
 			f.Attach("mirror", freshHeartbeat{})
 			f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -234,8 +234,9 @@
 		shard = nil
 	}
 	req := &changesRequest{
-		AfterRevision: s.watchCache.Revision(), WaitMillis: requestWait.Milliseconds(), AgeMillis: ageMillis(clock.Since(s.watchCache.FreshAsOf())),
-		Shard: shard, CacheShard: s.watchCache.Shard(),
+		AfterRevision: s.watchCache.Revision(), WaitMillis: requestWait.Milliseconds(),
+		AgeMillis: ageMillis(clock.Since(s.watchCache.FreshAsOf())),
+		Shard:     shard, CacheShard: s.watchCache.Shard(),
 	}
 	for {
 		start := clock.Now()
@@ -248,7 +249,8 @@
 		}
 		if got.ShardChanged && shard != nil {
 			s.logShardChange(req.CacheShard, got.ShardName, peer, len(got.Changes))
-			s.watchCache.SwitchShard(got.changes(), got.Revision, req.CacheShard, got.ShardName, s.outsideShard(shard, got.ShardName), got.freshAt(start))
+			s.watchCache.SwitchShard(got.changes(), got.Revision, req.CacheShard, got.ShardName,
+				s.outsideShard(shard, got.ShardName), got.freshAt(start))
 			s.fetchUnfetched(peer)
 			return nil
 		}
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -110,7 +110,8 @@
 // run runs one member until the test ends.
 func run(t *testing.T, name string, l net.Listener, store plat.Reader, seeds []fleet.Peer) *member {
 	m := &member{fleet: fleet.New(fleet.Options{
-		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat,
+		SuspectAfter: suspect, Log: &event.Log{},
 	})}
 	m.watchCache = plat.NewWatchCache(store, plat.Prefix("op/"), &event.Log{})
 	m.watchCache.Observe(m.observe)
@@ -182,7 +183,8 @@
 			g.Eventually(m.holds("op/config", v), shortWait, pollInterval).Should(gomega.BeTrue())
 		}
 	}
-	g.Expect(sender.fleet.Bytes()-before).To(gomega.BeNumerically("<", slowLinkBytesPerSecond), "bytes for two versions of %d bytes", len(versions[1]))
+	g.Expect(sender.fleet.Bytes()-before).To(gomega.BeNumerically("<", slowLinkBytesPerSecond),
+		"bytes for two versions of %d bytes", len(versions[1]))
 }
 
 // Small changes arrive soon, whatever else is being sent, and large ones arrive in the end, however
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -113,7 +113,8 @@
 	ctx, cancel := context.WithTimeout(ctx, batchTime+callTimeout)
 	defer cancel()
 	var n EventBatch
-	path := "/v1/cache/events?after=" + strconv.FormatUint(seq, 10) + "&gatherMillis=" + strconv.FormatInt(batchTime.Milliseconds(), 10)
+	path := "/v1/cache/events?after=" + strconv.FormatUint(seq, 10) +
+		"&gatherMillis=" + strconv.FormatInt(batchTime.Milliseconds(), 10)
 	return n, e.do(ctx, http.MethodGet, path, nil, &n)
 }
 
--- a/core/target/conn.go
+++ b/core/target/conn.go
@@ -60,7 +60,10 @@
 	if p.Opened != nil {
 		p.Opened.Inc()
 	}
-	return &poolConn{pool: p, address: address, tcp: conn.(*net.TCPConn), r: bufio.NewReaderSize(conn, readBufferSize)}, nil
+	return &poolConn{
+		pool: p, address: address, tcp: conn.(*net.TCPConn),
+		r: bufio.NewReaderSize(conn, readBufferSize),
+	}, nil
 }
 
 // recordOpen records the result of opening a connection.
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -136,7 +136,8 @@
 		if parsed.StatusCode < http.StatusOK {
 			continue
 		}
-		resp.Status, resp.Header, resp.Length, resp.body = parsed.StatusCode, parsed.Header, parsed.ContentLength, parsed.Body
+		resp.Status, resp.Header, resp.Length, resp.body = parsed.StatusCode, parsed.Header,
+			parsed.ContentLength, parsed.Body
 		if parsed.Close {
 			resp.Header.Set("Connection", "close")
 		}
--- a/core/target/pool_test.go
+++ b/core/target/pool_test.go
@@ -62,7 +62,8 @@
 }
 
 func get(p *Pool, address string) (string, error) {
-	in, err := p.Send(context.Background(), address, &Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}})
+	in, err := p.Send(context.Background(), address,
+		&Request{Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}})
 	if err != nil {
 		return "", err
 	}
@@ -168,7 +169,8 @@
 	p := &Pool{}
 	body := []byte(strings.Repeat("x", 64<<20)) // more than the sockets' buffers hold
 	for range 2 {
-		in, err := p.Send(context.Background(), s.address, &Request{Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: body})
+		in, err := p.Send(context.Background(), s.address,
+			&Request{Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: body})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		raw, err := io.ReadAll(in)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
