--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -207,33 +207,33 @@
 }
 
 // matches reports whether the block is in the record's chain.
-func (m BlockRef) matches(r *record) bool {
-	return r != nil && m.Depth >= 1 && m.Depth <= len(r.chain) && r.chain[m.Depth-1] == m.Short
+func (ref BlockRef) matches(r *record) bool {
+	return r != nil && ref.Depth >= 1 && ref.Depth <= len(r.chain) && r.chain[ref.Depth-1] == ref.Short
 }
 
 // retained returns how many first blocks of the context a worker may still hold without this
 // one. The blocks before the one that identifies the context belong to many contexts, so no
 // BlockRef reports their removal: without the identifying block the worker counts as holding
 // nothing.
-func (m BlockRef) retained() int {
-	if m.Short == m.Root {
+func (ref BlockRef) retained() int {
+	if ref.Short == ref.Root {
 		return 0
 	}
-	return m.Depth - 1
+	return ref.Depth - 1
 }
 
 // RemoveWorkerBlocks records that a worker no longer holds the given blocks, nor those after them.
 func (x *Index) RemoveWorkerBlocks(worker string, blocks []BlockRef) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
-	for _, m := range blocks {
-		r := x.record(m.Root)
-		if !m.matches(r) {
+	for _, ref := range blocks {
+		r := x.record(ref.Root)
+		if !ref.matches(r) {
 			continue
 		}
 		for i := range r.workers {
 			if r.workers[i].Worker == worker {
-				r.workers[i].Blocks = min(r.workers[i].Blocks, m.retained())
+				r.workers[i].Blocks = min(r.workers[i].Blocks, ref.retained())
 			}
 		}
 	}
@@ -245,9 +245,9 @@
 	x.ForgetWorker(worker)
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
-	for _, m := range tips {
-		if r := x.record(m.Root); m.matches(r) {
-			r.workers = setWorkerBlocks(r.workers, worker, m.Depth)
+	for _, ref := range tips {
+		if r := x.record(ref.Root); ref.matches(r) {
+			r.workers = setWorkerBlocks(r.workers, worker, ref.Depth)
 		}
 	}
 }
--- a/core/cache/stores.go
+++ b/core/cache/stores.go
@@ -126,8 +126,8 @@
 
 // TransferTime returns the expected duration of the transfer to a failure domain, from the
 // configured speed of the store's link.
-func (p StoredSegment) TransferTime(domain string) time.Duration {
-	return p.info.transferTime(p.Tokens, domain)
+func (s StoredSegment) TransferTime(domain string) time.Duration {
+	return s.info.transferTime(s.Tokens, domain)
 }
 
 // Find returns the stores that hold a segment.
--- a/core/cache/workercaches.go
+++ b/core/cache/workercaches.go
@@ -9,8 +9,8 @@
 )
 
 // WorkerCaches estimates what the workers' KV caches hold, from the requests that this daemon and
-// its peers sent. It assumes that a worker keeps what it read until newer requests evict it,
-// least recently used first. It does not query the workers: they report changes late, and
+// its peers sent. It assumes that a worker caches each prompt until newer requests evict it, least
+// recently used first. It does not query the workers: they report changes late, and
 // following all of them costs more than it gains. The zero value is ready.
 //
 // Lock order: cachesMu is never held together with another lock of this package.
@@ -93,9 +93,9 @@
 	w.removeHolder(u.Target, c.renew(u.Salt))
 	c.put(SegmentName{Salt: u.Salt}, u.Unshared)
 	// A worker evicts the end of a prompt before its beginning.
-	for _, p := range slices.Backward(u.Segments) {
-		name := SegmentName{Salt: u.Salt, ID: p.ID}
-		if c.put(name, p.Tokens) {
+	for _, segment := range slices.Backward(u.Segments) {
+		name := SegmentName{Salt: u.Salt, ID: segment.ID}
+		if c.put(name, segment.Tokens) {
 			w.holders[name] = append(w.holders[name], u.Target)
 		}
 		w.lastUsed[name] = now
--- a/core/home/assignments.go
+++ b/core/home/assignments.go
@@ -98,12 +98,12 @@
 
 // CacheEvents returns cache events and records the load that comes with them.
 func (f *feed) CacheEvents(ctx context.Context, seq uint64) ([]cache.CacheEvent, error) {
-	n, err := f.engine.PollEvents(ctx, seq, f.owner.o.LoadInterval)
+	batch, err := f.engine.PollEvents(ctx, seq, f.owner.o.LoadInterval)
 	if err != nil {
 		return nil, err
 	}
-	f.owner.loads.setFollowed(f.convert(n.Load), time.Now())
-	return n.Events, nil
+	f.owner.loads.setFollowed(f.convert(batch.Load), time.Now())
+	return batch.Events, nil
 }
 
 // CacheContents returns all blocks that the worker holds.
@@ -149,9 +149,9 @@
 func (h *Owner) byOwner(list []cache.BlockRef) map[string][]cache.BlockRef {
 	view := h.o.Fleet.View()
 	out := map[string][]cache.BlockRef{}
-	for _, m := range list {
-		owner := view.Owner(m.Root)
-		out[owner] = append(out[owner], m)
+	for _, ref := range list {
+		owner := view.Owner(ref.Root)
+		out[owner] = append(out[owner], ref)
 	}
 	return out
 }
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -88,9 +88,9 @@
 	h.assignments.owner = h
 	m := o.Fleet.Mux()
 	m.Register(kindPlace, wire.Handle(h.place))
-	m.Register(kindDone, wire.Handle(h.done))
-	m.Register(kindLost, wire.Handle(h.lost))
-	m.Register(kindResynced, wire.Handle(h.resynced))
+	m.Register(kindOutcome, wire.Handle(h.recordOutcome))
+	m.Register(kindLost, wire.Handle(h.recordLost))
+	m.Register(kindResynced, wire.Handle(h.recordResynced))
 	m.Register(kindLinkRequest, wire.Handle(func(ctx context.Context, _ string, req *linkRequest) (linkGrant, error) {
 		return h.links.acquire(ctx, req)
 	}))
@@ -171,11 +171,11 @@
 // callOwner sends the request to a remote daemon. It waits for up to half of the time that
 // remains until the deadline, within the bounds above.
 func (h *Owner) callOwner(ctx context.Context, name string, req *PlacementRequest) (PlacementResult, error) {
-	limit := ownerTimeout
+	timeout := ownerTimeout
 	if req.Deadline > 0 {
-		limit = min(limit, max(minOwnerTimeout, req.Deadline/2))
+		timeout = min(timeout, max(minOwnerTimeout, req.Deadline/2))
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var ans PlacementResult
 	return ans, h.o.Fleet.Call(ctx, name, kindPlace, req, &ans)
@@ -189,11 +189,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 	defer cancel()
 	if owner == view.Self() || owner == "" {
-		h.done(ctx, owner, d)
+		h.recordOutcome(ctx, owner, d)
 		return
 	}
 	// A lost notification only costs a hint.
-	_ = h.o.Fleet.Notify(ctx, owner, kindDone, d)
+	_ = h.o.Fleet.Notify(ctx, owner, kindOutcome, d)
 }
 
 var errNotWarmedUp = errors.New("the daemon has not received the load of all workers yet")
@@ -248,10 +248,10 @@
 	}
 }
 
-// distance returns the assumed one-way latency to a target in the same or another failure
+// oneWayLatency returns the assumed one-way latency to a target in the same or another failure
 // domain.
-func distance(same bool) time.Duration {
-	if same {
+func oneWayLatency(sameDomain bool) time.Duration {
+	if sameDomain {
 		return 100 * time.Microsecond
 	}
 	return time.Millisecond
@@ -272,14 +272,14 @@
 		w := route.Worker{
 			Name: name, QueuedTokens: load.tokensAhead, FreeBlocks: max(1, load.availableBlocks),
 			Running: load.Running, PrefillPerSecond: float64(load.Speed),
-			OneWayLatency: distance(t.Domain == h.o.Domain),
+			OneWayLatency: oneWayLatency(t.Domain == h.o.Domain),
 		}
 		if w.PrefillPerSecond == 0 {
 			w.PrefillPerSecond = t.PrefillSpeed()
 		}
-		for _, held := range state.Workers {
-			if held.Worker == name {
-				w.CachedBlocks = held.Blocks
+		for _, cached := range state.Workers {
+			if cached.Worker == name {
+				w.CachedBlocks = cached.Blocks
 			}
 		}
 		blockBytes = max(blockBytes, int64(load.BlockBytes))
@@ -353,8 +353,8 @@
 	return v, true
 }
 
-// done handles the outcome of a request.
-func (h *Owner) done(_ context.Context, _ string, d *Outcome) (struct{}, error) {
+// recordOutcome handles the outcome of a request.
+func (h *Owner) recordOutcome(_ context.Context, _ string, d *Outcome) (struct{}, error) {
 	now := time.Now()
 	h.loads.removePending(d.Worker, d.Request)
 	if d.Failed {
@@ -372,15 +372,15 @@
 	return struct{}{}, nil
 }
 
-// lost handles blocks that a worker no longer holds.
-func (h *Owner) lost(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
+// recordLost handles blocks that a worker no longer holds.
+func (h *Owner) recordLost(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
 	h.index.RemoveWorkerBlocks(n.Worker, n.Blocks)
 	h.stats.CacheLosses.Add(int64(len(n.Blocks)))
 	return struct{}{}, nil
 }
 
-// resynced handles the full contents that a worker holds after a gap in its events.
-func (h *Owner) resynced(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
+// recordResynced handles the full contents that a worker holds after a gap in its events.
+func (h *Owner) recordResynced(_ context.Context, _ string, n *blockNotice) (struct{}, error) {
 	h.index.ReplaceWorkerBlocks(n.Worker, n.Blocks)
 	return struct{}{}, nil
 }
@@ -397,9 +397,9 @@
 	case name != h.o.Fleet.View().Self():
 		_ = h.o.Fleet.Notify(ctx, name, kind, n)
 	case kind == kindLost:
-		_, _ = h.lost(ctx, name, n)
+		_, _ = h.recordLost(ctx, name, n)
 	default:
-		_, _ = h.resynced(ctx, name, n)
+		_, _ = h.recordResynced(ctx, name, n)
 	}
 }
 
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -11,7 +11,7 @@
 // Message kinds between daemons.
 const (
 	kindPlace       wire.Kind = "home.place"
-	kindDone        wire.Kind = "home.done"
+	kindOutcome     wire.Kind = "home.done"
 	kindLost        wire.Kind = "home.lost"
 	kindResynced    wire.Kind = "home.resynced"
 	kindLinkRequest wire.Kind = "home.linkAsk"
--- a/core/home/transfer.go
+++ b/core/home/transfer.go
@@ -218,11 +218,11 @@
 // a caller waits for the transfer: it goes ahead if the link's scheduler does not respond,
 // while an export does not.
 func (h *Owner) acquireLink(ctx context.Context, store, organisation string, bytes int64, waiting bool) (release func(int64, time.Duration), err error) {
-	limit := exportLinkTimeout
+	timeout := exportLinkTimeout
 	if waiting {
-		limit = importLinkTimeout
+		timeout = importLinkTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	view := h.o.Fleet.View()
 	name := view.Assignee(fleet.Key("link/" + store))
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -392,14 +392,14 @@
 // target is then; limit if there is none. expected and next are the expected times to the
 // first answer of this and the other target.
 func (e *Estimate) WaitBudget(limit, expected, next time.Duration, margin float64) time.Duration {
-	inTime := e.Probability(limit.Seconds() / expected.Seconds())
+	withinLimit := e.Probability(limit.Seconds() / expected.Seconds())
 	for i := 1; i < ratioSteps; i++ {
 		waited := seconds(e.ratios[i] * expected.Seconds())
 		if waited >= limit {
 			break
 		}
 		answered := float64(i) / ratioSteps
-		pending := (inTime - answered) / (1 - answered)
+		pending := (withinLimit - answered) / (1 - answered)
 		if e.Probability((limit-waited).Seconds()/next.Seconds()) > pending+margin {
 			return waited
 		}
--- a/core/relay/attempt.go
+++ b/core/relay/attempt.go
@@ -220,11 +220,11 @@
 		}
 	}
 	p.adjustForSuspend()
-	s := c.attemptMeta
-	s.Timeout = time.Until(p.deadline)
-	s.LastEventID = p.lastEventID
-	s.Organisation = p.organisationName()
-	p.relay.options.Dialect.WriteAttempt(h, &s)
+	meta := c.attemptMeta
+	meta.Timeout = time.Until(p.deadline)
+	meta.LastEventID = p.lastEventID
+	meta.Organisation = p.organisationName()
+	p.relay.options.Dialect.WriteAttempt(h, &meta)
 	out := &target.Request{
 		Method: p.r.Method, URI: p.r.RequestURI, Host: p.r.Host, Header: h, Body: p.body,
 		BeforeWrite: p.availabilityCheck(c),
--- a/core/relay/choose.go
+++ b/core/relay/choose.go
@@ -269,7 +269,7 @@
 		p.note("stored in %s", strings.Join(c.attemptMeta.StoreTo, ","))
 	}
 	candidate := &c.candidate
-	p.note("cached %d and copied %d of %d shared tokens, prompt %d tokens, queued %d tokens, running %d, held %d tokens, expected %s, on-time chance %.2f, utility %.2f, weights %d",
+	p.note("cached %d and copied %d of %d shared tokens, prompt %d tokens, queued %d tokens, running %d, occupied %d tokens, expected %s, on-time probability %.2f, utility %.2f, weights %d",
 		candidate.CachedTokens, candidate.CopiedTokens, p.sharedTokens(), p.meta.PromptTokens,
 		candidate.QueuedTokens, candidate.Running, candidate.OccupiedTokens,
 		c.evaluation.Expected.Round(time.Millisecond),
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -23,8 +23,8 @@
 
 // Kinds of messages between daemons: a placementRequest and a placementUpdate.
 const (
-	kindPlace           wire.Kind = "relay.place"
-	kindPlacementUpdate wire.Kind = "relay.placed"
+	kindPlacementRequest wire.Kind = "relay.place"
+	kindPlacementUpdate  wire.Kind = "relay.placed"
 )
 
 // ContextOwners queries the owners of contexts in other cells, and decides as an owner for this
@@ -84,8 +84,8 @@
 		backoff: wait.Backoff[string]{Initial: backoffFirst, Max: backoffMax},
 	}
 	rl.owners = co
-	f.Mux().Register(kindPlace, wire.Handle(co.handlePlace))
-	f.Mux().Register(kindPlacementUpdate, wire.Handle(co.handleUpdate))
+	f.Mux().Register(kindPlacementRequest, wire.Handle(co.handlePlacementRequest))
+	f.Mux().Register(kindPlacementUpdate, wire.Handle(co.handlePlacementUpdate))
 	return co
 }
 
@@ -363,7 +363,7 @@
 // choiceFromResponse returns a response as a choice, or nil if this daemon may not send to the
 // target that it names.
 func (p *proxiedRequest) choiceFromResponse(svc *table.Service, peer string, request *placementRequest, response *placementResponse) *choice {
-	owners, t := p.relay.owners, p.relay.options.Roster.Target(response.Target)
+	co, t := p.relay.owners, p.relay.options.Roster.Target(response.Target)
 	if p.relay.sharded(p.service) && response.ListAge <= maxExternalListAge {
 		t = p.relay.options.Roster.AddExternal(response.entry(p.service, p.meta.Model))
 	}
@@ -389,7 +389,7 @@
 		return c
 	}
 	c.report = &ownerReport{
-		owners: owners, peer: peer, name: owners.newPlacementName(), request: request,
+		owners: co, peer: peer, name: co.newPlacementName(), request: request,
 		response: response,
 	}
 	return c
@@ -429,7 +429,7 @@
 	ctx, cancel := context.WithTimeout(ctx, co.timeout)
 	defer cancel()
 	var response placementResponse
-	err := co.fleet.Call(ctx, peer, kindPlace, request, &response)
+	err := co.fleet.Call(ctx, peer, kindPlacementRequest, request, &response)
 	if err != nil && !errors.Is(err, wire.ErrRemote) {
 		co.backoff.RecordFailure(peer, time.Now())
 		return nil, err
--- a/core/relay/placements.go
+++ b/core/relay/placements.go
@@ -24,8 +24,8 @@
 
 var errCannotPlace = errors.New("this daemon cannot place the request")
 
-// handlePlace chooses a target for another daemon's request.
-func (co *ContextOwners) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
+// handlePlacementRequest chooses a target for another daemon's request.
+func (co *ContextOwners) handlePlacementRequest(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
 	p, svc := co.requestOf(request)
 	if svc == nil || (svc.Engine == nil && !co.relay.sharded(request.Service) && !request.NeedsPermit) {
 		return nil, errors.WithStack(errCannotPlace)
@@ -70,8 +70,8 @@
 	return p, t.Service(request.Service)
 }
 
-// handleUpdate processes an update on a choice.
-func (co *ContextOwners) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
+// handlePlacementUpdate processes an update on a choice.
+func (co *ContextOwners) handlePlacementUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
 	now := time.Now()
 	co.placementsMu.Lock()
 	defer co.placementsMu.Unlock()
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -12,7 +12,8 @@
 	// Options.ShardVersion.
 	all          []*roster.Target
 	shardVersion any
-	// own are the targets that this daemon uses, and fraction the fraction of all that these serve.
+	// own are the targets that this daemon uses, and fraction is the fraction of the service's
+	// requests that they serve.
 	own      []*roster.Target
 	fraction float64
 }
--- a/core/relay/warmup.go
+++ b/core/relay/warmup.go
@@ -40,9 +40,9 @@
 	if l.limiters[id] == limiter {
 		return
 	}
-	for other, p := range l.limiters {
-		if p.Idle(now) {
-			delete(l.limiters, other)
+	for otherID, other := range l.limiters {
+		if other.Idle(now) {
+			delete(l.limiters, otherID)
 		}
 	}
 	if l.limiters == nil {
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -134,9 +134,9 @@
 	a := Availability{at: now, evacuations: *r.evacuations.Load()}
 	reason, _ := a.reason(t, r.isUpdating(t.id, now), status)
 	if reason == Available && report != nil {
-		report.pushback.take(clockNow)
+		report.pushback.allowAttempt(clockNow)
 		if report.limit.active && !permit.Taken {
-			report.limit.take(clockNow)
+			report.limit.takePermit(clockNow)
 		}
 	}
 	return reason
--- a/core/roster/external.go
+++ b/core/roster/external.go
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// take removes and returns an external target that is now listed, or returns nil.
-func (e *externalTargets) take(id string) *Target {
+// remove removes and returns an external target that is now listed, or returns nil.
+func (e *externalTargets) remove(id string) *Target {
 	found := e.byID[id]
 	if found == nil {
 		return nil
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -70,8 +70,8 @@
 	return p.until.IsZero() || now.Sub(p.until) >= rampSteps*rampStep
 }
 
-// take counts an attempt, and reports whether it may be sent.
-func (p *pushback) take(now clock.Time) bool {
+// allowAttempt counts an attempt, and reports whether it may be sent.
+func (p *pushback) allowAttempt(now clock.Time) bool {
 	if p.remaining(now) > 0 {
 		return false
 	}
@@ -136,7 +136,7 @@
 	r.pushbacksMu.Lock()
 	defer r.pushbacksMu.Unlock()
 	p := r.byName[name]
-	return p == nil || p.take(clock.Now())
+	return p == nil || p.allowAttempt(clock.Now())
 }
 
 // Remaining returns how much longer each target gets no requests, without those that may get one.
--- a/core/roster/pushback_test.go
+++ b/core/roster/pushback_test.go
@@ -52,13 +52,13 @@
 	end := start.Add(time.Second)
 	var p pushback
 	g.Expect(p.extend(time.Second, start)).To(gomega.BeTrue())
-	g.Expect(p.take(start.Add(999 * time.Millisecond))).To(gomega.BeFalse())
-	g.Expect(p.take(end)).To(gomega.BeTrue())
-	g.Expect(p.take(end)).To(gomega.BeFalse())
+	g.Expect(p.allowAttempt(start.Add(999 * time.Millisecond))).To(gomega.BeFalse())
+	g.Expect(p.allowAttempt(end)).To(gomega.BeTrue())
+	g.Expect(p.allowAttempt(end)).To(gomega.BeFalse())
 	g.Expect(p.remaining(end)).To(gomega.Equal(rampStep))
 	sent := 1
 	for at := time.Duration(0); at < rampSteps*rampStep; at += rampStep / 10 {
-		if p.take(end.Add(at)) {
+		if p.allowAttempt(end.Add(at)) {
 			sent++
 		}
 	}
@@ -68,10 +68,10 @@
 	g.Expect(p.extend(time.Second, end)).To(gomega.BeTrue())
 	g.Expect(p.remaining(end)).To(gomega.Equal(time.Second))
 	g.Expect(p.endRamp(end)).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
-	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.allowAttempt(end.Add(time.Second))).To(gomega.BeTrue())
 	g.Expect(p.endRamp(end.Add(time.Second))).To(gomega.BeTrue())
-	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
-	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.allowAttempt(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.allowAttempt(end.Add(time.Second))).To(gomega.BeTrue())
 }
 
 // A pushback belongs to the incarnation that sent it, and time in system suspend counts.
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -112,8 +112,8 @@
 	return max(0, l.nextPermit.Sub(now))
 }
 
-// take empties the bucket.
-func (l *limitState) take(now clock.Time) { l.nextPermit = now.Add(l.period()) }
+// takePermit empties the bucket.
+func (l *limitState) takePermit(now clock.Time) { l.nextPermit = now.Add(l.period()) }
 
 // text formats the rate for log lines.
 func (l *limitState) text() string {
@@ -172,7 +172,7 @@
 	if l.wait(now) > 0 {
 		return Permit{}, false
 	}
-	l.take(now)
+	l.takePermit(now)
 	return Permit{Taken: true, seq: l.seq}, true
 }
 
--- a/core/roster/ratelimit_test.go
+++ b/core/roster/ratelimit_test.go
@@ -37,7 +37,7 @@
 		for at := time.Duration(0); at < duration; {
 			at += time.Duration(s.random.ExpFloat64() / demand * float64(time.Second))
 			if now := start.Add(at); s.buckets[i].wait(now) == 0 {
-				s.buckets[i].take(now)
+				s.buckets[i].takePermit(now)
 				s.arrivals = append(s.arrivals, at+time.Duration(s.random.Float64()*float64(transit)))
 			}
 		}
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -80,8 +80,7 @@
 	busy busyTargets
 
 	// Rank, if set, returns this daemon's rank for a target, from 0, and the number of daemons that
-	// may choose the target. It is set before use, and called with
-	// rosterMu held.
+	// may choose the target. It is set before use, and called with rosterMu held.
 	Rank func(t *Target) (rank, daemons int)
 	// Removed, if set, is called for each incarnation that is removed, and is passed whether it was
 	// shutting down. It is set before use, and called with rosterMu held.
@@ -195,7 +194,7 @@
 
 // add makes an incarnation the current one of its name. It is called with rosterMu held.
 func (r *Roster) add(e Entry) {
-	t := r.external.take(e.ID)
+	t := r.external.remove(e.ID)
 	if t == nil {
 		t = &Target{id: e.ID, busy: &r.busy}
 	}
--- a/core/spread/applied.go
+++ b/core/spread/applied.go
@@ -95,87 +95,87 @@
 // errNotReady is returned while a peer has only its own copy of the store.
 var errNotReady = errors.New("this daemon has not requested the applied values from its peers yet")
 
-// NewAppliedValues returns AppliedValues and registers them with the fleet of m.
-func NewAppliedValues(m *WatchCacheSync) *AppliedValues {
-	n := &AppliedValues{
-		watchCache: m.watchCache, fleet: m.fleet, transfers: m.values.transfers, log: m.log,
+// NewAppliedValues returns AppliedValues and registers them with the fleet of s.
+func NewAppliedValues(s *WatchCacheSync) *AppliedValues {
+	a := &AppliedValues{
+		watchCache: s.watchCache, fleet: s.fleet, transfers: s.values.transfers, log: s.log,
 		values: map[string]appliedValue{},
 	}
-	n.fleet.Mux().Register(kindApplied, wire.Handle(n.handleApplied))
-	return n
+	a.fleet.Mux().Register(kindApplied, wire.Handle(a.handleApplied))
+	return a
 }
 
 // Set stores a value, unless a newer version of it is stored. The version is 0 for values that have
 // none.
-func (n *AppliedValues) Set(p plat.Pair, version int64) {
-	n.appliedMu.Lock()
-	defer n.appliedMu.Unlock()
-	if stored, ok := n.values[p.Key]; !ok || stored.Version <= version {
-		n.values[p.Key] = appliedValue{Key: p.Key, Value: p.Value, Revision: p.ModRevision, Version: version}
+func (a *AppliedValues) Set(p plat.Pair, version int64) {
+	a.appliedMu.Lock()
+	defer a.appliedMu.Unlock()
+	if stored, ok := a.values[p.Key]; !ok || stored.Version <= version {
+		a.values[p.Key] = appliedValue{Key: p.Key, Value: p.Value, Revision: p.ModRevision, Version: version}
 	}
 }
 
 // Remove removes a value.
-func (n *AppliedValues) Remove(key string) {
-	n.appliedMu.Lock()
-	defer n.appliedMu.Unlock()
-	delete(n.values, key)
+func (a *AppliedValues) Remove(key string) {
+	a.appliedMu.Lock()
+	defer a.appliedMu.Unlock()
+	delete(a.values, key)
 }
 
 // MarkReady makes this daemon respond to peers' requests.
-func (n *AppliedValues) MarkReady() {
-	n.appliedMu.Lock()
-	defer n.appliedMu.Unlock()
-	n.ready = true
+func (a *AppliedValues) MarkReady() {
+	a.appliedMu.Lock()
+	defer a.appliedMu.Unlock()
+	a.ready = true
 }
 
 // Ready reports whether this daemon responds to peers' requests.
-func (n *AppliedValues) Ready() bool {
-	n.appliedMu.Lock()
-	defer n.appliedMu.Unlock()
-	return n.ready
+func (a *AppliedValues) Ready() bool {
+	a.appliedMu.Lock()
+	defer a.appliedMu.Unlock()
+	return a.ready
 }
 
 // versions returns the versions of the stored values by key.
-func (n *AppliedValues) versions() map[string]int64 {
-	n.appliedMu.Lock()
-	defer n.appliedMu.Unlock()
-	out := make(map[string]int64, len(n.values))
-	for key, v := range n.values {
+func (a *AppliedValues) versions() map[string]int64 {
+	a.appliedMu.Lock()
+	defer a.appliedMu.Unlock()
+	out := make(map[string]int64, len(a.values))
+	for key, v := range a.values {
 		out[key] = v.Version
 	}
 	return out
 }
 
 // handleApplied sends a peer the values that are newer here.
-func (n *AppliedValues) handleApplied(_ context.Context, _ string, req *appliedRequest) (*appliedResponse, error) {
-	newer, id, err := n.newerThan(req)
+func (a *AppliedValues) handleApplied(_ context.Context, _ string, req *appliedRequest) (*appliedResponse, error) {
+	newer, id, err := a.newerThan(req)
 	if err != nil {
 		return nil, err
 	}
 	out := &appliedResponse{}
-	if n.ShuttingDown != nil {
-		out.ShuttingDown = firstN(n.ShuttingDown(), maxShuttingDown)
+	if a.ShuttingDown != nil {
+		out.ShuttingDown = firstN(a.ShuttingDown(), maxShuttingDown)
 	}
 	if len(newer) == 0 {
 		return out, nil
 	}
-	out.Values, err = n.transfers.begin(id, func() ([]byte, error) { return compressMessage(newer) })
+	out.Values, err = a.transfers.begin(id, func() ([]byte, error) { return compressMessage(newer) })
 	return out, err
 }
 
 // newerThan returns the values that a peer requests, ordered by key, and an identifier of this set
 // of versions.
-func (n *AppliedValues) newerThan(req *appliedRequest) (newer []appliedValue, id string, err error) {
-	n.appliedMu.Lock()
-	defer n.appliedMu.Unlock()
-	if !n.ready {
+func (a *AppliedValues) newerThan(req *appliedRequest) (newer []appliedValue, id string, err error) {
+	a.appliedMu.Lock()
+	defer a.appliedMu.Unlock()
+	if !a.ready {
 		return nil, "", errors.WithStack(errNotReady)
 	}
 	id = "inforce"
-	for _, key := range slices.Sorted(maps.Keys(n.values)) {
-		v := n.values[key]
-		if v.newerThan(req.Versions) && !n.inStore(v, req.StoreIncarnation) {
+	for _, key := range slices.Sorted(maps.Keys(a.values)) {
+		v := a.values[key]
+		if v.newerThan(req.Versions) && !a.inStore(v, req.StoreIncarnation) {
 			newer = append(newer, v)
 			id += "/" + key + "=" + strconv.FormatInt(v.Version, 10) + "." + strconv.FormatInt(v.Revision, 10)
 		}
@@ -185,19 +185,19 @@
 
 // inStore reports whether the coordination store holds a value in a store incarnation or a later
 // one, according to the watch cache.
-func (n *AppliedValues) inStore(v appliedValue, incarnation int64) bool {
-	p, exists := n.watchCache.Pair(v.Key)
-	return exists && n.watchCache.StoreIncarnation() >= incarnation && bytes.Equal(p.Value, v.Value)
+func (a *AppliedValues) inStore(v appliedValue, incarnation int64) bool {
+	p, exists := a.watchCache.Pair(v.Key)
+	return exists && a.watchCache.StoreIncarnation() >= incarnation && bytes.Equal(p.Value, v.Value)
 }
 
-// Pull requests newer values from some peers, live ones first, and calls take, one call at a time,
+// Pull requests newer values from some peers, live ones first, and calls apply, one call at a time,
 // with each that is newer than the stored one at that time. It returns how many peers responded.
-func (n *AppliedValues) Pull(ctx context.Context, take func(plat.Pair)) int {
-	peers := n.peers()
+func (a *AppliedValues) Pull(ctx context.Context, apply func(plat.Pair)) int {
+	peers := a.peers()
 	responded := make(chan bool, len(peers))
-	var takeMu sync.Mutex
+	var applyMu sync.Mutex
 	for _, peer := range peers {
-		go appliedPuller{n, peer, &takeMu, take, responded}.run(ctx)
+		go appliedPuller{a, peer, &applyMu, apply, responded}.run(ctx)
 	}
 	count := 0
 	for range peers {
@@ -209,9 +209,9 @@
 }
 
 // peers returns the peers to request values from.
-func (n *AppliedValues) peers() []string {
+func (a *AppliedValues) peers() []string {
 	var live, others []string
-	all := n.fleet.View().Peers()
+	all := a.fleet.View().Peers()
 	for _, i := range rand.Perm(len(all)) {
 		if all[i].Alive {
 			live = append(live, all[i].Name)
@@ -226,9 +226,9 @@
 type appliedPuller struct {
 	*AppliedValues
 	peer string
-	// takeMu is held while take is called.
-	takeMu *sync.Mutex
-	take   func(plat.Pair)
+	// applyMu is held while apply is called.
+	applyMu *sync.Mutex
+	apply   func(plat.Pair)
 	// done receives whether the peer responded.
 	done chan<- bool
 }
@@ -238,16 +238,16 @@
 	if err != nil {
 		p.log.Emit(event.PeerNotTold, event.Ref{}, p.peer+", applied values: "+err.Error())
 	}
-	p.takeMu.Lock()
+	p.applyMu.Lock()
 	stored := p.versions()
 	for _, v := range values {
 		if v.newerThan(stored) {
 			p.log.Emit(event.ValueInForce, event.Ref{Resource: v.Key},
 				"version "+strconv.FormatInt(v.Version, 10)+" from "+p.peer)
-			p.take(plat.Pair{Key: v.Key, Value: v.Value, ModRevision: v.Revision})
+			p.apply(plat.Pair{Key: v.Key, Value: v.Value, ModRevision: v.Revision})
 		}
 	}
-	p.takeMu.Unlock()
+	p.applyMu.Unlock()
 	p.done <- err == nil
 }
 
--- a/core/spread/shards.go
+++ b/core/spread/shards.go
@@ -55,8 +55,8 @@
 func (e *entryIndex) entry(key string) (Entry, bool) {
 	e.entriesMu.Lock()
 	defer e.entriesMu.Unlock()
-	entry, known := e.byKey[key]
-	return entry, known
+	entry, found := e.byKey[key]
+	return entry, found
 }
 
 // sharded returns the services that are sharded between the given number of cells, in order.
@@ -177,12 +177,12 @@
 	if v.shard == nil {
 		return true
 	}
-	entry, known := v.cacheSync.entries.entry(p.Key)
-	if !known {
+	entry, found := v.cacheSync.entries.entry(p.Key)
+	if !found {
 		// The watch cache may hold the pair before its observers are notified.
-		entry, known = v.cacheSync.parseEntry(p)
+		entry, found = v.cacheSync.parseEntry(p)
 	}
-	if !known || !slices.Contains(v.sharded, entry.Service) {
+	if !found || !slices.Contains(v.sharded, entry.Service) {
 		return true
 	}
 	return v.shard.Contains(entry.Name, entry.Domain)
--- a/core/spread/storeindex.go
+++ b/core/spread/storeindex.go
@@ -275,9 +275,9 @@
 // changesOf is the reverse of segmentsOf.
 func changesOf(segments []indexedSegment) []cache.SegmentChange {
 	var out []cache.SegmentChange
-	for _, p := range segments {
+	for _, segment := range segments {
 		out = append(out, cache.SegmentChange{
-			SegmentName: cache.SegmentName{Salt: p.Salt, ID: p.ID}, Tokens: p.Tokens,
+			SegmentName: cache.SegmentName{Salt: segment.Salt, ID: segment.ID}, Tokens: segment.Tokens,
 		})
 	}
 	return out
--- a/core/spread/transfers.go
+++ b/core/spread/transfers.go
@@ -83,9 +83,9 @@
 func (t *transfers) find(id string) ([]byte, bool) {
 	t.transfersMu.Lock()
 	defer t.transfersMu.Unlock()
-	for _, k := range t.stored {
-		if k.id == id {
-			return k.payload, true
+	for _, s := range t.stored {
+		if s.id == id {
+			return s.payload, true
 		}
 	}
 	return nil, false
--- a/core/spread/values.go
+++ b/core/spread/values.go
@@ -83,12 +83,12 @@
 }
 
 // newLargeValues returns largeValues, attached to the watch cache and the fleet.
-func newLargeValues(m *plat.WatchCache, f *fleet.Fleet, t *transfers, log *event.Log) *largeValues {
+func newLargeValues(watchCache *plat.WatchCache, f *fleet.Fleet, t *transfers, log *event.Log) *largeValues {
 	v := &largeValues{
-		watchCache: m, fleet: f, transfers: t, log: log, wake: make(chan struct{}, 1),
+		watchCache: watchCache, fleet: f, transfers: t, log: log, wake: make(chan struct{}, 1),
 		versions: map[string][]plat.Pair{},
 	}
-	m.Observe(v.observe)
+	watchCache.Observe(v.observe)
 	f.Mux().Register(kindValue, wire.Handle(v.handleValue))
 	return v
 }
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -52,14 +52,14 @@
 }
 
 // NewWatchCacheSync returns a WatchCacheSync for m and attaches it to the fleet's heartbeats.
-func NewWatchCacheSync(m *plat.WatchCache, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
-	s := &WatchCacheSync{started: clock.Now(), watchCache: m, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
+func NewWatchCacheSync(watchCache *plat.WatchCache, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
+	s := &WatchCacheSync{started: clock.Now(), watchCache: watchCache, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
 	s.relayBackoff.Initial, s.relayBackoff.Max = backoffFirst, backoffMax
-	s.values = newLargeValues(m, f, newTransfers(f, func(bytes int) { s.bytesSent.Add(int64(bytes)) }), log)
-	m.Observe(s.observe)
+	s.values = newLargeValues(watchCache, f, newTransfers(f, func(bytes int) { s.bytesSent.Add(int64(bytes)) }), log)
+	watchCache.Observe(s.observe)
 	f.Attach("mirror", s)
 	f.Mux().Register(kindChanges, wire.Handle(s.handleChanges))
-	m.WatchesStore, m.IsStandby, m.BatchTime = s.WatchesStore, s.IsStandby, s.BatchTime
+	watchCache.WatchesStore, watchCache.IsStandby, watchCache.BatchTime = s.WatchesStore, s.IsStandby, s.BatchTime
 	return s
 }
 
@@ -290,8 +290,8 @@
 }
 
 // logShardChange logs that this daemon changes to another shard.
-func (s *WatchCacheSync) logShardChange(former, taken, peer string, entries int) {
-	if former == taken {
+func (s *WatchCacheSync) logShardChange(former, next, peer string, entries int) {
+	if former == next {
 		return
 	}
 	view := s.fleet.View()
