--- a/core/cache/cache_test.go
+++ b/core/cache/cache_test.go
@@ -126,9 +126,9 @@
 
 func (f *scriptedFeed) CacheEvents(_ context.Context, seq uint64) ([]CacheEvent, error) {
 	var out []CacheEvent
-	for _, n := range f.events {
-		if n.Seq > seq {
-			out = append(out, n)
+	for _, ev := range f.events {
+		if ev.Seq > seq {
+			out = append(out, ev)
 		}
 	}
 	return out, nil
--- a/core/cache/follow.go
+++ b/core/cache/follow.go
@@ -123,19 +123,19 @@
 func (f *Follower) apply(events []CacheEvent) (lost []BlockRef, ok bool) {
 	f.nodesMu.Lock()
 	defer f.nodesMu.Unlock()
-	for _, n := range events {
-		if n.Seq <= f.seq {
+	for _, ev := range events {
+		if ev.Seq <= f.seq {
 			continue
 		}
-		if n.Seq != f.seq+1 {
+		if ev.Seq != f.seq+1 {
 			f.synced = false
 			return lost, false
 		}
-		f.seq = n.Seq
-		if n.Stored != nil {
-			f.add(*n.Stored)
+		f.seq = ev.Seq
+		if ev.Stored != nil {
+			f.add(*ev.Stored)
 		}
-		lost = append(lost, f.remove(n.Removed)...)
+		lost = append(lost, f.remove(ev.Removed)...)
 	}
 	return lost, true
 }
@@ -164,8 +164,8 @@
 			continue
 		}
 		delete(f.nodes, short)
-		m, seen := first[n.root]
-		if n.root != 0 && (!seen || int(n.depth) < m.Depth) {
+		ref, seen := first[n.root]
+		if n.root != 0 && (!seen || int(n.depth) < ref.Depth) {
 			first[n.root] = BlockRef{Root: n.root, Short: short, Depth: int(n.depth)}
 		}
 	}
--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -72,18 +72,18 @@
 		return ContextState{}
 	}
 	shared := commonPrefix(r.chain, chain)
-	p := ContextState{Recorded: true, StoresQueried: r.storesQueried}
-	for _, h := range r.workers {
-		if n := min(h.Blocks, shared); n > 0 {
-			p.Workers = append(p.Workers, WorkerBlocks{h.Worker, n})
+	state := ContextState{Recorded: true, StoresQueried: r.storesQueried}
+	for _, w := range r.workers {
+		if n := min(w.Blocks, shared); n > 0 {
+			state.Workers = append(state.Workers, WorkerBlocks{w.Worker, n})
 		}
 	}
 	for _, s := range r.stores {
 		if n := min(s.Blocks, shared); n > 0 {
-			p.Stores = append(p.Stores, StoreBlocks{s.Store, n})
+			state.Stores = append(state.Stores, StoreBlocks{s.Store, n})
 		}
 	}
-	return p
+	return state
 }
 
 // commonPrefix returns the number of first blocks that two chains share.
@@ -258,7 +258,7 @@
 	defer x.indexMu.Unlock()
 	for e := x.lru.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*record)
-		r.workers = slices.DeleteFunc(r.workers, func(h WorkerBlocks) bool { return h.Worker == worker })
+		r.workers = slices.DeleteFunc(r.workers, func(w WorkerBlocks) bool { return w.Worker == worker })
 	}
 }
 
--- a/core/cache/stores_test.go
+++ b/core/cache/stores_test.go
@@ -86,7 +86,7 @@
 // newFollowing returns StoreIndexes that follow stores with the given capacities, at the
 // addresses "a", "b" and so on.
 func newFollowing(t *testing.T, s *fakeStore, capacities ...int) *StoreIndexes {
-	k := NewStoreIndexes(s, &event.Log{})
+	indexes := NewStoreIndexes(s, &event.Log{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var infos []StoreInfo
@@ -96,14 +96,14 @@
 			TokenTime: time.Microsecond,
 		})
 	}
-	k.Set(ctx, infos)
-	return k
+	indexes.Set(ctx, infos)
+	return indexes
 }
 
 // found returns a function that reports whether any store holds the segment.
-func found(k *StoreIndexes, id string) func() bool {
+func found(indexes *StoreIndexes, id string) func() bool {
 	return func() bool {
-		return len(k.Find(SegmentName{"v1/m/", id}, clock.Now())) > 0
+		return len(indexes.Find(SegmentName{"v1/m/", id}, clock.Now())) > 0
 	}
 }
 
@@ -111,16 +111,16 @@
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
 	s.contents = []SegmentChange{change("1", 100)}
-	k := newFollowing(t, s, 1000)
-	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
+	indexes := newFollowing(t, s, 1000)
+	g.Eventually(found(indexes, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	s.report(SegmentEvents{
 		Epoch: 1, Next: 2, Clock: time.Hour,
 		Changes: []SegmentChange{change("2", 50), change("1", 0)},
 	})
-	g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
-	g.Expect(found(k, "1")()).To(gomega.BeFalse())
-	g.Expect(k.Tokens()).To(gomega.Equal(50))
-	list := k.Find(SegmentName{"v1/m/", "2"}, clock.Now())
+	g.Eventually(found(indexes, "2"), "10s", "5ms").Should(gomega.BeTrue())
+	g.Expect(found(indexes, "1")()).To(gomega.BeFalse())
+	g.Expect(indexes.Tokens()).To(gomega.Equal(50))
+	list := indexes.Find(SegmentName{"v1/m/", "2"}, clock.Now())
 	g.Expect(list).To(gomega.HaveLen(1))
 	stored := list[0]
 	g.Expect(stored.TransferTime("elsewhere")).To(gomega.Equal(100 * time.Microsecond))
@@ -141,14 +141,14 @@
 			g := gomega.NewWithT(t)
 			s := newFakeStore()
 			s.contents = []SegmentChange{change("1", 100)}
-			k := newFollowing(t, s, 1000)
-			g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
+			indexes := newFollowing(t, s, 1000)
+			g.Eventually(found(indexes, "1"), "10s", "5ms").Should(gomega.BeTrue())
 			s.mu.Lock()
 			s.contents, s.epoch = []SegmentChange{change("2", 100)}, tc.ev.Epoch
 			s.mu.Unlock()
 			s.report(tc.ev)
-			g.Eventually(found(k, "2"), "10s", "5ms").Should(gomega.BeTrue())
-			g.Expect(found(k, "1")()).To(gomega.BeFalse())
+			g.Eventually(found(indexes, "2"), "10s", "5ms").Should(gomega.BeTrue())
+			g.Expect(found(indexes, "1")()).To(gomega.BeFalse())
 		})
 	}
 }
@@ -157,29 +157,29 @@
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
 	s.contents = []SegmentChange{change("1", 100)}
-	k := newFollowing(t, s, 1000)
-	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
+	indexes := newFollowing(t, s, 1000)
+	g.Eventually(found(indexes, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	s.setDown(true)
-	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeFalse())
-	g.Expect(k.ChooseStore(SegmentName{"v1/m/", "9"}, 10, anyDomain, clock.Now())).To(gomega.BeEmpty())
+	g.Eventually(found(indexes, "1"), "10s", "5ms").Should(gomega.BeFalse())
+	g.Expect(indexes.ChooseStore(SegmentName{"v1/m/", "9"}, 10, anyDomain, clock.Now())).To(gomega.BeEmpty())
 	s.setDown(false)
-	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
+	g.Eventually(found(indexes, "1"), "10s", "5ms").Should(gomega.BeTrue())
 }
 
 func TestChooseStoreWithFreeCapacity(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
-	k := newFollowing(t, s, 100, 1000)
+	indexes := newFollowing(t, s, 100, 1000)
 	choose := func(tokens int) func() string {
-		return func() string { return k.ChooseStore(SegmentName{"v1/m/", "9"}, tokens, anyDomain, clock.Now()) }
+		return func() string { return indexes.ChooseStore(SegmentName{"v1/m/", "9"}, tokens, anyDomain, clock.Now()) }
 	}
 	g.Eventually(choose(500), "10s", "5ms").Should(gomega.Equal("b"))
 	g.Expect(choose(5000)()).To(gomega.BeEmpty())
 	g.Expect(choose(10)()).To(gomega.Equal(choose(10)()))
 	none := func(string) bool { return false }
-	g.Expect(k.ChooseStore(SegmentName{"v1/m/", "9"}, 10, none, clock.Now())).To(gomega.BeEmpty(),
+	g.Expect(indexes.ChooseStore(SegmentName{"v1/m/", "9"}, 10, none, clock.Now())).To(gomega.BeEmpty(),
 		"no store is in an accepted failure domain")
-	k.Set(context.Background(), nil)
+	indexes.Set(context.Background(), nil)
 	g.Expect(choose(10)()).To(gomega.BeEmpty())
 }
 
@@ -198,11 +198,11 @@
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
 	s.contents = []SegmentChange{change("1", 100), {SegmentName: SegmentName{"v2/m/", "1"}, Tokens: 7}}
-	k := newFollowing(t, s, 1000)
-	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
+	indexes := newFollowing(t, s, 1000)
+	g.Eventually(found(indexes, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	since := clock.Now()
 	w := NewSweeper(SweepOptions{
-		Stores: k, Log: &event.Log{}, Rank: func(string) int { return 1 },
+		Stores: indexes, Log: &event.Log{}, Rank: func(string) int { return 1 },
 		Superseded: func(salt string) (clock.Time, bool) { return since, salt == "v1/m/" },
 	})
 	w.sweep(context.Background(), "a")
@@ -213,7 +213,7 @@
 	since = since.Add(-sweepRankDelay)
 	w.sweep(context.Background(), "a")
 	g.Expect(s.freed).To(gomega.Equal([]SegmentName{{"v1/m/", "1"}}))
-	g.Expect(k.Tokens()).To(gomega.Equal(7))
+	g.Expect(indexes.Tokens()).To(gomega.Equal(7))
 	// A transfer decided by a daemon that had not yet received the newer weights must be
 	// discarded before the segment is freed.
 	g.Expect(sweepDelay).To(gomega.BeNumerically(">", MaxDesiredAge+TransferTimeout()))
@@ -227,8 +227,8 @@
 	g := gomega.NewWithT(t)
 	s := newFakeStore()
 	s.contents = []SegmentChange{change("1", 100)}
-	k := newFollowing(t, s, 1000)
-	g.Eventually(found(k, "1"), "10s", "5ms").Should(gomega.BeTrue())
+	indexes := newFollowing(t, s, 1000)
+	g.Eventually(found(indexes, "1"), "10s", "5ms").Should(gomega.BeTrue())
 	clock.Suspend(maxViewAge)
-	g.Expect(found(k, "1")()).To(gomega.BeFalse())
+	g.Expect(found(indexes, "1")()).To(gomega.BeFalse())
 }
--- a/core/cache/workercaches_test.go
+++ b/core/cache/workercaches_test.go
@@ -35,7 +35,7 @@
 
 func TestUsesAreSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var local, other WorkerCaches
+	var local, remote WorkerCaches
 	now := time.Now()
 	local.RecordUse(use("w1", "1", 10, 5), now)
 	raw, err := msgpack.Marshal(local.Collect(false))
@@ -46,9 +46,9 @@
 		"recorded while the first was being sent")
 	local.Told()
 	g.Expect(local.Collect(false)).To(gomega.BeNil())
-	other.Receive("mine", raw)
-	g.Expect(holders(&other, "1")).To(gomega.Equal([]string{"w1"}))
-	other.Receive("mine", []byte("no msgpack"))
+	remote.Receive("local", raw)
+	g.Expect(holders(&remote, "1")).To(gomega.Equal([]string{"w1"}))
+	remote.Receive("local", []byte("no msgpack"))
 }
 
 func TestReadWindowExpires(t *testing.T) {
@@ -84,8 +84,8 @@
 			for _, u := range tc.uses {
 				w.RecordUse(u, time.Now())
 			}
-			for id, held := range tc.want {
-				g.Expect(len(holders(&w, id)) > 0).To(gomega.Equal(held), id)
+			for id, cached := range tc.want {
+				g.Expect(len(holders(&w, id)) > 0).To(gomega.Equal(cached), id)
 			}
 		})
 	}
--- a/core/learn/retention_test.go
+++ b/core/learn/retention_test.go
@@ -65,9 +65,9 @@
 			r.Observe("s", rapid.Float64Range(-1, 3).Draw(t, "depth"), rapid.Bool().Draw(t, "cached"), now)
 			now = now.Add(time.Duration(rapid.IntRange(-1000, 5000).Draw(t, "pause")) * time.Millisecond)
 		}
-		c := r.Probability("s", rapid.Float64Range(-1, 3).Draw(t, "queried depth"), now)
-		if !(c >= 0 && c <= 1) {
-			t.Fatalf("probability %v", c)
+		p := r.Probability("s", rapid.Float64Range(-1, 3).Draw(t, "queried depth"), now)
+		if !(p >= 0 && p <= 1) {
+			t.Fatalf("probability %v", p)
 		}
 	})
 }
--- a/core/relay/owners_test.go
+++ b/core/relay/owners_test.go
@@ -112,7 +112,7 @@
 	return h.rigs[daemon].send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", context+":6000 own:100")
 }
 
-// cachedIn reports whether some daemon of a cell knows a worker that has a context cached.
+// cachedIn reports whether some daemon of a cell has recorded a worker with a context cached.
 func (h *fleetRig) cachedIn(cell int, context string) func() bool {
 	return func() bool {
 		name := cache.SegmentName{Salt: cache.SegmentSalt{Model: "m", Version: 1}.String(), ID: context}
--- a/core/relay/ratelimit_test.go
+++ b/core/relay/ratelimit_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestOtherTargetsServeWhatExceedsARateLimit(t *testing.T) {
-	for _, path := range []string{"/once/", "/again/"} {
+	for _, path := range []string{"/once/", "/repeatable/"} {
 		t.Run(path, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
@@ -56,9 +56,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.target("a", "plain", always(respond(200, "x", limitHeader(tc.perSecond))))
-			r.g.Expect(r.send(http.MethodPost, "/again/", "x").status).To(gomega.Equal(200))
+			r.g.Expect(r.send(http.MethodPost, "/repeatable/", "x").status).To(gomega.Equal(200))
 			start := time.Now()
-			got := r.send(http.MethodPost, "/again/", "x")
+			got := r.send(http.MethodPost, "/repeatable/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
 				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond),
@@ -66,9 +66,9 @@
 				return
 			}
 			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "half of the timeout")
-			back, err := time.ParseDuration(got.header.Get("Come-Back"))
+			retryAfter, err := time.ParseDuration(got.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
-			r.g.Expect(back).To(gomega.BeNumerically("~", 11*time.Second, 2*time.Second))
+			r.g.Expect(retryAfter).To(gomega.BeNumerically("~", 11*time.Second, 2*time.Second))
 			r.g.Expect(got.body).To(gomega.ContainSubstring(allRateLimited))
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 		})
@@ -103,8 +103,8 @@
 	p.route = r.relay.Table().Match("h", "/once/")
 	out, _ := p.attempt(p.r.Context(), &choice{target: target, load: roster.Load{Running: 1}, permit: permit})
 	r.g.Expect(out).To(gomega.Equal(outcomeNotSent))
-	_, may := r.roster.TakePermit(target)
-	r.g.Expect(may).To(gomega.BeTrue())
+	_, granted := r.roster.TakePermit(target)
+	r.g.Expect(granted).To(gomega.BeTrue())
 }
 
 // waitForPermit raises the rate limit of a target and takes the next permit.
--- a/core/relay/regions_test.go
+++ b/core/relay/regions_test.go
@@ -13,9 +13,9 @@
 	tests := []struct {
 		name                string
 		route, organisation []string
-		// to are the workers that may run the request: w1 in the north, w2 in the south, w3 in a
+		// allowed are the workers that may run the request: w1 in the north, w2 in the south, w3 in a
 		// domain without a known region.
-		to []string
+		allowed []string
 	}{
 		{"none", nil, nil, []string{"w1", "w2", "w3"}},
 		{"of the route", []string{"north"}, nil, []string{"w1"}},
@@ -47,21 +47,21 @@
 			}
 			for range 6 {
 				got := r.send("POST", "/stream/x", "b", "Model", "m", "Parts", "a:10 b:10")
-				if len(tc.to) == 0 {
+				if len(tc.allowed) == 0 {
 					r.g.Expect(got.status).To(gomega.Equal(503), "refused at once, not executed")
 				}
 			}
-			if len(tc.to) > 0 {
+			if len(tc.allowed) > 0 {
 				r.g.Expect(r.received()).NotTo(gomega.BeEmpty())
 			}
 			for _, s := range r.received() {
-				r.g.Expect(tc.to).To(gomega.ContainElement(s.target))
+				r.g.Expect(tc.allowed).To(gomega.ContainElement(s.target))
 			}
 		})
 	}
 }
 
-// The choice of an owner that does not know the caller's regions, or knows wrong ones, is rejected.
+// The choice of an owner that has not received the caller's regions, or has wrong ones, is rejected.
 func TestOwnerChoiceOutsideRegionsIsRejected(t *testing.T) {
 	r := newRig(t, nil)
 	r.relay.options.Regions = map[string]string{"d1": "north", "d2": "south"}
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -44,12 +44,12 @@
 		{"error of a non-repeatable request is passed on", "/once/a", always(respond(500, "bad")), nil, 500, "bad", 1},
 		{"all targets reject", "/once/a", always(reject), always(reject), 503, "notRun", 2},
 		{"rejected request is served by the other", "/once/a", inSequence(reject), always(respond(200, "yes")), 200, "yes", 0},
-		{"non-repeatable without answer is unknown", "/once/a", always(hangUp), always(respond(200, "yes")), 0, "", 1},
-		{"repeatable without answer is retried", "/again/a", inSequence(hangUp, respond(200, "yes")), always(respond(200, "yes")), 200, "yes", 0},
-		{"error of a repeatable request is retried", "/again/a", always(respond(500, "bad")), always(respond(500, "bad")), 500, "bad", 2},
-		{"answer to another request", "/once/a", always(mismatched), nil, 502, "unknown", 1},
-		{"unsigned answer", "/once/a", always(unsigned), nil, 502, "unknown", 1},
-		{"truncated answer", "/once/a", always(short), nil, 502, "unknown", 1},
+		{"non-repeatable without response is unknown", "/once/a", always(hangUp), always(respond(200, "yes")), 0, "", 1},
+		{"repeatable without response is retried", "/repeatable/a", inSequence(hangUp, respond(200, "yes")), always(respond(200, "yes")), 200, "yes", 0},
+		{"error of a repeatable request is retried", "/repeatable/a", always(respond(500, "bad")), always(respond(500, "bad")), 500, "bad", 2},
+		{"response to another request", "/once/a", always(mismatched), nil, 502, "unknown", 1},
+		{"unsigned response", "/once/a", always(unsigned), nil, 502, "unknown", 1},
+		{"truncated response", "/once/a", always(short), nil, 502, "unknown", 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -134,10 +134,10 @@
 // caller's remaining time.
 func TestRetryAfterOfRefusals(t *testing.T) {
 	tests := []struct {
-		name        string
-		make        func(r *rig)
-		deadline    string
-		least, most time.Duration
+		name            string
+		make            func(r *rig)
+		deadline        string
+		atLeast, atMost time.Duration
 	}{
 		{"started just now", func(r *rig) { r.relay.table.Store(nil) }, "6000", minRetryAfter / 2, 400 * time.Millisecond},
 		{"coordination store down", func(r *rig) {
@@ -162,8 +162,8 @@
 			r.g.Expect(a.status).To(gomega.Equal(http.StatusServiceUnavailable))
 			after, err := time.ParseDuration(a.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
-			r.g.Expect(after).To(gomega.BeNumerically(">=", tc.least))
-			r.g.Expect(after).To(gomega.BeNumerically("<=", tc.most))
+			r.g.Expect(after).To(gomega.BeNumerically(">=", tc.atLeast))
+			r.g.Expect(after).To(gomega.BeNumerically("<=", tc.atMost))
 		})
 	}
 }
@@ -244,7 +244,7 @@
 		return nil
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.front.URL+"/again/", strings.NewReader("x"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.front.URL+"/repeatable/", strings.NewReader("x"))
 	r.g.Expect(err).NotTo(gomega.HaveOccurred())
 	req.Host = "h"
 	req.Header.Set("Id", "try-1")
@@ -266,7 +266,7 @@
 	r.target("t1", "plain", always(respond(500, "bad")))
 	r.target("t2", "plain", always(respond(500, "bad")))
 	for range 10 {
-		r.send(http.MethodPost, "/again/", "x")
+		r.send(http.MethodPost, "/repeatable/", "x")
 	}
 	r.g.Expect(r.received()).To(gomega.HaveLen(13))
 }
@@ -352,15 +352,15 @@
 		make func(r *rig)
 		want string
 	}{
-		{"the store nearby", func(*rig) {}, "near:1,"},
-		{"copies queued at the nearer", func(r *rig) { r.relay.options.Links.Begin("near:1", "else", 800*time.Millisecond, time.Now()) }, "far:1,"},
-		{"the nearer is slow", func(r *rig) {
+		{"the store with the faster link", func(*rig) {}, "fast:1,"},
+		{"copies queued at the faster link", func(r *rig) { r.relay.options.Links.Begin("fast:1", "else", 800*time.Millisecond, time.Now()) }, "slow:1,"},
+		{"the faster link has become slow", func(r *rig) {
 			for range 8 {
-				r.relay.options.Links.Sample("near:1", "else", 8, 1, time.Now())
+				r.relay.options.Links.Sample("fast:1", "else", 8, 1, time.Now())
 			}
-		}, "far:1,"},
+		}, "slow:1,"},
 		{"cached by a worker", func(r *rig) {
-			for _, store := range []string{"near:1", "far:1"} {
+			for _, store := range []string{"fast:1", "slow:1"} {
 				r.relay.options.Links.Begin(store, "else", 800*time.Millisecond, time.Now())
 			}
 			r.relay.options.WorkerCaches.RecordUse(cache.Use{
@@ -368,7 +368,7 @@
 			}, time.Now())
 		}, "t2,"},
 		{"no source in time", func(r *rig) {
-			for _, store := range []string{"near:1", "far:1"} {
+			for _, store := range []string{"fast:1", "slow:1"} {
 				r.relay.options.Links.Begin(store, "else", 2*time.Second, time.Now())
 			}
 		}, ""},
@@ -378,7 +378,7 @@
 			r := newRig(t, fakeStores{[]cache.SegmentChange{{SegmentName: name, Tokens: 5000}}})
 			r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.storeIndex.Set(testContext(r.t), []cache.StoreInfo{
-				{Address: "near:1", Capacity: 1 << 20, TokenTime: 10 * time.Microsecond}, {Address: "far:1", Capacity: 1 << 20, TokenTime: 20 * time.Microsecond},
+				{Address: "fast:1", Capacity: 1 << 20, TokenTime: 10 * time.Microsecond}, {Address: "slow:1", Capacity: 1 << 20, TokenTime: 20 * time.Microsecond},
 			})
 			r.g.Eventually(func() int { return len(r.storeIndex.Find(name, clock.Now())) }, "10s", "5ms").Should(gomega.Equal(2))
 			t2 := r.target("t2", "llm", always(stream(true)))
@@ -429,10 +429,10 @@
 	r := newRig(t, nil)
 	r.target("t1", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 	r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10")
-	r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10", "Key", "walled")
+	r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:10 b:10", "Key", "isolated")
 	s := r.received()
 	r.g.Expect(s[0].header.Get("Salt")).To(gomega.Equal("v1/m/"))
-	r.g.Expect(s[1].header.Get("Salt")).To(gomega.Equal("v1/m/walled"))
+	r.g.Expect(s[1].header.Get("Salt")).To(gomega.Equal("v1/m/isolated"))
 }
 
 func TestGracefulShutdown(t *testing.T) {
@@ -516,15 +516,15 @@
 	}{
 		{"own worker is free", func(*roster.Target) {}, 200, 1},
 		{"own worker is full", func(t *roster.Target) { t.AddLoad(roster.Load{Running: 1, OccupiedTokens: 1 << 20}) }, 503, 0},
-		{"own worker does not answer", func(t *roster.Target) { t.RecordNoResponse(time.Now().Add(time.Minute)) }, 200, 1},
+		{"own worker does not respond", func(t *roster.Target) { t.RecordNoResponse(time.Now().Add(time.Minute)) }, 200, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
-			r.relay.options.OwnTargets = func([]string) []string { return []string{"mine"} }
-			r.target("mine", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
+			r.relay.options.OwnTargets = func([]string) []string { return []string{"own"} }
+			r.target("own", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
 			r.target("other", "llm", always(stream(true, "id: 1\ndata: a\n\n")))
-			tc.make(r.roster.Target("mine"))
+			tc.make(r.roster.Target("own"))
 			a := r.send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", "a:3000 b:10")
 			r.g.Expect(a.status).To(gomega.Equal(tc.status))
 			r.g.Expect(r.received()).To(gomega.HaveLen(tc.attempts))
@@ -537,7 +537,7 @@
 	large := strings.Repeat("x", maxBufferedBytes+1000)
 	r.target("t1", "plain", always(respond(500, large)))
 	r.target("t2", "plain", always(respond(500, large)))
-	a := r.send(http.MethodPost, "/again/", "x")
+	a := r.send(http.MethodPost, "/repeatable/", "x")
 	r.g.Expect(a.err).NotTo(gomega.HaveOccurred())
 	r.g.Expect(a.status).To(gomega.Equal(500))
 	r.g.Expect(len(a.body)).To(gomega.Equal(len(large)))
@@ -594,7 +594,7 @@
 			storeSegment(r, salt, "text")
 			// The segment was prefilled recently, so prefilling it again has a cost.
 			r.relay.options.WorkerCaches.RecordUse(cache.Use{
-				Target: "gone", Salt: salt,
+				Target: "removed", Salt: salt,
 				Segments: []cache.UsedSegment{{ID: "text", Tokens: 400}},
 			}, time.Now())
 			if tc.queued > 0 {
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -47,16 +47,16 @@
 	return meta, nil
 }
 
-func (testDialect) WriteAttempt(h http.Header, s *AttemptMeta) {
+func (testDialect) WriteAttempt(h http.Header, meta *AttemptMeta) {
 	h.Del("Key")
-	h.Set("Organisation", s.Organisation)
-	h.Set("Deadline", strconv.FormatInt(s.Timeout.Milliseconds(), 10))
-	h.Set("Target", s.Target)
-	h.Set("Weights", strconv.FormatInt(s.WeightVersion, 10))
-	h.Set("Salt", s.CacheSalt)
-	h.Set("After", s.LastEventID)
-	h.Set("Copy", strings.Join(s.CopyFrom, ","))
-	h.Set("Keep", strings.Join(s.StoreTo, ","))
+	h.Set("Organisation", meta.Organisation)
+	h.Set("Deadline", strconv.FormatInt(meta.Timeout.Milliseconds(), 10))
+	h.Set("Target", meta.Target)
+	h.Set("Weights", strconv.FormatInt(meta.WeightVersion, 10))
+	h.Set("Salt", meta.CacheSalt)
+	h.Set("After", meta.LastEventID)
+	h.Set("Copy", strings.Join(meta.CopyFrom, ","))
+	h.Set("Keep", strings.Join(meta.StoreTo, ","))
 }
 
 func (testDialect) ParseResponse(_ int, h http.Header) ResponseMeta {
@@ -162,11 +162,11 @@
 	requests []receivedRequest
 }
 
-func (r *rig) record(s receivedRequest) {
+func (r *rig) record(req receivedRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.at = time.Now()
-	r.requests = append(r.requests, s)
+	req.at = time.Now()
+	r.requests = append(r.requests, req)
 }
 
 func (r *rig) received() []receivedRequest {
@@ -178,15 +178,15 @@
 // fakeStores is a client of KV-cache stores that hold the given segments.
 type fakeStores struct{ segments []cache.SegmentChange }
 
-func (n fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.SegmentEvents, error) {
+func (s fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.SegmentEvents, error) {
 	if since > 1 {
 		<-ctx.Done()
 		return cache.SegmentEvents{}, ctx.Err()
 	}
-	return cache.SegmentEvents{Epoch: 1, Next: 2, Changes: n.segments, Clock: time.Minute}, nil
+	return cache.SegmentEvents{Epoch: 1, Next: 2, Changes: s.segments, Clock: time.Minute}, nil
 }
 
-func (n fakeStores) Contents(context.Context, string) (cache.SegmentEvents, error) {
+func (s fakeStores) Contents(context.Context, string) (cache.SegmentEvents, error) {
 	return cache.SegmentEvents{Epoch: 1, Next: 1}, nil
 }
 
@@ -194,7 +194,7 @@
 
 var testRoutes = []table.Route{
 	{Name: "once", Host: "h", Prefix: "/once/", Kind: table.Once, Timeout: 2 * time.Second, LatencyObjective: time.Second, MaxAttempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
-	{Name: "again", Host: "h", Prefix: "/again/", Kind: table.Repeatable, Timeout: 2 * time.Second, LatencyObjective: 10 * time.Second, MaxAttempts: 2, Splits: []table.Split{{Service: "plain", Weight: 1}}},
+	{Name: "repeatable", Host: "h", Prefix: "/repeatable/", Kind: table.Repeatable, Timeout: 2 * time.Second, LatencyObjective: 10 * time.Second, MaxAttempts: 2, Splits: []table.Split{{Service: "plain", Weight: 1}}},
 	{Name: "stream", Host: "h", Prefix: "/stream/", Kind: table.Stream, Resumable: true, Timeout: 5 * time.Second, LatencyObjective: time.Second, MaxAttempts: 2, Splits: []table.Split{{Service: "llm", Weight: 1}}},
 	{Name: "single", Host: "h", Prefix: "/single/", Kind: table.Stream, Timeout: 5 * time.Second, LatencyObjective: time.Second, MaxAttempts: 1, Splits: []table.Split{{Service: "llm", Weight: 1}}},
 	{Name: "public", Host: "h", Prefix: "/public/", Kind: table.Once, Timeout: time.Second, MaxAttempts: 1, Public: true, Splits: []table.Split{{Service: "plain", Weight: 1}}},
@@ -241,7 +241,7 @@
 		Services: []table.Service{
 			{Name: "plain"}, {Name: "llm", Engine: &table.Engine{Models: []string{"m"}, Slots: 4, MemoryTokens: 1 << 20}},
 		},
-		Organisations: []table.Organisation{{Name: "org", Keys: []string{"secret"}}, {Name: "walled", Keys: []string{"walled"}, Isolated: true}},
+		Organisations: []table.Organisation{{Name: "org", Keys: []string{"secret"}}, {Name: "isolated", Keys: []string{"isolated"}, Isolated: true}},
 	}))
 	r.front = httptest.NewServer(r.relay)
 	t.Cleanup(r.front.Close)
--- a/core/relay/selfreport_test.go
+++ b/core/relay/selfreport_test.go
@@ -33,14 +33,14 @@
 func TestSelfReportsAreAttributed(t *testing.T) {
 	tests := []struct {
 		name, path string
-		answer     handler
+		response   handler
 		want       bool
 	}{
-		{"a complete answer", "/once/", respondHead(200, "Id: try-1\r\nLeaves: 1\r\n"), true},
+		{"a complete response", "/once/", respondHead(200, "Id: try-1\r\nLeaves: 1\r\n"), true},
 		{"an error", "/once/", respondHead(500, "Id: try-1\r\nLeaves: 1\r\n"), true},
-		{"a refusal", "/once/", respondHead(503, "Id: try-1\r\nNot-Run: 1\r\nLeaves: 1\r\n"), true},
-		{"a refusal without ID", "/once/", respondHead(503, "Not-Run: 1\r\nLeaves: 1\r\n"), true},
-		{"an answer without a signature", "/again/", func(w *bufio.Writer, _ *http.Request) error {
+		{"a rejection", "/once/", respondHead(503, "Id: try-1\r\nNot-Run: 1\r\nLeaves: 1\r\n"), true},
+		{"a rejection without ID", "/once/", respondHead(503, "Not-Run: 1\r\nLeaves: 1\r\n"), true},
+		{"a response without a signature", "/repeatable/", func(w *bufio.Writer, _ *http.Request) error {
 			fmt.Fprint(w, "HTTP/1.1 200 X\r\nId: try-1\r\nLeaves: 1\r\nContent-Length: 0\r\n\r\n")
 			return nil
 		}, true},
@@ -48,16 +48,16 @@
 			fmt.Fprint(w, "HTTP/1.1 200 X\r\nId: try-1\r\nSeal: s\r\nLeaves: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 			return nil
 		}, true},
-		{"an answer to another request", "/once/", respondHead(200, "Id: try-9\r\nLeaves: 1\r\n"), false},
-		{"an answer without ID", "/once/", respondHead(200, "Leaves: 1\r\n"), false},
+		{"a response to another request", "/once/", respondHead(200, "Id: try-9\r\nLeaves: 1\r\n"), false},
+		{"a response without ID", "/once/", respondHead(200, "Leaves: 1\r\n"), false},
 		{"another target at the address", "/once/", respondHead(421, "Run: other\r\nLeaves: 1\r\n"), false},
 		{"an unnamed target at the address", "/once/", respondHead(421, "Leaves: 1\r\n"), false},
 		{"the target itself, with other weights", "/stream/", respondHead(421, "Run: a\r\nLeaves: 1\r\n"), true},
-		{"no HTTP answer", "/once/", func(w *bufio.Writer, _ *http.Request) error {
+		{"no HTTP response", "/once/", func(w *bufio.Writer, _ *http.Request) error {
 			fmt.Fprint(w, "Leaves: 1\r\n\r\n")
 			return http.ErrAbortHandler
 		}, false},
-		{"an answer without a report", "/once/", respondHead(200, "Id: try-1\r\n"), false},
+		{"a response without a report", "/once/", respondHead(200, "Id: try-1\r\n"), false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 			if tc.path == "/stream/" {
 				service = "llm"
 			}
-			r.target("a", service, always(tc.answer))
+			r.target("a", service, always(tc.response))
 			r.send(http.MethodPost, tc.path, "x", "Model", "m", "Parts", "p:100")
 			r.g.Expect(r.shuttingDown("a")).To(gomega.Equal(tc.want))
 		})
@@ -151,16 +151,16 @@
 			start := time.Now()
 			// The route has a latency objective of ten seconds, so that a busy box does not change
 			// the result.
-			got := r.send(http.MethodPost, "/again/", "x")
+			got := r.send(http.MethodPost, "/repeatable/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
 				return
 			}
 			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "half of the timeout")
-			back, err := time.ParseDuration(got.header.Get("Come-Back"))
+			retryAfter, err := time.ParseDuration(got.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
-			r.g.Expect(back).To(gomega.BeNumerically(">=", tc.from))
-			r.g.Expect(back).To(gomega.BeNumerically("<=", tc.from*2))
+			r.g.Expect(retryAfter).To(gomega.BeNumerically(">=", tc.from))
+			r.g.Expect(retryAfter).To(gomega.BeNumerically("<=", tc.from*2))
 			r.g.Expect(r.received()).To(gomega.BeEmpty())
 		})
 	}
--- a/core/relay/share_test.go
+++ b/core/relay/share_test.go
@@ -52,7 +52,7 @@
 	o.ShardVersion = nil
 	own()
 	own()
-	g.Expect(calls).To(gomega.Equal(5), "without a basis nothing is cached")
+	g.Expect(calls).To(gomega.Equal(5), "without a shard version nothing is cached")
 }
 
 // BenchmarkShare computes a daemon's share of 3,000 targets for each request, and takes the cached
@@ -67,7 +67,7 @@
 	})
 	o.ShardVersion = func() any { return "same" }
 	var s shareCache
-	b.Run("remembered", func(b *testing.B) {
+	b.Run("cached", func(b *testing.B) {
 		for range b.N {
 			s.get("llm", list, o)
 		}
--- a/core/relay/suspend_test.go
+++ b/core/relay/suspend_test.go
@@ -15,10 +15,10 @@
 // The box is suspended while a target runs a request whose response then breaks off. The second
 // target must be given only what is left of the caller's time.
 func TestRetryAfterSystemSuspendGetsRemainingTime(t *testing.T) {
-	const slept = time.Second
+	const suspension = time.Second
 	r := newRig(t, nil)
 	suspended := func(*bufio.Writer, *http.Request) error {
-		clock.Suspend(slept)
+		clock.Suspend(suspension)
 		return hangUp(nil, nil)
 	}
 	for _, id := range []string{"a", "b"} {
@@ -29,11 +29,11 @@
 			return respond(200, "ok")
 		})
 	}
-	g := r.send(http.MethodPost, "/again/", "x", "Deadline", "1800")
-	r.g.Expect(g.status).To(gomega.Equal(200))
-	sends := r.received()
-	r.g.Expect(sends).To(gomega.HaveLen(2))
-	first, _ := strconv.Atoi(sends[0].header.Get("Deadline"))
-	second, _ := strconv.Atoi(sends[1].header.Get("Deadline"))
-	r.g.Expect(second).To(gomega.BeNumerically("<=", first-int(slept.Milliseconds())))
+	got := r.send(http.MethodPost, "/repeatable/", "x", "Deadline", "1800")
+	r.g.Expect(got.status).To(gomega.Equal(200))
+	received := r.received()
+	r.g.Expect(received).To(gomega.HaveLen(2))
+	first, _ := strconv.Atoi(received[0].header.Get("Deadline"))
+	second, _ := strconv.Atoi(received[1].header.Get("Deadline"))
+	r.g.Expect(second).To(gomega.BeNumerically("<=", first-int(suspension.Milliseconds())))
 }
--- a/core/relay/warmup_test.go
+++ b/core/relay/warmup_test.go
@@ -63,31 +63,31 @@
 
 func TestWarmingWorkerIsRateLimited(t *testing.T) {
 	r := warmUpRig(t)
-	r.target("cold", "llm", always(stream(true, "id: 1\ndata: x\n\n")))
+	r.target("warming", "llm", always(stream(true, "id: 1\ndata: x\n\n")))
 	r.target("warm", "llm", always(stream(true, "id: 1\ndata: x\n\n")))
-	r.warmUp("cold")
+	r.warmUp("warming")
 	got := r.countStatuses(10, "/stream/x", "Model", "m", "Parts", "a:10 b:10")
 	r.g.Expect(got).To(gomega.Equal(map[int]int{200: 10}))
-	r.g.Expect(r.receivedBy("cold")).To(gomega.BeNumerically("<=", 2),
+	r.g.Expect(r.receivedBy("warming")).To(gomega.BeNumerically("<=", 2),
 		"half of its rate: daemons may differ in their views of the fleet")
 }
 
 func TestSingleWarmingPlainTargetIsRateLimited(t *testing.T) {
 	r := warmUpRig(t)
-	r.target("cold", "plain", always(respond(200, "x")))
-	r.warmUp("cold")
+	r.target("warming", "plain", always(respond(200, "x")))
+	r.warmUp("warming")
 	got := r.countStatuses(12, "/short/x", "Deadline", "100")
-	r.g.Expect(r.receivedBy("cold")).To(gomega.Equal(2))
+	r.g.Expect(r.receivedBy("warming")).To(gomega.Equal(2))
 	r.g.Expect(got).To(gomega.Equal(map[int]int{200: 2, 503: 10}))
 }
 
 func TestDaemonWithoutShareSendsNothingToWarmingTarget(t *testing.T) {
 	r := warmUpRig(t)
 	r.relay.options.Rank = func(string, bool) (int, int) { return 2, 79 }
-	r.target("cold", "plain", always(respond(200, "x")))
-	r.warmUp("cold")
+	r.target("warming", "plain", always(respond(200, "x")))
+	r.warmUp("warming")
 	r.g.Expect(r.send("POST", "/short/x", "b", "Deadline", "100").status).To(gomega.Equal(503))
-	r.g.Expect(r.receivedBy("cold")).To(gomega.BeZero())
+	r.g.Expect(r.receivedBy("warming")).To(gomega.BeZero())
 }
 
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
--- a/core/roster/availability_test.go
+++ b/core/roster/availability_test.go
@@ -20,16 +20,16 @@
 		name string
 		// steps change a roster whose current incarnation a@1000 reported shutting down.
 		steps func(r *Roster)
-		// use is the incarnation that is checked, and want its expected availability.
-		use  string
-		want UnavailabilityReason
+		// checked is the incarnation that is checked, and want its expected availability.
+		checked string
+		want    UnavailabilityReason
 	}{
 		{"nothing else happens", func(*Roster) {}, "a@1000", ShuttingDown},
 		{"its entry shows ready", func(r *Roster) { r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", ShuttingDown},
 		{"its entry is removed and returns", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", ShuttingDown},
 		{"its entry shows shutting down, then ready", func(r *Roster) { r.Put(shuttingDownEntry); r.Put(incarnationEntry("a@1000", 1000)) }, "a@1000", ShuttingDown},
 		{"the next incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Available},
-		{"the next incarnation answers before its entry", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Available},
+		{"the next incarnation responds before its entry", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000", Available},
 		{"a late report of the previous incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.RecordShutdown("a@1000", ByResponse) }, "a@2000", Available},
 	}
 	for _, tc := range tests {
@@ -40,7 +40,7 @@
 			g.Expect(r.RecordShutdown("a@1000", ByResponse)).To(gomega.BeTrue())
 			g.Expect(r.RecordShutdown("a@1000", ByPeer)).To(gomega.BeFalse(), "it was recorded already")
 			tc.steps(r)
-			target := r.Target(tc.use)
+			target := r.Target(tc.checked)
 			g.Expect(target).NotTo(gomega.BeNil())
 			reason, _ := r.Availability(time.Now()).Reason(target)
 			g.Expect(reason).To(gomega.Equal(tc.want), reason.String())
--- a/core/roster/incarnations_test.go
+++ b/core/roster/incarnations_test.go
@@ -34,9 +34,9 @@
 			r.Put(e)
 		}, "a@2000"},
 		{"a late entry of an older incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.Put(incarnationEntry("a@1000", 1000)) }, "a@2000"},
-		{"another incarnation answers", func(r *Roster) { r.RecordReplaced("a@1000") }, ""},
-		{"another incarnation answers, the list lags", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
-		{"another incarnation answers, the list follows", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
+		{"another incarnation responds", func(r *Roster) { r.RecordReplaced("a@1000") }, ""},
+		{"another incarnation responds, the list lags", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
+		{"another incarnation responds, the list follows", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
 		{"its clock went back", func(r *Roster) { r.Put(incarnationEntry("a@500", 500)); r.RecordReplaced("a@1000") }, "a@500"},
 		{"taken off the list and back", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(incarnationEntry("a@500", 500)) }, "a@500"},
 		{"unusable entry of another writer", func(r *Roster) { r.RemoveUnusable("a") }, ""},
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -37,10 +37,9 @@
 	pushbackLogInterval = time.Second
 )
 
-// extend records a rejection with a pushback of d, and reports whether a new
-// pushback starts and a log line is due. Of two pushbacks the one that ends later applies: a target
-// that sent three seconds does not want requests after one second because a second rejection says
-// so.
+// extend records a rejection with a pushback of d, and reports whether a new pushback starts and a
+// log line is due. Of two pushbacks the one that ends later applies: a target that sent three
+// seconds does not want requests after one second because a second rejection says so.
 func (p *pushback) extend(d time.Duration, now clock.Time) bool {
 	starts := !now.Before(p.until)
 	if until := now.Add(min(d, MaxPushback)); until.After(p.until) {
@@ -105,51 +104,51 @@
 
 // RecordRejection records that an incarnation of a target rejected a request with a pushback of d.
 // It reports whether a log line is due for that.
-func (r *PushbackList) RecordRejection(name, incarnation string, d time.Duration) bool {
+func (l *PushbackList) RecordRejection(name, incarnation string, d time.Duration) bool {
 	if d <= 0 {
 		return false
 	}
-	r.pushbacksMu.Lock()
-	defer r.pushbacksMu.Unlock()
-	if r.byName == nil {
-		r.byName = map[string]*incarnationPushback{}
+	l.pushbacksMu.Lock()
+	defer l.pushbacksMu.Unlock()
+	if l.byName == nil {
+		l.byName = map[string]*incarnationPushback{}
 	}
-	p := r.byName[name]
+	p := l.byName[name]
 	if p == nil || p.incarnation != incarnation {
 		p = &incarnationPushback{incarnation: incarnation}
-		r.byName[name] = p
+		l.byName[name] = p
 	}
 	return p.extend(d, clock.Now())
 }
 
 // RecordAccepted records that a target accepted a request. It reports whether that ended a ramp and
 // a log line is due for it.
-func (r *PushbackList) RecordAccepted(name string) bool {
-	r.pushbacksMu.Lock()
-	defer r.pushbacksMu.Unlock()
-	p := r.byName[name]
+func (l *PushbackList) RecordAccepted(name string) bool {
+	l.pushbacksMu.Lock()
+	defer l.pushbacksMu.Unlock()
+	p := l.byName[name]
 	return p != nil && p.endRamp(clock.Now())
 }
 
 // Take counts an attempt at a target, and reports whether it may be sent.
-func (r *PushbackList) Take(name string) bool {
-	r.pushbacksMu.Lock()
-	defer r.pushbacksMu.Unlock()
-	p := r.byName[name]
+func (l *PushbackList) Take(name string) bool {
+	l.pushbacksMu.Lock()
+	defer l.pushbacksMu.Unlock()
+	p := l.byName[name]
 	return p == nil || p.allowAttempt(clock.Now())
 }
 
 // Remaining returns how much longer each target gets no requests, without those that may get one.
 // incarnationOf returns the current incarnation of a name, or "" if unknown: the pushback of
 // another incarnation does not apply to it. Targets whose ramp is over are forgotten.
-func (r *PushbackList) Remaining(incarnationOf func(name string) string) map[string]time.Duration {
-	r.pushbacksMu.Lock()
-	defer r.pushbacksMu.Unlock()
+func (l *PushbackList) Remaining(incarnationOf func(name string) string) map[string]time.Duration {
+	l.pushbacksMu.Lock()
+	defer l.pushbacksMu.Unlock()
 	now := clock.Now()
 	var out map[string]time.Duration
-	for name, p := range r.byName {
+	for name, p := range l.byName {
 		if current := incarnationOf(name); current != "" && p.incarnation != "" && current != p.incarnation {
-			delete(r.byName, name)
+			delete(l.byName, name)
 			continue
 		}
 		remaining := p.remaining(now)
@@ -159,7 +158,7 @@
 		case remaining > 0:
 			out[name] = remaining
 		case p.rampDone(now) && now.Sub(p.lastLogged) >= pushbackLogInterval:
-			delete(r.byName, name)
+			delete(l.byName, name)
 		}
 	}
 	return out
--- a/core/roster/pushback_test.go
+++ b/core/roster/pushback_test.go
@@ -119,29 +119,29 @@
 func TestPushbackListPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	current := func(incarnation string) func(string) string { return func(string) string { return incarnation } }
-	var r PushbackList
-	g.Expect(r.RecordRejection("a", "1", 0)).To(gomega.BeFalse())
-	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
-	g.Expect(r.Take("a")).To(gomega.BeTrue())
-	g.Expect(r.RecordRejection("a", "1", time.Minute)).To(gomega.BeTrue())
-	g.Expect(r.RecordRejection("a", "1", time.Second)).To(gomega.BeFalse(), "a pushback is in effect already")
-	g.Expect(r.Take("a")).To(gomega.BeFalse())
-	g.Expect(r.RecordAccepted("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
+	var list PushbackList
+	g.Expect(list.RecordRejection("a", "1", 0)).To(gomega.BeFalse())
+	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
+	g.Expect(list.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.RecordRejection("a", "1", time.Minute)).To(gomega.BeTrue())
+	g.Expect(list.RecordRejection("a", "1", time.Second)).To(gomega.BeFalse(), "a pushback is in effect already")
+	g.Expect(list.Take("a")).To(gomega.BeFalse())
+	g.Expect(list.RecordAccepted("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
 	for _, incarnation := range []string{"", "1"} {
-		g.Expect(r.Remaining(current(incarnation))).To(gomega.HaveKeyWithValue("a",
+		g.Expect(list.Remaining(current(incarnation))).To(gomega.HaveKeyWithValue("a",
 			gomega.BeNumerically("~", time.Minute, 5*time.Second)))
 	}
-	g.Expect(r.Remaining(current("2"))).To(gomega.BeEmpty())
-	g.Expect(r.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.Remaining(current("2"))).To(gomega.BeEmpty())
+	g.Expect(list.Take("a")).To(gomega.BeTrue())
 
-	r.RecordRejection("a", "", time.Minute)
-	g.Expect(r.Remaining(current("2"))).To(gomega.HaveKey("a"), "the incarnation that sent it is unknown")
+	list.RecordRejection("a", "", time.Minute)
+	g.Expect(list.Remaining(current("2"))).To(gomega.HaveKey("a"), "the incarnation that sent it is unknown")
 	clock.Suspend(time.Minute)
-	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
-	g.Expect(r.Take("a")).To(gomega.BeTrue())
-	g.Expect(r.Remaining(current(""))).To(gomega.HaveKey("a"), "the ramp allows one attempt at first")
-	g.Expect(r.RecordAccepted("a")).To(gomega.BeTrue())
-	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
+	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
+	g.Expect(list.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.Remaining(current(""))).To(gomega.HaveKey("a"), "the ramp allows one attempt at first")
+	g.Expect(list.RecordAccepted("a")).To(gomega.BeTrue())
+	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
 }
 
 // A target that alternates between rejecting with a very short pushback and accepting causes one
--- a/core/roster/ratelimit_test.go
+++ b/core/roster/ratelimit_test.go
@@ -144,14 +144,14 @@
 			g := gomega.NewWithT(t)
 			r, _ := newLimited(&event.Log{})
 			before := clock.Now()
-			for _, a := range tc.responses {
+			for _, resp := range tc.responses {
 				sent := before
-				if !a.early {
+				if !resp.early {
 					clock.Suspend(time.Millisecond)
 					sent = clock.Now()
 				}
 				clock.Suspend(time.Millisecond)
-				r.RecordLimit("a@1000", a.limit, sent, !a.rejected)
+				r.RecordLimit("a@1000", resp.limit, sent, !resp.rejected)
 			}
 			if tc.want < 0 {
 				g.Expect(r.RateLimitedTargets()).To(gomega.BeEmpty())
--- a/core/roster/restored_test.go
+++ b/core/roster/restored_test.go
@@ -21,9 +21,9 @@
 // What was recorded about an incarnation outlives a list that is restored from an older copy.
 func TestLocalViewOutlivesRestoredList(t *testing.T) {
 	tests := []struct {
-		name string
-		do   func(r *Roster)
-		want UnavailabilityReason
+		name  string
+		steps func(r *Roster)
+		want  UnavailabilityReason
 	}{
 		{"ready as before", func(r *Roster) { r.Put(entryAt("a", false, 2, 10)) }, Available},
 		{"shutting down, and ready in the copy", func(r *Roster) {
@@ -88,7 +88,7 @@
 			g := gomega.NewWithT(t)
 			r := New(&event.Log{}, nil)
 			r.Put(entryAt("a", false, 1, 10))
-			tc.do(r)
+			tc.steps(r)
 			target := r.Target("a")
 			if target == nil {
 				g.Expect(tc.want).To(gomega.Equal(Removed))
--- a/core/route/bench_test.go
+++ b/core/route/bench_test.go
@@ -16,10 +16,10 @@
 			for i := range tc.workers {
 				workers = append(workers, worker(fmt.Sprint("engine-", i), i%7, i*100))
 			}
-			r, k := request(), stored(100, 4e9)
+			r, contexts := request(), stored(100, 4e9)
 			b.ReportAllocs()
 			for b.Loop() {
-				Place(LowestCost, r, workers, k)
+				Place(LowestCost, r, workers, contexts)
 			}
 		})
 	}
--- a/core/route/pick_test.go
+++ b/core/route/pick_test.go
@@ -116,8 +116,8 @@
 		{"always fails", Candidate{Slots: 16, MemoryTokens: 100000, FailureShare: 1}, false},
 	}
 	for _, tc := range tests {
-		j := Evaluate(&long, &tc.candidate, engines(), costs())
-		gomega.NewWithT(t).Expect(j.CallerUtility > 0).To(gomega.Equal(tc.positive), "%s: %+v", tc.name, j)
+		ev := Evaluate(&long, &tc.candidate, engines(), costs())
+		gomega.NewWithT(t).Expect(ev.CallerUtility > 0).To(gomega.Equal(tc.positive), "%s: %+v", tc.name, ev)
 	}
 }
 
@@ -125,7 +125,7 @@
 // is slower, more loaded or fails more often has no higher NetUtility.
 func TestEvaluateIsSound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := PickRequest{
+		req := PickRequest{
 			Tokens:      rapid.IntRange(0, 40000).Draw(t, "tokens"),
 			Objective:   time.Duration(rapid.IntRange(0, 2000).Draw(t, "objective")) * time.Millisecond,
 			Elapsed:     time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond,
@@ -144,12 +144,12 @@
 			Slowdown:         rapid.Float64Range(0, 8).Draw(t, "slowdown"),
 		}
 		e := engines()
-		j := Evaluate(&a, &c, e, costs())
-		if !(j.NetUtility <= 1e9 && j.NetUtility >= -1e9 && j.CallerUtility >= j.NetUtility && j.Expected >= 0) {
-			t.Fatalf("%+v", j)
+		ev := Evaluate(&req, &c, e, costs())
+		if !(ev.NetUtility <= 1e9 && ev.NetUtility >= -1e9 && ev.CallerUtility >= ev.NetUtility && ev.Expected >= 0) {
+			t.Fatalf("%+v", ev)
 		}
-		if j.WithinObjective < 0 || j.WithinObjective > j.BeforeDeadline || j.BeforeDeadline > 1 {
-			t.Fatalf("probabilities %+v", j)
+		if ev.WithinObjective < 0 || ev.WithinObjective > ev.BeforeDeadline || ev.BeforeDeadline > 1 {
+			t.Fatalf("probabilities %+v", ev)
 		}
 		for _, worse := range []func(*Candidate){
 			func(c *Candidate) { c.QueuedTokens += 5000 },
@@ -159,8 +159,8 @@
 		} {
 			d := c
 			worse(&d)
-			if k := Evaluate(&a, &d, e, costs()); k.NetUtility > j.NetUtility+1e-9 {
-				t.Fatalf("%+v has a higher Worth than %+v: %+v, %+v", d, c, k, j)
+			if worseEv := Evaluate(&req, &d, e, costs()); worseEv.NetUtility > ev.NetUtility+1e-9 {
+				t.Fatalf("%+v has a higher NetUtility than %+v: %+v, %+v", d, c, worseEv, ev)
 			}
 		}
 	})
@@ -189,12 +189,12 @@
 					OccupiedTokens: i * 400, CachedTokens: i % 3 * 1000,
 				}
 			}
-			a, e := PickRequest{
+			req, e := PickRequest{
 				Tokens: 12000, Objective: time.Second, Remaining: 10 * time.Second, UtilityRate: 14,
 			}, engines()
 			b.ReportAllocs()
 			for b.Loop() {
-				Pick(&a, list, e, costs(), 0.3)
+				Pick(&req, list, e, costs(), 0.3)
 			}
 		})
 	}
--- a/core/route/retry_budget_test.go
+++ b/core/route/retry_budget_test.go
@@ -9,16 +9,16 @@
 
 func TestRetryBudgetWindowSlides(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a := &RetryBudget{RetriesPerRequest: 0.2, ExtraRetries: 1, Window: 10 * time.Second}
-	g.Expect(a.TryRetry(0)).To(gomega.BeTrue())
-	g.Expect(a.TryRetry(0)).To(gomega.BeFalse())
+	budget := &RetryBudget{RetriesPerRequest: 0.2, ExtraRetries: 1, Window: 10 * time.Second}
+	g.Expect(budget.TryRetry(0)).To(gomega.BeTrue())
+	g.Expect(budget.TryRetry(0)).To(gomega.BeFalse())
 	for range 10 {
-		a.RecordRequest(time.Second)
+		budget.RecordRequest(time.Second)
 	}
-	g.Expect(a.TryRetry(time.Second)).To(gomega.BeTrue())
-	g.Expect(a.TryRetry(time.Second)).To(gomega.BeTrue())
-	g.Expect(a.TryRetry(time.Second)).To(gomega.BeFalse())
-	g.Expect(a.TryRetry(13 * time.Second)).To(gomega.BeTrue())
-	g.Expect(a.TryRetry(13 * time.Second)).To(gomega.BeFalse())
+	g.Expect(budget.TryRetry(time.Second)).To(gomega.BeTrue())
+	g.Expect(budget.TryRetry(time.Second)).To(gomega.BeTrue())
+	g.Expect(budget.TryRetry(time.Second)).To(gomega.BeFalse())
+	g.Expect(budget.TryRetry(13 * time.Second)).To(gomega.BeTrue())
+	g.Expect(budget.TryRetry(13 * time.Second)).To(gomega.BeFalse())
 	g.Expect((&RetryBudget{ExtraRetries: 9}).TryRetry(0)).To(gomega.BeFalse())
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -91,11 +91,11 @@
 			g := gomega.NewWithT(t)
 			r := request()
 			r.Turn, r.ContextHash = tc.turn, tc.key
-			var k []StoredContext
+			var contexts []StoredContext
 			if tc.placement == AlwaysImport {
-				k = stored(100, 4e9)
+				contexts = stored(100, 4e9)
 			}
-			d := Place(tc.placement, r, workers, k)
+			d := Place(tc.placement, r, workers, contexts)
 			g.Expect(d.Chosen.Worker).To(gomega.Equal(tc.want))
 			g.Expect(d.Chosen.Import.Blocks()).To(gomega.Equal(tc.imports))
 		})
@@ -120,15 +120,15 @@
 				rapid.IntRange(0, 50000).Draw(t, "queued"))
 			workers = append(workers, w)
 		}
-		k := stored(rapid.IntRange(0, 100).Draw(t, "stored"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
-		d := Place(LowestCost, r, workers, k)
+		contexts := stored(rapid.IntRange(0, 100).Draw(t, "stored"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
+		d := Place(LowestCost, r, workers, contexts)
 		im := d.Chosen.Import
-		if im.Blocks() < 0 || (im.Blocks() > 0 && im.To > k[0].Blocks) {
-			t.Fatalf("imports %+v of %d stored blocks", im, k[0].Blocks)
+		if im.Blocks() < 0 || (im.Blocks() > 0 && im.To > contexts[0].Blocks) {
+			t.Fatalf("imports %+v of %d stored blocks", im, contexts[0].Blocks)
 		}
 		fastest := time.Duration(1 << 62)
 		for _, w := range workers {
-			for _, o := range appendVariants(nil, LowestCost, r, w, k) {
+			for _, o := range appendVariants(nil, LowestCost, r, w, contexts) {
 				fastest = min(fastest, o.Expected)
 			}
 		}
@@ -161,13 +161,13 @@
 	g.Expect(counts).To(gomega.HaveLen(20))
 }
 
-func TestBudgetLimitsRetries(t *testing.T) {
+func TestThrottleLimitsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var b RetryThrottle
+	var throttle RetryThrottle
 	retries := 0
 	for range 10000 {
-		b.RecordRequest()
-		for b.TryRetry() {
+		throttle.RecordRequest()
+		for throttle.TryRetry() {
 			retries++
 		}
 	}
--- a/core/route/warmup_test.go
+++ b/core/route/warmup_test.go
@@ -57,20 +57,20 @@
 
 func TestWarmUpLimiterLimitsOverASlidingWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var p WarmUpLimiter
+	var limiter WarmUpLimiter
 	start := time.Unix(1000, 0)
-	g.Expect(p.Idle(start)).To(gomega.BeTrue())
+	g.Expect(limiter.Idle(start)).To(gomega.BeTrue())
 	for _, step := range []struct {
 		after   time.Duration
 		allowed bool
 	}{{0, true}, {500 * time.Millisecond, true}, {600 * time.Millisecond, false}, {1040 * time.Millisecond, false}, {1060 * time.Millisecond, true}, {1540 * time.Millisecond, false}, {1560 * time.Millisecond, true}} {
 		now := start.Add(step.after)
-		allowed := p.Allows(2, now)
+		allowed := limiter.Allows(2, now)
 		g.Expect(allowed).To(gomega.Equal(step.allowed), step.after.String())
 		if allowed {
-			p.RecordAttempt(now)
+			limiter.RecordAttempt(now)
 		}
 	}
-	g.Expect(p.Allows(0, start.Add(time.Hour))).To(gomega.BeFalse())
-	g.Expect(p.Idle(start.Add(time.Hour))).To(gomega.BeTrue())
+	g.Expect(limiter.Allows(0, start.Add(time.Hour))).To(gomega.BeFalse())
+	g.Expect(limiter.Idle(start.Add(time.Hour))).To(gomega.BeTrue())
 }
--- a/core/spread/changes_test.go
+++ b/core/spread/changes_test.go
@@ -17,20 +17,20 @@
 func TestAResponseAboutAnotherShardNamesItsRevision(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := &event.Log{}
-	m := NewWatchCacheSync(plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), log),
+	s := NewWatchCacheSync(plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), log),
 		fleet.New(fleet.Options{Name: "me", Log: log}), log)
-	shard := m.fleet.View().Shard()
+	shard := s.fleet.View().Shard()
 	req := &changesRequest{AfterRevision: 3, Shard: shard}
-	v := &shardView{cacheSync: m, name: "shard", shard: shard}
+	v := &shardView{cacheSync: s, name: "shard", shard: shard}
 	change := func(key string, revision int64) plat.Change {
 		return plat.Change{Pair: plat.Pair{Key: key, Value: []byte("x"), ModRevision: revision}}
 	}
-	m.watchCache.ApplySnapshot([]plat.Change{change("a", 3)}, 3, "", "", clock.Now())
-	m.watchCache.ApplyChanges([]plat.Change{change("a", 5)}, 5, clock.Now())
-	changes, revision, whole := m.watchCache.ChangesSince(req.AfterRevision)
+	s.watchCache.ApplySnapshot([]plat.Change{change("a", 3)}, 3, "", "", clock.Now())
+	s.watchCache.ApplyChanges([]plat.Change{change("a", 5)}, 5, clock.Now())
+	changes, revision, whole := s.watchCache.ChangesSince(req.AfterRevision)
 	g.Expect(whole).To(gomega.BeTrue())
-	m.watchCache.ApplyChanges([]plat.Change{change("a", 7)}, 7, clock.Now())
-	got := m.shardChange(req, v, changes, revision)
+	s.watchCache.ApplyChanges([]plat.Change{change("a", 7)}, 7, clock.Now())
+	got := s.shardChange(req, v, changes, revision)
 	g.Expect(got.ShardChanged).To(gomega.BeTrue())
 	g.Expect(got.Revision).To(gomega.Equal(int64(5)))
 }
--- a/core/spread/freshest_test.go
+++ b/core/spread/freshest_test.go
@@ -17,7 +17,7 @@
 // does not first receive it by way of a heartbeat.
 func TestFreshestPeerMayBeAsFreshAsThisDaemon(t *testing.T) {
 	const step = 5 * time.Millisecond
-	answered := clock.Now()
+	responded := clock.Now()
 	tests := []struct {
 		name string
 		// reported is the time at which the store had responded to each peer, according to its
@@ -26,20 +26,20 @@
 		want     string
 	}{
 		{"nobody", nil, ""},
-		{"as fresh", map[string]clock.Time{"a": answered}, "a"},
-		{"as fresh, its answer arrived earlier", map[string]clock.Time{"a": answered.Add(-step)}, "a"},
-		{"fresher", map[string]clock.Time{"a": answered.Add(step)}, "a"},
-		{"the freshest", map[string]clock.Time{"a": answered, "b": answered.Add(time.Second)}, "b"},
-		{"older", map[string]clock.Time{"a": answered.Add(-time.Second)}, ""},
+		{"as fresh", map[string]clock.Time{"a": responded}, "a"},
+		{"as fresh, its response arrived earlier", map[string]clock.Time{"a": responded.Add(-step)}, "a"},
+		{"fresher", map[string]clock.Time{"a": responded.Add(step)}, "a"},
+		{"the freshest", map[string]clock.Time{"a": responded, "b": responded.Add(time.Second)}, "b"},
+		{"older", map[string]clock.Time{"a": responded.Add(-time.Second)}, ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			log := &event.Log{}
-			m := NewWatchCacheSync(plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), log),
+			s := NewWatchCacheSync(plat.NewWatchCache(&memkv.KV{}, plat.Prefix(""), log),
 				fleet.New(fleet.Options{Name: "me", Log: log}), log)
-			m.watchCache.ApplyChanges(nil, 1, answered)
-			m.peerFresh = tc.reported
-			gomega.NewWithT(t).Expect(m.freshestPeer()).To(gomega.Equal(tc.want))
+			s.watchCache.ApplyChanges(nil, 1, responded)
+			s.peerFresh = tc.reported
+			gomega.NewWithT(t).Expect(s.freshestPeer()).To(gomega.Equal(tc.want))
 		})
 	}
 }
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -141,7 +141,7 @@
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
-	g.Eventually(func() bool { taken, _ := store.quiet(); return !taken.IsZero() }, shortWait, pollInterval).Should(gomega.BeTrue())
+	g.Eventually(func() bool { takenAt, _ := store.quiet(); return !takenAt.IsZero() }, shortWait, pollInterval).Should(gomega.BeTrue())
 	store.setDown(true)
 	// Requests that the store already holds still get a response.
 	g.Eventually(func() bool { _, quiet := store.quiet(); return quiet }, shortWait, pollInterval).Should(gomega.BeTrue())
--- a/core/spread/shards_test.go
+++ b/core/spread/shards_test.go
@@ -47,8 +47,8 @@
 	return spread.Entry{Service: f[2], Domain: f[3], Name: f[4]}, true
 }
 
-// held returns the keys of a service's entries that a daemon's watch cache holds.
-func (m *domainMember) held(service string) []string {
+// cachedKeys returns the keys of a service's entries that a daemon's watch cache holds.
+func (m *domainMember) cachedKeys(service string) []string {
 	var out []string
 	for _, p := range m.watchCache.WithPrefix("op/t/" + service + "/") {
 		out = append(out, p.Key)
@@ -78,29 +78,29 @@
 	entryKeys(t, store, "small", 0, small, domains)
 	members := domainFleet(t, store, daemons, domains)
 	converged := func() bool {
-		holders, whole := map[string]int{}, 0
+		daemonsOf, whole := map[string]int{}, 0
 		for _, m := range members {
-			held := m.held("large")
-			if len(held) == len(keys) {
+			cached := m.cachedKeys("large")
+			if len(cached) == len(keys) {
 				whole++
 				continue
 			}
-			if len(m.held("small")) != small || !m.cacheSync.Sharded("large") || m.cacheSync.Sharded("small") {
+			if len(m.cachedKeys("small")) != small || !m.cacheSync.Sharded("large") || m.cacheSync.Sharded("small") {
 				return false
 			}
-			for _, key := range held {
-				holders[key]++
+			for _, key := range cached {
+				daemonsOf[key]++
 			}
 		}
 		// The daemons that watch the store hold all entries, the others of a cell those of its
 		// shard.
-		return whole <= domains && len(holders) == len(keys)
+		return whole <= domains && len(daemonsOf) == len(keys)
 	}
 	g.Eventually(converged, shortWait, pollInterval).Should(gomega.BeTrue())
 	for _, m := range members {
 		g.Eventually(m.holds("op/config", []byte("first")), shortWait, pollInterval).Should(gomega.BeTrue())
-		if held := m.held("large"); len(held) < len(keys) {
-			g.Expect(len(held)).To(gomega.BeNumerically("<", large/2), "four cells")
+		if cached := m.cachedKeys("large"); len(cached) < len(keys) {
+			g.Expect(len(cached)).To(gomega.BeNumerically("<", large/2), "four cells")
 		}
 	}
 	key := keys[7]
@@ -108,7 +108,7 @@
 	put(t, store.KV, "op/config", []byte("second"))
 	for _, m := range members {
 		g.Eventually(m.holds("op/config", []byte("second")), shortWait, pollInterval).Should(gomega.BeTrue())
-		if slices.Contains(m.held("large"), key) {
+		if slices.Contains(m.cachedKeys("large"), key) {
 			g.Eventually(m.holds(key, []byte("changed")), shortWait, pollInterval).Should(gomega.BeTrue())
 		}
 	}
@@ -116,7 +116,7 @@
 		t.Fatal(err)
 	}
 	for _, m := range members {
-		g.Eventually(func() bool { return slices.Contains(m.held("large"), key) }, shortWait, pollInterval).Should(gomega.BeFalse())
+		g.Eventually(func() bool { return slices.Contains(m.cachedKeys("large"), key) }, shortWait, pollInterval).Should(gomega.BeFalse())
 	}
 }
 
@@ -150,13 +150,13 @@
 	allHold(g, members, "first")
 	inShard := func(m *domainMember) func() bool {
 		return func() bool {
-			held, shard := m.held("large"), m.fleet.View().Shard()
-			if len(held) == len(keys) {
+			cached, shard := m.cachedKeys("large"), m.fleet.View().Shard()
+			if len(cached) == len(keys) {
 				return true
 			}
 			for _, key := range keys {
 				e, _ := entryOf(plat.Pair{Key: key})
-				if slices.Contains(held, key) != shard.Contains(e.Name, e.Domain) {
+				if slices.Contains(cached, key) != shard.Contains(e.Name, e.Domain) {
 					return false
 				}
 			}
@@ -203,10 +203,10 @@
 			}
 			for _, at := range []int{0, daemons / 2, daemons - 1} {
 				view := fleet.New(fleet.Options{Name: seeds[at].Name, Domain: seeds[at].Domain, Seeds: seeds, Log: &event.Log{}}).View()
-				held, peers := 0, 0
+				cached, peers := 0, 0
 				for i := range daemons * each {
 					if view.Shard().Contains(fmt.Sprintf("w-%05d", i), fmt.Sprint("domain-", i%domains)) {
-						held++
+						cached++
 					}
 				}
 				for _, p := range view.Peers() {
@@ -214,8 +214,8 @@
 						peers++
 					}
 				}
-				t.Logf("%d of %d targets, %d peers in %d cells", held, daemons*each, peers, view.Cells())
-				g.Expect(held).To(gomega.BeNumerically("<", 200))
+				t.Logf("%d of %d targets, %d peers in %d cells", cached, daemons*each, peers, view.Cells())
+				g.Expect(cached).To(gomega.BeNumerically("<", 200))
 				g.Expect(peers).To(gomega.BeNumerically("<", 30))
 			}
 		})
@@ -249,7 +249,7 @@
 	keys := entryKeys(t, store, "large", 0, few, domains)
 	members := domainFleet(t, store, daemons, domains)
 	for _, m := range members {
-		g.Eventually(func() int { return len(m.held("large")) }, shortWait, pollInterval).Should(gomega.Equal(few))
+		g.Eventually(func() int { return len(m.cachedKeys("large")) }, shortWait, pollInterval).Should(gomega.Equal(few))
 	}
 	before := int64(0)
 	for _, m := range members {
@@ -258,7 +258,7 @@
 	keys = append(keys, entryKeys(t, store, "large", few, large, domains)...)
 	for _, m := range members {
 		g.Eventually(func() bool { return m.cacheSync.Sharded("large") }, shortWait, pollInterval).Should(gomega.BeTrue())
-		g.Eventually(func() bool { n := len(m.held("large")); return n == len(keys) || n < large/2 }, shortWait, pollInterval).Should(gomega.BeTrue())
+		g.Eventually(func() bool { n := len(m.cachedKeys("large")); return n == len(keys) || n < large/2 }, shortWait, pollInterval).Should(gomega.BeTrue())
 	}
 	after := int64(0)
 	for _, m := range members {
--- a/core/spread/storeindex_fleet_test.go
+++ b/core/spread/storeindex_fleet_test.go
@@ -38,9 +38,9 @@
 		return cache.SegmentEvents{}, errRejected
 	}
 	s.watching++
-	held, changed := int64(len(s.segments)), s.changed
+	stored, changed := int64(len(s.segments)), s.changed
 	s.storeMu.Unlock()
-	if held <= since {
+	if stored <= since {
 		select {
 		case <-ctx.Done():
 		case <-changed:
--- a/core/spread/updates_test.go
+++ b/core/spread/updates_test.go
@@ -74,10 +74,10 @@
 		}
 	}
 	g.Expect(len(users)).To(gomega.BeNumerically(">", 2), "the cell that uses it")
-	all := func(holds func(*updateMember) bool) func() bool {
+	all := func(condition func(*updateMember) bool) func() bool {
 		return func() bool {
 			for _, m := range users {
-				if !holds(m) {
+				if !condition(m) {
 					return false
 				}
 			}
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -246,18 +246,18 @@
 			local.Close()
 			continue
 		}
-		if !p.keep(local) || !p.keep(remote) {
+		if !p.register(local) || !p.register(remote) {
 			local.Close()
 			remote.Close()
 			return
 		}
 		p.wg.Go(func() { _, _ = io.Copy(remote, local); remote.Close() })
-		p.wg.Go(func() { p.back(local, remote); local.Close() })
+		p.wg.Go(func() { p.copyBack(local, remote); local.Close() })
 	}
 }
 
-// back forwards what remote sends, at the rate of the link.
-func (p *pipe) back(local, remote net.Conn) {
+// copyBack forwards what remote sends, at the rate of the link.
+func (p *pipe) copyBack(local, remote net.Conn) {
 	chunk := make([]byte, 4<<10)
 	for {
 		n, err := remote.Read(chunk)
@@ -273,8 +273,8 @@
 	}
 }
 
-// keep registers a connection to be closed at the end of the test.
-func (p *pipe) keep(c net.Conn) bool {
+// register adds a connection that is to be closed at the end of the test.
+func (p *pipe) register(c net.Conn) bool {
 	p.openMu.Lock()
 	defer p.openMu.Unlock()
 	p.open[c] = true
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -112,10 +112,10 @@
 func (e *Engine) PollEvents(ctx context.Context, seq uint64, batchTime time.Duration) (EventBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, batchTime+callTimeout)
 	defer cancel()
-	var n EventBatch
+	var batch EventBatch
 	path := "/v1/cache/events?after=" + strconv.FormatUint(seq, 10) +
 		"&gatherMillis=" + strconv.FormatInt(batchTime.Milliseconds(), 10)
-	return n, e.do(ctx, http.MethodGet, path, nil, &n)
+	return batch, e.do(ctx, http.MethodGet, path, nil, &batch)
 }
 
 // callTimeout bounds short calls of targets.
