--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -32,7 +32,7 @@
 
 // ownEligibleTargets returns the eligible targets among those that this daemon uses, and the
 // fraction of the service's targets that it uses. If those are full, the request waits or is
-// refused, since this daemon does not know the load of other workers. It falls back to all targets
+// refused, since this daemon has not recorded the load of other workers. It falls back to all targets
 // only if none of its own responds.
 func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
 	all := p.relay.options.Roster.ByService(p.service)
--- a/core/relay/owners.go
+++ b/core/relay/owners.go
@@ -30,7 +30,7 @@
 // ContextOwners queries the owners of contexts in other cells, and decides as an owner for this
 // daemon's own cell.
 //
-// In a large fleet each cell uses a share of the workers and knows which contexts these have
+// In a large fleet each cell uses a share of the workers and records which contexts these have
 // cached. If each prompt were decided in the cell that its caller happens to reach, only one in as
 // many requests for a context as there are cells would find it cached. So the daemons of one cell,
 // the context's owners, decide for all its requests, and the daemon that received the request sends
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -82,7 +82,7 @@
 	// publish that to the other daemons at once. It must be set.
 	PublishState func()
 	// OwnTargets returns those of the given workers that this daemon uses. A large fleet partitions
-	// its workers, so that a daemon knows the load of the ones that it uses.
+	// its workers, so that a daemon has recorded the load of the ones that it uses.
 	OwnTargets func(names []string) []string
 	// ShardVersion returns a value that stays equal as long as OwnTargets uses the same partition.
 	// Nil means that its results must not be cached.
--- a/core/spread/storeindex_publish.go
+++ b/core/spread/storeindex_publish.go
@@ -54,7 +54,7 @@
 		if source, err := s.source(address); err != nil || source.publishes {
 			continue
 		}
-		last, known := s.published[address]
+		last, recorded := s.published[address]
 		got, ok := s.indexes.EventsSince(address, last.next, false, now)
 		state := publishedState{got.Epoch, got.Next, now.Add(-got.Age)}
 		if !ok || !state.freshAt.After(last.freshAt) {
@@ -65,7 +65,7 @@
 			Address: address, From: last.next, Epoch: got.Epoch, Next: got.Next, Segments: segmentsOf(got.Changes),
 			ClockMillis: got.Clock.Milliseconds(), AgeMillis: ageMillis(got.Age),
 		}
-		if !known || last.epoch != got.Epoch || got.Gap || len(got.Changes) > maxHeartbeatChanges {
+		if !recorded || last.epoch != got.Epoch || got.Gap || len(got.Changes) > maxHeartbeatChanges {
 			// Peers request the earlier changes.
 			update.From, update.Segments = got.Next, nil
 		}
