--- a/core/cache/follow.go
+++ b/core/cache/follow.go
@@ -34,8 +34,8 @@
 
 // feed provides the cache events and contents of one worker.
 type feed interface {
-	// CacheNotes waits for events after seq and returns them in order.
-	CacheNotes(ctx context.Context, seq uint64) ([]CacheEvent, error)
+	// CacheEvents waits for events after seq and returns them in order.
+	CacheEvents(ctx context.Context, seq uint64) ([]CacheEvent, error)
 	// CacheContents returns all blocks that the worker holds.
 	CacheContents(ctx context.Context) (Contents, error)
 }
@@ -80,14 +80,14 @@
 	return &Follower{worker: worker, feed: f, rootBlocks: rootBlocks, listener: l, log: log, nodes: map[uint64]node{}}
 }
 
-// followPause is the delay before retrying a worker that did not respond.
-const followPause = 500 * time.Millisecond
+// followRetryDelay is the delay before retrying a worker that did not respond.
+const followRetryDelay = 500 * time.Millisecond
 
 // Run follows the worker until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := f.step(ctx); err != nil {
-			t := time.NewTimer(followPause)
+			t := time.NewTimer(followRetryDelay)
 			select {
 			case <-ctx.Done():
 			case <-t.C:
@@ -104,7 +104,7 @@
 	if !synced {
 		return f.resync(ctx)
 	}
-	events, err := f.feed.CacheNotes(ctx, seq)
+	events, err := f.feed.CacheEvents(ctx, seq)
 	if err != nil {
 		return err
 	}
@@ -123,19 +123,19 @@
 func (f *Follower) apply(events []CacheEvent) (lost []BlockRef, ok bool) {
 	f.nodesMu.Lock()
 	defer f.nodesMu.Unlock()
-	for _, n := range events {
-		if n.Seq <= f.seq {
+	for _, ev := range events {
+		if ev.Seq <= f.seq {
 			continue
 		}
-		if n.Seq != f.seq+1 {
+		if ev.Seq != f.seq+1 {
 			f.synced = false
 			return lost, false
 		}
-		f.seq = n.Seq
-		if n.Stored != nil {
-			f.add(*n.Stored)
+		f.seq = ev.Seq
+		if ev.Stored != nil {
+			f.add(*ev.Stored)
 		}
-		lost = append(lost, f.remove(n.Removed)...)
+		lost = append(lost, f.remove(ev.Removed)...)
 	}
 	return lost, true
 }
@@ -164,8 +164,8 @@
 			continue
 		}
 		delete(f.nodes, short)
-		m, seen := first[n.root]
-		if n.root != 0 && (!seen || int(n.depth) < m.Depth) {
+		ref, seen := first[n.root]
+		if n.root != 0 && (!seen || int(n.depth) < ref.Depth) {
 			first[n.root] = BlockRef{Root: n.root, Short: short, Depth: int(n.depth)}
 		}
 	}
--- a/core/cache/index.go
+++ b/core/cache/index.go
@@ -72,18 +72,18 @@
 		return ContextState{}
 	}
 	shared := commonPrefix(r.chain, chain)
-	p := ContextState{Recorded: true, StoresQueried: r.storesQueried}
-	for _, h := range r.workers {
-		if n := min(h.Blocks, shared); n > 0 {
-			p.Workers = append(p.Workers, WorkerBlocks{h.Worker, n})
+	state := ContextState{Recorded: true, StoresQueried: r.storesQueried}
+	for _, w := range r.workers {
+		if n := min(w.Blocks, shared); n > 0 {
+			state.Workers = append(state.Workers, WorkerBlocks{w.Worker, n})
 		}
 	}
 	for _, s := range r.stores {
 		if n := min(s.Blocks, shared); n > 0 {
-			p.Stores = append(p.Stores, StoreBlocks{s.Store, n})
+			state.Stores = append(state.Stores, StoreBlocks{s.Store, n})
 		}
 	}
-	return p
+	return state
 }
 
 // commonPrefix returns the number of first blocks that two chains share.
@@ -207,33 +207,33 @@
 }
 
 // matches reports whether the block is in the record's chain.
-func (m BlockRef) matches(r *record) bool {
-	return r != nil && m.Depth >= 1 && m.Depth <= len(r.chain) && r.chain[m.Depth-1] == m.Short
+func (ref BlockRef) matches(r *record) bool {
+	return r != nil && ref.Depth >= 1 && ref.Depth <= len(r.chain) && r.chain[ref.Depth-1] == ref.Short
 }
 
 // retained returns how many first blocks of the context a worker may still hold without this
 // one. The blocks before the one that identifies the context belong to many contexts, so no
-// Mark reports their removal: without the identifying block the worker counts as holding
+// BlockRef reports their removal: without the identifying block the worker counts as holding
 // nothing.
-func (m BlockRef) retained() int {
-	if m.Short == m.Root {
+func (ref BlockRef) retained() int {
+	if ref.Short == ref.Root {
 		return 0
 	}
-	return m.Depth - 1
+	return ref.Depth - 1
 }
 
 // RemoveWorkerBlocks records that a worker no longer holds the given blocks, nor those after them.
 func (x *Index) RemoveWorkerBlocks(worker string, blocks []BlockRef) {
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
-	for _, m := range blocks {
-		r := x.record(m.Root)
-		if !m.matches(r) {
+	for _, ref := range blocks {
+		r := x.record(ref.Root)
+		if !ref.matches(r) {
 			continue
 		}
 		for i := range r.workers {
 			if r.workers[i].Worker == worker {
-				r.workers[i].Blocks = min(r.workers[i].Blocks, m.retained())
+				r.workers[i].Blocks = min(r.workers[i].Blocks, ref.retained())
 			}
 		}
 	}
@@ -245,9 +245,9 @@
 	x.ForgetWorker(worker)
 	x.indexMu.Lock()
 	defer x.indexMu.Unlock()
-	for _, m := range tips {
-		if r := x.record(m.Root); m.matches(r) {
-			r.workers = setWorkerBlocks(r.workers, worker, m.Depth)
+	for _, ref := range tips {
+		if r := x.record(ref.Root); ref.matches(r) {
+			r.workers = setWorkerBlocks(r.workers, worker, ref.Depth)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 	defer x.indexMu.Unlock()
 	for e := x.lru.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*record)
-		r.workers = slices.DeleteFunc(r.workers, func(h WorkerBlocks) bool { return h.Worker == worker })
+		r.workers = slices.DeleteFunc(r.workers, func(w WorkerBlocks) bool { return w.Worker == worker })
 	}
 }
 
--- a/core/cache/workercaches_test.go
+++ b/core/cache/workercaches_test.go
@@ -35,19 +35,20 @@
 
 func TestUsesAreSentOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var local, other WorkerCaches
+	var local, remote WorkerCaches
 	now := time.Now()
 	local.RecordUse(use("w1", "1", 10, 5), now)
 	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	local.RecordUse(use("w2", "2", 10, 5), now)
 	local.Told()
-	g.Expect(local.Collect(false)).To(gomega.Equal([]Use{use("w2", "2", 10, 5)}), "recorded while the first was being sent")
+	g.Expect(local.Collect(false)).To(gomega.Equal([]Use{use("w2", "2", 10, 5)}),
+		"recorded while the first was being sent")
 	local.Told()
 	g.Expect(local.Collect(false)).To(gomega.BeNil())
-	other.Receive("mine", raw)
-	g.Expect(holders(&other, "1")).To(gomega.Equal([]string{"w1"}))
-	other.Receive("mine", []byte("no msgpack"))
+	remote.Receive("local", raw)
+	g.Expect(holders(&remote, "1")).To(gomega.Equal([]string{"w1"}))
+	remote.Receive("local", []byte("no msgpack"))
 }
 
 func TestReadWindowExpires(t *testing.T) {
@@ -60,7 +61,8 @@
 	_, read = w.Find(name, now.Add(61*time.Second))
 	g.Expect(read).To(gomega.BeFalse())
 	w.RecordUse(use("w2", "2", 10, 5), now.Add(61*time.Second))
-	g.Expect(targetsOf(&w, name, now.Add(61*time.Second))).To(gomega.BeEmpty(), "a worker without requests for the read window is removed")
+	g.Expect(targetsOf(&w, name, now.Add(61*time.Second))).To(gomega.BeEmpty(),
+		"a worker without requests for the read window is removed")
 }
 
 func TestLeastRecentlyUsedSegmentIsEvicted(t *testing.T) {
@@ -82,8 +84,8 @@
 			for _, u := range tc.uses {
 				w.RecordUse(u, time.Now())
 			}
-			for id, held := range tc.want {
-				g.Expect(len(holders(&w, id)) > 0).To(gomega.Equal(held), id)
+			for id, cached := range tc.want {
+				g.Expect(len(holders(&w, id)) > 0).To(gomega.Equal(cached), id)
 			}
 		})
 	}
@@ -112,7 +114,8 @@
 	}
 	g.Expect(holders(&w, "a")).To(gomega.BeEmpty())
 	g.Expect(targetsOf(&w, SegmentName{"v2/m/", "b"}, time.Now())).To(gomega.Equal([]string{"w"}))
-	g.Expect(targetsOf(&w, SegmentName{"v1/other/", "o"}, time.Now())).To(gomega.Equal([]string{"w"}), "another model's segments stay")
+	g.Expect(targetsOf(&w, SegmentName{"v1/other/", "o"}, time.Now())).To(gomega.Equal([]string{"w"}),
+		"another model's segments stay")
 }
 
 // Whatever uses are recorded, no cache is modelled beyond its capacity, and the holders of
@@ -122,7 +125,8 @@
 		w := WorkerCaches{Capacity: capacity(500)}
 		now := time.Now()
 		for range rapid.IntRange(1, 60).Draw(t, "uses") {
-			u := use("w"+strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "worker")), strconv.Itoa(rapid.IntRange(0, 9).Draw(t, "segment")),
+			u := use("w"+strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "worker")),
+				strconv.Itoa(rapid.IntRange(0, 9).Draw(t, "segment")),
 				rapid.IntRange(0, 300).Draw(t, "tokens"), rapid.IntRange(-5, 300).Draw(t, "unshared"))
 			u.Salt = SegmentSalt{Model: "m", Version: int64(rapid.IntRange(1, 3).Draw(t, "version"))}.String()
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond)
--- a/core/home/home_test.go
+++ b/core/home/home_test.go
@@ -24,7 +24,7 @@
 func TestLoadsCountPendingRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l loads
-	l.set(workerLoad{Worker: "w", Queued: []int{100, 0, 50}, Total: 300, Holds: []string{}}, baseTime)
+	l.set(workerLoad{Worker: "w", Queued: []int{100, 0, 50}, Total: 300, Weights: []string{}}, baseTime)
 	tests := []struct{ priority, tokensAhead int }{{0, 150}, {1, 50}, {2, 50}, {3, 0}, {9, 0}}
 	for _, tc := range tests {
 		w, ok := l.load("w", tc.priority, baseTime)
@@ -39,7 +39,8 @@
 
 	l.set(workerLoad{Worker: "w", Queued: []int{0, 1000}, Total: 300}, baseTime.Add(reportLag/2))
 	w, _ = l.load("w", 1, baseTime.Add(reportLag/2))
-	g.Expect(w.tokensAhead).To(gomega.Equal(2000), "a report that may not include the request does not remove it from pending")
+	g.Expect(w.tokensAhead).To(gomega.Equal(2000),
+		"a report that may not include the request does not remove it from pending")
 	l.removePending("w", "r")
 	w, _ = l.load("w", 1, baseTime.Add(reportLag/2))
 	g.Expect(w.tokensAhead).To(gomega.Equal(1000))
@@ -48,25 +49,26 @@
 func TestLoadsOfStaleOrFailedWorkersAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var l loads
-	l.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}}, baseTime)
+	l.set(workerLoad{Worker: "w", Weights: []string{"m@v1"}}, baseTime)
 	_, ok := l.load("w", 0, baseTime.Add(maxReportAge+time.Second))
 	g.Expect(ok).To(gomega.BeFalse())
 	l.markFailed("w", baseTime)
 	_, ok = l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
-	_, ok = l.load("w", 0, baseTime.Add(2*failurePause))
+	_, ok = l.load("w", 0, baseTime.Add(2*failureBackoff))
 	g.Expect(ok).To(gomega.BeTrue())
 	_, ok = l.load("v", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
 	ready, total := l.ready([]string{"w", "v"}, "m@v1", baseTime)
 	g.Expect([]int{ready, total}).To(gomega.Equal([]int{1, 1}))
-	g.Expect(l.set(workerLoad{Worker: "w", AgeMillis: 60000}, baseTime)).To(gomega.BeFalse(), "an older report is ignored")
+	g.Expect(l.set(workerLoad{Worker: "w", AgeMillis: 60000}, baseTime)).To(gomega.BeFalse(),
+		"an older report is ignored")
 }
 
 func TestLoadsSendOnlyChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var local, remote loads
-	report := workerLoad{Worker: "w", Running: 3, Holds: []string{"m@v1"}}
+	report := workerLoad{Worker: "w", Running: 3, Weights: []string{"m@v1"}}
 	local.setFollowed(report, time.Now())
 	raw, err := msgpack.Marshal(local.Collect(false))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -83,7 +85,7 @@
 	remote.Receive("peer", raw)
 	w, _ = remote.load("w", 0, time.Now())
 	g.Expect(w.Running).To(gomega.Equal(4))
-	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}), "weights are sent once and kept")
+	g.Expect(w.Weights).To(gomega.Equal([]string{"m@v1"}), "weights are sent once and kept")
 	g.Expect(local.Collect(true)).To(gomega.HaveLen(1))
 	local.unfollow("w")
 	g.Expect(local.Collect(true)).To(gomega.BeNil())
@@ -176,13 +178,13 @@
 	l.set(workerLoad{Worker: "w", Running: 1}, baseTime)
 	_, ok := l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeFalse())
-	l.set(workerLoad{Worker: "w", Running: 1, Holds: []string{"m@v1"}, AgeMillis: 1}, baseTime)
+	l.set(workerLoad{Worker: "w", Running: 1, Weights: []string{"m@v1"}, AgeMillis: 1}, baseTime)
 	w, ok := l.load("w", 0, baseTime)
 	g.Expect(ok).To(gomega.BeTrue())
-	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}))
+	g.Expect(w.Weights).To(gomega.Equal([]string{"m@v1"}))
 	l.set(workerLoad{Worker: "w", Running: 2}, baseTime.Add(time.Second))
 	w, _ = l.load("w", 0, baseTime.Add(time.Second))
-	g.Expect(w.Holds).To(gomega.Equal([]string{"m@v1"}))
+	g.Expect(w.Weights).To(gomega.Equal([]string{"m@v1"}))
 }
 
 // Peers list a daemon that has just started before it has the load of the workers. It must
@@ -197,10 +199,13 @@
 		{Seq: 2, Kind: conf.KindTarget, Name: "w", Spec: spec(`{"type":"engine","url":"http://127.0.0.1:1","deployments":["d"]}`)},
 	}})
 	h := New(Options{Placement: route.LowestCost, Conf: store, Fleet: f, Log: &event.Log{}})
-	req := &PlacementRequest{Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"}, Tokens: 10}
+	req := &PlacementRequest{
+		Deployment: "d", Salt: cache.Salt{Organisation: "o", Model: "m", WeightVersion: "v1"},
+		Tokens: 10,
+	}
 	_, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
-	h.loads.set(workerLoad{Worker: "w", Holds: []string{"m@v1"}, Speed: 8000}, time.Now())
+	h.loads.set(workerLoad{Worker: "w", Weights: []string{"m@v1"}, Speed: 8000}, time.Now())
 	ans, err := h.Place(context.Background(), f.View(), req)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(ans.Worker).To(gomega.Equal("w"))
@@ -211,7 +216,8 @@
 func TestUnconfiguredDaemonDoesNotPlaceRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := New(Options{
-		Placement: route.LowestCost, Conf: conf.NewStore(&event.Log{}), Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
+		Placement: route.LowestCost, Conf: conf.NewStore(&event.Log{}),
+		Fleet: fleet.New(fleet.Options{Name: "me", Log: &event.Log{}}), Log: &event.Log{},
 	})
 	_, err := h.place(context.Background(), "peer", &PlacementRequest{Chain: []cache.Hash{{1}}})
 	g.Expect(err).To(gomega.MatchError(errNotWarmedUp))
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -11,7 +11,7 @@
 // Message kinds between daemons.
 const (
 	kindPlace       wire.Kind = "home.place"
-	kindDone        wire.Kind = "home.done"
+	kindOutcome     wire.Kind = "home.done"
 	kindLost        wire.Kind = "home.lost"
 	kindResynced    wire.Kind = "home.resynced"
 	kindLinkRequest wire.Kind = "home.linkAsk"
@@ -144,12 +144,12 @@
 	Speed      float32
 	BlockBytes int
 	Loading    bool
-	// Holds lists the loaded weights as "model@version", with "+adapter" for adapters; nil
+	// Weights lists the loaded weights as "model@version", with "+adapter" for adapters; nil
 	// means unchanged.
-	Holds []string
+	Weights []string
 	// AgeMillis is the age of the report when it was sent.
 	AgeMillis int
-	// Incarnation identifies the worker's incarnation. It is sent with Holds.
+	// Incarnation identifies the worker's incarnation. It is sent with Weights.
 	Incarnation string
 }
 
--- a/core/home/transfer.go
+++ b/core/home/transfer.go
@@ -85,17 +85,17 @@
 	return n
 }
 
-// storeRetryPause is how long a store that failed is not queried.
-const storeRetryPause = 2 * time.Second
+// storeRetryDelay is how long a store that failed is not queried.
+const storeRetryDelay = 2 * time.Second
 
 // markDown records that a store failed.
 func (h *Owner) markDown(store string) {
 	h.storeMu.Lock()
 	defer h.storeMu.Unlock()
-	h.downUntil[store] = time.Now().Add(storeRetryPause)
+	h.downUntil[store] = time.Now().Add(storeRetryDelay)
 }
 
-// isDown reports whether a store failed within storeRetryPause.
+// isDown reports whether a store failed within storeRetryDelay.
 func (h *Owner) isDown(store string) bool {
 	h.storeMu.Lock()
 	defer h.storeMu.Unlock()
@@ -126,7 +126,10 @@
 // importContext makes the chosen worker read blocks from a store and records the result.
 // After a failure the worker computes the blocks again.
 func (h *Owner) importContext(ctx context.Context, snap *conf.Snapshot, req *PlacementRequest, root cache.Hash, found manifests, imp route.Import, ans *PlacementResult) {
-	ref := event.Ref{Request: req.Request, Context: root.String(), Organisation: req.Salt.Organisation, Target: ans.Worker}
+	ref := event.Ref{
+		Request: req.Request, Context: root.String(), Organisation: req.Salt.Organisation,
+		Target: ans.Worker,
+	}
 	n, bytes, err := h.importBlocks(ctx, snap, req, root, found[imp.Store], imp, ans.Worker)
 	h.stats.LinkBytes.Add(bytes)
 	ans.LinkBytes = bytes
@@ -215,11 +218,11 @@
 // a caller waits for the transfer: it goes ahead if the link's scheduler does not respond,
 // while an export does not.
 func (h *Owner) acquireLink(ctx context.Context, store, organisation string, bytes int64, waiting bool) (release func(int64, time.Duration), err error) {
-	limit := exportLinkTimeout
+	timeout := exportLinkTimeout
 	if waiting {
-		limit = importLinkTimeout
+		timeout = importLinkTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	view := h.o.Fleet.View()
 	name := view.Assignee(fleet.Key("link/" + store))
@@ -244,7 +247,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), notifyTimeout)
 		defer cancel()
 		// If the notification is lost, the scheduler ends the transfer after grantTimeout.
-		_ = h.o.Fleet.Notify(ctx, name, kindLinkRelease, &linkRelease{Store: store, ID: grant.ID, Bytes: n, Took: took})
+		_ = h.o.Fleet.Notify(ctx, name, kindLinkRelease,
+			&linkRelease{Store: store, ID: grant.ID, Bytes: n, Took: took})
 	}, nil
 }
 
--- a/core/learn/retention_test.go
+++ b/core/learn/retention_test.go
@@ -57,7 +57,7 @@
 }
 
 // For any observations, the probability is between 0 and 1.
-func TestRetentionChanceIsAProbability(t *testing.T) {
+func TestRetentionProbabilityIsInRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Retention
 		now := time.Now()
@@ -65,9 +65,9 @@
 			r.Observe("s", rapid.Float64Range(-1, 3).Draw(t, "depth"), rapid.Bool().Draw(t, "cached"), now)
 			now = now.Add(time.Duration(rapid.IntRange(-1000, 5000).Draw(t, "pause")) * time.Millisecond)
 		}
-		c := r.Probability("s", rapid.Float64Range(-1, 3).Draw(t, "queried depth"), now)
-		if !(c >= 0 && c <= 1) {
-			t.Fatalf("chance %v", c)
+		p := r.Probability("s", rapid.Float64Range(-1, 3).Draw(t, "queried depth"), now)
+		if !(p >= 0 && p <= 1) {
+			t.Fatalf("probability %v", p)
 		}
 	})
 }
--- a/core/learn/times.go
+++ b/core/learn/times.go
@@ -40,7 +40,8 @@
 // vector returns the values that the coefficients are multiplied by.
 func (f Factors) vector() [numFactors]float64 {
 	return [numFactors]float64{
-		1, float64(f.OwnTokens) / tokenUnit, float64(f.QueuedTokens) / tokenUnit, f.Utilisation, f.QueuedPerSlot, f.MemoryPressure,
+		1, float64(f.OwnTokens) / tokenUnit, float64(f.QueuedTokens) / tokenUnit, f.Utilisation,
+		f.QueuedPerSlot, f.MemoryPressure,
 	}
 }
 
@@ -67,7 +68,8 @@
 // vector returns the coefficients of the prior in seconds.
 func (p *Prior) vector() [numFactors]float64 {
 	return [numFactors]float64{
-		p.Fixed.Seconds(), p.PerThousandOwn.Seconds(), p.PerThousandQueued.Seconds(), p.Utilisation.Seconds(), p.QueuedPerSlot.Seconds(), p.MemoryPressure.Seconds(),
+		p.Fixed.Seconds(), p.PerThousandOwn.Seconds(), p.PerThousandQueued.Seconds(),
+		p.Utilisation.Seconds(), p.QueuedPerSlot.Seconds(), p.MemoryPressure.Seconds(),
 	}
 }
 
@@ -390,14 +392,14 @@
 // target is then; limit if there is none. expected and next are the expected times to the
 // first answer of this and the other target.
 func (e *Estimate) WaitBudget(limit, expected, next time.Duration, margin float64) time.Duration {
-	inTime := e.Probability(limit.Seconds() / expected.Seconds())
+	withinLimit := e.Probability(limit.Seconds() / expected.Seconds())
 	for i := 1; i < ratioSteps; i++ {
 		waited := seconds(e.ratios[i] * expected.Seconds())
 		if waited >= limit {
 			break
 		}
 		answered := float64(i) / ratioSteps
-		pending := (inTime - answered) / (1 - answered)
+		pending := (withinLimit - answered) / (1 - answered)
 		if e.Probability((limit-waited).Seconds()/next.Seconds()) > pending+margin {
 			return waited
 		}
--- a/core/relay/eligible.go
+++ b/core/relay/eligible.go
@@ -32,7 +32,7 @@
 
 // ownEligibleTargets returns the eligible targets among those that this daemon uses, and the
 // fraction of the service's targets that it uses. If those are full, the request waits or is
-// refused, since this daemon does not know the load of other workers. It falls back to all targets
+// refused, since this daemon has not recorded the load of other workers. It falls back to all targets
 // only if none of its own responds.
 func (p *proxiedRequest) ownEligibleTargets(svc *table.Service, now time.Time) (own []eligibleTarget, fraction float64, reason string) {
 	all := p.relay.options.Roster.ByService(p.service)
@@ -85,12 +85,14 @@
 			continue
 		}
 		p.limitConnections(svc, candidate.entry.Address, false)
-		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) || p.relay.options.Pool.FreeCapacity(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
+		if candidate.load.Running >= p.maxRunning(svc, candidate.entry) ||
+			p.relay.options.Pool.FreeCapacity(candidate.entry.Address) <= 0 || !p.relay.warmUpAllows(svc, t, shared, false, now) {
 			unavailable.full++
 			continue
 		}
 		candidate.weightVersion = candidate.entry.Weights[p.meta.Model]
-		if svc.Engine != nil && reloading[t.ID()] && candidate.weightVersion < p.relay.options.DesiredWeights(p.meta.Model) {
+		if svc.Engine != nil && reloading[t.ID()] &&
+			candidate.weightVersion < p.relay.options.DesiredWeights(p.meta.Model) {
 			unavailable.full++
 			continue
 		}
@@ -133,7 +135,8 @@
 
 // unavailability counts the targets that may not get a request, by reason.
 type unavailability struct {
-	full, suspects, outdated, evacuated, outsideRegions, shuttingDown, underPushback, rateLimited, excludedVersions int
+	full, suspects, outdated, evacuated, outsideRegions, shuttingDown, underPushback, rateLimited,
+	excludedVersions int
 	// skipped lists the first few targets that are skipped for their self-reported state, for the
 	// log.
 	skipped []string
@@ -150,7 +153,8 @@
 // count counts a target that is unavailable to this daemon. duration is what is known of how long
 // that lasts; see roster.Availability.Reason.
 func (u *unavailability) count(id string, reason roster.UnavailabilityReason, duration time.Duration) {
-	if (reason == roster.ShuttingDown || reason == roster.UnderPushback || reason == roster.RateLimited) && len(u.skipped) < maxSkippedNoted {
+	if (reason == roster.ShuttingDown || reason == roster.UnderPushback || reason == roster.RateLimited) &&
+		len(u.skipped) < maxSkippedNoted {
 		u.skipped = append(u.skipped, id+" "+reason.String())
 	}
 	switch reason {
--- a/core/relay/owners_test.go
+++ b/core/relay/owners_test.go
@@ -50,10 +50,11 @@
 	t.Cleanup(wg.Wait)
 	for i, seed := range seeds {
 		r := newRig(t, nil)
-		// Keep the times of real engines: this rig's are not to be learned.
+		// The priors are the times of real engines; those of this rig must not be learned.
 		r.relay.options.Disabled.Times, r.relay.options.Disabled.Targets = true, true
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds, HeartbeatInterval: 250 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Seeds: seeds,
+			HeartbeatInterval: 250 * time.Millisecond, SuspectAfter: 10 * time.Second, Log: &event.Log{},
 		})
 		f.Attach("roster", roster.HeartbeatPart{Roster: r.roster})
 		f.Attach("where", r.relay.options.WorkerCaches)
@@ -111,7 +112,7 @@
 	return h.rigs[daemon].send(http.MethodPost, "/stream/", "x", "Model", "m", "Parts", context+":6000 own:100")
 }
 
-// cachedIn reports whether some daemon of a cell knows a worker that has a context cached.
+// cachedIn reports whether some daemon of a cell has recorded a worker with a context cached.
 func (h *fleetRig) cachedIn(cell int, context string) func() bool {
 	return func() bool {
 		name := cache.SegmentName{Salt: cache.SegmentSalt{Model: "m", Version: 1}.String(), ID: context}
--- a/core/relay/placements.go
+++ b/core/relay/placements.go
@@ -24,8 +24,8 @@
 
 var errCannotPlace = errors.New("this daemon cannot place the request")
 
-// handlePlace chooses a target for another daemon's request.
-func (co *ContextOwners) handlePlace(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
+// handlePlacementRequest chooses a target for another daemon's request.
+func (co *ContextOwners) handlePlacementRequest(_ context.Context, _ string, request *placementRequest) (*placementResponse, error) {
 	p, svc := co.requestOf(request)
 	if svc == nil || (svc.Engine == nil && !co.relay.sharded(request.Service) && !request.NeedsPermit) {
 		return nil, errors.WithStack(errCannotPlace)
@@ -51,8 +51,12 @@
 		return nil, nil
 	}
 	p := &proxiedRequest{
-		relay: co.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining), table: t, service: request.Service, tried: map[string]int{},
-		meta: RequestMeta{Model: request.Model, PromptTokens: request.PromptTokens}, route: &table.Route{Name: request.Route, LatencyObjective: request.LatencyObjective}, bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true, regions: request.Regions, versions: request.Versions,
+		relay: co.relay, start: now.Add(-request.Elapsed), deadline: now.Add(request.Remaining),
+		table: t, service: request.Service, tried: map[string]int{},
+		meta:      RequestMeta{Model: request.Model, PromptTokens: request.PromptTokens},
+		route:     &table.Route{Name: request.Route, LatencyObjective: request.LatencyObjective},
+		bodyBytes: request.BodyBytes, originDomain: request.OriginDomain, remote: true,
+		regions: request.Regions, versions: request.Versions,
 	}
 	if request.IsolatedOrganisation != "" {
 		p.organisation = &table.Organisation{Name: request.IsolatedOrganisation, Isolated: true}
@@ -66,8 +70,8 @@
 	return p, t.Service(request.Service)
 }
 
-// handleUpdate processes an update on a choice.
-func (co *ContextOwners) handleUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
+// handlePlacementUpdate processes an update on a choice.
+func (co *ContextOwners) handlePlacementUpdate(_ context.Context, _ string, update *placementUpdate) (struct{}, error) {
 	now := time.Now()
 	co.placementsMu.Lock()
 	defer co.placementsMu.Unlock()
--- a/core/relay/ratelimit_test.go
+++ b/core/relay/ratelimit_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestOtherTargetsServeWhatExceedsARateLimit(t *testing.T) {
-	for _, path := range []string{"/once/", "/again/"} {
+	for _, path := range []string{"/once/", "/repeatable/"} {
 		t.Run(path, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.target("a", "plain", always(respond(200, "x", limitHeader(0.1))))
@@ -56,18 +56,19 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := newRig(t, nil)
 			r.target("a", "plain", always(respond(200, "x", limitHeader(tc.perSecond))))
-			r.g.Expect(r.send(http.MethodPost, "/again/", "x").status).To(gomega.Equal(200))
+			r.g.Expect(r.send(http.MethodPost, "/repeatable/", "x").status).To(gomega.Equal(200))
 			start := time.Now()
-			got := r.send(http.MethodPost, "/again/", "x")
+			got := r.send(http.MethodPost, "/repeatable/", "x")
 			r.g.Expect(got.status).To(gomega.Equal(tc.status))
 			if tc.status == 200 {
-				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond), "it waited for the permit")
+				r.g.Expect(time.Since(start)).To(gomega.BeNumerically(">=", 100*time.Millisecond),
+					"it waited for the permit")
 				return
 			}
 			r.g.Expect(time.Since(start)).To(gomega.BeNumerically("<", time.Second), "half of the timeout")
-			back, err := time.ParseDuration(got.header.Get("Come-Back"))
+			retryAfter, err := time.ParseDuration(got.header.Get("Come-Back"))
 			r.g.Expect(err).NotTo(gomega.HaveOccurred())
-			r.g.Expect(back).To(gomega.BeNumerically("~", 11*time.Second, 2*time.Second))
+			r.g.Expect(retryAfter).To(gomega.BeNumerically("~", 11*time.Second, 2*time.Second))
 			r.g.Expect(got.body).To(gomega.ContainSubstring(allRateLimited))
 			r.g.Expect(r.received()).To(gomega.HaveLen(1))
 		})
@@ -93,14 +94,17 @@
 	unreachable.l.Close()
 	target := r.roster.Target("a")
 	permit := r.waitForPermit(target)
-	p := &proxiedRequest{relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second), tried: map[string]int{}}
+	p := &proxiedRequest{
+		relay: r.relay, start: time.Now(), deadline: time.Now().Add(time.Second),
+		tried: map[string]int{},
+	}
 	p.r, _ = http.NewRequest(http.MethodPost, "/once/", http.NoBody)
 	p.r.RequestURI = "/once/"
 	p.route = r.relay.Table().Match("h", "/once/")
 	out, _ := p.attempt(p.r.Context(), &choice{target: target, load: roster.Load{Running: 1}, permit: permit})
 	r.g.Expect(out).To(gomega.Equal(outcomeNotSent))
-	_, may := r.roster.TakePermit(target)
-	r.g.Expect(may).To(gomega.BeTrue())
+	_, granted := r.roster.TakePermit(target)
+	r.g.Expect(granted).To(gomega.BeTrue())
 }
 
 // waitForPermit raises the rate limit of a target and takes the next permit.
@@ -163,7 +167,7 @@
 }
 
 // A daemon that does not use the rate-limited target gets a permit from one that does.
-func TestDaemonWithoutPermitsQueriesPermitHolders(t *testing.T) {
+func TestDaemonWithoutPermitsQueriesSenders(t *testing.T) {
 	h := newFleetRig(t, 6, 1, always(limitedStreamResponse(20)))
 	reported := map[string]roster.RateLimitUpdate{h.workers[0]: {Active: true, PerSecond: 20, Seq: 1}}
 	for i, r := range h.rigs {
@@ -184,7 +188,7 @@
 }
 
 // A response that is not signed may come from any target, so it does not end a rate limit.
-func TestUnsignedAnswerKeepsRateLimit(t *testing.T) {
+func TestUnsignedResponseKeepsRateLimit(t *testing.T) {
 	r := newRig(t, nil)
 	unsigned := func(w *bufio.Writer, req *http.Request) error {
 		fmt.Fprintf(w, "HTTP/1.1 200 X\r\nId: %s\r\nContent-Length: 0\r\n\r\n", req.Header.Get("Id"))
@@ -212,7 +216,7 @@
 	h := newFleetRig(t, 24, 4, always(limitedStreamResponse(perSecond)))
 	for i, r := range h.rigs {
 		f := h.fleets[i]
-		// As View.Place, which needs a list of boxes that these daemons do not have.
+		// As View.SelfRank, which needs a list of boxes that these daemons do not have.
 		r.roster.Rank = func(t *roster.Target) (int, int) {
 			cell := f.View().Eligible()
 			return fleet.RankOf(fleet.Key(t.ID()), cell, f.View().Self()), len(cell)
--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -82,7 +82,7 @@
 	// publish that to the other daemons at once. It must be set.
 	PublishState func()
 	// OwnTargets returns those of the given workers that this daemon uses. A large fleet partitions
-	// its workers, so that a daemon knows the load of the ones that it uses.
+	// its workers, so that a daemon has recorded the load of the ones that it uses.
 	OwnTargets func(names []string) []string
 	// ShardVersion returns a value that stays equal as long as OwnTargets uses the same partition.
 	// Nil means that its results must not be cached.
@@ -123,7 +123,7 @@
 	running atomic.Int64
 	// closeConnections is set by CloseConnections.
 	closeConnections atomic.Bool
-	// refusing is set when a planned stop is about to end: new requests are refused.
+	// refusing is set near the end of a graceful shutdown: new requests are refused.
 	refusing atomic.Bool
 	// owners queries the owners of contexts in other cells. It may be nil, and is set before the
 	// first request.
@@ -151,7 +151,10 @@
 	if o.Canary == nil {
 		o.Canary = &canary.Guard{}
 	}
-	return &Relay{options: o, start: time.Now(), retryBudgets: map[string]*route.RetryBudget{}, arrivalRates: map[string]*learn.Rate{}}
+	return &Relay{
+		options: o, start: time.Now(), retryBudgets: map[string]*route.RetryBudget{},
+		arrivalRates: map[string]*learn.Rate{},
+	}
 }
 
 // SetTable applies a configuration. Running requests keep the one they started with.
@@ -163,10 +166,10 @@
 // Running returns the number of unfinished requests.
 func (rl *Relay) Running() int64 { return rl.running.Load() }
 
-// CloseConnections starts a planned stop: from now on each answer closes its connection.
+// CloseConnections starts a graceful shutdown: from now on each answer closes its connection.
 func (rl *Relay) CloseConnections() { rl.closeConnections.Store(true) }
 
-// RefuseRequests makes the relay refuse new requests, near the end of a planned stop.
+// RefuseRequests makes the relay refuse new requests, near the end of a graceful shutdown.
 func (rl *Relay) RefuseRequests() { rl.refusing.Store(true) }
 
 // minOutage is the least expected remaining time of an outage of the coordination store: outages
@@ -205,7 +208,10 @@
 	if rl.closeConnections.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	p := &proxiedRequest{relay: rl, w: w, r: r, start: time.Now(), suspends: newSuspendDetector(), originDomain: rl.options.Domain, tried: map[string]int{}}
+	p := &proxiedRequest{
+		relay: rl, w: w, r: r, start: time.Now(), suspends: newSuspendDetector(),
+		originDomain: rl.options.Domain, tried: map[string]int{},
+	}
 	refusal := p.admit()
 	if refusal == nil {
 		refusal = p.run()
@@ -213,5 +219,5 @@
 	p.finish(refusal)
 }
 
-// callerGone reports whether the caller has closed its connection.
-func callerGone(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
+// callerDisconnected reports whether the caller has closed its connection.
+func callerDisconnected(ctx context.Context) bool { return errors.Is(ctx.Err(), context.Canceled) }
--- a/core/relay/rig_test.go
+++ b/core/relay/rig_test.go
@@ -29,7 +29,10 @@
 type testDialect struct{}
 
 func (testDialect) ParseRequest(h http.Header) (RequestMeta, error) {
-	meta := RequestMeta{AttemptID: h.Get("Id"), APIKey: h.Get("Key"), Model: h.Get("Model"), LastEventID: h.Get("After")}
+	meta := RequestMeta{
+		AttemptID: h.Get("Id"), APIKey: h.Get("Key"), Model: h.Get("Model"),
+		LastEventID: h.Get("After"),
+	}
 	ms, err := strconv.Atoi(h.Get("Deadline"))
 	if h.Get("Deadline") != "" && err != nil {
 		return meta, err
@@ -44,16 +47,16 @@
 	return meta, nil
 }
 
-func (testDialect) WriteAttempt(h http.Header, s *AttemptMeta) {
+func (testDialect) WriteAttempt(h http.Header, meta *AttemptMeta) {
 	h.Del("Key")
-	h.Set("Organisation", s.Organisation)
-	h.Set("Deadline", strconv.FormatInt(s.Timeout.Milliseconds(), 10))
-	h.Set("Target", s.Target)
-	h.Set("Weights", strconv.FormatInt(s.WeightVersion, 10))
-	h.Set("Salt", s.CacheSalt)
-	h.Set("After", s.LastEventID)
-	h.Set("Copy", strings.Join(s.CopyFrom, ","))
-	h.Set("Keep", strings.Join(s.StoreTo, ","))
+	h.Set("Organisation", meta.Organisation)
+	h.Set("Deadline", strconv.FormatInt(meta.Timeout.Milliseconds(), 10))
+	h.Set("Target", meta.Target)
+	h.Set("Weights", strconv.FormatInt(meta.WeightVersion, 10))
+	h.Set("Salt", meta.CacheSalt)
+	h.Set("After", meta.LastEventID)
+	h.Set("Copy", strings.Join(meta.CopyFrom, ","))
+	h.Set("Keep", strings.Join(meta.StoreTo, ","))
 }
 
 func (testDialect) ParseResponse(_ int, h http.Header) ResponseMeta {
@@ -63,8 +66,10 @@
 	return ResponseMeta{
 		RateLimit: roster.RateLimit{Stated: err == nil, PerSecond: rate},
 
-		AttemptID: h.Get("Id"), Signed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "", Target: h.Get("Run"),
-		WeightVersion: version, Encoded: h.Get("Content-Encoding") != "", ShuttingDown: h.Get("Leaves") != "", Pushback: pushback,
+		AttemptID: h.Get("Id"), Signed: h.Get("Seal") != "", NotExecuted: h.Get("Not-Run") != "",
+		Target:        h.Get("Run"),
+		WeightVersion: version, Encoded: h.Get("Content-Encoding") != "",
+		ShuttingDown: h.Get("Leaves") != "", Pushback: pushback,
 	}
 }
 
@@ -125,7 +130,10 @@
 		n := t.count
 		t.count++
 		t.mu.Unlock()
-		t.rig.record(receivedRequest{target: t.id, method: req.Method, uri: req.RequestURI, header: req.Header, body: string(body)})
+		t.rig.record(receivedRequest{
+			target: t.id, method: req.Method, uri: req.RequestURI, header: req.Header,
+			body: string(body),
+		})
 		w := bufio.NewWriter(c)
 		err = t.handle(n)(w, req)
 		w.Flush()
@@ -154,11 +162,11 @@
 	requests []receivedRequest
 }
 
-func (r *rig) record(s receivedRequest) {
+func (r *rig) record(req receivedRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.at = time.Now()
-	r.requests = append(r.requests, s)
+	req.at = time.Now()
+	r.requests = append(r.requests, req)
 }
 
 func (r *rig) received() []receivedRequest {
@@ -170,15 +178,15 @@
 // fakeStores is a client of KV-cache stores that hold the given segments.
 type fakeStores struct{ segments []cache.SegmentChange }
 
-func (n fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.SegmentEvents, error) {
+func (s fakeStores) Events(ctx context.Context, _ string, since int64, _ time.Duration) (cache.SegmentEvents, error) {
 	if since > 1 {
 		<-ctx.Done()
 		return cache.SegmentEvents{}, ctx.Err()
 	}
-	return cache.SegmentEvents{Epoch: 1, Next: 2, Changes: n.segments, Clock: time.Minute}, nil
+	return cache.SegmentEvents{Epoch: 1, Next: 2, Changes: s.segments, Clock: time.Minute}, nil
 }
 
-func (n fakeStores) Contents(context.Context, string) (cache.SegmentEvents, error) {
+func (s fakeStores) Contents(context.Context, string) (cache.SegmentEvents, error) {
 	return cache.SegmentEvents{Epoch: 1, Next: 1}, nil
 }
 
@@ -186,7 +194,7 @@
 
 var testRoutes = []table.Route{
 	{Name: "once", Host: "h", Prefix: "/once/", Kind: table.Once, Timeout: 2 * time.Second, LatencyObjective: time.Second, MaxAttempts: 1, Splits: []table.Split{{Service: "plain", Weight: 1}}},
-	{Name: "again", Host: "h", Prefix: "/again/", Kind: table.Repeatable, Timeout: 2 * time.Second, LatencyObjective: 10 * time.Second, MaxAttempts: 2, Splits: []table.Split{{Service: "plain", Weight: 1}}},
+	{Name: "repeatable", Host: "h", Prefix: "/repeatable/", Kind: table.Repeatable, Timeout: 2 * time.Second, LatencyObjective: 10 * time.Second, MaxAttempts: 2, Splits: []table.Split{{Service: "plain", Weight: 1}}},
 	{Name: "stream", Host: "h", Prefix: "/stream/", Kind: table.Stream, Resumable: true, Timeout: 5 * time.Second, LatencyObjective: time.Second, MaxAttempts: 2, Splits: []table.Split{{Service: "llm", Weight: 1}}},
 	{Name: "single", Host: "h", Prefix: "/single/", Kind: table.Stream, Timeout: 5 * time.Second, LatencyObjective: time.Second, MaxAttempts: 1, Splits: []table.Split{{Service: "llm", Weight: 1}}},
 	{Name: "public", Host: "h", Prefix: "/public/", Kind: table.Once, Timeout: time.Second, MaxAttempts: 1, Public: true, Splits: []table.Split{{Service: "plain", Weight: 1}}},
@@ -195,9 +203,21 @@
 
 // Priors and costs, the latter as in the default settings.
 var (
-	enginePrior = learn.Prior{Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond, PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond, MemoryPressure: 300 * time.Millisecond, QueuedPerSlot: time.Second, LogStdDev: 0.5, Observations: 5}
-	callPrior   = learn.Prior{Fixed: 40 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5, Observations: 5}
-	testCosts   = route.CostModel{UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008, CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03, CrossDomainPerMiB: 4, DelayPenalty: 0.1}
+	enginePrior = learn.Prior{
+		Fixed: 50 * time.Millisecond, PerThousandOwn: 20 * time.Millisecond,
+		PerThousandQueued: 20 * time.Millisecond, Utilisation: 50 * time.Millisecond,
+		MemoryPressure: 300 * time.Millisecond, QueuedPerSlot: time.Second, LogStdDev: 0.5,
+		Observations: 5,
+	}
+	callPrior = learn.Prior{
+		Fixed: 40 * time.Millisecond, QueuedPerSlot: 40 * time.Millisecond, LogStdDev: 0.5,
+		Observations: 5,
+	}
+	testCosts = route.CostModel{
+		UtilityPerToken: 0.0004, PastObjectiveShare: 0.25, RecomputePerToken: 0.0008,
+		CopyPerToken: 0.000012, OldWeightsPenalty: 0.2, NewConnectionCost: 0.03,
+		CrossDomainPerMiB: 4, DelayPenalty: 0.1,
+	}
 )
 
 func newRig(t *testing.T, stores cache.StoreClient) *rig {
@@ -208,9 +228,12 @@
 	r.roster = roster.New(r.log, nil)
 	r.storeIndex = cache.NewStoreIndexes(stores, r.log)
 	r.relay = New(Options{
-		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, StoreIndex: r.storeIndex, WorkerCaches: &cache.WorkerCaches{}, Links: &learn.Links{}, Retention: &learn.Retention{}, Log: r.log, Stats: NewStats(),
+		Dialect: testDialect{}, Roster: r.roster, Pool: &target.Pool{}, StoreIndex: r.storeIndex,
+		WorkerCaches: &cache.WorkerCaches{}, Links: &learn.Links{}, Retention: &learn.Retention{},
+		Log: r.log, Stats: NewStats(),
 		DesiredWeights: func(string) int64 { return r.desired }, ConfigCurrent: func() bool { return !r.stale }, ConfigOverdue: func() time.Duration { return r.configOverdue }, WeightsOutdated: func(_ string, v int64) bool { return v < r.minWeights }, MayCopy: func() bool { return true },
-		FirstAnswerTimes: learn.NewTimes(), TargetStats: &learn.Targets{}, EnginePrior: enginePrior, CallPrior: callPrior, Costs: testCosts,
+		FirstAnswerTimes: learn.NewTimes(), TargetStats: &learn.Targets{}, EnginePrior: enginePrior,
+		CallPrior: callPrior, Costs: testCosts,
 		DaemonCount: func() int { return 1 }, Rank: func(string, bool) (int, int) { return 0, 1 }, WarmUpFactor: 1, PublishState: func() {}, ViewAge: func() time.Duration { return 0 }, OwnTargets: func(names []string) []string { return names }, RetryShare: 0.2, RetryExtra: 20, RetryWindow: 10 * time.Second,
 	})
 	r.relay.SetTable(table.New(table.Spec{
@@ -218,7 +241,7 @@
 		Services: []table.Service{
 			{Name: "plain"}, {Name: "llm", Engine: &table.Engine{Models: []string{"m"}, Slots: 4, MemoryTokens: 1 << 20}},
 		},
-		Organisations: []table.Organisation{{Name: "org", Keys: []string{"secret"}}, {Name: "walled", Keys: []string{"walled"}, Isolated: true}},
+		Organisations: []table.Organisation{{Name: "org", Keys: []string{"secret"}}, {Name: "isolated", Keys: []string{"isolated"}, Isolated: true}},
 	}))
 	r.front = httptest.NewServer(r.relay)
 	t.Cleanup(r.front.Close)
--- a/core/relay/share.go
+++ b/core/relay/share.go
@@ -12,7 +12,8 @@
 	// Options.ShardVersion.
 	all          []*roster.Target
 	shardVersion any
-	// own are the targets that this daemon uses, and fraction the fraction of all that these serve.
+	// own are the targets that this daemon uses, and fraction is the fraction of the service's
+	// requests that they serve.
 	own      []*roster.Target
 	fraction float64
 }
@@ -33,7 +34,8 @@
 	}
 	s.sharesMu.Lock()
 	defer s.sharesMu.Unlock()
-	if cached := s.services[service]; cached != nil && shardVersion != nil && cached.shardVersion == shardVersion && sameList(cached.all, all) {
+	if cached := s.services[service]; cached != nil && shardVersion != nil &&
+		cached.shardVersion == shardVersion && sameList(cached.all, all) {
 		return cached
 	}
 	var out *targetShare
--- a/core/roster/availability.go
+++ b/core/roster/availability.go
@@ -29,7 +29,10 @@
 	Evacuated
 )
 
-var reasonNames = [...]string{"open", "gone", "leaves", "changes its weights", "rests", "is over the limit that it named", "does not answer", "evacuated"}
+var reasonNames = [...]string{
+	"open", "gone", "leaves", "changes its weights", "rests", "is over the limit that it named",
+	"does not answer", "evacuated",
+}
 
 // String returns the reason as it appears in log lines.
 func (s UnavailabilityReason) String() string { return reasonNames[s] }
@@ -131,9 +134,9 @@
 	a := Availability{at: now, evacuations: *r.evacuations.Load()}
 	reason, _ := a.reason(t, r.isUpdating(t.id, now), status)
 	if reason == Available && report != nil {
-		report.pushback.take(clockNow)
+		report.pushback.allowAttempt(clockNow)
 		if report.limit.active && !permit.Taken {
-			report.limit.take(clockNow)
+			report.limit.takePermit(clockNow)
 		}
 	}
 	return reason
--- a/core/roster/external.go
+++ b/core/roster/external.go
@@ -27,15 +27,15 @@
 
 // find returns an external target and marks it as used, or returns nil.
 func (e *externalTargets) find(id string) *Target {
-	if known := e.byID[id]; known != nil {
-		known.lastUsed = time.Now()
-		return known.target
+	if ext := e.byID[id]; ext != nil {
+		ext.lastUsed = time.Now()
+		return ext.target
 	}
 	return nil
 }
 
-// take removes and returns an external target that is now listed, or returns nil.
-func (e *externalTargets) take(id string) *Target {
+// remove removes and returns an external target that is now listed, or returns nil.
+func (e *externalTargets) remove(id string) *Target {
 	found := e.byID[id]
 	if found == nil {
 		return nil
--- a/core/roster/incarnations_test.go
+++ b/core/roster/incarnations_test.go
@@ -34,9 +34,9 @@
 			r.Put(e)
 		}, "a@2000"},
 		{"a late entry of an older incarnation", func(r *Roster) { r.Put(incarnationEntry("a@2000", 2000)); r.Put(incarnationEntry("a@1000", 1000)) }, "a@2000"},
-		{"another incarnation answers", func(r *Roster) { r.RecordReplaced("a@1000") }, ""},
-		{"another incarnation answers, the list lags", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
-		{"another incarnation answers, the list follows", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
+		{"another incarnation responds", func(r *Roster) { r.RecordReplaced("a@1000") }, ""},
+		{"another incarnation responds, the list lags", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@1000", 1000)) }, ""},
+		{"another incarnation responds, the list follows", func(r *Roster) { r.RecordReplaced("a@1000"); r.Put(incarnationEntry("a@2000", 2000)) }, "a@2000"},
 		{"its clock went back", func(r *Roster) { r.Put(incarnationEntry("a@500", 500)); r.RecordReplaced("a@1000") }, "a@500"},
 		{"taken off the list and back", func(r *Roster) { r.Remove("a", clock.Now()); r.Put(incarnationEntry("a@500", 500)) }, "a@500"},
 		{"unusable entry of another writer", func(r *Roster) { r.RemoveUnusable("a") }, ""},
@@ -72,7 +72,8 @@
 			g.Expect(r.Updating(now)).NotTo(gomega.HaveKey(tc.want))
 			g.Expect(r.Reloading(now)).NotTo(gomega.HaveKey(tc.want))
 			r.RecordVersion("a@1000", "m", 9)
-			g.Expect(got.Entry().Weights).To(gomega.Equal(map[string]int64{"m": 1}), "a late version of the previous incarnation")
+			g.Expect(got.Entry().Weights).To(gomega.Equal(map[string]int64{"m": 1}),
+				"a late version of the previous incarnation")
 		})
 	}
 }
@@ -84,5 +85,6 @@
 	existing := r.Target("a@1000")
 	g.Expect(r.Put(incarnationEntry("a@1000", 1000))).To(gomega.BeNil())
 	g.Expect(r.Target("a@1000")).To(gomega.BeIdenticalTo(existing))
-	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(existing), "the caller closes its connections")
+	g.Expect(r.Put(incarnationEntry("a@2000", 2000))).To(gomega.BeIdenticalTo(existing),
+		"the caller closes its connections")
 }
--- a/core/roster/pushback_test.go
+++ b/core/roster/pushback_test.go
@@ -52,13 +52,13 @@
 	end := start.Add(time.Second)
 	var p pushback
 	g.Expect(p.extend(time.Second, start)).To(gomega.BeTrue())
-	g.Expect(p.take(start.Add(999 * time.Millisecond))).To(gomega.BeFalse())
-	g.Expect(p.take(end)).To(gomega.BeTrue())
-	g.Expect(p.take(end)).To(gomega.BeFalse())
+	g.Expect(p.allowAttempt(start.Add(999 * time.Millisecond))).To(gomega.BeFalse())
+	g.Expect(p.allowAttempt(end)).To(gomega.BeTrue())
+	g.Expect(p.allowAttempt(end)).To(gomega.BeFalse())
 	g.Expect(p.remaining(end)).To(gomega.Equal(rampStep))
 	sent := 1
 	for at := time.Duration(0); at < rampSteps*rampStep; at += rampStep / 10 {
-		if p.take(end.Add(at)) {
+		if p.allowAttempt(end.Add(at)) {
 			sent++
 		}
 	}
@@ -68,10 +68,10 @@
 	g.Expect(p.extend(time.Second, end)).To(gomega.BeTrue())
 	g.Expect(p.remaining(end)).To(gomega.Equal(time.Second))
 	g.Expect(p.endRamp(end)).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
-	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.allowAttempt(end.Add(time.Second))).To(gomega.BeTrue())
 	g.Expect(p.endRamp(end.Add(time.Second))).To(gomega.BeTrue())
-	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
-	g.Expect(p.take(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.allowAttempt(end.Add(time.Second))).To(gomega.BeTrue())
+	g.Expect(p.allowAttempt(end.Add(time.Second))).To(gomega.BeTrue())
 }
 
 // A pushback belongs to the incarnation that sent it, and time in system suspend counts.
@@ -92,12 +92,14 @@
 	r.Put(incarnationEntry("a@1000", 1000))
 	g.Expect(r.Admit(r.Target("a@1000"), Permit{})).To(gomega.Equal(UnderPushback), "its entry shows ready")
 	r.Put(incarnationEntry("a@2000", 2000))
-	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available), "the next incarnation sent no pushback")
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available),
+		"the next incarnation sent no pushback")
 
 	r.RecordRejection("a@2000", Pushback{Duration: time.Minute})
 	clock.Suspend(time.Minute)
 	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available))
-	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(UnderPushback), "the ramp allows one attempt at first")
+	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(UnderPushback),
+		"the ramp allows one attempt at first")
 	r.RecordAccepted("a@2000")
 	g.Expect(r.Admit(r.Target("a@2000"), Permit{})).To(gomega.Equal(Available))
 }
@@ -117,28 +119,29 @@
 func TestPushbackListPerIncarnation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	current := func(incarnation string) func(string) string { return func(string) string { return incarnation } }
-	var r PushbackList
-	g.Expect(r.RecordRejection("a", "1", 0)).To(gomega.BeFalse())
-	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
-	g.Expect(r.Take("a")).To(gomega.BeTrue())
-	g.Expect(r.RecordRejection("a", "1", time.Minute)).To(gomega.BeTrue())
-	g.Expect(r.RecordRejection("a", "1", time.Second)).To(gomega.BeFalse(), "a pushback is in effect already")
-	g.Expect(r.Take("a")).To(gomega.BeFalse())
-	g.Expect(r.RecordAccepted("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
+	var list PushbackList
+	g.Expect(list.RecordRejection("a", "1", 0)).To(gomega.BeFalse())
+	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
+	g.Expect(list.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.RecordRejection("a", "1", time.Minute)).To(gomega.BeTrue())
+	g.Expect(list.RecordRejection("a", "1", time.Second)).To(gomega.BeFalse(), "a pushback is in effect already")
+	g.Expect(list.Take("a")).To(gomega.BeFalse())
+	g.Expect(list.RecordAccepted("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
 	for _, incarnation := range []string{"", "1"} {
-		g.Expect(r.Remaining(current(incarnation))).To(gomega.HaveKeyWithValue("a", gomega.BeNumerically("~", time.Minute, 5*time.Second)))
+		g.Expect(list.Remaining(current(incarnation))).To(gomega.HaveKeyWithValue("a",
+			gomega.BeNumerically("~", time.Minute, 5*time.Second)))
 	}
-	g.Expect(r.Remaining(current("2"))).To(gomega.BeEmpty())
-	g.Expect(r.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.Remaining(current("2"))).To(gomega.BeEmpty())
+	g.Expect(list.Take("a")).To(gomega.BeTrue())
 
-	r.RecordRejection("a", "", time.Minute)
-	g.Expect(r.Remaining(current("2"))).To(gomega.HaveKey("a"), "the incarnation that sent it is unknown")
+	list.RecordRejection("a", "", time.Minute)
+	g.Expect(list.Remaining(current("2"))).To(gomega.HaveKey("a"), "the incarnation that sent it is unknown")
 	clock.Suspend(time.Minute)
-	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
-	g.Expect(r.Take("a")).To(gomega.BeTrue())
-	g.Expect(r.Remaining(current(""))).To(gomega.HaveKey("a"), "the ramp allows one attempt at first")
-	g.Expect(r.RecordAccepted("a")).To(gomega.BeTrue())
-	g.Expect(r.Remaining(current(""))).To(gomega.BeEmpty())
+	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
+	g.Expect(list.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.Remaining(current(""))).To(gomega.HaveKey("a"), "the ramp allows one attempt at first")
+	g.Expect(list.RecordAccepted("a")).To(gomega.BeTrue())
+	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
 }
 
 // A target that alternates between rejecting with a very short pushback and accepting causes one
--- a/core/roster/ratelimit.go
+++ b/core/roster/ratelimit.go
@@ -112,8 +112,8 @@
 	return max(0, l.nextPermit.Sub(now))
 }
 
-// take empties the bucket.
-func (l *limitState) take(now clock.Time) { l.nextPermit = now.Add(l.period()) }
+// takePermit empties the bucket.
+func (l *limitState) takePermit(now clock.Time) { l.nextPermit = now.Add(l.period()) }
 
 // text formats the rate for log lines.
 func (l *limitState) text() string {
@@ -172,11 +172,11 @@
 	if l.wait(now) > 0 {
 		return Permit{}, false
 	}
-	l.take(now)
+	l.takePermit(now)
 	return Permit{Taken: true, seq: l.seq}, true
 }
 
-// ReturnPermit gives back the permit of a request that was not sent.
+// ReturnPermit returns the permit of a request that was not sent.
 func (r *Roster) ReturnPermit(t *Target, permit Permit) {
 	r.rosterMu.Lock()
 	defer r.rosterMu.Unlock()
@@ -208,7 +208,9 @@
 		// The response may be older than the one that stated the lower rate.
 	case stated.Stated:
 		state.lastStated = now
-		return r.setLimit(id, state, RateLimitUpdate{Active: true, PerSecond: stated.PerSecond, Seq: state.seq + 1}, ByResponse)
+		return r.setLimit(id, state, RateLimitUpdate{
+			Active: true, PerSecond: stated.PerSecond, Seq: state.seq + 1,
+		}, ByResponse)
 	case executed && stated.Invalid == "" && state.active && sent.After(state.lastStated) && sent.After(state.changed):
 		return r.setLimit(id, state, RateLimitUpdate{Seq: state.seq + 1}, ByResponse)
 	}
@@ -334,7 +336,9 @@
 	now := clock.Now()
 	for id, report := range r.selfReports {
 		if report.limit.active && r.targets[id] != nil {
-			out = append(out, RateLimitedTarget{id, report.limit.perSecond, now.Sub(report.limit.changed), report.limit.sends})
+			out = append(out, RateLimitedTarget{
+				id, report.limit.perSecond, now.Sub(report.limit.changed), report.limit.sends,
+			})
 		}
 	}
 	return out
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -17,11 +17,17 @@
 }
 
 func worker(name string, cachedBlocks, queuedTokens int) Worker {
-	return Worker{Name: name, CachedBlocks: cachedBlocks, QueuedTokens: queuedTokens, PrefillPerSecond: 8000, OneWayLatency: time.Millisecond}
+	return Worker{
+		Name: name, CachedBlocks: cachedBlocks, QueuedTokens: queuedTokens, PrefillPerSecond: 8000,
+		OneWayLatency: time.Millisecond,
+	}
 }
 
 func stored(blocks int, rate float64) []StoredContext {
-	return []StoredContext{{Store: "s", Blocks: blocks, BlockBytes: 4 << 20, LinkBytesPerSecond: rate, Latency: 3 * time.Millisecond}}
+	return []StoredContext{{
+		Store: "s", Blocks: blocks, BlockBytes: 4 << 20, LinkBytesPerSecond: rate,
+		Latency: 3 * time.Millisecond,
+	}}
 }
 
 func TestPlace(t *testing.T) {
@@ -85,11 +91,11 @@
 			g := gomega.NewWithT(t)
 			r := request()
 			r.Turn, r.ContextHash = tc.turn, tc.key
-			var k []StoredContext
+			var contexts []StoredContext
 			if tc.placement == AlwaysImport {
-				k = stored(100, 4e9)
+				contexts = stored(100, 4e9)
 			}
-			d := Place(tc.placement, r, workers, k)
+			d := Place(tc.placement, r, workers, contexts)
 			g.Expect(d.Chosen.Worker).To(gomega.Equal(tc.want))
 			g.Expect(d.Chosen.Import.Blocks()).To(gomega.Equal(tc.imports))
 		})
@@ -104,23 +110,25 @@
 		r.Deadline = time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond
 		r.Random = rapid.Float64Range(0, 0.999).Draw(t, "random")
 		r.Weights = CostWeights{
-			FirstToken: rapid.Float64Range(0, 2).Draw(t, "first"), SecondsPerToken: rapid.Float64Range(0, 0.01).Draw(t, "token"),
-			SecondsPerByte: rapid.Float64Range(0, 1e-8).Draw(t, "byte"),
+			FirstToken:      rapid.Float64Range(0, 2).Draw(t, "first"),
+			SecondsPerToken: rapid.Float64Range(0, 0.01).Draw(t, "token"),
+			SecondsPerByte:  rapid.Float64Range(0, 1e-8).Draw(t, "byte"),
 		}
 		var workers []Worker
 		for i := range rapid.IntRange(1, 6).Draw(t, "workers") {
-			w := worker(fmt.Sprint(i), rapid.IntRange(0, 100).Draw(t, "cached"), rapid.IntRange(0, 50000).Draw(t, "queued"))
+			w := worker(fmt.Sprint(i), rapid.IntRange(0, 100).Draw(t, "cached"),
+				rapid.IntRange(0, 50000).Draw(t, "queued"))
 			workers = append(workers, w)
 		}
-		k := stored(rapid.IntRange(0, 100).Draw(t, "stored"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
-		d := Place(LowestCost, r, workers, k)
+		contexts := stored(rapid.IntRange(0, 100).Draw(t, "stored"), rapid.Float64Range(1e7, 1e10).Draw(t, "rate"))
+		d := Place(LowestCost, r, workers, contexts)
 		im := d.Chosen.Import
-		if im.Blocks() < 0 || (im.Blocks() > 0 && im.To > k[0].Blocks) {
-			t.Fatalf("imports %+v of %d stored blocks", im, k[0].Blocks)
+		if im.Blocks() < 0 || (im.Blocks() > 0 && im.To > contexts[0].Blocks) {
+			t.Fatalf("imports %+v of %d stored blocks", im, contexts[0].Blocks)
 		}
 		fastest := time.Duration(1 << 62)
 		for _, w := range workers {
-			for _, o := range appendVariants(nil, LowestCost, r, w, k) {
+			for _, o := range appendVariants(nil, LowestCost, r, w, contexts) {
 				fastest = min(fastest, o.Expected)
 			}
 		}
@@ -153,13 +161,13 @@
 	g.Expect(counts).To(gomega.HaveLen(20))
 }
 
-func TestBudgetLimitsRetries(t *testing.T) {
+func TestThrottleLimitsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var b RetryThrottle
+	var throttle RetryThrottle
 	retries := 0
 	for range 10000 {
-		b.RecordRequest()
-		for b.TryRetry() {
+		throttle.RecordRequest()
+		for throttle.TryRetry() {
 			retries++
 		}
 	}
@@ -181,7 +189,7 @@
 	}
 }
 
-func TestGiveUpEvictsLeastValuable(t *testing.T) {
+func TestChooseEvictionsTakesLeastValuable(t *testing.T) {
 	g := gomega.NewWithT(t)
 	list := []EvictionCandidate{{0, 10, 5, 4}, {1, 10, 100, 0}, {2, 10, 100, 9}, {3, 10, 1, 0}}
 	g.Expect(ChooseEvictions(list, 10)).To(gomega.Equal([]int{1}))
--- a/core/route/warmup_test.go
+++ b/core/route/warmup_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestWarmupShareStaysWithinMaxRate(t *testing.T) {
+func TestWarmUpShareStaysWithinMaxRate(t *testing.T) {
 	tests := []struct {
 		name    string
 		maxRate float64
@@ -39,7 +39,7 @@
 
 // Half of the daemons do not yet know that the other half has been lost or added: the sum
 // of what each sends by its own list of boxes stays within the maximum rate.
-func TestWarmupShareWithTwoMembershipViews(t *testing.T) {
+func TestWarmUpShareWithTwoMembershipViews(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const maxRate = 26
 	for _, daemons := range []int{1, 4, 8, 16, 79, 385} {
@@ -55,22 +55,22 @@
 	}
 }
 
-func TestWarmupLimiterLimitsOverASlidingWindow(t *testing.T) {
+func TestWarmUpLimiterLimitsOverASlidingWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	var p WarmUpLimiter
+	var limiter WarmUpLimiter
 	start := time.Unix(1000, 0)
-	g.Expect(p.Idle(start)).To(gomega.BeTrue())
+	g.Expect(limiter.Idle(start)).To(gomega.BeTrue())
 	for _, step := range []struct {
 		after   time.Duration
 		allowed bool
 	}{{0, true}, {500 * time.Millisecond, true}, {600 * time.Millisecond, false}, {1040 * time.Millisecond, false}, {1060 * time.Millisecond, true}, {1540 * time.Millisecond, false}, {1560 * time.Millisecond, true}} {
 		now := start.Add(step.after)
-		allowed := p.Allows(2, now)
+		allowed := limiter.Allows(2, now)
 		g.Expect(allowed).To(gomega.Equal(step.allowed), step.after.String())
 		if allowed {
-			p.RecordAttempt(now)
+			limiter.RecordAttempt(now)
 		}
 	}
-	g.Expect(p.Allows(0, start.Add(time.Hour))).To(gomega.BeFalse())
-	g.Expect(p.Idle(start.Add(time.Hour))).To(gomega.BeTrue())
+	g.Expect(limiter.Allows(0, start.Add(time.Hour))).To(gomega.BeFalse())
+	g.Expect(limiter.Idle(start.Add(time.Hour))).To(gomega.BeTrue())
 }
--- a/core/spread/relays_test.go
+++ b/core/spread/relays_test.go
@@ -68,7 +68,8 @@
 	var out []*domainMember
 	for i, seed := range seeds {
 		f := fleet.New(fleet.Options{
-			Name: seed.Name, Incarnation: seed.Name + "-1", Domain: seed.Domain, Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+			Name: seed.Name, Incarnation: seed.Name + "-1", Domain: seed.Domain, Seeds: seeds,
+			HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
 			Boxes: &reader{list: list}, BoxPollInterval: 50 * time.Millisecond,
 		})
 		m := &domainMember{member: &member{fleet: f}, domain: seed.Domain}
@@ -140,7 +141,7 @@
 	put(t, store.KV, "op/config", []byte("first"))
 	members := domainFleet(t, store, daemons, domains)
 	allHold(g, members, "first")
-	g.Eventually(func() bool { taken, _ := store.quiet(); return !taken.IsZero() }, shortWait, pollInterval).Should(gomega.BeTrue())
+	g.Eventually(func() bool { takenAt, _ := store.quiet(); return !takenAt.IsZero() }, shortWait, pollInterval).Should(gomega.BeTrue())
 	store.setDown(true)
 	// Requests that the store already holds still get a response.
 	g.Eventually(func() bool { _, quiet := store.quiet(); return quiet }, shortWait, pollInterval).Should(gomega.BeTrue())
--- a/core/spread/storeindex_test.go
+++ b/core/spread/storeindex_test.go
@@ -31,7 +31,7 @@
 }
 
 func (s staticStore) Free(context.Context, string, int64, []cache.SegmentName) error {
-	return errRefused
+	return errRejected
 }
 
 // A store's contents have no size limit, and must pass from one daemon of a cell to the others.
@@ -62,7 +62,8 @@
 			ownSeeds = slow
 		}
 		f := fleet.New(fleet.Options{
-			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+			Name: name, Incarnation: name + "-1", Seeds: ownSeeds, HeartbeatInterval: heartbeat,
+			SuspectAfter: suspect, Log: &event.Log{},
 		})
 		indexes := spread.NewStoreIndexes(store, f)
 		indexesByName[name] = cache.NewStoreIndexes(indexes, &event.Log{})
--- a/core/spread/values.go
+++ b/core/spread/values.go
@@ -53,10 +53,10 @@
 	// peerWaitBudget is how long a daemon of a large fleet tries peers for a value before it reads
 	// the store: a fifth of the users' shortest bound on a configuration change there, 4 s.
 	peerWaitBudget = 800 * time.Millisecond
-	// retryPause is the time between two attempts to fetch the values.
-	retryPause = 100 * time.Millisecond
+	// retryInterval is the time between two attempts to fetch the values.
+	retryInterval = 100 * time.Millisecond
 	// storeTimeout bounds the read of one value from the store as a whole; the store's client
-	// bounds how long the store may be silent.
+	// bounds the time without any data from the store.
 	storeTimeout = 15 * time.Second
 )
 
@@ -83,9 +83,12 @@
 }
 
 // newLargeValues returns largeValues, attached to the watch cache and the fleet.
-func newLargeValues(m *plat.WatchCache, f *fleet.Fleet, t *transfers, log *event.Log) *largeValues {
-	v := &largeValues{watchCache: m, fleet: f, transfers: t, log: log, wake: make(chan struct{}, 1), versions: map[string][]plat.Pair{}}
-	m.Observe(v.observe)
+func newLargeValues(watchCache *plat.WatchCache, f *fleet.Fleet, t *transfers, log *event.Log) *largeValues {
+	v := &largeValues{
+		watchCache: watchCache, fleet: f, transfers: t, log: log, wake: make(chan struct{}, 1),
+		versions: map[string][]plat.Pair{},
+	}
+	watchCache.Observe(v.observe)
 	f.Mux().Register(kindValue, wire.Handle(v.handleValue))
 	return v
 }
@@ -172,7 +175,7 @@
 		}
 		for ctx.Err() == nil && v.watchCache.HasUnfetched() {
 			if !v.fetchAll(ctx) {
-				wait.For(ctx, retryPause)
+				wait.For(ctx, retryInterval)
 			}
 		}
 	}
@@ -236,7 +239,8 @@
 		start := clock.Now()
 		p, size, err := v.fetchFromPeer(ctx, peer, want, maxBytes)
 		if err != nil {
-			v.log.Emit(event.PeerNotTold, event.Ref{Resource: want.Key}, peer+" after "+elapsedSince(start)+": "+err.Error())
+			v.log.Emit(event.PeerNotTold, event.Ref{Resource: want.Key},
+				peer+" after "+elapsedSince(start)+": "+err.Error())
 			if errors.Is(err, errTooLarge) {
 				return false, true
 			}
@@ -256,7 +260,8 @@
 // deliver passes a fetched value to the watch cache.
 func (v *largeValues) deliver(p plat.Pair, source string, start clock.Time) {
 	v.watchCache.ApplyFetched(p)
-	text := "revision " + strconv.FormatInt(p.ModRevision, 10) + ", " + strconv.Itoa(len(p.Value)) + " bytes in " + elapsedSince(start) + ", " + source
+	text := "revision " + strconv.FormatInt(p.ModRevision, 10) + ", " +
+		strconv.Itoa(len(p.Value)) + " bytes in " + elapsedSince(start) + ", " + source
 	v.log.Emit(event.ValueFetched, event.Ref{Resource: p.Key}, text)
 }
 
--- a/core/spread/values_test.go
+++ b/core/spread/values_test.go
@@ -26,11 +26,11 @@
 	reads   int // guarded by readsMu
 }
 
-var errRefused = errors.New("the store refuses this")
+var errRejected = errors.New("the store rejects this")
 
 func (s *singleKeyStore) Range(ctx context.Context, span plat.Span) ([]plat.Pair, int64, error) {
 	if span == plat.Prefix("op/") {
-		return nil, 0, errRefused
+		return nil, 0, errRejected
 	}
 	s.readsMu.Lock()
 	s.reads++
@@ -39,7 +39,7 @@
 }
 
 func (s *singleKeyStore) Watch(context.Context, plat.Span, int64, func([]plat.Change, int64) error) error {
-	return errRefused
+	return errRejected
 }
 
 func (s *singleKeyStore) count() int {
@@ -131,7 +131,8 @@
 func faultyPeer(t *testing.T, seeds []fleet.Peer, l net.Listener, response *valueResponse, chunk []byte) {
 	name := seeds[0].Name
 	f := fleet.New(fleet.Options{
-		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat,
+		SuspectAfter: suspect, Log: &event.Log{},
 	})
 	f.Attach("mirror", freshHeartbeat{})
 	f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
@@ -139,13 +140,13 @@
 	})
 	f.Mux().Register("spread.value", func(context.Context, string, []byte) (any, error) {
 		if response == nil {
-			return nil, errRefused
+			return nil, errRejected
 		}
 		return response, nil
 	})
 	f.Mux().Register("spread.piece", func(context.Context, string, []byte) (any, error) {
 		if chunk == nil {
-			return nil, errRefused
+			return nil, errRejected
 		}
 		return chunk, nil
 	})
@@ -174,7 +175,8 @@
 			var requests atomic.Int64
 			name := seeds[0].Name
 			f := fleet.New(fleet.Options{
-				Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+				Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat,
+				SuspectAfter: suspect, Log: &event.Log{},
 			})
 			f.Attach("mirror", freshHeartbeat{})
 			f.Mux().Register("spread.mirror", func(context.Context, string, []byte) (any, error) {
--- a/core/spread/watchcache.go
+++ b/core/spread/watchcache.go
@@ -52,14 +52,14 @@
 }
 
 // NewWatchCacheSync returns a WatchCacheSync for m and attaches it to the fleet's heartbeats.
-func NewWatchCacheSync(m *plat.WatchCache, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
-	s := &WatchCacheSync{started: clock.Now(), watchCache: m, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
+func NewWatchCacheSync(watchCache *plat.WatchCache, f *fleet.Fleet, log *event.Log) *WatchCacheSync {
+	s := &WatchCacheSync{started: clock.Now(), watchCache: watchCache, fleet: f, log: log, peerFresh: map[string]clock.Time{}}
 	s.relayBackoff.Initial, s.relayBackoff.Max = backoffFirst, backoffMax
-	s.values = newLargeValues(m, f, newTransfers(f, func(bytes int) { s.bytesSent.Add(int64(bytes)) }), log)
-	m.Observe(s.observe)
+	s.values = newLargeValues(watchCache, f, newTransfers(f, func(bytes int) { s.bytesSent.Add(int64(bytes)) }), log)
+	watchCache.Observe(s.observe)
 	f.Attach("mirror", s)
 	f.Mux().Register(kindChanges, wire.Handle(s.handleChanges))
-	m.WatchesStore, m.IsStandby, m.BatchTime = s.WatchesStore, s.IsStandby, s.BatchTime
+	watchCache.WatchesStore, watchCache.IsStandby, watchCache.BatchTime = s.WatchesStore, s.IsStandby, s.BatchTime
 	return s
 }
 
@@ -112,9 +112,9 @@
 
 // Times and bounds of requesting changes from peers.
 const (
-	// storeSilentAfter is how long the store may be silent before changes are requested from a
-	// peer: watches respond every 1.5 s.
-	storeSilentAfter = 1800 * time.Millisecond
+	// storeUnreachableAfter is how long the store may not respond before changes are requested from
+	// a peer: watches respond every 1.5 s.
+	storeUnreachableAfter = 1800 * time.Millisecond
 	// requestInterval is the time between two requests.
 	requestInterval = 100 * time.Millisecond
 	// requestWait is how long a peer may wait for a change before it responds; requestTimeout
@@ -159,14 +159,14 @@
 	return batchTimeSmall
 }
 
-// Run requests changes from a peer while the store is silent or other daemons watch it for this
-// one. It returns when ctx ends.
+// Run requests changes from a peer while the store does not respond or other daemons watch it for
+// this one. It returns when ctx ends.
 func (s *WatchCacheSync) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { s.values.run(ctx) })
 	wait.Every(ctx, requestInterval, func() {
-		if clock.Since(s.watchCache.LastContact()) > storeSilentAfter || !s.WatchesStore() {
+		if clock.Since(s.watchCache.LastContact()) > storeUnreachableAfter || !s.WatchesStore() {
 			s.pull(ctx)
 		}
 	})
@@ -234,8 +234,9 @@
 		shard = nil
 	}
 	req := &changesRequest{
-		AfterRevision: s.watchCache.Revision(), WaitMillis: requestWait.Milliseconds(), AgeMillis: ageMillis(clock.Since(s.watchCache.FreshAsOf())),
-		Shard: shard, CacheShard: s.watchCache.Shard(),
+		AfterRevision: s.watchCache.Revision(), WaitMillis: requestWait.Milliseconds(),
+		AgeMillis: ageMillis(clock.Since(s.watchCache.FreshAsOf())),
+		Shard:     shard, CacheShard: s.watchCache.Shard(),
 	}
 	for {
 		start := clock.Now()
@@ -248,7 +249,8 @@
 		}
 		if got.ShardChanged && shard != nil {
 			s.logShardChange(req.CacheShard, got.ShardName, peer, len(got.Changes))
-			s.watchCache.SwitchShard(got.changes(), got.Revision, req.CacheShard, got.ShardName, s.outsideShard(shard, got.ShardName), got.freshAt(start))
+			s.watchCache.SwitchShard(got.changes(), got.Revision, req.CacheShard, got.ShardName,
+				s.outsideShard(shard, got.ShardName), got.freshAt(start))
 			s.fetchUnfetched(peer)
 			return nil
 		}
@@ -288,8 +290,8 @@
 }
 
 // logShardChange logs that this daemon changes to another shard.
-func (s *WatchCacheSync) logShardChange(former, taken, peer string, entries int) {
-	if former == taken {
+func (s *WatchCacheSync) logShardChange(former, next, peer string, entries int) {
+	if former == next {
 		return
 	}
 	view := s.fleet.View()
--- a/core/spread/watchcache_test.go
+++ b/core/spread/watchcache_test.go
@@ -25,7 +25,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // Bounds of waits: shortWait for what takes milliseconds, longWait for transfers over a slow link.
-// The race detector on a busy machine takes a hundred times as long.
+// The race detector on a busy box takes a hundred times as long.
 const (
 	shortWait    = "60s"
 	longWait     = "120s"
@@ -110,7 +110,8 @@
 // run runs one member until the test ends.
 func run(t *testing.T, name string, l net.Listener, store plat.Reader, seeds []fleet.Peer) *member {
 	m := &member{fleet: fleet.New(fleet.Options{
-		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat, SuspectAfter: suspect, Log: &event.Log{},
+		Name: name, Incarnation: name + "-1", Seeds: seeds, HeartbeatInterval: heartbeat,
+		SuspectAfter: suspect, Log: &event.Log{},
 	})}
 	m.watchCache = plat.NewWatchCache(store, plat.Prefix("op/"), &event.Log{})
 	m.watchCache.Observe(m.observe)
@@ -182,7 +183,8 @@
 			g.Eventually(m.holds("op/config", v), shortWait, pollInterval).Should(gomega.BeTrue())
 		}
 	}
-	g.Expect(sender.fleet.Bytes()-before).To(gomega.BeNumerically("<", slowLinkBytesPerSecond), "bytes for two versions of %d bytes", len(versions[1]))
+	g.Expect(sender.fleet.Bytes()-before).To(gomega.BeNumerically("<", slowLinkBytesPerSecond),
+		"bytes for two versions of %d bytes", len(versions[1]))
 }
 
 // Small changes arrive soon, whatever else is being sent, and large ones arrive in the end, however
@@ -244,18 +246,18 @@
 			local.Close()
 			continue
 		}
-		if !p.keep(local) || !p.keep(remote) {
+		if !p.register(local) || !p.register(remote) {
 			local.Close()
 			remote.Close()
 			return
 		}
 		p.wg.Go(func() { _, _ = io.Copy(remote, local); remote.Close() })
-		p.wg.Go(func() { p.back(local, remote); local.Close() })
+		p.wg.Go(func() { p.copyBack(local, remote); local.Close() })
 	}
 }
 
-// back forwards what remote sends, at the rate of the link.
-func (p *pipe) back(local, remote net.Conn) {
+// copyBack forwards what remote sends, at the rate of the link.
+func (p *pipe) copyBack(local, remote net.Conn) {
 	chunk := make([]byte, 4<<10)
 	for {
 		n, err := remote.Read(chunk)
@@ -271,8 +273,8 @@
 	}
 }
 
-// keep registers a connection to be closed at the end of the test.
-func (p *pipe) keep(c net.Conn) bool {
+// register adds a connection that is to be closed at the end of the test.
+func (p *pipe) register(c net.Conn) bool {
 	p.openMu.Lock()
 	defer p.openMu.Unlock()
 	p.open[c] = true
--- a/core/target/exchange.go
+++ b/core/target/exchange.go
@@ -101,7 +101,7 @@
 		return
 	}
 	if !alive || !resp.reusable() || conn.r.Buffered() > 0 || conn.isDead() {
-		conn.pool.drop(conn)
+		conn.pool.closeConn(conn)
 		return
 	}
 	conn.pool.put(conn, resp.Header.Get("Keep-Alive"))
@@ -136,7 +136,8 @@
 		if parsed.StatusCode < http.StatusOK {
 			continue
 		}
-		resp.Status, resp.Header, resp.Length, resp.body = parsed.StatusCode, parsed.Header, parsed.ContentLength, parsed.Body
+		resp.Status, resp.Header, resp.Length, resp.body = parsed.StatusCode, parsed.Header,
+			parsed.ContentLength, parsed.Body
 		if parsed.Close {
 			resp.Header.Set("Connection", "close")
 		}
