--- a/core/admin/admin.go
+++ b/core/admin/admin.go
@@ -23,13 +23,13 @@
 
 // Options configure a Server.
 type Options struct {
-	Conf   *conf.Store
-	Writer *conf.Writer
-	Spread *spread.ConfigReplicator
-	Fleet  *fleet.Fleet
-	Home   *home.Owner
-	Poison *poison.Guard
-	Log    *event.Log
+	Conf         *conf.Store
+	Writer       *conf.Writer
+	Spread       *spread.ConfigReplicator
+	Fleet        *fleet.Fleet
+	ContextOwner *home.Owner
+	Poison       *poison.Guard
+	Log          *event.Log
 	// Assignments are the names of the assignments that the status shows.
 	Assignments []string
 	// OperatorKeyHashes are the SHA-256 hashes of operators' keys from the settings. They
--- a/core/admin/status.go
+++ b/core/admin/status.go
@@ -115,7 +115,7 @@
 		t := r.Spec().(*conf.Target)
 		body.Targets = append(body.Targets, targetStatus{r.Name(), t.Type, t.Domain, view.Usable(r.Name(), t), s.load(r.Name())})
 		if t.Type == conf.TypeStore {
-			backlog, rate := s.o.Home.LinkStatus(r.Name(), t)
+			backlog, rate := s.o.ContextOwner.LinkStatus(r.Name(), t)
 			body.Links = append(body.Links, linkStatus{r.Name(), backlog, rate})
 		}
 	}
@@ -140,12 +140,12 @@
 }
 
 func (s *Server) load(worker string) string {
-	w, ok := s.o.Home.WorkerStatus(worker)
+	w, ok := s.o.ContextOwner.WorkerStatus(worker)
 	if !ok {
 		return ""
 	}
 	text := fmt.Sprintf("%d tokens wait, %d answers run, %d of %d blocks free, %s",
-		w.Queued, w.Running, w.Free, w.Total, strings.Join(w.Holds, " "))
+		w.QueuedTokens, w.Running, w.FreeBlocks, w.TotalBlocks, strings.Join(w.LoadedWeights, " "))
 	if w.Loading {
 		text += ", loading"
 	}
--- a/core/canary/control.go
+++ b/core/canary/control.go
@@ -36,7 +36,7 @@
 	Incarnation string
 	Leadership  Leadership
 	Store       plat.Writer
-	Mirror      *plat.WatchCache
+	WatchCache  *plat.WatchCache
 	// Holder returns the name of the daemon that holds the lease, or "".
 	Holder func() string
 	// Status returns the rollout status to publish to operators.
@@ -236,7 +236,7 @@
 		return
 	}
 	key := StatePrefix + o.Service
-	current, _ := c.o.Mirror.Pair(key)
+	current, _ := c.o.WatchCache.Pair(key)
 	out, err := c.o.Store.Commit(ctx, plat.Txn{
 		Compares: []plat.Compare{{Key: key, ModRevision: current.ModRevision}},
 		Puts:     []plat.Put{{Key: key, Value: value}, c.o.Status(o.Service, st)},
--- a/core/canary/control_test.go
+++ b/core/canary/control_test.go
@@ -76,7 +76,7 @@
 		cache := plat.NewWatchCache(tr.store, plat.Prefix(""), log)
 		c := NewController(Options{
 			Guard: guard, Fleet: f, Incarnation: seed.Name + "/1",
-			Leadership: fakeLeadership{&tr.holder, seed.Name}, Store: tr.store, Mirror: cache,
+			Leadership: fakeLeadership{&tr.holder, seed.Name}, Store: tr.store, WatchCache: cache,
 			Holder: func() string { return *tr.holder.Load() },
 			Status: func(service string, st State) plat.Put {
 				return plat.Put{Key: "status/" + service, Value: []byte(string(st.Phase) + " " + st.Version)}
--- a/core/entry/prompt.go
+++ b/core/entry/prompt.go
@@ -250,7 +250,7 @@
 // the contexts that grows with the number of updated workers uses the new version; the others use a
 // version that the remaining workers have loaded.
 func (p *promptRequest) chooseVersion(salt cache.Salt) string {
-	ready, total := p.s.o.Home.Ready(p.q.snap, p.q.view, p.deploymentName, salt)
+	ready, total := p.s.o.ContextOwner.Ready(p.q.snap, p.q.view, p.deploymentName, salt)
 	if ready == total {
 		return salt.WeightVersion
 	}
@@ -260,7 +260,7 @@
 	if route.UseDesiredVersion(fraction, ready, total) {
 		return salt.WeightVersion
 	}
-	for _, v := range p.s.o.Home.Versions(p.q.snap, p.q.view, p.deploymentName, salt.Model) {
+	for _, v := range p.s.o.ContextOwner.Versions(p.q.snap, p.q.view, p.deploymentName, salt.Model) {
 		if v != salt.WeightVersion {
 			return v
 		}
@@ -409,7 +409,7 @@
 	pushedBack, soonest := p.s.underPushback(p.q.snap, func(t *conf.Target) bool { return t.Serves(p.deploymentName) })
 	req := p.placement
 	req.Exclude = append(pushedBack, p.placement.Exclude...)
-	ans, err := p.s.o.Home.Place(ctx, p.s.o.Fleet.View(), &req)
+	ans, err := p.s.o.ContextOwner.Place(ctx, p.s.o.Fleet.View(), &req)
 	if err != nil {
 		return refuse(http.StatusServiceUnavailable, CodeNoTarget, NotRun, "no worker could be chosen").after(queueFullRetryAfter)
 	}
@@ -442,7 +442,7 @@
 func explain(a *home.PlacementRequest, ans *home.PlacementResult) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "decided by %s; %d tokens in %d blocks, weights %s; cached %d, imported %d blocks; expected first token %v; options:",
-		ans.Owner, a.Tokens, len(a.Chain), home.WeightsName(a.Salt), ans.HeldBlocks, ans.ImportedBlocks, ans.Expected.Round(100*time.Microsecond))
+		ans.Owner, a.Tokens, len(a.Chain), home.WeightsName(a.Salt), ans.CachedBlocks, ans.ImportedBlocks, ans.Expected.Round(100*time.Microsecond))
 	for _, o := range ans.Options {
 		fmt.Fprintf(&b, " [%s queue %v import %d blocks in %v prefill %d tokens in %v cost %.4f]",
 			o.Worker, o.Queue.Round(100*time.Microsecond), o.Import.Blocks(), o.Transfer.Round(100*time.Microsecond),
@@ -458,7 +458,7 @@
 		Request: p.q.id, Salt: p.placement.Salt, RootBlocks: p.placement.RootBlocks, Chain: p.placement.Chain, Worker: p.decision.Worker,
 		Prefilled: prefilled, ExportFrom: p.deployment.MinExportBlocksOrDefault(), Failed: failed,
 	}
-	go attemptReport{p.s.o.Home, p.q.view, p.decision.Owner, o}.send()
+	go attemptReport{p.s.o.ContextOwner, p.q.view, p.decision.Owner, o}.send()
 }
 
 // attemptReport is a report on an attempt for a context owner.
@@ -487,13 +487,13 @@
 		promptRequest: p, target: t, engine: target.NewEngine(t.URL, p.s.o.EngineClient),
 		id: fmt.Sprintf("%s-%d", p.q.id, len(p.placement.Exclude)),
 	}
-	if !p.s.pushbacks.Take(p.decision.Worker) {
+	if !p.s.pushbacks.AllowAttempt(p.decision.Worker) {
 		p.reportAttempt(false, false)
 		return errors.New("chosen worker is under pushback")
 	}
 	err := a.relay(ctx)
 	if pushback := target.Pushback(err); pushback > 0 {
-		p.s.recordPushback(p.q, p.decision.Worker, p.s.o.Home.Incarnation(p.decision.Worker), pushback)
+		p.s.recordPushback(p.q, p.decision.Worker, p.s.o.ContextOwner.Incarnation(p.decision.Worker), pushback)
 	}
 	if err != nil && a.sent {
 		a.cancel()
--- a/core/entry/pushback.go
+++ b/core/entry/pushback.go
@@ -26,7 +26,7 @@
 // underPushback returns the targets selected by serves that may get no attempt from this daemon now,
 // and the time until the first of these may.
 func (s *Server) underPushback(snap *conf.Snapshot, serves func(*conf.Target) bool) (names []string, soonest time.Duration) {
-	for name, remaining := range s.pushbacks.Remaining(s.o.Home.Incarnation) {
+	for name, remaining := range s.pushbacks.Remaining(s.o.ContextOwner.Incarnation) {
 		if t := snap.Target(name); t == nil || !serves(t) {
 			continue
 		}
--- a/core/entry/server.go
+++ b/core/entry/server.go
@@ -28,10 +28,10 @@
 
 // Options configures a Server.
 type Options struct {
-	Conf  *conf.Store
-	Fleet *fleet.Fleet
-	Home  *home.Owner
-	Once  *once.Once
+	Conf         *conf.Store
+	Fleet        *fleet.Fleet
+	ContextOwner *home.Owner
+	Once         *once.Once
 	// Poison blocks prompts that crash engines; nil blocks none.
 	Poison *poison.Guard
 	Log    *event.Log
--- a/core/entry/service.go
+++ b/core/entry/service.go
@@ -288,7 +288,7 @@
 const inProgressRetryAfter = time.Second
 
 // answerWithoutRunning answers a call whose claim was not granted, from the state of the claim.
-func (k *call) answerWithoutRunning(ans once.Answer) (*answer, *Refusal) {
+func (k *call) answerWithoutRunning(ans once.ClaimResponse) (*answer, *Refusal) {
 	if ans.State == once.Ran {
 		k.s.o.Log.Emit(event.ClaimAnswered, k.q.ref(""), "")
 		return replay(ans.Outcome)
@@ -364,7 +364,7 @@
 // has taken the single attempt that the target gets after its pushback.
 func (k *call) choose(names []string) (name string, ok bool) {
 	name = k.s.calls.choose(names, time.Now())
-	if ok = k.s.pushbacks.Take(name); !ok {
+	if ok = k.s.pushbacks.AllowAttempt(name); !ok {
 		k.s.calls.done(name, false, time.Now())
 	}
 	return name, ok
--- a/core/home/home.go
+++ b/core/home/home.go
@@ -227,7 +227,7 @@
 	})
 	for _, w := range workers {
 		if w.Name == ans.Worker {
-			ans.HeldBlocks = w.CachedBlocks
+			ans.CachedBlocks = w.CachedBlocks
 		}
 	}
 	if d.Chosen.Import.Blocks() > 0 {
@@ -434,12 +434,12 @@
 // WorkerStatus is the recent state of a worker, for operators. Queued is in prompt tokens,
 // Running in requests, Free and Total in blocks; Holds names the loaded weights.
 type WorkerStatus struct {
-	Queued  int
-	Running int
-	Free    int
-	Total   int
-	Holds   []string
-	Loading bool
+	QueuedTokens  int
+	Running       int
+	FreeBlocks    int
+	TotalBlocks   int
+	LoadedWeights []string
+	Loading       bool
 }
 
 // WorkerStatus returns the state of a worker, or false if there is no recent report.
--- a/core/home/messages.go
+++ b/core/home/messages.go
@@ -54,8 +54,8 @@
 	Expected   time.Duration  `msgpack:"e"`
 	RetryAfter time.Duration  `msgpack:"r,omitempty"`
 	Options    []route.Option `msgpack:"o,omitempty"`
-	// HeldBlocks is how many first blocks of the prompt the worker was recorded as holding.
-	HeldBlocks int `msgpack:"h"`
+	// CachedBlocks is how many first blocks of the prompt the worker was recorded as holding.
+	CachedBlocks int `msgpack:"h"`
 	// ImportedBlocks is the number of blocks read from a store for the request, and LinkBytes the
 	// bytes moved for that.
 	ImportedBlocks int   `msgpack:"m"`
--- a/core/lease/presence.go
+++ b/core/lease/presence.go
@@ -12,12 +12,12 @@
 // Presence keeps a key in the coordination store while this process lives, so that others can find
 // it. The key expires after TTL without a renewal.
 type Presence struct {
-	Key    string
-	Value  []byte
-	TTL    time.Duration
-	Store  plat.Store
-	Mirror *plat.WatchCache
-	Log    *event.Log
+	Key        string
+	Value      []byte
+	TTL        time.Duration
+	Store      plat.Store
+	WatchCache *plat.WatchCache
+	Log        *event.Log
 	// session is zero while none is open; only Run uses it.
 	session plat.Session
 	// reachable reports that the store responded at the last attempt.
@@ -84,7 +84,7 @@
 		if err := p.Store.Renew(ctx, p.session); err != nil {
 			return err
 		}
-		if pair, found := p.Mirror.Pair(p.Key); found && string(pair.Value) == string(p.Value) {
+		if pair, found := p.WatchCache.Pair(p.Key); found && string(pair.Value) == string(p.Value) {
 			return nil
 		}
 	}
@@ -106,7 +106,7 @@
 
 // endSession ends the session, which removes the key.
 func (p *Presence) endSession() {
-	if p.session == (plat.Session{}) || p.session.StoreIncarnation != p.Mirror.StoreIncarnation() {
+	if p.session == (plat.Session{}) || p.session.StoreIncarnation != p.WatchCache.StoreIncarnation() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
--- a/core/lease/timed.go
+++ b/core/lease/timed.go
@@ -40,14 +40,14 @@
 // TimedOptions configure a Timed lease.
 type TimedOptions struct {
 	Key string
-	// Owner identifies this incarnation of the daemon; it is the key's value while it holds the lease.
-	Owner string
+	// Holder identifies this incarnation of the daemon; it is the key's value while it holds the lease.
+	Holder string
 	// MinGap is the least time between the actions of two holders, and the TTL of the key without
 	// renewals.
-	MinGap time.Duration
-	Store  plat.Store
-	Mirror *plat.WatchCache
-	Log    *event.Log
+	MinGap     time.Duration
+	Store      plat.Store
+	WatchCache *plat.WatchCache
+	Log        *event.Log
 	// LastContact returns when the coordination store last confirmed the contents of the watch cache, to
 	// this daemon or a peer; nil stands for its last contact with this daemon.
 	LastContact func() clock.Time
@@ -110,7 +110,7 @@
 // lastContact returns when the coordination store last confirmed the contents of the watch cache.
 func (t *Timed) lastContact() clock.Time {
 	if t.o.LastContact == nil {
-		return t.o.Mirror.LastContact()
+		return t.o.WatchCache.LastContact()
 	}
 	return t.o.LastContact()
 }
@@ -126,7 +126,7 @@
 		return clock.Time{}
 	}
 	// Without contact to the store the lease could not be taken.
-	_, taken := t.o.Mirror.Pair(t.o.Key)
+	_, taken := t.o.WatchCache.Pair(t.o.Key)
 	if taken || clock.Since(t.lastContact()) > maxContactAge || t.recentlyRestored() {
 		return clock.Time{}
 	}
@@ -144,7 +144,7 @@
 // holder whose key the copy lacks may have acted within MinGap. A daemon that has just started can't
 // tell when that was, and assumes now.
 func (t *Timed) recentlyRestored() bool {
-	return t.o.Mirror.StoreIncarnation() > 0 && clock.Since(t.o.Mirror.StoreIncarnationSince()) < t.o.MinGap
+	return t.o.WatchCache.StoreIncarnation() > 0 && clock.Since(t.o.WatchCache.StoreIncarnationSince()) < t.o.MinGap
 }
 
 // keyState reports whether this daemon holds the key according to the watch cache, whether it lost
@@ -154,13 +154,13 @@
 	t.timedMu.Lock()
 	fence := t.fence
 	t.timedMu.Unlock()
-	pair, found := t.o.Mirror.Pair(t.o.Key)
+	pair, found := t.o.WatchCache.Pair(t.o.Key)
 	switch {
-	case found && string(pair.Value) == t.o.Owner:
+	case found && string(pair.Value) == t.o.Holder:
 		return true, false, pair.ModRevision
 	case found:
 		return false, true, 0
-	case fence > uint64(t.o.Mirror.Revision()):
+	case fence > uint64(t.o.WatchCache.Revision()):
 		return true, false, int64(fence)
 	}
 	return false, fence != 0, 0
@@ -240,7 +240,7 @@
 	sent := clock.Now()
 	out, err := t.o.Store.Commit(ctx, plat.Txn{
 		Compares: []plat.Compare{{Key: t.o.Key}},
-		Puts:     []plat.Put{{Key: t.o.Key, Value: []byte(t.o.Owner), Session: session}},
+		Puts:     []plat.Put{{Key: t.o.Key, Value: []byte(t.o.Holder), Session: session}},
 	})
 	t.timedMu.Lock()
 	defer t.timedMu.Unlock()
@@ -276,7 +276,7 @@
 	if held {
 		t.o.Log.Emit(event.LeaseLost, event.Ref{Resource: t.o.Key}, "released: "+why)
 	}
-	if session == (plat.Session{}) || recent || session.StoreIncarnation != t.o.Mirror.StoreIncarnation() {
+	if session == (plat.Session{}) || recent || session.StoreIncarnation != t.o.WatchCache.StoreIncarnation() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -285,9 +285,9 @@
 	_ = t.o.Store.End(ctx, session)
 }
 
-// Refused records that a target has seen a higher fencing token. The lease is taken again before
+// RecordFenced records that a target has seen a higher fencing token. The lease is taken again before
 // anything else is done under it.
-func (t *Timed) Refused(fence uint64) {
+func (t *Timed) RecordFenced(fence uint64) {
 	t.timedMu.Lock()
 	newlyRefused := t.fence == fence && t.refusedFence != fence
 	t.refusedFence = fence
@@ -316,7 +316,7 @@
 	defer t.timedMu.Unlock()
 	now := clock.Now()
 	if !t.heldLocked(now) || now.Sub(t.renewed) >= t.o.MinGap/actDivisor ||
-		plat.StoreIncarnation(int64(t.fence)) != t.o.Mirror.StoreIncarnation() {
+		plat.StoreIncarnation(int64(t.fence)) != t.o.WatchCache.StoreIncarnation() {
 		return 0, false
 	}
 	t.lastAct = now
--- a/core/lease/timed_test.go
+++ b/core/lease/timed_test.go
@@ -39,7 +39,7 @@
 	cache := plat.NewWatchCache(kv, plat.Prefix(""), log)
 	h := &holder{cache: cache}
 	h.lease = NewTimed(TimedOptions{
-		Key: "duty", Owner: name, MinGap: minGap, Store: kv, Mirror: cache, Log: log,
+		Key: "duty", Holder: name, MinGap: minGap, Store: kv, WatchCache: cache, Log: log,
 		Rank: func() int { return rank }, Ineligible: h.ineligible.Load, HasWork: func() bool { return true },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -130,7 +130,7 @@
 	h := newHolder(t, kv, "a", 0)
 	g.Eventually(h.mayAct, "10s", "5ms").Should(gomega.BeTrue())
 	fence, _ := h.lease.Act()
-	h.lease.Refused(fence)
+	h.lease.RecordFenced(fence)
 	g.Expect(h.mayAct()).To(gomega.BeFalse())
 	kv.Expire()
 	g.Eventually(h.mayAct, "10s", "5ms").Should(gomega.BeTrue())
@@ -143,7 +143,7 @@
 	kv := &memkv.KV{}
 	log := &event.Log{}
 	cache := plat.NewWatchCache(kv, plat.Prefix(""), log)
-	p := &Presence{Key: "box", Value: []byte("v"), TTL: minGap, Store: kv, Mirror: cache, Log: log}
+	p := &Presence{Key: "box", Value: []byte("v"), TTL: minGap, Store: kv, WatchCache: cache, Log: log}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { cache.Run(ctx) })
@@ -210,8 +210,8 @@
 			g := gomega.NewWithT(t)
 			kv, log := &memkv.KV{}, &event.Log{}
 			lease := NewTimed(TimedOptions{
-				Key: "duty", Owner: "a", MinGap: minGap, Store: kv,
-				Mirror: plat.NewWatchCache(kv, plat.Prefix(""), log), Log: log,
+				Key: "duty", Holder: "a", MinGap: minGap, Store: kv,
+				WatchCache: plat.NewWatchCache(kv, plat.Prefix(""), log), Log: log,
 				LastContact: func() clock.Time { return clock.Now().Add(-tc.age) },
 				Rank:        func() int { return 0 }, Ineligible: func() bool { return false },
 				HasWork: func() bool { return true },
--- a/core/memkv/memkv.go
+++ b/core/memkv/memkv.go
@@ -278,9 +278,9 @@
 	}
 }
 
-// Under returns the pairs whose keys begin with prefix, ordered by key; none while the store is
+// WithPrefix returns the pairs whose keys begin with prefix, ordered by key; none while the store is
 // down.
-func (k *KV) Under(prefix string) []plat.Pair {
+func (k *KV) WithPrefix(prefix string) []plat.Pair {
 	// Range fails only while the store is down, and then returns nothing.
 	pairs, _, _ := k.Range(context.Background(), plat.Prefix(prefix))
 	return pairs
--- a/core/once/msgs.go
+++ b/core/once/msgs.go
@@ -96,8 +96,8 @@
 	Digest uint64 `msgpack:"p"`
 }
 
-// Answer is the response to a claim.
-type Answer struct {
+// ClaimResponse is the response to a claim.
+type ClaimResponse struct {
 	State State `msgpack:"s"`
 	// Outcome is set for Ran.
 	Outcome Outcome `msgpack:"o"`
--- a/core/once/once.go
+++ b/core/once/once.go
@@ -95,7 +95,7 @@
 // New returns a Once and registers its message handlers with the fleet.
 func New(o Options) *Once {
 	c := newOnce(o, fleetPeers{o.Fleet})
-	o.Fleet.Mux().Register(kindClaim, wire.Handle(func(ctx context.Context, _ string, m *Claim) (Answer, error) {
+	o.Fleet.Mux().Register(kindClaim, wire.Handle(func(ctx context.Context, _ string, m *Claim) (ClaimResponse, error) {
 		ctx, cancel := context.WithTimeout(ctx, c.claimTimeout)
 		defer cancel()
 		return c.shards[m.Key.shard()].claim(ctx, m), nil
@@ -103,7 +103,7 @@
 	o.Fleet.Mux().Register(kindSettle, wire.Handle(func(ctx context.Context, _ string, m *settlement) (bool, error) {
 		return c.shards[m.Key.shard()].settleAndWait(ctx, m), nil
 	}))
-	o.Fleet.Mux().Register(kindTicket, wire.Handle(func(_ context.Context, _ string, m *ticketClaim) (Answer, error) {
+	o.Fleet.Mux().Register(kindTicket, wire.Handle(func(_ context.Context, _ string, m *ticketClaim) (ClaimResponse, error) {
 		return c.grantTicket(m), nil
 	}))
 	o.Fleet.Mux().Register(kindTicketSettle, wire.Handle(func(_ context.Context, _ string, m *settlement) (bool, error) {
@@ -194,7 +194,7 @@
 
 // Claim requests the right to run a call. Unless the state is Granted, the call must not be run and
 // this attempt has not run it.
-func (c *Once) Claim(ctx context.Context, key Key, keyTime time.Time, digest uint64) (*Attempt, Answer) {
+func (c *Once) Claim(ctx context.Context, key Key, keyTime time.Time, digest uint64) (*Attempt, ClaimResponse) {
 	ctx, cancel := context.WithTimeout(ctx, c.claimTimeout)
 	defer cancel()
 	m := &Claim{
@@ -215,20 +215,20 @@
 
 // claimFromOwner sends the claim until a daemon that owns the shard responds. Resending is safe: the
 // claim of one attempt is granted to this requester only.
-func (c *Once) claimFromOwner(ctx context.Context, m *Claim) Answer {
+func (c *Once) claimFromOwner(ctx context.Context, m *Claim) ClaimResponse {
 	for {
 		ans, err := c.requestClaim(ctx, m)
 		if err == nil && ans.State != notOwner {
 			return ans
 		}
 		if err != nil && !errors.Is(err, wire.ErrNotSent) {
-			return Answer{State: Unavailable}
+			return ClaimResponse{State: Unavailable}
 		}
 		t := time.NewTimer(ownerRetryInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
-			return Answer{State: Unavailable}
+			return ClaimResponse{State: Unavailable}
 		case <-t.C:
 		}
 	}
@@ -237,16 +237,16 @@
 // ownerRetryInterval is the time between requests while a shard changes its owner.
 const ownerRetryInterval = 50 * time.Millisecond
 
-func (c *Once) requestClaim(ctx context.Context, m *Claim) (Answer, error) {
+func (c *Once) requestClaim(ctx context.Context, m *Claim) (ClaimResponse, error) {
 	n := m.Key.shard()
 	owner := c.ownerOf(n)
 	if owner == c.name {
 		return c.shards[n].claim(ctx, m), nil
 	}
 	if owner == "" {
-		return Answer{State: notOwner}, nil
+		return ClaimResponse{State: notOwner}, nil
 	}
-	var ans Answer
+	var ans ClaimResponse
 	return ans, c.peers.Call(ctx, owner, kindClaim, m, &ans)
 }
 
--- a/core/once/once_test.go
+++ b/core/once/once_test.go
@@ -55,7 +55,7 @@
 	}
 	switch m := req.(type) {
 	case *Claim:
-		*resp.(*Answer) = n.shards[m.Key.shard()].claim(ctx, m)
+		*resp.(*ClaimResponse) = n.shards[m.Key.shard()].claim(ctx, m)
 	case *settlement:
 		if m.issuer != "" {
 			n.tickets.settle(m)
@@ -64,7 +64,7 @@
 		}
 		*resp.(*bool) = n.shards[m.Key.shard()].settleAndWait(ctx, m)
 	case *ticketClaim:
-		*resp.(*Answer) = n.grantTicket(m)
+		*resp.(*ClaimResponse) = n.grantTicket(m)
 	}
 	return nil
 }
@@ -111,7 +111,7 @@
 }
 
 // claimUntilAvailable repeats a claim until its state is not Unavailable.
-func claimUntilAvailable(g *gomega.WithT, c *Once, key Key, at time.Time, digest uint64) (a *Attempt, ans Answer) {
+func claimUntilAvailable(g *gomega.WithT, c *Once, key Key, at time.Time, digest uint64) (a *Attempt, ans ClaimResponse) {
 	g.Eventually(func() State {
 		a, ans = c.Claim(context.Background(), key, at, digest)
 		return ans.State
@@ -132,10 +132,10 @@
 	_, ans = claimUntilAvailable(g, m.nodes["a"], key, at, 8)
 	g.Expect(ans.State).To(gomega.Equal(Mismatch))
 	first.RecordOutcome(Outcome{Status: 200, Body: []byte("paid")})
-	g.Eventually(func() Answer {
+	g.Eventually(func() ClaimResponse {
 		_, ans := m.nodes["a"].Claim(context.Background(), key, at, 7)
 		return ans
-	}, "20s", "20ms").Should(gomega.Equal(Answer{State: Ran, Outcome: Outcome{Status: 200, Body: []byte("paid")}}))
+	}, "20s", "20ms").Should(gomega.Equal(ClaimResponse{State: Ran, Outcome: Outcome{Status: 200, Body: []byte("paid")}}))
 }
 
 func TestClaimSurvivesItsOwner(t *testing.T) {
--- a/core/once/shard.go
+++ b/core/once/shard.go
@@ -250,7 +250,7 @@
 }
 
 // claim commits a claim, or returns the state for which it is not granted.
-func (s *shard) claim(ctx context.Context, c *Claim) Answer {
+func (s *shard) claim(ctx context.Context, c *Claim) ClaimResponse {
 	done, ans := s.enqueue(c)
 	if ans.State != "" {
 		return ans
@@ -259,26 +259,26 @@
 	select {
 	case ok := <-done:
 		if ok {
-			return Answer{State: Granted}
+			return ClaimResponse{State: Granted}
 		}
 		// Another daemon owns the shard now, and has loaded whether the claim was committed.
-		return Answer{State: notOwner}
+		return ClaimResponse{State: notOwner}
 	case <-ctx.Done():
 		s.settle(&settlement{Key: c.Key, Attempt: c.Attempt, Result: resultNotRun})
-		return Answer{State: Unavailable}
+		return ClaimResponse{State: Unavailable}
 	}
 }
 
 // enqueue checks a claim and adds it to the pending entries. If the returned Answer has a state, the
 // claim was not added.
-func (s *shard) enqueue(c *Claim) (chan bool, Answer) {
+func (s *shard) enqueue(c *Claim) (chan bool, ClaimResponse) {
 	s.shardMu.Lock()
 	defer s.shardMu.Unlock()
 	if !s.owned {
-		return nil, Answer{State: notOwner}
+		return nil, ClaimResponse{State: notOwner}
 	}
 	if len(s.pending) >= maxPending {
-		return nil, Answer{State: Unavailable}
+		return nil, ClaimResponse{State: Unavailable}
 	}
 	if ans := s.table.check(c, time.Now(), s.once.window, s.once.running); ans.State != "" {
 		return nil, ans
@@ -291,7 +291,7 @@
 	s.table.claims[c.Key].committed = false
 	done := make(chan bool, 1)
 	s.pending = append(s.pending, pendingEntry{entry: e, done: done})
-	return done, Answer{}
+	return done, ClaimResponse{}
 }
 
 // settle adds the result of an attempt to the pending entries. The channel receives whether it was
--- a/core/once/table.go
+++ b/core/once/table.go
@@ -65,32 +65,32 @@
 // check returns the response to a claim, with an empty state if the claim can be committed. An
 // attempt that is committed already is granted: only its requester sends it, and stops at the first
 // response. running reports whether a requester's incarnation is alive.
-func (t *table) check(c *Claim, now time.Time, window time.Duration, running func(requester, incarnation string) bool) Answer {
+func (t *table) check(c *Claim, now time.Time, window time.Duration, running func(requester, incarnation string) bool) ClaimResponse {
 	at := time.UnixMilli(c.KeyMillis)
 	recorded := t.claims[c.Key]
 	if recorded == nil {
 		if c.KeyMillis <= t.floor || now.Sub(at) > window || at.Sub(now) > maxClockSkew {
-			return Answer{State: Expired}
+			return ClaimResponse{State: Expired}
 		}
 		if len(t.claims) >= maxClaims {
-			return Answer{State: Unavailable}
+			return ClaimResponse{State: Unavailable}
 		}
-		return Answer{}
+		return ClaimResponse{}
 	}
 	switch {
 	case recorded.attempt == c.Attempt && recorded.result == 0 && recorded.committed:
 		// A former owner committed the claim, and its response did not reach the requester.
-		return Answer{State: Granted}
+		return ClaimResponse{State: Granted}
 	case recorded.digest != c.Digest:
-		return Answer{State: Mismatch}
+		return ClaimResponse{State: Mismatch}
 	case recorded.result == resultRan:
-		return Answer{State: Ran, Outcome: recorded.outcome}
+		return ClaimResponse{State: Ran, Outcome: recorded.outcome}
 	case recorded.result == resultUnknown:
-		return Answer{State: Unknown}
+		return ClaimResponse{State: Unknown}
 	case running(recorded.requester, recorded.incarnation):
-		return Answer{State: Running}
+		return ClaimResponse{State: Running}
 	}
-	return Answer{State: Unknown}
+	return ClaimResponse{State: Unknown}
 }
 
 // maxClockSkew is how far in the future a key's time may be, because callers' clocks differ.
--- a/core/once/ticket.go
+++ b/core/once/ticket.go
@@ -101,13 +101,13 @@
 }
 
 // grant responds to a claim to a ticket of this daemon, whose present incarnation is given.
-func (t *tickets) grant(a *ticketClaim, now time.Time, window time.Duration, incarnation string, running func(name, incarnation string) bool) Answer {
+func (t *tickets) grant(a *ticketClaim, now time.Time, window time.Duration, incarnation string, running func(name, incarnation string) bool) ClaimResponse {
 	tk, err := parseTicket(a.Ticket)
 	if err != nil || tk.incarnation != incarnation {
-		return Answer{State: Unknown}
+		return ClaimResponse{State: Unknown}
 	}
 	if !hmac.Equal([]byte(tk.mac), []byte(t.sign(tk, a.Organisation, a.Service))) {
-		return Answer{State: Mismatch}
+		return ClaimResponse{State: Mismatch}
 	}
 	t.ticketMu.Lock()
 	defer t.ticketMu.Unlock()
@@ -119,7 +119,7 @@
 	t.table.apply(&entry{
 		Key: c.Key, KeyMillis: c.KeyMillis, Attempt: c.Attempt, Requester: c.Requester, Incarnation: c.Incarnation, Digest: c.Digest,
 	})
-	return Answer{State: Granted}
+	return ClaimResponse{State: Granted}
 }
 
 // settle records the result of an attempt with a ticket of this daemon.
@@ -138,10 +138,10 @@
 
 // ClaimTicket requests from the issuer of a ticket the right to run its call. Unless the state is
 // Granted, the call must not be run and this attempt has not run it.
-func (c *Once) ClaimTicket(ctx context.Context, organisation, service, text string, digest uint64) (*Attempt, Answer, error) {
+func (c *Once) ClaimTicket(ctx context.Context, organisation, service, text string, digest uint64) (*Attempt, ClaimResponse, error) {
 	tk, err := parseTicket(text)
 	if err != nil {
-		return nil, Answer{}, err
+		return nil, ClaimResponse{}, err
 	}
 	m := &ticketClaim{
 		Ticket: text, Organisation: organisation, Service: service,
@@ -158,21 +158,21 @@
 	return a, ans, nil
 }
 
-func (c *Once) claimFromIssuer(ctx context.Context, tk ticket, m *ticketClaim) Answer {
+func (c *Once) claimFromIssuer(ctx context.Context, tk ticket, m *ticketClaim) ClaimResponse {
 	if tk.issuer == c.name {
 		return c.grantTicket(m)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.claimTimeout)
 	defer cancel()
-	var ans Answer
+	var ans ClaimResponse
 	if err := c.peers.Call(ctx, tk.issuer, kindTicket, m, &ans); err != nil {
 		// The issuer may have granted the claim to this attempt or another. A claim that is granted
 		// and not used counts as unknown, which is safe.
-		return Answer{State: Unavailable}
+		return ClaimResponse{State: Unavailable}
 	}
 	return ans
 }
 
-func (c *Once) grantTicket(m *ticketClaim) Answer {
+func (c *Once) grantTicket(m *ticketClaim) ClaimResponse {
 	return c.tickets.grant(m, time.Now(), c.window, c.incarnation, c.running)
 }
--- a/core/order/order.go
+++ b/core/order/order.go
@@ -121,7 +121,7 @@
 
 func (w *wantedLoad) order(fence uint64, expires time.Time) target.Order {
 	return target.Order{
-		Fence: fence, Expires: expires, Model: w.spec.Model, Version: w.spec.WeightVersion, Adapters: w.spec.Adapters,
+		FencingToken: fence, Expires: expires, Model: w.spec.Model, Version: w.spec.WeightVersion, Adapters: w.spec.Adapters,
 	}
 }
 
@@ -179,7 +179,7 @@
 	salt := cache.Salt{Model: d.Model, WeightVersion: d.WeightVersion}
 	for _, a := range append([]string{""}, d.Adapters...) {
 		salt.Adapter = a
-		if !slices.Contains(st.Holds, home.WeightsName(salt)) {
+		if !slices.Contains(st.LoadedWeights, home.WeightsName(salt)) {
 			return false
 		}
 	}
--- a/core/order/update.go
+++ b/core/order/update.go
@@ -189,9 +189,9 @@
 	u.updater.o.Log.Emit(event.OrderSent, event.Ref{Target: id}, text+": "+v.String())
 	switch v {
 	case Fenced:
-		leadership.Refused(fence)
+		leadership.RecordFenced(fence)
 		return errNoLeadership
-	case OtherIncarnation, Refused:
+	case OtherIncarnation, Rejected:
 		return errors.Errorf("the worker answered: %s", v)
 	}
 	return nil
--- a/core/order/updater_test.go
+++ b/core/order/updater_test.go
@@ -35,7 +35,7 @@
 	return l.fence, l.fence > l.refused
 }
 
-func (l *fakeLeadership) Refused(fence uint64) {
+func (l *fakeLeadership) RecordFenced(fence uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refused = max(l.refused, fence)
@@ -216,7 +216,7 @@
 	r := newTestUpdater(t, 2)
 	r.g.Eventually(r.outdated, "30s", "10ms").Should(gomega.BeZero())
 	sent := len(r.workers.sentOrders())
-	r.leadership.Refused(7)
+	r.leadership.RecordFenced(7)
 	r.desired.Store(3)
 	r.g.Consistently(func() int { return len(r.workers.sentOrders()) }, "500ms", "20ms").Should(gomega.Equal(sent))
 }
@@ -361,7 +361,7 @@
 	r := newTestUpdater(t, 1)
 	r.g.Eventually(r.outdated, "30s", "10ms").Should(gomega.BeZero())
 	r.g.Expect(r.updater.isLeader()).To(gomega.BeTrue())
-	r.leadership.Refused(7)
+	r.leadership.RecordFenced(7)
 	r.g.Expect(r.updater.isLeader()).To(gomega.BeFalse())
 	r.desired.Store(3)
 	r.g.Expect(r.updater.startable()).To(gomega.BeEmpty())
--- a/core/order/worker.go
+++ b/core/order/worker.go
@@ -33,9 +33,9 @@
 	Fenced
 	// OtherIncarnation: another incarnation has its address.
 	OtherIncarnation
-	// Refused: it rejects the order, as it does not support it or the version is not
+	// Rejected: it rejects the order, as it does not support it or the version is not
 	// the desired one.
-	Refused
+	Rejected
 )
 
 // String returns the verdict as written in log lines.
@@ -71,6 +71,6 @@
 	Held() bool
 	// Act returns the fencing token of an order, and whether the order may be sent now.
 	Act() (uint64, bool)
-	// Refused records that a worker has seen a higher fencing token.
-	Refused(fence uint64)
+	// RecordFenced records that a worker has seen a higher fencing token.
+	RecordFenced(fence uint64)
 }
--- a/core/plat/restore_test.go
+++ b/core/plat/restore_test.go
@@ -66,7 +66,7 @@
 func (w *watched) agrees(kv *memkv.KV) func() bool {
 	return func() bool {
 		want := map[string]string{}
-		for _, p := range kv.Under("a/") {
+		for _, p := range kv.WithPrefix("a/") {
 			want[p.Key] = string(p.Value)
 		}
 		got := map[string]string{}
--- a/core/poison/guard.go
+++ b/core/poison/guard.go
@@ -28,8 +28,8 @@
 	Log  *event.Log
 	// Store is the coordination store and Mirror its watch cache. The store keeps the blocks for
 	// daemons that start while no other one is up. Both may be nil.
-	Store  plat.Writer
-	Mirror *plat.WatchCache
+	Store      plat.Writer
+	WatchCache *plat.WatchCache
 }
 
 // Guard blocks requests that crash targets.
--- a/core/poison/guard_test.go
+++ b/core/poison/guard_test.go
@@ -69,7 +69,7 @@
 		HeartbeatInterval: heartbeat, SuspectAfter: suspectAfter, Log: &event.Log{},
 	})}
 	m.cache = plat.NewWatchCache(r.store, plat.Prefix(""), &event.Log{})
-	m.guard = New(Options{Fleet: m.fleet, Dial: r.dial, Log: &event.Log{}, Store: r.store, Mirror: m.cache})
+	m.guard = New(Options{Fleet: m.fleet, Dial: r.dial, Log: &event.Log{}, Store: r.store, WatchCache: m.cache})
 	m.cache.Observe(func(list []plat.Change) {
 		for _, c := range list {
 			m.guard.Observe(c)
--- a/core/poison/store.go
+++ b/core/poison/store.go
@@ -84,7 +84,7 @@
 
 // syncStore brings the store up to date.
 func (g *Guard) syncStore(ctx context.Context) {
-	if g.o.Mirror.Down() || clock.Since(g.o.Mirror.FreshAsOf()) > maxCacheAge {
+	if g.o.WatchCache.Down() || clock.Since(g.o.WatchCache.FreshAsOf()) > maxCacheAge {
 		return
 	}
 	list := g.blocks.list()
@@ -108,7 +108,7 @@
 // syncBlock writes or removes one block, unless the store is already up to date.
 func (g *Guard) syncBlock(ctx context.Context, b *block) error {
 	name := BlockPrefix + b.Request.String()
-	pair, found := g.o.Mirror.Pair(name)
+	pair, found := g.o.WatchCache.Pair(name)
 	txn := plat.Txn{Compares: []plat.Compare{{Key: name, ModRevision: pair.ModRevision}}}
 	var s storedBlock
 	switch {
--- a/core/relay/finish.go
+++ b/core/relay/finish.go
@@ -16,7 +16,7 @@
 	took := time.Since(p.start)
 	switch {
 	case callerDisconnected(p.r.Context()):
-		stats.CallersGone.Inc()
+		stats.CallersDisconnected.Inc()
 		p.writeLog(event.CallerGone, took)
 	case refusal != nil:
 		if refusal.Ran == entry.NotRun {
@@ -31,12 +31,12 @@
 		}
 		p.writeLog(event.RequestRefused, took)
 	case p.aborted:
-		stats.AnswersCut.Inc()
+		stats.AnswersTruncated.Inc()
 		p.writeLog(event.StreamBroken, took)
 		// The connection is reset, so that the answer does not look complete.
 		panic(http.ErrAbortHandler)
 	default:
-		stats.Done.Inc()
+		stats.Completed.Inc()
 		stats.TotalSeconds.Update(took.Seconds())
 		p.writeLog(event.RequestDone, took)
 	}
--- a/core/relay/stats.go
+++ b/core/relay/stats.go
@@ -9,10 +9,10 @@
 // Stats holds the counters of a relay.
 type Stats struct {
 	set *metrics.Set
-	// Requests counts callers' requests. The others count how they ended: Done with a complete
-	// answer, Refused before a target may have executed them, Failed after that, AnswersCut with a
-	// truncated answer, and CallersGone with the caller disconnected.
-	Requests, Done, Refused, Failed, AnswersCut, CallersGone *metrics.Counter
+	// Requests counts callers' requests. The others count how they ended: Completed with a complete
+	// answer, Refused before a target may have executed them, Failed after that, AnswersTruncated with a
+	// truncated answer, and CallersDisconnected with the caller disconnected.
+	Requests, Completed, Refused, Failed, AnswersTruncated, CallersDisconnected *metrics.Counter
 	// Attempts counts the attempts, Retries those that repeat an earlier one, and StreamsResumed
 	// broken streams that another attempt may resume. MismatchedResponses counts responses to
 	// another request, NotExecuted those that report that the request was not executed, and
@@ -42,8 +42,8 @@
 	set := metrics.NewSet()
 	c := func(name string) *metrics.Counter { return set.NewCounter("embertally_" + name) }
 	return &Stats{
-		set: set, Requests: c("requests_total"), Done: c("requests_done_total"), Refused: c("requests_refused_total"),
-		Failed: c("requests_failed_total"), AnswersCut: c("answers_cut_total"), CallersGone: c("callers_gone_total"),
+		set: set, Requests: c("requests_total"), Completed: c("requests_done_total"), Refused: c("requests_refused_total"),
+		Failed: c("requests_failed_total"), AnswersTruncated: c("answers_cut_total"), CallersDisconnected: c("callers_gone_total"),
 		Attempts: c("sends_total"), Retries: c("sends_repeated_total"), StreamsResumed: c("streams_resumed_total"),
 		MismatchedResponses: c("answers_foreign_total"), NotExecuted: c("targets_refused_total"),
 		Misdirected:  c("targets_moved_total"),
--- a/core/roster/pushback.go
+++ b/core/roster/pushback.go
@@ -130,8 +130,8 @@
 	return p != nil && p.endRamp(clock.Now())
 }
 
-// Take counts an attempt at a target, and reports whether it may be sent.
-func (l *PushbackList) Take(name string) bool {
+// AllowAttempt counts an attempt at a target, and reports whether it may be sent.
+func (l *PushbackList) AllowAttempt(name string) bool {
 	l.pushbacksMu.Lock()
 	defer l.pushbacksMu.Unlock()
 	p := l.byName[name]
--- a/core/roster/pushback_test.go
+++ b/core/roster/pushback_test.go
@@ -122,23 +122,23 @@
 	var list PushbackList
 	g.Expect(list.RecordRejection("a", "1", 0)).To(gomega.BeFalse())
 	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
-	g.Expect(list.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.AllowAttempt("a")).To(gomega.BeTrue())
 	g.Expect(list.RecordRejection("a", "1", time.Minute)).To(gomega.BeTrue())
 	g.Expect(list.RecordRejection("a", "1", time.Second)).To(gomega.BeFalse(), "a pushback is in effect already")
-	g.Expect(list.Take("a")).To(gomega.BeFalse())
+	g.Expect(list.AllowAttempt("a")).To(gomega.BeFalse())
 	g.Expect(list.RecordAccepted("a")).To(gomega.BeFalse(), "accepting an earlier request does not end a pushback")
 	for _, incarnation := range []string{"", "1"} {
 		g.Expect(list.Remaining(current(incarnation))).To(gomega.HaveKeyWithValue("a",
 			gomega.BeNumerically("~", time.Minute, 5*time.Second)))
 	}
 	g.Expect(list.Remaining(current("2"))).To(gomega.BeEmpty())
-	g.Expect(list.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.AllowAttempt("a")).To(gomega.BeTrue())
 
 	list.RecordRejection("a", "", time.Minute)
 	g.Expect(list.Remaining(current("2"))).To(gomega.HaveKey("a"), "the incarnation that sent it is unknown")
 	clock.Suspend(time.Minute)
 	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
-	g.Expect(list.Take("a")).To(gomega.BeTrue())
+	g.Expect(list.AllowAttempt("a")).To(gomega.BeTrue())
 	g.Expect(list.Remaining(current(""))).To(gomega.HaveKey("a"), "the ramp allows one attempt at first")
 	g.Expect(list.RecordAccepted("a")).To(gomega.BeTrue())
 	g.Expect(list.Remaining(current(""))).To(gomega.BeEmpty())
--- a/core/target/client.go
+++ b/core/target/client.go
@@ -88,8 +88,8 @@
 	// Generation is the store's number for this write of the block. It changes when the block is
 	// freed and written again.
 	Generation uint64 `json:"generation"`
-	// Sum is the checksum of the content in hexadecimal digits.
-	Sum string `json:"sum"`
+	// Checksum is the checksum of the content in hexadecimal digits.
+	Checksum string `json:"sum"`
 }
 
 // Engine is a client of one model engine.
@@ -198,9 +198,9 @@
 
 // Order is a fenced order to an engine.
 type Order struct {
-	// Fence increases each time another daemon becomes the one that gives orders. An engine that
+	// FencingToken increases each time another daemon becomes the one that gives orders. An engine that
 	// checks it rejects orders with a lower value than it has seen.
-	Fence uint64 `json:"fence"`
+	FencingToken uint64 `json:"fence"`
 	// Expires is the time after which the engine must not start to carry out the order.
 	Expires  time.Time `json:"expires"`
 	Model    string    `json:"model"`
--- a/emberd/internal/daemon/daemon.go
+++ b/emberd/internal/daemon/daemon.go
@@ -163,14 +163,14 @@
 		Name: d.settings.Name, Conf: d.config, Fleet: d.fleet, Workers: d.contextOwner, KV: d.kv, Log: d.log, Client: control,
 	})
 	d.entry = entry.New(entry.Options{
-		Conf: d.config, Fleet: d.fleet, Home: d.contextOwner, Once: d.once, Poison: d.poison, Log: d.log,
+		Conf: d.config, Fleet: d.fleet, ContextOwner: d.contextOwner, Once: d.once, Poison: d.poison, Log: d.log,
 		EngineClient:     engines,
 		RepeatableClient: &http.Client{Transport: target.NewTransport(), CheckRedirect: noRedirect},
 		OnceClient:       &http.Client{Transport: target.NewTransportWithoutReuse(), CheckRedirect: noRedirect},
 		MaxBodyBytes:     d.settings.Limits.MaxBodyBytes, MaxRunningPerOrganisation: d.settings.Limits.MaxRunning, NotReadyReason: d.NotReadyReason,
 	})
 	d.admin = admin.New(admin.Options{
-		Conf: d.config, Writer: conf.NewWriter(d.config, d.kv, d.log), Spread: d.replicator, Fleet: d.fleet, Home: d.contextOwner, Poison: d.poison, Log: d.log,
+		Conf: d.config, Writer: conf.NewWriter(d.config, d.kv, d.log), Spread: d.replicator, Fleet: d.fleet, ContextOwner: d.contextOwner, Poison: d.poison, Log: d.log,
 		Assignments:       append([]string{spread.WatchAssignment, order.Assignment(0)}, once.Assignments()...),
 		OperatorKeyHashes: d.settings.OperatorKeyHashes, NotReadyReason: d.NotReadyReason, RequestsRunning: d.entry.Running,
 	})
--- a/emberd/internal/host/assignments.go
+++ b/emberd/internal/host/assignments.go
@@ -41,14 +41,14 @@
 func (h *Host) buildRollouts(incarnation string) {
 	owner := h.settings.Name + ownerSeparator + incarnation
 	leadership := lease.NewTimed(lease.TimedOptions{
-		Key: keyRollouts, Owner: owner, MinGap: h.settings.Bounds.OrderGap, Store: h.store, Mirror: h.watchCache, Log: h.log,
+		Key: keyRollouts, Holder: owner, MinGap: h.settings.Bounds.OrderGap, Store: h.store, WatchCache: h.watchCache, Log: h.log,
 		Rank:       func() int { return h.assignmentRank(keyRollouts) },
 		HasWork:    func() bool { return !h.canary.AllDecided() },
 		Ineligible: func() bool { return h.ineligible() || h.canary.AllDecided() },
 	})
 	h.leaderships = append(h.leaderships, leadership)
 	h.rollouts = canary.NewController(canary.Options{
-		Guard: &h.canary, Fleet: h.fleet, Incarnation: owner, Leadership: leadership, Store: h.store, Mirror: h.watchCache,
+		Guard: &h.canary, Fleet: h.fleet, Incarnation: owner, Leadership: leadership, Store: h.store, WatchCache: h.watchCache,
 		Holder: h.rolloutHolder, Status: platform.RolloutStatus, Log: h.log,
 	})
 }
@@ -71,7 +71,7 @@
 		panic(err)
 	}
 	return &lease.Presence{
-		Key: keyBoxes + h.settings.Name, Value: value, TTL: boxTTL, Store: h.store, Mirror: h.watchCache, Log: h.log,
+		Key: keyBoxes + h.settings.Name, Value: value, TTL: boxTTL, Store: h.store, WatchCache: h.watchCache, Log: h.log,
 	}
 }
 
--- a/emberd/internal/host/box_list_test.go
+++ b/emberd/internal/host/box_list_test.go
@@ -51,7 +51,7 @@
 // awaitSync waits until the watch cache equals the store.
 func (r *boxListRig) awaitSync() {
 	r.g.Eventually(func() bool {
-		return r.watchCache.Revision() != 0 && len(r.watchCache.WithPrefix("")) == len(r.store.Under("")) && plat.StoreIncarnation(r.watchCache.Revision()) == r.store.StoreIncarnation()
+		return r.watchCache.Revision() != 0 && len(r.watchCache.WithPrefix("")) == len(r.store.WithPrefix("")) && plat.StoreIncarnation(r.watchCache.Revision()) == r.store.StoreIncarnation()
 	}, "30s", "1ms").Should(gomega.BeTrue())
 }
 
--- a/emberd/internal/host/host.go
+++ b/emberd/internal/host/host.go
@@ -142,7 +142,7 @@
 	h.storeIndexSync.Serve(h.storeIndexes)
 	h.pool = &target.Pool{Opened: h.stats.Opened}
 	h.daemonCounter.view = h.fleet.View
-	h.poison = poison.New(poison.Options{Fleet: h.fleet, Dial: h.pool.Connect, Log: h.log, Store: h.store, Mirror: h.watchCache})
+	h.poison = poison.New(poison.Options{Fleet: h.fleet, Dial: h.pool.Connect, Log: h.log, Store: h.store, WatchCache: h.watchCache})
 	h.roster.Removed = h.incarnationRemoved
 	h.roster.Rank = h.targetRank
 	h.canary.CanaryShare = settings.Bounds.CanaryShare
--- a/emberd/internal/host/leaderships.go
+++ b/emberd/internal/host/leaderships.go
@@ -27,8 +27,8 @@
 func (h *Host) newLeadership(partition int, incarnation string) *lease.Timed {
 	key := keyWeightUpdates + strconv.Itoa(partition)
 	return lease.NewTimed(lease.TimedOptions{
-		Key: key, Owner: h.settings.Name + ownerSeparator + incarnation, MinGap: h.settings.Bounds.OrderGap,
-		Store: h.store, Mirror: h.watchCache, Log: h.log,
+		Key: key, Holder: h.settings.Name + ownerSeparator + incarnation, MinGap: h.settings.Bounds.OrderGap,
+		Store: h.store, WatchCache: h.watchCache, Log: h.log,
 		Rank:       func() int { return h.assignmentRank(key) + ranksPerLeadership*h.heldLeaderships() },
 		HasWork:    func() bool { return h.weightUpdater.HasOutdated(partition) },
 		Ineligible: h.ineligible,
@@ -81,7 +81,7 @@
 func (c *cellLeadership) newLease(label string) *lease.Timed {
 	h, key := c.host, keyCells+label
 	return lease.NewTimed(lease.TimedOptions{
-		Key: key, Owner: c.owner, MinGap: h.settings.Bounds.OrderGap, Store: h.store, Mirror: h.watchCache, Log: h.log, LastContact: h.watchCache.FreshAsOf,
+		Key: key, Holder: c.owner, MinGap: h.settings.Bounds.OrderGap, Store: h.store, WatchCache: h.watchCache, Log: h.log, LastContact: h.watchCache.FreshAsOf,
 		Rank:       func() int { return fleet.RankOf(fleet.Key(key), h.fleet.View().ExpectedEligible(), h.settings.Name) },
 		HasWork:    h.weightUpdater.CellHasOutdated,
 		Ineligible: func() bool { return h.ineligible() || !h.weightUpdater.CellHasOutdated() },
--- a/embfake/fake/blocks.go
+++ b/embfake/fake/blocks.go
@@ -264,7 +264,7 @@
 	}
 	out := target.ImportResult{ID: uuid.NewString(), Bytes: int64(len(got.Blocks) * e.o.BlockBytes)}
 	for i := range got.Blocks {
-		got.Blocks[i].Sum = Checksum(got.Blocks[i].Content)
+		got.Blocks[i].Checksum = Checksum(got.Blocks[i].Content)
 		out.Blocks = append(out.Blocks, got.Blocks[i].Block)
 	}
 	e.engineMu.Lock()
@@ -335,7 +335,7 @@
 	}
 	out := target.ExportResult{Bytes: int64(len(got.Blocks) * e.o.BlockBytes)}
 	for i, b := range got.Blocks {
-		b.Sum = Checksum(sent.Blocks[i].Content)
+		b.Checksum = Checksum(sent.Blocks[i].Content)
 		out.Blocks = append(out.Blocks, b.Block)
 	}
 	return c.JSON(http.StatusOK, out)
@@ -351,12 +351,12 @@
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
 	switch {
-	case e.o.ChecksFence && o.Fence < e.maxFence:
+	case e.o.ChecksFence && o.FencingToken < e.maxFence:
 		return c.String(http.StatusPreconditionFailed, "the fence is old\n")
 	case e.loading:
 		return c.String(http.StatusTooManyRequests, "weights are loading\n")
 	}
-	e.maxFence = max(e.maxFence, o.Fence)
+	e.maxFence = max(e.maxFence, o.FencingToken)
 	e.orders = append(e.orders, o)
 	if e.hasWeights(o.Model, o.Version, "") {
 		return c.NoContent(http.StatusAccepted)
--- a/embplay/prove/scenario_blocks_test.go
+++ b/embplay/prove/scenario_blocks_test.go
@@ -222,7 +222,7 @@
 		orders := r.site.Engines[0].Orders()
 		Expect(orders).NotTo(BeEmpty())
 		old := orders[0]
-		old.Fence--
+		old.FencingToken--
 		old.Version = "v1"
 		Expect(r.sendOrder(0, old)).To(Equal(http.StatusPreconditionFailed), "engine 1 checks")
 		Expect(r.sendOrder(1, old)).To(Equal(http.StatusAccepted), "engine 2 does not")
