--- a/core/home/home.go
+++ b/core/home/home.go
@@ -431,8 +431,8 @@
 	return true
 }
 
-// WorkerStatus is the recent state of a worker, for operators. Queued is in prompt tokens,
-// Running in requests, Free and Total in blocks; Holds names the loaded weights.
+// WorkerStatus is the recent state of a worker, for operators. QueuedTokens counts prompt tokens,
+// Running requests, FreeBlocks and TotalBlocks KV-cache blocks; LoadedWeights names the loaded weights.
 type WorkerStatus struct {
 	QueuedTokens  int
 	Running       int
--- a/core/once/msgs.go
+++ b/core/once/msgs.go
@@ -68,7 +68,7 @@
 	Granted State = "granted"
 	// Running means that another attempt is running the call.
 	Running State = "running"
-	// Ran means that the call ran; the Answer holds its outcome.
+	// Ran means that the call ran; the ClaimResponse holds its outcome.
 	Ran State = "ran"
 	// Unknown means that the right to run the call was granted and its outcome is not known.
 	Unknown State = "unknown"
--- a/core/once/shard.go
+++ b/core/once/shard.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// enqueue checks a claim and adds it to the pending entries. If the returned Answer has a state, the
+// enqueue checks a claim and adds it to the pending entries. If the returned response has a state, the
 // claim was not added.
 func (s *shard) enqueue(c *Claim) (chan bool, ClaimResponse) {
 	s.shardMu.Lock()
--- a/core/poison/guard.go
+++ b/core/poison/guard.go
@@ -26,7 +26,7 @@
 	// Dial opens a connection to the address of an incarnation of a target and keeps it for use.
 	Dial func(ctx context.Context, address string) error
 	Log  *event.Log
-	// Store is the coordination store and Mirror its watch cache. The store keeps the blocks for
+	// Store is the coordination store and WatchCache its copy here. The store keeps the blocks for
 	// daemons that start while no other one is up. Both may be nil.
 	Store      plat.Writer
 	WatchCache *plat.WatchCache
--- a/emberd/internal/daemon/daemon.go
+++ b/emberd/internal/daemon/daemon.go
@@ -42,7 +42,7 @@
 type Daemon struct {
 	settings     Settings
 	log          *event.Log
-	kv           *plat.KV // client of the key-value service
+	kv           *plat.KV // client of the coordination store
 	config       *conf.Store
 	fleet        *fleet.Fleet
 	replicator   *spread.ConfigReplicator
@@ -205,7 +205,7 @@
 	return ""
 }
 
-// isolated reports whether nothing was received from peers, box list and key-value service for
+// isolated reports whether nothing was received from peers, box list and coordination store for
 // Limits.IsolationTimeout.
 func (d *Daemon) isolated() bool {
 	last := d.fleet.LastContact()
@@ -216,7 +216,7 @@
 }
 
 // confirmedSinceResume reports whether the configuration has been confirmed since the process
-// noticed that it had been suspended. If the key-value service is down, it is enough that a live
+// noticed that it had been suspended. If the coordination store is down, it is enough that a live
 // peer has loaded a configuration and Peers.Suspect has passed: in that time each live peer of the
 // cell has sent a heartbeat, and none of them had a newer configuration.
 func (d *Daemon) confirmedSinceResume() bool {
